--- a/src/main/java/lupinwood/Brain.java
+++ b/src/main/java/lupinwood/Brain.java
@@ -4,35 +4,58 @@
 import lupinwood.node.*;
 
 /**
- * All decisions of one node: what it takes, runs, bounces and fails. The interface is package lupinwood.node.
- * A Brain is made for one life of one machine, from its settings. News comes in by take, leave, wake and the
- * calls on the handles that take returns; settle closes each moment. Results leave through Server. Everything
- * due later stands in one queue of alarms, with one wake-up asked for at a time. Order of reading: take, Held
- * (what happens to a ticket), settle (what is turned away, run and called), then the guards and the advice.
+ * All decisions of one node: what it takes, runs, bounces and fails. The interface is package
+ * lupinwood.node. A Brain is made for one life of one machine, from its settings. News comes in by
+ * take, leave, wake and the calls on the handles that take returns; settle closes each moment.
+ * Results leave through Server. Everything due later stands in one queue of alarms, with one
+ * wake-up asked for at a time. Order of reading: take, Held (what happens to a ticket), settle
+ * (what is turned away, run and called), then the guards and the advice.
  */
 public final class Brain implements Node {
     private static final double MEMORY_OF = 32; // figures a histogram takes in before it is halved
     private static final double ENOUGH = 6; // figures without which no median is trusted
-    private static final double SAFE = 0.85; // the part of a hard ceiling (memory, crowd) that is used
-    private static final double ROOMY = 0.85; // the part of its time that an arrival may be reckoned to need
-    private static final double EASY = 0.15; // the part of it that tickets may wait before callers hear of it
-    private static final double FIRST_GUESS = 0.1; // the part of it that a ticket costs, before any measure
-    private static final double SAVED_UP = 6; // seconds over which a customer's share is reckoned, or more
-    private static final double LEAST_CALLS = 0.2; // the part of the told share used whatever calls take
-
-    private enum State { HELD, RUNNING, WAITS_TO_CALL, CALLING, REUSING, OVER }
+    private static final double SAFE =
+            0.85; // the part of a hard ceiling (memory, crowd) that is used
+    private static final double ROOMY =
+            0.85; // the part of its time that an arrival may be reckoned to need
+    private static final double EASY =
+            0.15; // the part of it that tickets may wait before callers hear of it
+    private static final double FIRST_GUESS =
+            0.1; // the part of it that a ticket costs, before any measure
+    private static final double SAVED_UP =
+            6; // seconds over which a customer's share is reckoned, or more
+    private static final double LEAST_CALLS =
+            0.2; // the part of the told share used whatever calls take
+
+    private enum State {
+        HELD,
+        RUNNING,
+        WAITS_TO_CALL,
+        CALLING,
+        REUSING,
+        OVER
+    }
 
     /** What the settings say of a track, and what was measured of it. */
     private static final class TrackBook {
         Track says;
         final Histogram cost = new Histogram(MEMORY_OF);
         final Histogram calmCalls = new Histogram(MEMORY_OF);
-        /** How many tickets came to their first, second, ... call, how many ended it; halved with time. */
+
+        /**
+         * How many tickets came to their first, second, ... call, how many ended it; halved with
+         * time.
+         */
         final double[] reached = new double[8];
+
         final double[] endedAt = new double[8];
 
-        /** How many tickets were asked for and how many satisfied in their agreed time; halved with time. */
+        /**
+         * How many tickets were asked for and how many satisfied in their agreed time; halved with
+         * time.
+         */
         double asked;
+
         double satisfied;
 
         TrackBook(Track says) {
@@ -44,7 +67,9 @@
         }
 
         double costNow(double speed) {
-            return cost.weight() >= ENOUGH ? cost.mean() : says.agreed().seconds() * FIRST_GUESS / speed;
+            return cost.weight() >= ENOUGH
+                    ? cost.mean()
+                    : says.agreed().seconds() * FIRST_GUESS / speed;
         }
 
         /** How many calls a ticket that calls makes, on average. */
@@ -69,8 +94,9 @@
         }
 
         void read(int i) {
-            rate = settings.number("customers." + i + ".quota_rps", 0)
-                    / Math.max(1, settings.number("group_size", 1));
+            rate =
+                    settings.number("customers." + i + ".quota_rps", 0)
+                            / Math.max(1, settings.number("group_size", 1));
             span = Math.max(SAVED_UP, MEMORY_OF / 2 / Math.max(1e-9, rate));
         }
 
@@ -89,15 +115,23 @@
         }
 
         /**
-         * Whether one more ticket stays within the share; if so it is taken off. A node that callers favour
-         * gets more of all, so the share grows with what is kept, not bounced, of the middle customer.
+         * Whether one more ticket stays within the share; if so it is taken off. A node that
+         * callers favour gets more of all, so the share grows with what is kept, not bounced, of
+         * the middle customer.
          */
         boolean spend() {
             customers.forEach(CustomerBook::bringUp);
             came++;
             kept++;
-            usual = Math.max(1, customers.stream().mapToDouble(book -> book.crowding(book.kept))
-                    .sorted().skip((customers.size() - 1) / 2).findFirst().orElse(1));
+            usual =
+                    Math.max(
+                            1,
+                            customers.stream()
+                                    .mapToDouble(book -> book.crowding(book.kept))
+                                    .sorted()
+                                    .skip((customers.size() - 1) / 2)
+                                    .findFirst()
+                                    .orElse(1));
             boolean within = saved >= 1;
             saved -= within ? 1 : 0;
             return within;
@@ -114,7 +148,8 @@
     private final Moment born;
     private final Span step;
     private double meanAgreed;
-    private final double toldShare; // of calls in hand; without a shared dependency only the limit binds
+    private final double
+            toldShare; // of calls in hand; without a shared dependency only the limit binds
     private double callsAllowed;
     private Moment nextCall;
     private double usualCall;
@@ -128,7 +163,8 @@
     private int judged;
     private TrackBook worst;
     private final Map<TicketId, Held> remembered = new HashMap<>();
-    private final TreeMap<Long, Held> open = new TreeMap<>(); // all that is owed an answer or takes memory
+    private final TreeMap<Long, Held> open =
+            new TreeMap<>(); // all that is owed an answer or takes memory
     private int onCores;
     private int callsInHand;
     private int callsOut; // of those, the ones whose tickets come back to the cores by themselves
@@ -140,17 +176,23 @@
     private Moment leftAt;
     private Moment stopsAt;
 
-    private double given; // seconds of core time given to each running ticket so far: the clock of all cost
+    private double
+            given; // seconds of core time given to each running ticket so far: the clock of all
+    // cost
     private Moment givenAt;
     private double wanting = 1; // the part of those that run that wants a core and no disk
+
     /** The latest calls, fast to follow a change; unlike the calm median it takes in every one. */
     private final Histogram latestCalls = new Histogram(MEMORY_OF / 4);
+
     /** What was hinted, and what it cost; their means make the price of a hint here. */
     private final Histogram hints = new Histogram(MEMORY_OF);
+
     private final Histogram hintedCost = new Histogram(MEMORY_OF);
     private double advised = -1;
     private double unread; // how far through their agreed time the latest tickets were when read
-    private double floor; // the rank below which callers are to send nothing, but for the best-paid band
+    private double
+            floor; // the rank below which callers are to send nothing, but for the best-paid band
     private final double mostFloor;
     private final Deque<CallerId> callers = new ArrayDeque<>();
     private double connections;
@@ -169,8 +211,11 @@
         cores = Math.max(1, settings.number("domain.cpus", 1));
         boolean shared = settings.is("domain.below", "one_for_all");
         toldShare = shared ? Math.max(1e-3, settings.number("domain.calls_out", 1e9)) : 1e9;
-        callsAllowed = shared && settings.is("domain.cold", "true") ? Math.min(1, toldShare) : toldShare;
-        canStop = settings.is("domain.stop_mode", "discard") || settings.is("domain.stop_mode", "freeze");
+        callsAllowed =
+                shared && settings.is("domain.cold", "true") ? Math.min(1, toldShare) : toldShare;
+        canStop =
+                settings.is("domain.stop_mode", "discard")
+                        || settings.is("domain.stop_mode", "freeze");
         limit = Math.max(20, cores);
         for (int i = 0; i < settings.number("services.count", 0); i++) {
             tracks.add(new TrackBook(Track.read(settings, i)));
@@ -194,7 +239,11 @@
         for (int i = 0; i < customers.size(); i++) {
             customers.get(i).read(i);
         }
-        meanAgreed = tracks.stream().mapToDouble(track -> track.says.agreed().seconds()).average().orElse(1);
+        meanAgreed =
+                tracks.stream()
+                        .mapToDouble(track -> track.says.agreed().seconds())
+                        .average()
+                        .orElse(1);
     }
 
     // ---- arrival ----
@@ -211,11 +260,15 @@
         if (callers.size() > MEMORY_OF) {
             callers.remove();
         }
-        unread += (ticket.waited().seconds() / held.track.says.agreed().seconds() - unread) / MEMORY_OF;
+        unread +=
+                (ticket.waited().seconds() / held.track.says.agreed().seconds() - unread)
+                        / MEMORY_OF;
         Held original = ticket.original() == null ? null : remembered.get(ticket.original());
-        if (held.track.says.effect() == Effect.RECEIPTED && ticket.original() != null
+        if (held.track.says.effect() == Effect.RECEIPTED
+                && ticket.original() != null
                 && (original == null || original.ran || original.state != State.OVER)) {
-            // Rule 2: some try of this ticket ran here, or may yet; it is never run again. Of one that is no
+            // Rule 2: some try of this ticket ran here, or may yet; it is never run again. Of one
+            // that is no
             // longer remembered here the machine may still have the result.
             if (original != null && original.failed) {
                 held.fail();
@@ -226,7 +279,8 @@
         } else if (leavingFor(held)) {
             held.bounce("leaving", settings.span("bounds.max_retry_after_ns"));
         } else if (usedKb + (held.track.says.effect() == Effect.RECEIPTED ? entryKb : 0) > memory) {
-            // Rule 4: a receipted ticket that could not be remembered is turned away like any other.
+            // Rule 4: a receipted ticket that could not be remembered is turned away like any
+            // other.
             held.bounce("memory full", Span.ofSeconds(meanCost()));
         } else if (held.track.says.calls() && count >= Math.floor(limit) && !makeRoom(held)) {
             held.bounce("count at limit", Span.ofSeconds(meanCost()));
@@ -238,10 +292,13 @@
             hold.add(held);
         }
         if (held.state != State.OVER) {
-            // Rules 1 and 3: whatever is under way, the answer goes out before the caller leaves, or this
+            // Rules 1 and 3: whatever is under way, the answer goes out before the caller leaves,
+            // or this
             // node: a repeat may come after the last call, and wait for a result.
-            Moment last = leftAt != null && lastCall().isBefore(held.lastAnswer)
-                    ? lastCall() : held.lastAnswer;
+            Moment last =
+                    leftAt != null && lastCall().isBefore(held.lastAnswer)
+                            ? lastCall()
+                            : held.lastAnswer;
             alarms.at(last, () -> held.bounce("never got to run", Span.ZERO));
         }
         return held;
@@ -254,25 +311,37 @@
             track.asked *= keep;
             track.satisfied *= keep;
             askedCredit += track.asked * track.says.credit();
-            boolean worse = worst == null || track.satisfied * worst.asked < worst.satisfied * track.asked;
+            boolean worse =
+                    worst == null || track.satisfied * worst.asked < worst.satisfied * track.asked;
             if (track.asked > 0 && worse) {
                 worst = track;
             }
         }
     }
 
-    /** Exception: a burst fills the single count. At the limit one within a share replaces one beyond. */
+    /**
+     * Exception: a burst fills the single count. At the limit one within a share replaces one
+     * beyond.
+     */
     private boolean makeRoom(Held held) {
-        Optional<Held> beyond = held.overShare ? Optional.empty()
-                : hold.descendingSet().stream().filter(h -> h.overShare && h.counted).findFirst();
+        Optional<Held> beyond =
+                held.overShare
+                        ? Optional.empty()
+                        : hold.descendingSet().stream()
+                                .filter(h -> h.overShare && h.counted)
+                                .findFirst();
         beyond.ifPresent(h -> h.bounce("over its share", Span.ofSeconds(meanCost())));
         return beyond.isPresent();
     }
 
-    /** Rule 3: nothing that came over the grace after the notice is run; half of it is kept as a margin. */
+    /**
+     * Rule 3: nothing that came over the grace after the notice is run; half of it is kept as a
+     * margin.
+     */
     private boolean leavingFor(Held held) {
         return leftAt != null
-                && (!held.reached.isBefore(leftAt.plus(settings.span("rules.drain_grace_ns").times(0.5)))
+                && (!held.reached.isBefore(
+                                leftAt.plus(settings.span("rules.drain_grace_ns").times(0.5)))
                         || !server.now().isBefore(lastCall()));
     }
 
@@ -286,8 +355,10 @@
         final TrackBook track;
         final long number;
         final Moment reached;
+
         /** The agreed time, or the last moment for an answer where that is sooner. */
         final Moment due;
+
         final Moment lastAnswer;
         State state = State.HELD;
         boolean ran;
@@ -305,6 +376,7 @@
         boolean calmCall;
         CustomerBook customer;
         boolean overShare;
+
         /** What it adds for its cost, as reckoned when the hold was last gone through. */
         double worth;
 
@@ -313,10 +385,14 @@
             track = tracks.get(ticket.track().number());
             number = order++;
             reached = server.now().minus(ticket.waited());
-            lastAnswer = (ticket.patience().isPositive() ? server.now().plus(ticket.patience())
-                    : reached.plus(track.says.abandon())).minus(step.plus(step));
-            Moment agreedAt = reached.plus(track.says.agreed())
-                    .plus(ticket.work().times(track.says.agreedStretch()));
+            lastAnswer =
+                    (ticket.patience().isPositive()
+                                    ? server.now().plus(ticket.patience())
+                                    : reached.plus(track.says.abandon()))
+                            .minus(step.plus(step));
+            Moment agreedAt =
+                    reached.plus(track.says.agreed())
+                            .plus(ticket.work().times(track.says.agreedStretch()));
             due = agreedAt.isBefore(lastAnswer) ? agreedAt : lastAnswer;
         }
 
@@ -325,10 +401,15 @@
             return hint > 0 ? hint * slowness() : track.costNow(speedNow());
         }
 
-        /** What satisfying this one adds to the goal: its credit, and more while its track is worst. */
+        /**
+         * What satisfying this one adds to the goal: its credit, and more while its track is worst.
+         */
         double gain() {
-            double gain = (1 - settings.number("goal.worst_class", 0)) * track.says.credit() / askedCredit
-                    + (track == worst ? settings.number("goal.worst_class", 0) / track.asked : 0);
+            double gain =
+                    (1 - settings.number("goal.worst_class", 0)) * track.says.credit() / askedCredit
+                            + (track == worst
+                                    ? settings.number("goal.worst_class", 0) / track.asked
+                                    : 0);
             return gain * (overShare ? settings.number("over_share_worth", 1) : 1);
         }
 
@@ -338,7 +419,10 @@
             return left < Math.min(cost(), due.since(reached).seconds() / 2);
         }
 
-        /** The nearer a ticket is to its last call, the less of what lies below its gain still takes. */
+        /**
+         * The nearer a ticket is to its last call, the less of what lies below its gain still
+         * takes.
+         */
         double gainEachCall() {
             return gain() / Math.max(1, track.callsEach() - calls);
         }
@@ -360,17 +444,24 @@
             }
         }
 
-        /** How long a call may take: while it can earn anything, or leaves time to go on without it. */
+        /**
+         * How long a call may take: while it can earn anything, or leaves time to go on without it.
+         */
         Span callCap() {
             Span left = due.since(server.now());
             Span cap = track.says.lateValue() > 0 ? lastAnswer.since(server.now()) : left;
             if (track.says.skipWorth() > 0) {
-                cap = left.minus(Span.ofSeconds(Math.max(0, cost() - got))).max(left.times(0.5)).max(step);
+                cap =
+                        left.minus(Span.ofSeconds(Math.max(0, cost() - got)))
+                                .max(left.times(0.5))
+                                .max(step);
             }
-            // Of a share that lingering alone uses up half is left, or no call would ever come back; the
+            // Of a share that lingering alone uses up half is left, or no call would ever come
+            // back; the
             // pause keeps it.
             Span share = settings.span("domain.calls_over_ns").times(toldShare / 2);
-            Span own = share.minus(settings.span("domain.linger_ns")).max(share.times(0.5)).max(step);
+            Span own =
+                    share.minus(settings.span("domain.linger_ns")).max(share.times(0.5)).max(step);
             return toldShare < 1 && share.isPositive() ? cap.min(own) : cap;
         }
 
@@ -432,12 +523,19 @@
                 return;
             }
             server.log("bounce " + ticket.id().number() + ": " + why);
-            // What is past its share, or too old, is worth little anywhere, and each node that reads it pays.
-            // Where tickets have had to wait for long, the others are likely as crowded, unless slow here.
-            boolean worthless = overShare || tooOld() || floor > mostFloor / 2 && slowness() < 1 / SAFE;
-            // A burst's ticket asks nobody to stay away: its dispatcher carries the other customers too.
+            // What is past its share, or too old, is worth little anywhere, and each node that
+            // reads it pays.
+            // Where tickets have had to wait for long, the others are likely as crowded, unless
+            // slow here.
+            boolean worthless =
+                    overShare || tooOld() || floor > mostFloor / 2 && slowness() < 1 / SAFE;
+            // A burst's ticket asks nobody to stay away: its dispatcher carries the other customers
+            // too.
             boolean burst = overShare && customer.crowding(customer.came) > 2 * customer.usual;
-            Span pause = burst ? Span.ZERO : comeBackAfter.min(settings.span("bounds.max_retry_after_ns"));
+            Span pause =
+                    burst
+                            ? Span.ZERO
+                            : comeBackAfter.min(settings.span("bounds.max_retry_after_ns"));
             server.bounce(ticket.id(), worthless, pause);
             answered = true;
             unchargeCustomer();
@@ -486,7 +584,8 @@
                 callGivenUp();
             }
             leaveCores();
-            track.satisfied += outcome == Outcome.OK && !answered && !due.isBefore(server.now()) ? 1 : 0;
+            track.satisfied +=
+                    outcome == Outcome.OK && !answered && !due.isBefore(server.now()) ? 1 : 0;
             if (outcome == Outcome.OK && wasRunning) {
                 track.cost.add(got);
                 if (ticket.work().isPositive()) {
@@ -516,7 +615,8 @@
         void makeCall() {
             waitsToCall.remove(this);
             state = State.CALLING;
-            // Those that wait for their turn to call load nothing below: while that turn is one call at a
+            // Those that wait for their turn to call load nothing below: while that turn is one
+            // call at a
             // time, since no median is known yet, they must not keep it from ever being known.
             calmCall = (count - (knowsNoCalm() ? waitsToCall.size() : 0)) * 2 < limit;
             callsInHand++;
@@ -534,8 +634,9 @@
         }
 
         /**
-         * Exception: a call past TARGET that enough made later have overtaken is lost, not slow. It would
-         * keep its place to the end; so its ticket fails at once, or calls anew where that does no harm.
+         * Exception: a call past TARGET that enough made later have overtaken is lost, not slow. It
+         * would keep its place to the end; so its ticket fails at once, or calls anew where that
+         * does no harm.
          */
         private void watchCall(Moment thisCall, Span target) {
             if (state != State.CALLING || calledAt != thisCall) {
@@ -552,7 +653,9 @@
             }
         }
 
-        /** The limit comes down once a call: past TARGET while it is out, or when it ends as a drop. */
+        /**
+         * The limit comes down once a call: past TARGET while it is out, or when it ends as a drop.
+         */
         void cut() {
             if (!cut && target(track) != null) {
                 cut = true;
@@ -602,20 +705,24 @@
             }
             callOutOfHand();
             triesOfCall++;
-            if (triesOfCall < 3 && (track.says.effect() == Effect.PURE || outcome.provesNeverRan())) {
-                alarms.in(Span.ofSeconds(meanCost() * triesOfCall), () -> {
-                    if (state == State.WAITS_TO_CALL && !answered) {
-                        waitsToCall.add(this);
-                    }
-                });
+            if (triesOfCall < 3
+                    && (track.says.effect() == Effect.PURE || outcome.provesNeverRan())) {
+                alarms.in(
+                        Span.ofSeconds(meanCost() * triesOfCall),
+                        () -> {
+                            if (state == State.WAITS_TO_CALL && !answered) {
+                                waitsToCall.add(this);
+                            }
+                        });
             } else {
                 skipOrFail();
             }
         }
 
         /**
-         * Exception to failing: where the settings pay for an answer without its call, that is given when the
-         * call timed out or failed, in time for it, and at once while calls below take longer than TARGET.
+         * Exception to failing: where the settings pay for an answer without its call, that is
+         * given when the call timed out or failed, in time for it, and at once while calls below
+         * take longer than TARGET.
          */
         private void skipOrFail() {
             if (track.says.skipWorth() > 0 && !answered) {
@@ -643,8 +750,9 @@
         }
 
         /**
-         * Rule 4: less than one call is kept by a pause after each: by its own length for the share, by what
-         * calls took lately for what is allowed of it. With the cap of a call all nodes stay under the sum.
+         * Rule 4: less than one call is kept by a pause after each: by its own length for the
+         * share, by what calls took lately for what is allowed of it. With the cap of a call all
+         * nodes stay under the sum.
          */
         private void callOutOfHand() {
             callsInHand--;
@@ -653,7 +761,7 @@
             if (callsAllowed < 1) {
                 double pause = Math.max(took / Math.min(1, toldShare), usualCall / callsAllowed);
                 nextCall = calledAt.plus(Span.ofSeconds(pause));
-                alarms.at(nextCall, () -> { });
+                alarms.at(nextCall, () -> {});
             }
         }
 
@@ -663,8 +771,10 @@
             if (state == State.RUNNING && canStop) {
                 server.stop(ticket.id());
             } else if (!ran) {
-                // Whoever leaves before the agreed time has asked for nothing: a client gone wild may send
-                // and withdraw hundreds, which are neither its customer's share nor a track served badly.
+                // Whoever leaves before the agreed time has asked for nothing: a client gone wild
+                // may send
+                // and withdraw hundreds, which are neither its customer's share nor a track served
+                // badly.
                 if (server.now().isBefore(due)) {
                     unchargeCustomer();
                     track.asked = Math.max(0, track.asked - 1);
@@ -685,18 +795,28 @@
         alarms.arm();
     }
 
-    /** By agreed time; the moment one can't be met, the one so far that earns least for its cost goes. */
+    /**
+     * By agreed time; the moment one can't be met, the one so far that earns least for its cost
+     * goes.
+     */
     private void turnAway() {
         double ahead = 0;
-        PriorityQueue<Held> soFar = new PriorityQueue<>(
-                Comparator.<Held>comparingDouble(held -> held.worth).thenComparingLong(held -> -held.number));
+        PriorityQueue<Held> soFar =
+                new PriorityQueue<>(
+                        Comparator.<Held>comparingDouble(held -> held.worth)
+                                .thenComparingLong(held -> -held.number));
         List<Held> gone = new ArrayList<>();
         double running = onCores * meanCost() / 2;
-        // A free core always tries what is not old, unless tickets wait to call: else a wrong estimate
-        // of cost could never be put right. What was read too late leaves the cores to reading, to catch up.
+        // A free core always tries what is not old, unless tickets wait to call: else a wrong
+        // estimate
+        // of cost could never be put right. What was read too late leaves the cores to reading, to
+        // catch up.
         double free = cores - onCores;
         for (Held held : hold) {
-            boolean waits = held.track.says.calls() && !waitsToCall.isEmpty() && callsAllowed < toldShare / 2;
+            boolean waits =
+                    held.track.says.calls()
+                            && !waitsToCall.isEmpty()
+                            && callsAllowed < toldShare / 2;
             if (free-- >= 1 && !held.tooOld() && !waits) {
                 continue;
             }
@@ -704,14 +824,25 @@
             soFar.add(held);
             ahead += held.cost();
             double needs = (running + ahead) / cores + held.cost();
-            long before = !waits ? 0
-                    : waitsToCall.stream().filter(other -> other.gain() >= held.gain()).count();
-            double below = !waits ? 0
-                    : callTime().seconds() * held.track.callsEach() * (1 + before / callsAllowed);
+            long before =
+                    !waits
+                            ? 0
+                            : waitsToCall.stream()
+                                    .filter(other -> other.gain() >= held.gain())
+                                    .count();
+            double below =
+                    !waits
+                            ? 0
+                            : callTime().seconds()
+                                    * held.track.callsEach()
+                                    * (1 + before / callsAllowed);
             double left = held.due.since(server.now()).seconds();
             left *= left > held.due.since(held.reached).seconds() * 0.9 ? ROOMY : 1;
             if (needs + below > left) {
-                Held least = needs > left ? soFar.peek() : held; // not another where only calls are short
+                Held least =
+                        needs > left
+                                ? soFar.peek()
+                                : held; // not another where only calls are short
                 soFar.remove(least);
                 ahead -= least.cost();
                 gone.add(least);
@@ -724,10 +855,13 @@
 
     private void startRuns() {
         // One for each core, and where runs wait for a disk, enough to cover their waits.
-        // Reading shares the cores with what runs: a node behind in its reading runs fewer, to catch up.
+        // Reading shares the cores with what runs: a node behind in its reading runs fewer, to
+        // catch up.
         double behind = Math.max(0.25, 1 - unread);
         double room = Math.min(cores * (2 / wanting - 1) * behind, Math.floor(crowdCeiling()));
-        while (!hold.isEmpty() && onCores < room && crowdHasRoom()
+        while (!hold.isEmpty()
+                && onCores < room
+                && crowdHasRoom()
                 && usedKb + hold.first().runKb() <= memory) {
             hold.first().run();
         }
@@ -742,7 +876,10 @@
         return cores * (1 + (settings.number("rules.fall_multiple", 3) - 1) * speedNow());
     }
 
-    /** Rule 4: all that call come back to the cores unasked, perhaps at once; it must survive that too. */
+    /**
+     * Rule 4: all that call come back to the cores unasked, perhaps at once; it must survive that
+     * too.
+     */
     private boolean crowdHasRoom() {
         return onCores + callsOut + 1 <= Math.max(1, crowdSurvived());
     }
@@ -750,8 +887,10 @@
     /** The share of its speed that a machine has for certain: it starts cold and rises evenly. */
     private double speedNow() {
         double ramp = settings.number("rules.ramp_time_ns", 0);
-        double from = settings.is("domain.cold", "true") ? settings.number("rules.cold_share", 1) : 1;
-        return Math.min(1, from + (1 - from) * server.now().since(born).nanos() / Math.max(1, ramp));
+        double from =
+                settings.is("domain.cold", "true") ? settings.number("rules.cold_share", 1) : 1;
+        return Math.min(
+                1, from + (1 - from) * server.now().since(born).nanos() / Math.max(1, ramp));
     }
 
     /** What a second of work on a standard core takes here: more on slow and cold machines. */
@@ -767,22 +906,30 @@
                 waiting.skipOrFail();
             }
         }
-        while (!pausing() && !waitsToCall.isEmpty() && crowdHasRoom()
+        while (!pausing()
+                && !waitsToCall.isEmpty()
+                && crowdHasRoom()
                 && callsInHand + 1 <= Math.max(1, callsAllowed)) {
-            waitsToCall.stream().max(Comparator.comparing(Held::gainEachCall)).ifPresent(Held::makeCall);
+            waitsToCall.stream()
+                    .max(Comparator.comparing(Held::gainEachCall))
+                    .ifPresent(Held::makeCall);
         }
     }
 
     /**
-     * A shared dependency slows down long before its told share. So the calls in hand allowed shrink,
-     * to a fifth, by as much as a call takes longer than three calm medians.
+     * A shared dependency slows down long before its told share. So the calls in hand allowed
+     * shrink, to a fifth, by as much as a call takes longer than three calm medians.
      */
     private boolean crowdedBelow(Span took, Histogram calm) {
         double least = toldShare * LEAST_CALLS;
-        double slack = calm.weight() < ENOUGH ? 1 : 3 * calm.median() / Math.max(1e-9, took.seconds());
-        callsAllowed = slack < 1 ? Math.max(least, callsAllowed * slack)
-                : knowsNoCalm() ? callsAllowed
-                : Math.min(toldShare, callsAllowed + least * least / callsAllowed);
+        double slack =
+                calm.weight() < ENOUGH ? 1 : 3 * calm.median() / Math.max(1e-9, took.seconds());
+        callsAllowed =
+                slack < 1
+                        ? Math.max(least, callsAllowed * slack)
+                        : knowsNoCalm()
+                                ? callsAllowed
+                                : Math.min(toldShare, callsAllowed + least * least / callsAllowed);
         return slack < 1;
     }
 
@@ -794,16 +941,20 @@
     /** What a call takes just now; while none is out nothing is known, and one is always tried. */
     private Span callTime() {
         return (callsInHand > 0 || pausing()) && latestCalls.weight() > 0
-                ? Span.ofSeconds(latestCalls.median()) : step;
+                ? Span.ofSeconds(latestCalls.median())
+                : step;
     }
 
     private boolean pausing() {
         return server.now().isBefore(nextCall);
     }
 
-    /** TARGET: half the agreed time or three calm medians, whichever is more; none before a median. */
+    /**
+     * TARGET: half the agreed time or three calm medians, whichever is more; none before a median.
+     */
     private static Span target(TrackBook track) {
-        return track.calmCalls.weight() < ENOUGH ? null
+        return track.calmCalls.weight() < ENOUGH
+                ? null
                 : track.says.agreed().times(0.5).max(Span.ofSeconds(3 * track.calmCalls.median()));
     }
 
@@ -815,7 +966,10 @@
 
     private double meanCost() {
         double weight = tracks.stream().mapToDouble(TrackBook::weight).sum();
-        double sum = tracks.stream().mapToDouble(track -> track.weight() * track.costNow(speedNow())).sum();
+        double sum =
+                tracks.stream()
+                        .mapToDouble(track -> track.weight() * track.costNow(speedNow()))
+                        .sum();
         return weight > 0 ? sum / weight : 1;
     }
 
@@ -826,8 +980,11 @@
         leftAt = server.now();
         stopsAt = leftAt.plus(until);
         server.health(false, true);
-        alarms.at(lastCall(),
-                () -> List.copyOf(open.values()).forEach(held -> held.bounce("leaving", Span.ZERO)));
+        alarms.at(
+                lastCall(),
+                () ->
+                        List.copyOf(open.values())
+                                .forEach(held -> held.bounce("leaving", Span.ZERO)));
         advise();
     }
 
@@ -846,12 +1003,19 @@
         alarms.ring();
     }
 
-    /** Now and then, at a twentieth of the time over which a crowd is averaged: the advice is set anew. */
+    /**
+     * Now and then, at a twentieth of the time over which a crowd is averaged: the advice is set
+     * anew.
+     */
     private void beat() {
         advise();
-        Span pause = settings.span("rules.fall_ns").times(0.05).max(step)
-                .max(Span.ofSeconds(meanAgreed / 100));
-        // The part of a ticket's time to the agreed time that goes by before it runs, unread and in the hold.
+        Span pause =
+                settings.span("rules.fall_ns")
+                        .times(0.05)
+                        .max(step)
+                        .max(Span.ofSeconds(meanAgreed / 100));
+        // The part of a ticket's time to the agreed time that goes by before it runs, unread and in
+        // the hold.
         double work = hold.stream().filter(held -> !held.overShare).mapToDouble(Held::cost).sum();
         double standing = work / cores / meanAgreed + unread;
         trimIdle(unread > EASY);
@@ -860,16 +1024,20 @@
     }
 
     /**
-     * Open connections take from the cores and a full table lets nobody in. With more than some times what
-     * the cores finish in the agreed time (eight, or nearly none where no caller comes back), idle ones are
-     * closed sooner. A node behind in its reading lets them stand: a full table refuses for nothing.
+     * Open connections take from the cores and a full table lets nobody in. With more than some
+     * times what the cores finish in the agreed time (eight, or nearly none where no caller comes
+     * back), idle ones are closed sooner. A node behind in its reading lets them stand: a full
+     * table refuses for nothing.
      */
     private void trimIdle(boolean crowded) {
         Span longest = settings.span("domain.keepalive_max_ns");
-        double back = callers.isEmpty() ? 1 : 1 - new HashSet<>(callers).size() / (callers.size() + 1.0);
+        double back =
+                callers.isEmpty() ? 1 : 1 - new HashSet<>(callers).size() / (callers.size() + 1.0);
         double full = connections * meanCost() / (8 * back * cores * meanAgreed);
-        Span wanted = crowded || full < 0.5 ? idle.times(1.1).min(longest)
-                : full > 1 ? idle.times(0.9).max(longest.times(0.01)) : idle;
+        Span wanted =
+                crowded || full < 0.5
+                        ? idle.times(1.1).min(longest)
+                        : full > 1 ? idle.times(0.9).max(longest.times(0.01)) : idle;
         if (!wanted.equals(idle)) {
             idle = wanted;
             server.closeIdle(idle);
@@ -878,14 +1046,21 @@
 
     private void advise() {
         boolean leaving = leftAt != null;
-        double level = switch (settings.text("domain.advert")) {
-            // What can be finished within half the mean agreed time, split among the callers.
-            case "allowance" -> leaving ? 0 : cores * Math.max(1, meanAgreed / 2 / Math.max(1e-9, meanCost()))
-                    / Math.max(1, settings.number("domain.upstreams", 1));
-            case "floor" -> leaving ? 1 : Math.round(floor * 100) / 100.0;
-            case "weight" -> leaving ? 0 : 1;
-            default -> -1;
-        };
+        double level =
+                switch (settings.text("domain.advert")) {
+                    // What can be finished within half the mean agreed time, split among the
+                    // callers.
+                    case "allowance" ->
+                            leaving
+                                    ? 0
+                                    : cores
+                                            * Math.max(
+                                                    1, meanAgreed / 2 / Math.max(1e-9, meanCost()))
+                                            / Math.max(1, settings.number("domain.upstreams", 1));
+                    case "floor" -> leaving ? 1 : Math.round(floor * 100) / 100.0;
+                    case "weight" -> leaving ? 0 : 1;
+                    default -> -1;
+                };
         if (level >= 0 && Math.abs(level - advised) > advised / MEMORY_OF) {
             advised = level;
             server.advise(level);
--- a/src/main/java/lupinwood/ajp/BackReader.java
+++ b/src/main/java/lupinwood/ajp/BackReader.java
@@ -15,7 +15,8 @@
      * @param body null where it grew past its bound
      * @param reuse whether the connection may carry another request
      */
-    public record Answer(int status, Map<String, String> headers, byte[] body, boolean reuse) implements Event {}
+    public record Answer(int status, Map<String, String> headers, byte[] body, boolean reuse)
+            implements Event {}
 
     /** The container asks for more of the body, so many bytes at most. */
     public record More(int most) implements Event {}
@@ -79,7 +80,12 @@
                 if (headers == null) {
                     throw new BadPacket("an answer that ends before it began");
                 }
-                Answer answer = new Answer(status, headers, got <= mostBody ? body.toByteArray() : null, in.flag());
+                Answer answer =
+                        new Answer(
+                                status,
+                                headers,
+                                got <= mostBody ? body.toByteArray() : null,
+                                in.flag());
                 headers = null;
                 return answer;
             }
@@ -98,7 +104,10 @@
         for (int i = 0; i < count; i++) {
             String name = Replies.headerName(in, Codes.RESPONSE_HEADERS);
             String value = in.text();
-            read.merge(name.toLowerCase(Locale.ROOT), value == null ? "" : value, (a, b) -> a + "," + b);
+            read.merge(
+                    name.toLowerCase(Locale.ROOT),
+                    value == null ? "" : value,
+                    (a, b) -> a + "," + b);
         }
         headers = read;
         body.reset();
--- a/src/main/java/lupinwood/ajp/Fields.java
+++ b/src/main/java/lupinwood/ajp/Fields.java
@@ -49,7 +49,12 @@
 
     byte[] bytes(int length) throws BadPacket {
         if (length > packet.length - at) {
-            throw new BadPacket("a field of " + length + " bytes in a packet with " + (packet.length - at) + " left");
+            throw new BadPacket(
+                    "a field of "
+                            + length
+                            + " bytes in a packet with "
+                            + (packet.length - at)
+                            + " left");
         }
         byte[] bytes = new byte[length];
         System.arraycopy(packet, at, bytes, 0, length);
--- a/src/main/java/lupinwood/ajp/FrontReader.java
+++ b/src/main/java/lupinwood/ajp/FrontReader.java
@@ -4,14 +4,16 @@
 import java.nio.ByteBuffer;
 
 /**
- * A container's side of one connection: packets become whole requests with their bodies. A body that grows past its
- * bound is read on to its end and not kept, so that its request alone ends.
+ * A container's side of one connection: packets become whole requests with their bodies. A body
+ * that grows past its bound is read on to its end and not kept, so that its request alone ends.
  */
 public final class FrontReader {
     /** What came. */
     public sealed interface Event permits Whole, More, Ping {}
 
-    /** @param body null where it grew past its bound */
+    /**
+     * @param body null where it grew past its bound
+     */
     public record Whole(Request request, byte[] body) implements Event {}
 
     /** More of a body is needed, so many bytes at most: the other side waits to be asked. */
@@ -26,8 +28,10 @@
     private final Splitter splitter;
     private final int packet;
     private final int mostBody;
+
     /** The request whose body is under way, or null. */
     private Request request;
+
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private long got;
 
--- a/src/main/java/lupinwood/ajp/PacketWriter.java
+++ b/src/main/java/lupinwood/ajp/PacketWriter.java
@@ -23,7 +23,9 @@
         return one(value >> 8 & 0xFF).one(value & 0xFF);
     }
 
-    /** @param text null for one that is absent */
+    /**
+     * @param text null for one that is absent
+     */
     PacketWriter text(String text) {
         if (text == null) {
             return two(ABSENT);
--- a/src/main/java/lupinwood/ajp/Replies.java
+++ b/src/main/java/lupinwood/ajp/Replies.java
@@ -8,7 +8,9 @@
 public final class Replies {
     /** What a web server's packets begin with, and a container's. */
     static final int FROM_WEB_SERVER = 0x1234;
+
     static final int FROM_CONTAINER = 0x4142;
+
     /** A body chunk's own head and end, within its packet. */
     private static final int CHUNK_OVERHEAD = 8;
 
@@ -27,10 +29,19 @@
     }
 
     /** A whole answer: its headers, its body in chunks that fit, its end. */
-    public static byte[] answer(int status, String reason, Map<String, String> headers, byte[] body, int packet,
+    public static byte[] answer(
+            int status,
+            String reason,
+            Map<String, String> headers,
+            byte[] body,
+            int packet,
             boolean reuse) {
-        PacketWriter head = new PacketWriter(FROM_CONTAINER).one(Codes.SEND_HEADERS).two(status).text(reason)
-                .two(headers.size() + 1);
+        PacketWriter head =
+                new PacketWriter(FROM_CONTAINER)
+                        .one(Codes.SEND_HEADERS)
+                        .two(status)
+                        .text(reason)
+                        .two(headers.size() + 1);
         headers.forEach((name, value) -> header(head, name, value));
         header(head, "Content-Length", Integer.toString(body.length));
         ByteArrayOutputStream all = new ByteArrayOutputStream(body.length + 256);
@@ -38,8 +49,13 @@
         int most = packet - CHUNK_OVERHEAD;
         for (int from = 0; from < body.length; from += most) {
             int length = Math.min(most, body.length - from);
-            all.writeBytes(new PacketWriter(FROM_CONTAINER).one(Codes.SEND_BODY_CHUNK).two(length)
-                    .bytes(body, from, length).one(0).packet());
+            all.writeBytes(
+                    new PacketWriter(FROM_CONTAINER)
+                            .one(Codes.SEND_BODY_CHUNK)
+                            .two(length)
+                            .bytes(body, from, length)
+                            .one(0)
+                            .packet());
         }
         all.writeBytes(end(reuse));
         return all.toByteArray();
--- a/src/main/java/lupinwood/ajp/RequestReader.java
+++ b/src/main/java/lupinwood/ajp/RequestReader.java
@@ -31,7 +31,8 @@
                     String name = in.text();
                     attributes.put(name == null ? "" : name, in.text());
                 }
-                case Codes.SSL_KEY_SIZE -> attributes.put("ssl_key_size", Integer.toString(in.two()));
+                case Codes.SSL_KEY_SIZE ->
+                        attributes.put("ssl_key_size", Integer.toString(in.two()));
                 case Codes.SECRET -> secret = in.text();
                 case Codes.STORED_METHOD -> stored = in.text();
                 default -> {
@@ -48,11 +49,19 @@
         if (!in.isOver()) {
             throw new BadPacket("a request goes on after its end");
         }
-        if (method == Codes.METHOD_STORED ? stored == null : method < 1 || method > Codes.METHODS.size()) {
+        if (method == Codes.METHOD_STORED
+                ? stored == null
+                : method < 1 || method > Codes.METHODS.size()) {
             throw new BadPacket("no method has the number " + method);
         }
-        return new Request(method == Codes.METHOD_STORED ? stored : Codes.METHODS.get(method - 1),
-                uri == null ? "" : uri, remote, Map.copyOf(headers), attributes, secret, length(headers));
+        return new Request(
+                method == Codes.METHOD_STORED ? stored : Codes.METHODS.get(method - 1),
+                uri == null ? "" : uri,
+                remote,
+                Map.copyOf(headers),
+                attributes,
+                secret,
+                length(headers));
     }
 
     private static Map<String, String> headers(Fields in) throws BadPacket {
@@ -64,7 +73,10 @@
         for (int i = 0; i < count; i++) {
             String name = Replies.headerName(in, Codes.REQUEST_HEADERS);
             String value = in.text();
-            headers.merge(name.toLowerCase(Locale.ROOT), value == null ? "" : value, (a, b) -> a + "," + b);
+            headers.merge(
+                    name.toLowerCase(Locale.ROOT),
+                    value == null ? "" : value,
+                    (a, b) -> a + "," + b);
         }
         return headers;
     }
--- a/src/main/java/lupinwood/ajp/Requests.java
+++ b/src/main/java/lupinwood/ajp/Requests.java
@@ -9,11 +9,21 @@
     private Requests() {}
 
     /** The packet that forwards a request; its body follows in packets of its own. */
-    public static byte[] forward(String method, String uri, Map<String, String> headers, int bodyLength, String secret) {
+    public static byte[] forward(
+            String method, String uri, Map<String, String> headers, int bodyLength, String secret) {
         int code = Codes.METHODS.indexOf(method) + 1;
-        PacketWriter out = new PacketWriter(Replies.FROM_WEB_SERVER).one(Codes.FORWARD_REQUEST)
-                .one(code == 0 ? Codes.METHOD_STORED : code).text("HTTP/1.1").text(uri).text("127.0.0.1").text(null)
-                .text("lupinwood").two(80).one(0).two(headers.size() + 1);
+        PacketWriter out =
+                new PacketWriter(Replies.FROM_WEB_SERVER)
+                        .one(Codes.FORWARD_REQUEST)
+                        .one(code == 0 ? Codes.METHOD_STORED : code)
+                        .text("HTTP/1.1")
+                        .text(uri)
+                        .text("127.0.0.1")
+                        .text(null)
+                        .text("lupinwood")
+                        .two(80)
+                        .one(0)
+                        .two(headers.size() + 1);
         headers.forEach((name, value) -> header(out, name, value));
         header(out, "content-length", Integer.toString(bodyLength));
         if (code == 0) {
@@ -37,7 +47,8 @@
 
     /** A part of a body, up to so many bytes of it; an empty one is its end. */
     public static byte[] part(byte[] body, int from, int most, int packet) {
-        int length = Math.max(0, Math.min(Math.min(most, packet - BODY_OVERHEAD), body.length - from));
+        int length =
+                Math.max(0, Math.min(Math.min(most, packet - BODY_OVERHEAD), body.length - from));
         PacketWriter out = new PacketWriter(Replies.FROM_WEB_SERVER);
         return length == 0 ? out.packet() : out.two(length).bytes(body, from, length).packet();
     }
--- a/src/main/java/lupinwood/ajp/Splitter.java
+++ b/src/main/java/lupinwood/ajp/Splitter.java
@@ -2,7 +2,10 @@
 
 import java.nio.ByteBuffer;
 
-/** Cuts a stream into packets, however it comes. No more is kept than one packet, whose length is checked first. */
+/**
+ * Cuts a stream into packets, however it comes. No more is kept than one packet, whose length is
+ * checked first.
+ */
 final class Splitter {
     private static final int HEAD = 4;
 
@@ -13,7 +16,9 @@
     private byte[] payload;
     private int read;
 
-    /** @param most bytes of a packet, its head included */
+    /**
+     * @param most bytes of a packet, its head included
+     */
     Splitter(int magic, int most) {
         this.magic = magic;
         this.most = most - HEAD;
@@ -33,7 +38,8 @@
         if (payload == null) {
             int length = (head[2] & 0xFF) << 8 | head[3] & 0xFF;
             if (length > most) {
-                throw new BadPacket("a packet of " + length + " bytes is beyond the " + most + " agreed");
+                throw new BadPacket(
+                        "a packet of " + length + " bytes is beyond the " + most + " agreed");
             }
             payload = new byte[length];
             read = 0;
--- a/src/main/java/lupinwood/cli/ConfigWork.java
+++ b/src/main/java/lupinwood/cli/ConfigWork.java
@@ -28,7 +28,10 @@
 import lupinwood.settings.Meaning;
 import lupinwood.settings.Schema;
 
-/** Checks, formats, compares, converts, shows and explains configurations; what {@link ConfigCommand} asks for. */
+/**
+ * Checks, formats, compares, converts, shows and explains configurations; what {@link
+ * ConfigCommand} asks for.
+ */
 final class ConfigWork {
     private static final int FINE = 0;
     private static final int FOUND = 1;
@@ -49,7 +52,8 @@
     /** Returns the exit status. */
     int run(List<String> words) {
         try {
-            return words.isEmpty() ? usage("say what to do: check, format, diff, import, show or explain")
+            return words.isEmpty()
+                    ? usage("say what to do: check, format, diff, import, show or explain")
                     : one(words.get(0), words.subList(1, words.size()));
         } finally {
             out.flush();
@@ -59,12 +63,21 @@
     private int one(String what, List<String> files) {
         return switch (what) {
             case "check" -> files.isEmpty() ? usage("check takes one or more files") : check(files);
-            case "format" -> files.isEmpty() ? usage("format takes one or more files") : format(files);
-            case "diff" -> files.size() != 2 ? usage("diff takes two files") : diff(files.get(0), files.get(1));
-            case "import" -> files.size() != 1 ? usage("import takes one file") : importJson(files.get(0));
+            case "format" ->
+                    files.isEmpty() ? usage("format takes one or more files") : format(files);
+            case "diff" ->
+                    files.size() != 2
+                            ? usage("diff takes two files")
+                            : diff(files.get(0), files.get(1));
+            case "import" ->
+                    files.size() != 1 ? usage("import takes one file") : importJson(files.get(0));
             case "show" -> files.size() != 1 ? usage("show takes one file") : show(files.get(0));
             case "explain" -> explain(String.join(" ", files));
-            default -> usage("there is no 'config " + what + "'; there is check, format, diff, import, show, explain");
+            default ->
+                    usage(
+                            "there is no 'config "
+                                    + what
+                                    + "'; there is check, format, diff, import, show, explain");
         };
     }
 
@@ -92,7 +105,12 @@
         }
         int status = FINE;
         for (String file : files) {
-            status = Math.max(status, Loader.isLanguage(Path.of(file)) ? checkLanguage(file) : checkJson(file));
+            status =
+                    Math.max(
+                            status,
+                            Loader.isLanguage(Path.of(file))
+                                    ? checkLanguage(file)
+                                    : checkJson(file));
         }
         return status;
     }
@@ -118,13 +136,18 @@
         int status = FINE;
         try {
             NodeConfig config = NodeConfig.read(Path.of(file));
-            config.doubts().forEach(doubt -> {
-                all.add(problem(file, "warning", doubt.text(), doubt.instead()));
-                if (!json) {
-                    out.println(file + ": warning: " + doubt.text());
-                    out.print(doubt.instead().isEmpty() ? "" : "    " + doubt.instead() + "\n");
-                }
-            });
+            config.doubts()
+                    .forEach(
+                            doubt -> {
+                                all.add(problem(file, "warning", doubt.text(), doubt.instead()));
+                                if (!json) {
+                                    out.println(file + ": warning: " + doubt.text());
+                                    out.print(
+                                            doubt.instead().isEmpty()
+                                                    ? ""
+                                                    : "    " + doubt.instead() + "\n");
+                                }
+                            });
         } catch (NodeConfig.Unusable e) {
             status = FOUND;
             all.add(problem(file, "error", e.getMessage(), ""));
@@ -183,10 +206,12 @@
             return FOUND;
         }
         // Beside it and moved into place, so that nobody who reads it now finds half of it.
-        Path beside = Files.createTempFile(file.toAbsolutePath().getParent(), file.getFileName().toString(), ".new");
+        Path beside =
+                Files.createTempFile(
+                        file.toAbsolutePath().getParent(), file.getFileName().toString(), ".new");
         Files.writeString(beside, formatted);
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE,
-                StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         return FINE;
     }
 
@@ -222,8 +247,11 @@
         for (Plan.Step step : plan.steps()) {
             JsonObject one = new JsonObject();
             one.addProperty("name", step.name());
-            one.addProperty("before", step.before() == null ? null : Meaning.said(step.name(), step.before()));
-            one.addProperty("after", step.after() == null ? null : Meaning.said(step.name(), step.after()));
+            one.addProperty(
+                    "before",
+                    step.before() == null ? null : Meaning.said(step.name(), step.before()));
+            one.addProperty(
+                    "after", step.after() == null ? null : Meaning.said(step.name(), step.after()));
             one.addProperty("change", step.change().said());
             one.addProperty("because", step.because());
             all.add(one);
@@ -265,13 +293,16 @@
             return FINE;
         }
         JsonArray all = new JsonArray();
-        config.meaning().values().forEach((name, value) -> {
-            JsonObject one = new JsonObject();
-            one.addProperty("name", name);
-            one.addProperty("value", Meaning.said(name, value));
-            one.addProperty("from", config.places().get(name).toString());
-            all.add(one);
-        });
+        config.meaning()
+                .values()
+                .forEach(
+                        (name, value) -> {
+                            JsonObject one = new JsonObject();
+                            one.addProperty("name", name);
+                            one.addProperty("value", Meaning.said(name, value));
+                            one.addProperty("from", config.places().get(name).toString());
+                            all.add(one);
+                        });
         out.println(GSON.toJson(all));
         return FINE;
     }
@@ -281,9 +312,15 @@
             out.print(Reference.table());
             return FINE;
         }
-        List<Entry> found = Schema.all().stream()
-                .filter(entry -> name.isEmpty() || entry.name().equals(name) || entry.own().equals(name)
-                        || entry.name().startsWith(name + " ")).toList();
+        List<Entry> found =
+                Schema.all().stream()
+                        .filter(
+                                entry ->
+                                        name.isEmpty()
+                                                || entry.name().equals(name)
+                                                || entry.own().equals(name)
+                                                || entry.name().startsWith(name + " "))
+                        .toList();
         if (found.isEmpty()) {
             return usage("there is no entry " + name + "; 'config explain' lists all");
         }
--- a/src/main/java/lupinwood/cli/DrillWork.java
+++ b/src/main/java/lupinwood/cli/DrillWork.java
@@ -13,7 +13,9 @@
     int run() {
         try {
             new Drill(Brain::new)
-                    .play(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
+                    .play(
+                            new FileInputStream(FileDescriptor.in),
+                            new FileOutputStream(FileDescriptor.out));
             return 0;
         } catch (MalformedFrame e) {
             System.err.println("lupinwood: malformed frame: " + e.getMessage());
--- a/src/main/java/lupinwood/cli/FleetWork.java
+++ b/src/main/java/lupinwood/cli/FleetWork.java
@@ -39,7 +39,8 @@
     private static final int LAST_PLANS = 8;
     private static final int HALTED = 4;
     private static final int ENDED_OTHERWISE = 5;
-    private static final Set<String> WITH_NODE = Set.of("leave", "forget", "wanted", "rest", "unrest");
+    private static final Set<String> WITH_NODE =
+            Set.of("leave", "forget", "wanted", "rest", "unrest");
     private static final Set<String> ALONE = Set.of("status", "halt", "resume", "back", "plan");
     private static final long ASK_AGAIN_MILLIS = 500;
 
@@ -49,7 +50,13 @@
     private final boolean history;
 
     /** Who gives which order, and whether to wait until it is done. */
-    record Asked(String by, String order, boolean waits, String program, boolean backsOnHalt, String explain) {}
+    record Asked(
+            String by,
+            String order,
+            boolean waits,
+            String program,
+            boolean backsOnHalt,
+            String explain) {}
 
     FleetWork(String operator, boolean json, double within, boolean history) {
         this.history = history;
@@ -59,19 +66,25 @@
     }
 
     int run(List<String> words, Asked asked) {
-        boolean fits = words.size() == 1 && ALONE.contains(words.get(0))
-                || words.size() == 2 && WITH_NODE.contains(words.get(0))
-                || words.get(0).equals("release") && words.size() == (asked.program() == null ? 2 : 1);
+        boolean fits =
+                words.size() == 1 && ALONE.contains(words.get(0))
+                        || words.size() == 2 && WITH_NODE.contains(words.get(0))
+                        || words.get(0).equals("release")
+                                && words.size() == (asked.program() == null ? 2 : 1);
         if (!fits) {
-            System.err.println("lupinwood: 'fleet' takes: status, leave NODE, halt, resume, forget NODE, release FILE,"
-                    + " release --program VERSION, back, wanted NODE, plan, rest SERVER,"
-                    + " unrest SERVER");
+            System.err.println(
+                    "lupinwood: 'fleet' takes: status, leave NODE, halt, resume, forget NODE, release FILE,"
+                            + " release --program VERSION, back, wanted NODE, plan, rest SERVER,"
+                            + " unrest SERVER");
             return USAGE;
         }
         Config config = Reader.readPart(new FileSources(), operator);
         if (!config.problems().isEmpty()) {
-            System.err.println("lupinwood: " + config.problems().all().get(0).place() + ": "
-                    + config.problems().all().get(0).text());
+            System.err.println(
+                    "lupinwood: "
+                            + config.problems().all().get(0).place()
+                            + ": "
+                            + config.problems().all().get(0).text());
             return USAGE;
         }
         FleetSettings settings = FleetSettings.of(config.meaning());
@@ -91,9 +104,13 @@
             if (!words.get(0).equals("status")) {
                 return order(settings, words, asked, quiet);
             }
-            Map<Integer, JsonObject> answers = Question.ask(settings.voters().values(), within, quiet);
-            JsonObject leads = answers.values().stream().filter(one -> one.get("leads").getAsBoolean()).findFirst()
-                    .orElse(null);
+            Map<Integer, JsonObject> answers =
+                    Question.ask(settings.voters().values(), within, quiet);
+            JsonObject leads =
+                    answers.values().stream()
+                            .filter(one -> one.get("leads").getAsBoolean())
+                            .findFirst()
+                            .orElse(null);
             if (json) {
                 JsonArray all = new JsonArray();
                 answers.values().forEach(all::add);
@@ -108,7 +125,8 @@
         }
     }
 
-    private int order(FleetSettings settings, List<String> words, Asked asked, Log quiet) throws InterruptedException {
+    private int order(FleetSettings settings, List<String> words, Asked asked, Log quiet)
+            throws InterruptedException {
         boolean release = words.get(0).equals("release");
         boolean rests = words.get(0).endsWith("rest");
         NodeName node = words.size() > 1 && !release && !rests ? new NodeName(words.get(1)) : null;
@@ -117,24 +135,41 @@
             try {
                 wish = wish(words, asked);
             } catch (IOException | NodeConfig.Unusable e) {
-                System.err.println("lupinwood: can't be released: " + (e instanceof IOException ? "can't read " + words.get(1)
-                        : e.getMessage()));
+                System.err.println(
+                        "lupinwood: can't be released: "
+                                + (e instanceof IOException
+                                        ? "can't read " + words.get(1)
+                                        : e.getMessage()));
                 return USAGE;
             }
         }
-        Council.Order order = new Council.Order(asked.order(), words.get(0), node, asked.by(), wish,
-                rests ? words.get(1) : null);
+        Council.Order order =
+                new Council.Order(
+                        asked.order(),
+                        words.get(0),
+                        node,
+                        asked.by(),
+                        wish,
+                        rests ? words.get(1) : null);
         while (true) {
-            Council.Answer answer = Question.order(settings.voters().values(), order, within, quiet);
+            Council.Answer answer =
+                    Question.order(settings.voters().values(), order, within, quiet);
             if (answer == null) {
-                System.err.println("lupinwood: nobody leads the council, so nothing new is allowed");
+                System.err.println(
+                        "lupinwood: nobody leads the council, so nothing new is allowed");
                 return LEADERLESS;
             }
             if (answer.done()) {
                 System.out.println(answer.text());
-                return !asked.waits() ? 0 : words.get(0).equals("leave") ? untilGone(settings, node, quiet)
-                        : words.get(0).equals("rest") ? untilEmpty(settings, words.get(1), quiet)
-                        : release || words.get(0).equals("back") ? untilEnded(settings, release, quiet) : 0;
+                return !asked.waits()
+                        ? 0
+                        : words.get(0).equals("leave")
+                                ? untilGone(settings, node, quiet)
+                                : words.get(0).equals("rest")
+                                        ? untilEmpty(settings, words.get(1), quiet)
+                                        : release || words.get(0).equals("back")
+                                                ? untilEnded(settings, release, quiet)
+                                                : 0;
             }
             if (!asked.waits() || release) {
                 System.err.println("lupinwood: not now: " + answer.text());
@@ -144,44 +179,83 @@
         }
     }
 
-    private static Council.Wish wish(List<String> words, Asked asked) throws IOException, NodeConfig.Unusable {
+    private static Council.Wish wish(List<String> words, Asked asked)
+            throws IOException, NodeConfig.Unusable {
         if (asked.program() != null) {
             return new Council.Wish(Release.Kind.PROGRAM, asked.program(), "", asked.backsOnHalt());
         }
         String text = Files.readString(Path.of(words.get(1)));
-        return new Council.Wish(Release.Kind.CONFIGURATION, Common.read(text).digest(), text, asked.backsOnHalt());
+        return new Council.Wish(
+                Release.Kind.CONFIGURATION, Common.read(text).digest(), text, asked.backsOnHalt());
     }
 
     /** How much goes where by the newest plan, and why; of one zone only, where one is named. */
     private int plan(FleetSettings settings, String zone, Log quiet) throws InterruptedException {
         Council.State state = Question.state(settings.voters().values(), within, quiet, true);
         if (state == null) {
-            System.err.println("lupinwood: nobody leads the council, so it can't be told; nodes go by their last plan for a lease");
+            System.err.println(
+                    "lupinwood: nobody leads the council, so it can't be told; nodes go by their last plan for a lease");
             return LEADERLESS;
         }
         if (state.plans().isEmpty()) {
-            System.out.println("there is no plan: no server says what it bears, or nobody plans yet");
+            System.out.println(
+                    "there is no plan: no server says what it bears, or nobody plans yet");
             return 0;
         }
         Plan newest = state.plans().get(state.plans().size() - 1);
-        System.out.println("plan " + newest.number() + " for " + newest.roster().size() + " nodes" + (state.plans().size() > 1
-                ? "; some may go by plan " + state.plans().get(0).number() + " still" : ""));
-        newest.slots().forEach((site, slots) -> {
-            if (zone == null || site.equals(zone) || site.endsWith("/" + zone)) {
-                long nodes = newest.roster().values().stream().filter(site::equals).count();
-                System.out.println(String.format("zone %-14s %3d nodes: %s", site, nodes, slots));
-            }
-        });
-        state.history().stream().filter(one -> one.text().startsWith("plan ") && (zone == null || one.text().contains(zone)))
-                .skip(Math.max(0, state.history().stream().filter(one -> one.text().startsWith("plan ")
-                        && (zone == null || one.text().contains(zone))).count() - LAST_PLANS))
-                .forEach(one -> System.out.println(Instant.ofEpochMilli(one.atMillis()) + " " + one.text()));
+        System.out.println(
+                "plan "
+                        + newest.number()
+                        + " for "
+                        + newest.roster().size()
+                        + " nodes"
+                        + (state.plans().size() > 1
+                                ? "; some may go by plan "
+                                        + state.plans().get(0).number()
+                                        + " still"
+                                : ""));
+        newest.slots()
+                .forEach(
+                        (site, slots) -> {
+                            if (zone == null || site.equals(zone) || site.endsWith("/" + zone)) {
+                                long nodes =
+                                        newest.roster().values().stream()
+                                                .filter(site::equals)
+                                                .count();
+                                System.out.println(
+                                        String.format(
+                                                "zone %-14s %3d nodes: %s", site, nodes, slots));
+                            }
+                        });
+        state.history().stream()
+                .filter(
+                        one ->
+                                one.text().startsWith("plan ")
+                                        && (zone == null || one.text().contains(zone)))
+                .skip(
+                        Math.max(
+                                0,
+                                state.history().stream()
+                                                .filter(
+                                                        one ->
+                                                                one.text().startsWith("plan ")
+                                                                        && (zone == null
+                                                                                || one.text()
+                                                                                        .contains(
+                                                                                                zone)))
+                                                .count()
+                                        - LAST_PLANS))
+                .forEach(
+                        one ->
+                                System.out.println(
+                                        Instant.ofEpochMilli(one.atMillis()) + " " + one.text()));
         return 0;
     }
 
     /** For a supervisor: the program and the text that a node is to be started with. */
     private int wanted(FleetSettings settings, String node, Log quiet) throws InterruptedException {
-        Question.Wanted wanted = Question.wanted(settings.voters().values(), new NodeName(node), within, quiet);
+        Question.Wanted wanted =
+                Question.wanted(settings.voters().values(), new NodeName(node), within, quiet);
         if (wanted == null) {
             System.err.println("lupinwood: nobody leads the council, so it can't be told");
             return LEADERLESS;
@@ -192,7 +266,8 @@
     }
 
     /** Until each node that is in has said that it has nothing there any more. */
-    private int untilEmpty(FleetSettings settings, String server, Log quiet) throws InterruptedException {
+    private int untilEmpty(FleetSettings settings, String server, Log quiet)
+            throws InterruptedException {
         String told = "";
         while (true) {
             Council.State state = Question.state(settings.voters().values(), within, quiet);
@@ -212,12 +287,16 @@
     }
 
     /** Prints what is written about it, until it has ended or was halted. */
-    private int untilEnded(FleetSettings settings, boolean forward, Log quiet) throws InterruptedException {
+    private int untilEnded(FleetSettings settings, boolean forward, Log quiet)
+            throws InterruptedException {
         long printed = -1;
         String shown = "";
         while (true) {
-            JsonObject leads = Question.ask(settings.voters().values(), within, quiet).values().stream()
-                    .filter(one -> one.get("leads").getAsBoolean()).findFirst().orElse(null);
+            JsonObject leads =
+                    Question.ask(settings.voters().values(), within, quiet).values().stream()
+                            .filter(one -> one.get("leads").getAsBoolean())
+                            .findFirst()
+                            .orElse(null);
             if (leads != null) {
                 JsonObject state = leads.getAsJsonObject("state");
                 JsonArray all = state.getAsJsonArray("history");
@@ -225,11 +304,18 @@
                 for (JsonElement one : all) {
                     long at = one.getAsJsonObject().get("atMillis").getAsLong();
                     last = one.getAsJsonObject().get("text").getAsString();
-                    if (printed >= 0 && at > printed || one == all.get(all.size() - 1) && printed < 0) {
+                    if (printed >= 0 && at > printed
+                            || one == all.get(all.size() - 1) && printed < 0) {
                         System.out.println(Instant.ofEpochMilli(at) + " " + last);
                     }
                 }
-                printed = all.isEmpty() ? 0 : all.get(all.size() - 1).getAsJsonObject().get("atMillis").getAsLong();
+                printed =
+                        all.isEmpty()
+                                ? 0
+                                : all.get(all.size() - 1)
+                                        .getAsJsonObject()
+                                        .get("atMillis")
+                                        .getAsLong();
                 if (!isOpen(state)) {
                     return last.contains(" is done") == forward ? 0 : ENDED_OTHERWISE;
                 }
@@ -239,8 +325,10 @@
                     shown = progress;
                 }
                 if (!state.get("haltedBy").getAsString().isEmpty()) {
-                    System.err.println("lupinwood: halted by " + state.get("haltedBy").getAsString()
-                            + "; 'fleet resume' goes on, 'fleet back' goes back");
+                    System.err.println(
+                            "lupinwood: halted by "
+                                    + state.get("haltedBy").getAsString()
+                                    + "; 'fleet resume' goes on, 'fleet back' goes back");
                     return HALTED;
                 }
             }
@@ -249,9 +337,11 @@
     }
 
     /** Until the council knows that the node is out, or isn't heard any more. */
-    private int untilGone(FleetSettings settings, NodeName node, Log quiet) throws InterruptedException {
+    private int untilGone(FleetSettings settings, NodeName node, Log quiet)
+            throws InterruptedException {
         while (true) {
-            for (JsonObject told : Question.ask(settings.voters().values(), within, quiet).values()) {
+            for (JsonObject told :
+                    Question.ask(settings.voters().values(), within, quiet).values()) {
                 for (JsonElement one : seen(told)) {
                     String standing = one.getAsJsonObject().get("standing").getAsString();
                     if (text(one.getAsJsonObject(), "name").equals(node.text())
@@ -270,53 +360,100 @@
         return seen == null ? new JsonArray() : seen;
     }
 
-    private static void print(FleetSettings settings, Map<Integer, JsonObject> answers, JsonObject leads,
+    private static void print(
+            FleetSettings settings,
+            Map<Integer, JsonObject> answers,
+            JsonObject leads,
             boolean history) {
-        System.out.println("voters: " + answers.size() + " of " + settings.voters().size() + " answered");
+        System.out.println(
+                "voters: " + answers.size() + " of " + settings.voters().size() + " answered");
         if (leads == null) {
             System.out.println("leader: nobody; duties are not given on, nodes serve as if alone");
             return;
         }
         JsonObject state = leads.getAsJsonObject("state");
-        System.out.println("leader: " + leads.get("leader").getAsString() + ", term " + state.get("term").getAsInt());
+        System.out.println(
+                "leader: "
+                        + leads.get("leader").getAsString()
+                        + ", term "
+                        + state.get("term").getAsInt());
         for (JsonElement one : state.getAsJsonArray("duties")) {
             JsonObject duty = one.getAsJsonObject();
             String holder = duty.has("holder") ? text(duty, "holder") : "nobody";
-            System.out.println("duty " + text(duty, "duty") + ": " + holder + ", token "
-                    + duty.getAsJsonObject("token").get("number").getAsLong());
+            System.out.println(
+                    "duty "
+                            + text(duty, "duty")
+                            + ": "
+                            + holder
+                            + ", token "
+                            + duty.getAsJsonObject("token").get("number").getAsLong());
         }
         List<String> lines = new ArrayList<>();
         for (JsonElement one : state.getAsJsonArray("seen")) {
             JsonObject seen = one.getAsJsonObject();
             JsonObject site = seen.getAsJsonObject("site");
-            String heard = seen.has("heard") ? String.format(Locale.ROOT, "heard %.1f s ago",
-                    seen.getAsJsonObject("heard").get("nanos").getAsLong() / 1e9) : "not heard by this leader";
-            lines.add(String.format("node %-16s %-8s %s/%s, %s", text(seen, "name"),
-                    seen.get("standing").getAsString().toLowerCase(Locale.ROOT), site.get("region").getAsString(),
-                    site.get("zone").getAsString(), heard));
+            String heard =
+                    seen.has("heard")
+                            ? String.format(
+                                    Locale.ROOT,
+                                    "heard %.1f s ago",
+                                    seen.getAsJsonObject("heard").get("nanos").getAsLong() / 1e9)
+                            : "not heard by this leader";
+            lines.add(
+                    String.format(
+                            "node %-16s %-8s %s/%s, %s",
+                            text(seen, "name"),
+                            seen.get("standing").getAsString().toLowerCase(Locale.ROOT),
+                            site.get("region").getAsString(),
+                            site.get("zone").getAsString(),
+                            heard));
         }
         lines.forEach(System.out::println);
         for (JsonElement one : state.getAsJsonArray("permits")) {
             JsonObject permit = one.getAsJsonObject();
-            System.out.println("permit " + permit.get("number").getAsLong() + ": " + text(permit, "node") + ", let go by "
-                    + permit.get("by").getAsString());
+            System.out.println(
+                    "permit "
+                            + permit.get("number").getAsLong()
+                            + ": "
+                            + text(permit, "node")
+                            + ", let go by "
+                            + permit.get("by").getAsString());
         }
         if (isOpen(state)) {
             System.out.println(said(state));
         }
         Council.State whole = new Gson().fromJson(state, Council.State.class);
-        whole.rests().forEach(rest -> {
-            String left = Emptied.left(whole, rest.server());
-            System.out.println("server " + rest.server() + " rests, by " + rest.by() + ": " + (left.isEmpty() ? "empty"
-                    : "not yet empty, " + left));
-        });
+        whole.rests()
+                .forEach(
+                        rest -> {
+                            String left = Emptied.left(whole, rest.server());
+                            System.out.println(
+                                    "server "
+                                            + rest.server()
+                                            + " rests, by "
+                                            + rest.by()
+                                            + ": "
+                                            + (left.isEmpty()
+                                                    ? "empty"
+                                                    : "not yet empty, " + left));
+                        });
         if (!state.get("haltedBy").getAsString().isEmpty()) {
-            System.out.println("halted by " + state.get("haltedBy").getAsString() + ": no node may go");
+            System.out.println(
+                    "halted by " + state.get("haltedBy").getAsString() + ": no node may go");
         }
         if (history) {
-            state.getAsJsonArray("history").forEach(one -> System.out.println(
-                    Instant.ofEpochMilli(one.getAsJsonObject().get("atMillis").getAsLong()) + " "
-                            + one.getAsJsonObject().get("text").getAsString()));
+            state.getAsJsonArray("history")
+                    .forEach(
+                            one ->
+                                    System.out.println(
+                                            Instant.ofEpochMilli(
+                                                            one.getAsJsonObject()
+                                                                    .get("atMillis")
+                                                                    .getAsLong())
+                                                    + " "
+                                                    + one.getAsJsonObject()
+                                                            .get("text")
+                                                            .getAsString()));
         }
     }
 
@@ -332,13 +469,32 @@
         int runs = 0;
         for (JsonElement one : state.getAsJsonArray("seen")) {
             JsonObject report = one.getAsJsonObject().getAsJsonObject("report");
-            runs += report != null && report.get(program ? "program" : "runs").getAsString().equals(to) ? 1 : 0;
+            runs +=
+                    report != null
+                                    && report.get(program ? "program" : "runs")
+                                            .getAsString()
+                                            .equals(to)
+                            ? 1
+                            : 0;
         }
         boolean back = release.get("turnedAt").getAsInt() >= 0;
-        return "release " + release.get("number").getAsLong() + " of " + (program ? "program " : "text ") + to
-                + " by " + release.get("by").getAsString() + (back ? ", on its way back" : "") + ": step "
-                + release.get("steps").getAsInt() + ", given to " + release.getAsJsonArray("given").size() + ", run by " + runs
-                + " of " + state.getAsJsonArray("seen").size() + " nodes";
+        return "release "
+                + release.get("number").getAsLong()
+                + " of "
+                + (program ? "program " : "text ")
+                + to
+                + " by "
+                + release.get("by").getAsString()
+                + (back ? ", on its way back" : "")
+                + ": step "
+                + release.get("steps").getAsInt()
+                + ", given to "
+                + release.getAsJsonArray("given").size()
+                + ", run by "
+                + runs
+                + " of "
+                + state.getAsJsonArray("seen").size()
+                + " nodes";
     }
 
     private static String text(JsonObject of, String name) {
--- a/src/main/java/lupinwood/cli/LabNode.java
+++ b/src/main/java/lupinwood/cli/LabNode.java
@@ -8,15 +8,22 @@
 import lupinwood.node.Span;
 
 /** The laboratory's launcher: a node as by 'serve', in a process in which something is wrong. */
-@Parameters(commandDescription = "Serve as a node with a wrong clock or a slow folder, for the laboratory", hidden = true)
+@Parameters(
+        commandDescription =
+                "Serve as a node with a wrong clock or a slow folder, for the laboratory",
+        hidden = true)
 final class LabNode extends Serve {
     @Parameter(names = "--shift-ms", description = "How far the wall clock is off, in milliseconds")
     private long shiftMillis;
 
-    @Parameter(names = "--step-after-ms", description = "From so long after the start the wall clock is right; 0 for never")
+    @Parameter(
+            names = "--step-after-ms",
+            description = "From so long after the start the wall clock is right; 0 for never")
     private long stepAfterMillis;
 
-    @Parameter(names = "--sync-takes-ms", description = "How much longer a write to the folder takes, in milliseconds")
+    @Parameter(
+            names = "--sync-takes-ms",
+            description = "How much longer a write to the folder takes, in milliseconds")
     private long syncTakesMillis;
 
     @Parameter(names = "--without-early-stop", description = "Count leases from when they come")
@@ -35,10 +42,13 @@
         }
         Spoilt.program(program);
         long begun = System.nanoTime();
-        WallClock.readFrom(() -> {
-            boolean right = stepAfterMillis > 0 && System.nanoTime() - begun > stepAfterMillis * 1_000_000;
-            return right ? Instant.now() : Instant.now().plusMillis(shiftMillis);
-        });
+        WallClock.readFrom(
+                () -> {
+                    boolean right =
+                            stepAfterMillis > 0
+                                    && System.nanoTime() - begun > stepAfterMillis * 1_000_000;
+                    return right ? Instant.now() : Instant.now().plusMillis(shiftMillis);
+                });
         Spoilt.syncTakes(Span.ofSeconds(syncTakesMillis / 1000.0));
         if (withoutEarlyStop) {
             Spoilt.leaveOutEarlyStop();
--- a/src/main/java/lupinwood/cli/Main.java
+++ b/src/main/java/lupinwood/cli/Main.java
@@ -17,10 +17,26 @@
     }
 
     private static int run(String[] args) {
-        // A node that starts needs no other command, and the parser would take its time to look each through.
-        Map<String, Command> commands = args.length > 0 && args[0].equals(SERVE) ? Map.of(SERVE, new Serve())
-                : Map.of(SERVE, new Serve(), "version", new Version(), "drill", new DrillCommand(),
-                        "config", new ConfigCommand(), "lab", new LabCommand(), "fleet", new FleetCommand(), "lab-node", new LabNode());
+        // A node that starts needs no other command, and the parser would take its time to look
+        // each through.
+        Map<String, Command> commands =
+                args.length > 0 && args[0].equals(SERVE)
+                        ? Map.of(SERVE, new Serve())
+                        : Map.of(
+                                SERVE,
+                                new Serve(),
+                                "version",
+                                new Version(),
+                                "drill",
+                                new DrillCommand(),
+                                "config",
+                                new ConfigCommand(),
+                                "lab",
+                                new LabCommand(),
+                                "fleet",
+                                new FleetCommand(),
+                                "lab-node",
+                                new LabNode());
         JCommander parser = JCommander.newBuilder().programName(NAME).build();
         Help help = new Help();
         parser.addObject(help);
@@ -31,7 +47,9 @@
         } catch (ParameterException e) {
             // The library's own text for a word too many speaks of its classes.
             String said =
-                    e.getMessage().replaceFirst("^Was passed main parameter ('.*?').*", "unknown word $1");
+                    e.getMessage()
+                            .replaceFirst(
+                                    "^Was passed main parameter ('.*?').*", "unknown word $1");
             System.err.println(NAME + ": " + said + "; 'help' lists the commands");
             return USAGE;
         }
--- a/src/main/java/lupinwood/cli/Serve.java
+++ b/src/main/java/lupinwood/cli/Serve.java
@@ -18,27 +18,42 @@
 import lupinwood.settings.Schema;
 
 /**
- * Runs one real node until SIGTERM, then leaves in good order; SIGHUP has it read its configuration again.
+ * Runs one real node until SIGTERM, then leaves in good order; SIGHUP has it read its configuration
+ * again.
  */
-@Parameters(commandDescription = "Serve as a node, on sockets, until SIGTERM; SIGHUP reads the configuration"
-        + " again and moves to the addresses of executor, index and naming that it then has")
+@Parameters(
+        commandDescription =
+                "Serve as a node, on sockets, until SIGTERM; SIGHUP reads the configuration"
+                        + " again and moves to the addresses of executor, index and naming that it then has")
 class Serve implements Command {
     private static final int UNUSABLE = 2;
     private static final int FAILED = 1;
 
-    @Parameter(names = "--config", description = "The node's configuration; else what RELAY_CONFIG names")
+    @Parameter(
+            names = "--config",
+            description = "The node's configuration; else what RELAY_CONFIG names")
     private String file;
 
-    @Parameter(names = "--operator", description = "The operator's own entries beside the platform's configuration,"
-            + " in the language of 'config'")
+    @Parameter(
+            names = "--operator",
+            description =
+                    "The operator's own entries beside the platform's configuration,"
+                            + " in the language of 'config'")
     private String operator;
 
-    @Parameter(names = "--watch", description = "Reload when the configuration's files change: 'on', 'off', or"
-            + " 'auto', which is on where SIGHUP can't be heard")
+    @Parameter(
+            names = "--watch",
+            description =
+                    "Reload when the configuration's files change: 'on', 'off', or"
+                            + " 'auto', which is on where SIGHUP can't be heard")
     private Watching watching = Watching.AUTO;
 
     /** Whether changed files are reason enough to read them. */
-    enum Watching { AUTO, ON, OFF }
+    enum Watching {
+        AUTO,
+        ON,
+        OFF
+    }
 
     /** The exit status; other than 0 where it could not start. */
     private volatile int endsWith;
@@ -69,7 +84,10 @@
             log.line("in doubt, and served all the same: " + config.doubtful());
         }
         boolean inFleet = !config.meaning().items(Schema.VOTER).isEmpty();
-        Object agreed = inFleet ? TextAtStart.ask(loader, config, log) : null; // its class isn't loaded without a fleet
+        Object agreed =
+                inFleet
+                        ? TextAtStart.ask(loader, config, log)
+                        : null; // its class isn't loaded without a fleet
         if (inFleet) {
             config = ((TextAtStart) agreed).config();
         }
@@ -92,7 +110,8 @@
         } catch (IOException e) {
             // The library's own message says no more than where.
             Throwable cause = e.getCause() == null ? e : e.getCause();
-            System.err.println("lupinwood: can't listen on " + config.listen() + ": " + cause.getMessage());
+            System.err.println(
+                    "lupinwood: can't listen on " + config.listen() + ": " + cause.getMessage());
             endsWith = FAILED;
             return FAILED;
         }
@@ -106,13 +125,19 @@
 
     /** What makes this node read its configuration again. */
     private static String triggers(boolean heard, boolean watches) {
-        String signal = heard ? "reloads on SIGHUP"
-                : "can't hear SIGHUP, which was ignored when this process was started; reloads";
-        String files = watches ? (heard ? ", and" : "") + " when its configuration's files change" : "";
+        String signal =
+                heard
+                        ? "reloads on SIGHUP"
+                        : "can't hear SIGHUP, which was ignored when this process was started; reloads";
+        String files =
+                watches ? (heard ? ", and" : "") + " when its configuration's files change" : "";
         return signal + (heard || watches ? files : " on nothing");
     }
 
-    /** Runs on SIGTERM. Halting, and not returning, ends the process with 0: all went as it was asked to. */
+    /**
+     * Runs on SIGTERM. Halting, and not returning, ends the process with 0: all went as it was
+     * asked to.
+     */
     private void leave(Serving serving, Log log) {
         try {
             serving.leave();
--- a/src/main/java/lupinwood/config/Config.java
+++ b/src/main/java/lupinwood/config/Config.java
@@ -11,9 +11,13 @@
  * @param places where each value was given, by the name of its entry
  * @param sources all texts, the first one first
  */
-public record Config(Meaning meaning, Map<String, Place> places, Problems problems, List<Source> sources) {
+public record Config(
+        Meaning meaning, Map<String, Place> places, Problems problems, List<Source> sources) {
     /** The text in which something stands, or null. */
     public Source source(Place place) {
-        return sources.stream().filter(source -> source.name().equals(place.file())).findFirst().orElse(null);
+        return sources.stream()
+                .filter(source -> source.name().equals(place.file()))
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/src/main/java/lupinwood/config/Conversion.java
+++ b/src/main/java/lupinwood/config/Conversion.java
@@ -25,13 +25,18 @@
         Kind kind = entry.kind();
         String text = word.text();
         if (!word.note().isEmpty() && !(kind.isNumber() && word.kind() == Word.Kind.NUMBER)) {
-            return Quantities.Read.wrong("(" + word.note() + ") means nothing before this value", "take it out");
+            return Quantities.Read.wrong(
+                    "(" + word.note() + ") means nothing before this value", "take it out");
         }
         if (kind.isNumber()) {
             return switch (word.kind()) {
                 case NUMBER -> Quantities.read(text, word.note(), entry);
-                case QUOTED -> Quantities.Read.wrong("a text in quotes is no number",
-                        text.isEmpty() ? Meaning.wanted(entry) : "write " + text + " without quotes");
+                case QUOTED ->
+                        Quantities.Read.wrong(
+                                "a text in quotes is no number",
+                                text.isEmpty()
+                                        ? Meaning.wanted(entry)
+                                        : "write " + text + " without quotes");
                 default -> Quantities.Read.wrong(text + " is no number", Meaning.wanted(entry));
             };
         }
@@ -47,15 +52,18 @@
     }
 
     private static Quantities.Read flag(Word word, Entry entry) {
-        if (word.kind() == Word.Kind.KEYWORD && (word.text().equals("#true") || word.text().equals("#false"))) {
+        if (word.kind() == Word.Kind.KEYWORD
+                && (word.text().equals("#true") || word.text().equals("#false"))) {
             return good(word.text().substring(1));
         }
-        String instead = switch (word.text().toLowerCase(Locale.ROOT)) {
-            case "true", "yes", "on", "1" -> "write #true";
-            case "false", "no", "off", "0", "#null" -> "write #false";
-            default -> "write #true or #false";
-        };
-        return Quantities.Read.wrong(word.text() + " is no answer to whether: " + entry.own(), instead);
+        String instead =
+                switch (word.text().toLowerCase(Locale.ROOT)) {
+                    case "true", "yes", "on", "1" -> "write #true";
+                    case "false", "no", "off", "0", "#null" -> "write #false";
+                    default -> "write #true or #false";
+                };
+        return Quantities.Read.wrong(
+                word.text() + " is no answer to whether: " + entry.own(), instead);
     }
 
     private static Quantities.Read word(Word word, Entry entry) {
@@ -63,8 +71,10 @@
             return good(word.text());
         }
         String known = entry.said(word.text());
-        String near = known.equals(word.text()) ? Names.nearest(word.text(), entry.saidAs()) : known;
-        return Quantities.Read.wrong(word.text() + " is no " + entry.own(),
+        String near =
+                known.equals(word.text()) ? Names.nearest(word.text(), entry.saidAs()) : known;
+        return Quantities.Read.wrong(
+                word.text() + " is no " + entry.own(),
                 near == null ? Meaning.wanted(entry) : "write " + near);
     }
 
@@ -72,17 +82,21 @@
         String text = word.text();
         boolean quotesDo = entry.kind() != Kind.ADDRESS || Meaning.isAddress(text);
         if (quotesDo && (word.kind() == Word.Kind.NUMBER || word.kind() == Word.Kind.KEYWORD)) {
-            return Quantities.Read.wrong(text + " is no text", "write \"" + text.replace("#", "") + "\"");
+            return Quantities.Read.wrong(
+                    text + " is no text", "write \"" + text.replace("#", "") + "\"");
         }
         if (text.isBlank()) {
             return Quantities.Read.wrong("this text is empty", Meaning.wanted(entry));
         }
         if (entry.kind() == Kind.ADDRESS && !Meaning.isAddress(text)) {
-            return Quantities.Read.wrong("this is no host and port: " + text, "write HOST:PORT in quotes, as"
-                    + " \"127.0.0.1:5050\", with a port from 1 to 65535");
+            return Quantities.Read.wrong(
+                    "this is no host and port: " + text,
+                    "write HOST:PORT in quotes, as"
+                            + " \"127.0.0.1:5050\", with a port from 1 to 65535");
         }
         if (entry.kind() == Kind.HEX && !text.matches("[0-9a-fA-F]{1,16}")) {
-            return Quantities.Read.wrong("this is no hexadecimal number of up to 16 digits: " + text,
+            return Quantities.Read.wrong(
+                    "this is no hexadecimal number of up to 16 digits: " + text,
                     Meaning.wanted(entry));
         }
         return good(text);
--- a/src/main/java/lupinwood/config/Formatter.java
+++ b/src/main/java/lupinwood/config/Formatter.java
@@ -5,9 +5,10 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Writes a text again in the one form that all share: a statement a line, four blanks a depth of braces, one blank
- * between words, at most one empty line in a row, quantities in their short form. Remarks stay where they are. It
- * works on the words alone and never changes what they mean; formatting twice is formatting once.
+ * Writes a text again in the one form that all share: a statement a line, four blanks a depth of
+ * braces, one blank between words, at most one empty line in a row, quantities in their short form.
+ * Remarks stay where they are. It works on the words alone and never changes what they mean;
+ * formatting twice is formatting once.
  */
 public final class Formatter {
     private static final int INDENT = 4;
@@ -16,12 +17,16 @@
     private final List<Token> words = new ArrayList<>();
     private int depth;
     private boolean lineBegun;
+
     /** A statement ended, so that the next word begins a line. */
     private boolean breakDue;
+
     private boolean emptyLineDue;
     private boolean afterOpen = true;
+
     /** The next word follows without a blank. */
     private boolean tight = true;
+
     private boolean continued;
 
     private Formatter() {}
@@ -44,7 +49,7 @@
         for (int i = 0; i < words.size(); i++) {
             Token word = words.get(i);
             switch (word.getType()) {
-                case KdlLexer.SPACE, KdlLexer.MARK -> { }
+                case KdlLexer.SPACE, KdlLexer.MARK -> {}
                 case KdlLexer.CONTINUED -> continued(word);
                 case KdlLexer.NEWLINE -> {
                     breaks++;
@@ -147,8 +152,10 @@
     }
 
     private void continued(Token word) {
-        String remark = word.getText().contains("//")
-                ? " " + word.getText().substring(word.getText().indexOf("//")).strip() : "";
+        String remark =
+                word.getText().contains("//")
+                        ? " " + word.getText().substring(word.getText().indexOf("//")).strip()
+                        : "";
         if (lineBegun && !breakDue) {
             out.append(tight ? "" : " ").append('\\').append(remark).append('\n');
             lineBegun = false;
@@ -176,8 +183,10 @@
         int i = first;
         do {
             int type = words.get(i).getType();
-            open += type == KdlLexer.REMARK_OPEN || type == KdlLexer.DEEPER ? 1
-                    : type == KdlLexer.REMARK_CLOSE ? -1 : 0;
+            open +=
+                    type == KdlLexer.REMARK_OPEN || type == KdlLexer.DEEPER
+                            ? 1
+                            : type == KdlLexer.REMARK_CLOSE ? -1 : 0;
             text.append(words.get(i).getText());
         } while (open > 0 && ++i < words.size());
         if (breakDue && sameLine(first) && !afterOpen) {
@@ -191,7 +200,8 @@
     /** Anything else; a unit in front of its number goes behind it. */
     private int plain(int place) {
         Token word = words.get(place);
-        if (word.getType() == KdlLexer.PAREN_OPEN && place + 3 < words.size()
+        if (word.getType() == KdlLexer.PAREN_OPEN
+                && place + 3 < words.size()
                 && words.get(place + 2).getType() == KdlLexer.PAREN_CLOSE
                 && words.get(place + 3).getType() == KdlLexer.NUMBER
                 && Quantities.isUnit(words.get(place + 1).getText())
@@ -199,16 +209,22 @@
             put(words.get(place + 3).getText() + words.get(place + 1).getText());
             return place + 3;
         }
-        boolean glued = switch (word.getType()) {
-            case KdlLexer.PAREN_CLOSE, KdlLexer.EQUALS -> true;
-            default -> false;
-        };
+        boolean glued =
+                switch (word.getType()) {
+                    case KdlLexer.PAREN_CLOSE, KdlLexer.EQUALS -> true;
+                    default -> false;
+                };
         tight |= glued;
         put(word.getText().replace("\r\n", "\n"));
-        tight = switch (word.getType()) {
-            case KdlLexer.PAREN_OPEN, KdlLexer.PAREN_CLOSE, KdlLexer.EQUALS, KdlLexer.SLASHDASH -> true;
-            default -> false;
-        };
+        tight =
+                switch (word.getType()) {
+                    case KdlLexer.PAREN_OPEN,
+                            KdlLexer.PAREN_CLOSE,
+                            KdlLexer.EQUALS,
+                            KdlLexer.SLASHDASH ->
+                            true;
+                    default -> false;
+                };
         return place;
     }
 }
--- a/src/main/java/lupinwood/config/Names.java
+++ b/src/main/java/lupinwood/config/Names.java
@@ -8,12 +8,15 @@
 
     private Names() {}
 
-    /** The one that differs least, if it differs by no more than a third of its letters; or null. */
+    /**
+     * The one that differs least, if it differs by no more than a third of its letters; or null.
+     */
     static String nearest(String written, Collection<String> known) {
         String best = null;
         int least = Integer.MAX_VALUE;
         for (String name : known) {
-            int distance = written.length() > MOST_CHARS ? Integer.MAX_VALUE : distance(written, name);
+            int distance =
+                    written.length() > MOST_CHARS ? Integer.MAX_VALUE : distance(written, name);
             if (distance < least && distance <= Math.max(1, name.length() / 3)) {
                 least = distance;
                 best = name;
@@ -32,9 +35,14 @@
                     continue;
                 }
                 int same = a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1;
-                table[i][j] = Math.min(table[i - 1][j - 1] + same,
-                        Math.min(table[i - 1][j], table[i][j - 1]) + 1);
-                if (i > 1 && j > 1 && a.charAt(i - 1) == b.charAt(j - 2) && a.charAt(i - 2) == b.charAt(j - 1)) {
+                table[i][j] =
+                        Math.min(
+                                table[i - 1][j - 1] + same,
+                                Math.min(table[i - 1][j], table[i][j - 1]) + 1);
+                if (i > 1
+                        && j > 1
+                        && a.charAt(i - 1) == b.charAt(j - 2)
+                        && a.charAt(i - 2) == b.charAt(j - 1)) {
                     table[i][j] = Math.min(table[i][j], table[i - 2][j - 2] + 1);
                 }
             }
--- a/src/main/java/lupinwood/config/Parser.java
+++ b/src/main/java/lupinwood/config/Parser.java
@@ -7,9 +7,9 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Makes statements of words. It goes through the words once, with the open braces on a stack of its own, so depth
- * costs no stack of the machine's. A slip that leaves the structure clear is told and its statement passed over; one
- * that doesn't, as a brace without its other, ends the reading.
+ * Makes statements of words. It goes through the words once, with the open braces on a stack of its
+ * own, so depth costs no stack of the machine's. A slip that leaves the structure clear is told and
+ * its statement passed over; one that doesn't, as a brace without its other, ends the reading.
  */
 final class Parser {
     private static final int MOST_DEPTH = 32;
@@ -66,7 +66,10 @@
             }
         }
         if (!lost && !open.isEmpty()) {
-            problems.add(open.peek().place(), "this { is never closed", "write } after the last entry inside");
+            problems.add(
+                    open.peek().place(),
+                    "this { is never closed",
+                    "write } after the last entry inside");
             lost = true;
         }
     }
@@ -77,7 +80,8 @@
         Token opened = null;
         for (Token word : Syntax.words(source)) {
             switch (word.getType()) {
-                case KdlLexer.REMARK_OPEN, KdlLexer.DEEPER -> opened = remarks++ == 0 ? word : opened;
+                case KdlLexer.REMARK_OPEN, KdlLexer.DEEPER ->
+                        opened = remarks++ == 0 ? word : opened;
                 case KdlLexer.REMARK_CLOSE -> remarks--;
                 default -> {
                     if (word.getChannel() == Token.DEFAULT_CHANNEL) {
@@ -87,8 +91,11 @@
             }
         }
         if (remarks > 0) {
-            stop(new Place(source.name(), opened.getLine(), opened.getCharPositionInLine() + 1, 2),
-                    "this comment is never closed", "write */ where it ends");
+            stop(
+                    new Place(
+                            source.name(), opened.getLine(), opened.getCharPositionInLine() + 1, 2),
+                    "this comment is never closed",
+                    "write */ where it ends");
         }
         return !lost;
     }
@@ -104,7 +111,10 @@
 
     private void openBrace(Token brace, Statement of) {
         if (of == null || of.inside != null) {
-            stop(place(brace), "this { belongs to no entry", "write the entry's name in front of it, in the same line");
+            stop(
+                    place(brace),
+                    "this { belongs to no entry",
+                    "write the entry's name in front of it, in the same line");
         } else if (open.size() >= MOST_DEPTH) {
             stop(place(brace), "braces are nested more than " + MOST_DEPTH + " deep", "");
         } else {
@@ -115,7 +125,10 @@
 
     private void closeBrace(Token brace) {
         if (open.isEmpty()) {
-            stop(place(brace), "this } closes nothing", "take it out, or write the { that it should close");
+            stop(
+                    place(brace),
+                    "this } closes nothing",
+                    "take it out, or write the { that it should close");
         } else {
             open.pop();
         }
@@ -132,7 +145,10 @@
             return statement;
         }
         if (name.sound() && (name.kind() == Word.Kind.NUMBER || name.kind() == Word.Kind.KEYWORD)) {
-            broken(statement, name.place(), "an entry's name is expected here, not " + name.text(),
+            broken(
+                    statement,
+                    name.place(),
+                    "an entry's name is expected here, not " + name.text(),
                     "write the name of an entry first, then its value");
         }
         while (at < words.size() && !ends(words.get(at).getType())) {
@@ -144,9 +160,13 @@
             Word word = value("a value");
             if (at < words.size() && words.get(at).getType() == KdlLexer.EQUALS) {
                 at++;
-                Word value = at < words.size() && !ends(words.get(at).getType()) ? value("a value") : word;
+                Word value =
+                        at < words.size() && !ends(words.get(at).getType())
+                                ? value("a value")
+                                : word;
                 if (!passed) {
-                    statement.property = statement.property == null ? word.place() : statement.property;
+                    statement.property =
+                            statement.property == null ? word.place() : statement.property;
                     statement.broken |= !word.sound() || !value.sound();
                 }
                 continue;
@@ -178,7 +198,9 @@
     }
 
     private static boolean ends(int type) {
-        return type == KdlLexer.NEWLINE || type == KdlLexer.SEMICOLON || type == KdlLexer.OPEN
+        return type == KdlLexer.NEWLINE
+                || type == KdlLexer.SEMICOLON
+                || type == KdlLexer.OPEN
                 || type == KdlLexer.CLOSE;
     }
 
@@ -202,23 +224,33 @@
         return new Word(Word.Kind.BARE, word.getText(), "", place(word), false);
     }
 
-    /** The next word, which is there, with the note before it; never waits for more than one line. */
+    /**
+     * The next word, which is there, with the note before it; never waits for more than one line.
+     */
     private Word value(String expected) {
         if (at >= words.size() || ends(words.get(at).getType())) {
             Token near = words.get(Math.min(at, words.size() - 1));
-            return slip(near, expected + " is missing here", "write it, or take out what is before it");
+            return slip(
+                    near, expected + " is missing here", "write it, or take out what is before it");
         }
         String note = "";
         Token first = words.get(at++);
         if (first.getType() == KdlLexer.PAREN_OPEN) {
-            if (at + 1 >= words.size() || words.get(at + 1).getType() != KdlLexer.PAREN_CLOSE
+            if (at + 1 >= words.size()
+                    || words.get(at + 1).getType() != KdlLexer.PAREN_CLOSE
                     || words.get(at).getType() != KdlLexer.WORD) {
-                return slip(first, "this ( doesn't hold one word and a )", "write it like (ms)250 or (override)window");
+                return slip(
+                        first,
+                        "this ( doesn't hold one word and a )",
+                        "write it like (ms)250 or (override)window");
             }
             note = words.get(at).getText();
             at += 2;
             if (at >= words.size() || ends(words.get(at).getType())) {
-                return slip(first, expected + " is missing after (" + note + ")", "write it right after the )");
+                return slip(
+                        first,
+                        expected + " is missing after (" + note + ")",
+                        "write it right after the )");
             }
             first = words.get(at++);
         }
@@ -231,27 +263,54 @@
             case KdlLexer.WORD -> new Word(Word.Kind.BARE, text, note, place(word), true);
             case KdlLexer.NUMBER -> new Word(Word.Kind.NUMBER, text, note, place(word), true);
             case KdlLexer.KEYWORD -> keyword(word, note);
-            case KdlLexer.STRING -> string(word, Texts.unescape(text.substring(1, text.length() - 1)), note);
+            case KdlLexer.STRING ->
+                    string(word, Texts.unescape(text.substring(1, text.length() - 1)), note);
             case KdlLexer.MULTILINE -> {
                 String inner = Texts.multiline(text);
-                yield inner == null ? slip(word, "the lines of this text don't begin like its last line",
-                        "begin each line with the blanks that stand before the closing \"\"\"")
+                yield inner == null
+                        ? slip(
+                                word,
+                                "the lines of this text don't begin like its last line",
+                                "begin each line with the blanks that stand before the closing \"\"\"")
                         : string(word, Texts.unescape(inner), note);
             }
             case KdlLexer.RAW -> {
                 int hashes = text.indexOf('"');
                 yield string(word, text.substring(hashes + 1, text.length() - hashes - 1), note);
             }
-            case KdlLexer.UNCLOSED -> slip(word, "this text is not closed in its line", "write \" where it ends");
-            case KdlLexer.BAD_ESCAPE -> slip(word, "there is no such escape as " + Texts.badEscape(text),
-                    "write \\\\ for a backslash, or one of \\n \\t \\\" \\u{41}");
-            case KdlLexer.EQUALS -> slip(word, "a value follows its entry's name without a =",
-                    "write a blank in its place");
-            case KdlLexer.TYPOGRAPHIC -> slip(word, "these are typographic quotes, which are no quotes here",
-                    text.length() == 1 ? "write \" in its place" : "write \"" + text.replaceAll("[\u2018\u2019\u201A\u201C\u201D\u201E\u00AB\u00BB]", "") + "\"");
+            case KdlLexer.UNCLOSED ->
+                    slip(word, "this text is not closed in its line", "write \" where it ends");
+            case KdlLexer.BAD_ESCAPE ->
+                    slip(
+                            word,
+                            "there is no such escape as " + Texts.badEscape(text),
+                            "write \\\\ for a backslash, or one of \\n \\t \\\" \\u{41}");
+            case KdlLexer.EQUALS ->
+                    slip(
+                            word,
+                            "a value follows its entry's name without a =",
+                            "write a blank in its place");
+            case KdlLexer.TYPOGRAPHIC ->
+                    slip(
+                            word,
+                            "these are typographic quotes, which are no quotes here",
+                            text.length() == 1
+                                    ? "write \" in its place"
+                                    : "write \""
+                                            + text.replaceAll(
+                                                    "[\u2018\u2019\u201A\u201C\u201D\u201E\u00AB\u00BB]",
+                                                    "")
+                                            + "\"");
             case KdlLexer.UNCLOSED_MULTILINE, KdlLexer.UNCLOSED_RAW -> {
-                Word said = slip(word, "this text is never closed", "write " + (text.startsWith("\"") ? "\"\"\" alone in a"
-                        + " line after its last one" : "\"" + text.substring(0, text.length() - 1)) + " where it ends");
+                Word said =
+                        slip(
+                                word,
+                                "this text is never closed",
+                                "write "
+                                        + (text.startsWith("\"")
+                                                ? "\"\"\" alone in a" + " line after its last one"
+                                                : "\"" + text.substring(0, text.length() - 1))
+                                        + " where it ends");
                 lost = true;
                 at = words.size();
                 yield said;
@@ -267,7 +326,8 @@
     }
 
     private Word string(Token word, String text, String note) {
-        return text == null ? slip(word, "an escape in this text names no character", "write up to \\u{10FFFF}")
+        return text == null
+                ? slip(word, "an escape in this text names no character", "write up to \\u{10FFFF}")
                 : new Word(Word.Kind.QUOTED, text, note, place(word), true);
     }
 
@@ -276,7 +336,11 @@
         return switch (text) {
             case "#true", "#false", "#null", "#inf", "#-inf", "#nan" ->
                     new Word(Word.Kind.KEYWORD, text, note, place(word), true);
-            default -> slip(word, "there is no word " + text, "write #true or #false, or a text in quotes");
+            default ->
+                    slip(
+                            word,
+                            "there is no word " + text,
+                            "write #true or #false, or a text in quotes");
         };
     }
 }
--- a/src/main/java/lupinwood/config/Problems.java
+++ b/src/main/java/lupinwood/config/Problems.java
@@ -30,8 +30,13 @@
 
     /** File by file, in the order of lines. */
     public List<Problem> all() {
-        List<String> files = found.stream().map(problem -> problem.place().file()).distinct().toList();
-        return found.stream().sorted(Comparator.<Problem>comparingInt(p -> files.indexOf(p.place().file()))
-                .thenComparingInt(p -> p.place().line()).thenComparingInt(p -> p.place().column())).toList();
+        List<String> files =
+                found.stream().map(problem -> problem.place().file()).distinct().toList();
+        return found.stream()
+                .sorted(
+                        Comparator.<Problem>comparingInt(p -> files.indexOf(p.place().file()))
+                                .thenComparingInt(p -> p.place().line())
+                                .thenComparingInt(p -> p.place().column()))
+                .toList();
     }
 }
--- a/src/main/java/lupinwood/config/Quantities.java
+++ b/src/main/java/lupinwood/config/Quantities.java
@@ -21,25 +21,94 @@
     }
 
     private static final Pattern SHAPE =
-            Pattern.compile("([+-]?(?:[0-9][0-9_]*)?(?:\\.[0-9_]+)?(?:[eE][+-]?[0-9]+)?)([^0-9.+_-].*|)");
-    private static final Pattern GROUPED = Pattern.compile("([+-]?[0-9]{1,3}(?:[,'\u2019.][0-9]{3})+)([^0-9.,]*)");
+            Pattern.compile(
+                    "([+-]?(?:[0-9][0-9_]*)?(?:\\.[0-9_]+)?(?:[eE][+-]?[0-9]+)?)([^0-9.+_-].*|)");
+    private static final Pattern GROUPED =
+            Pattern.compile("([+-]?[0-9]{1,3}(?:[,'\u2019.][0-9]{3})+)([^0-9.,]*)");
     private static final Pattern COMMA = Pattern.compile("([+-]?[0-9]*),([0-9]+)([^0-9.,]*)");
     private static final Pattern BLANKS = Pattern.compile("[\u00A0\u2009\u202F]");
+
     /** No quantity needs more digits; a longer one would take time and memory to reckon with. */
     private static final int MOST_CHARS = 40;
+
     private static final int MOST_POWER = 30;
 
-    private static final Map<String, String> SPANS = units("ns", "1", "us", "1e3", "ms", "1e6", "s", "1e9",
-            "min", "60e9", "h", "3600e9", "d", "86400e9");
-    private static final Map<String, String> MEMORY = units("B", "1", "KB", "1e3", "MB", "1e6", "GB", "1e9");
+    private static final Map<String, String> SPANS =
+            units(
+                    "ns", "1", "us", "1e3", "ms", "1e6", "s", "1e9", "min", "60e9", "h", "3600e9",
+                    "d", "86400e9");
+    private static final Map<String, String> MEMORY =
+            units("B", "1", "KB", "1e3", "MB", "1e6", "GB", "1e9");
     private static final Map<String, String> SHARES = units("%", "0.01");
-    private static final Map<String, String> RATES = units("/s", "1", "/min", "1/60", "/h", "1/3600");
+    private static final Map<String, String> RATES =
+            units("/s", "1", "/min", "1/60", "/h", "1/3600");
+
     /** What else people call the units. */
-    private static final Map<String, String> CALLED = units("sec", "s", "secs", "s", "second", "s", "seconds", "s",
-            "msec", "ms", "msecs", "ms", "millis", "ms", "m", "ms, or min", "mins", "min", "minutes", "min", "hours",
-            "h", "hr", "h", "days", "d", "usec", "us", "\u00B5s", "us", "K", "KB", "k", "KB", "M", "MB", "G", "GB",
-            "KiB", "KB", "MiB", "MB", "GiB", "GB", "percent", "%", "pct", "%", "rps", "/s", "/sec", "/s", "qps", "/s",
-            "/second", "/s", "/m", "/min", "/minute", "/min", "/hour", "/h");
+    private static final Map<String, String> CALLED =
+            units(
+                    "sec",
+                    "s",
+                    "secs",
+                    "s",
+                    "second",
+                    "s",
+                    "seconds",
+                    "s",
+                    "msec",
+                    "ms",
+                    "msecs",
+                    "ms",
+                    "millis",
+                    "ms",
+                    "m",
+                    "ms, or min",
+                    "mins",
+                    "min",
+                    "minutes",
+                    "min",
+                    "hours",
+                    "h",
+                    "hr",
+                    "h",
+                    "days",
+                    "d",
+                    "usec",
+                    "us",
+                    "\u00B5s",
+                    "us",
+                    "K",
+                    "KB",
+                    "k",
+                    "KB",
+                    "M",
+                    "MB",
+                    "G",
+                    "GB",
+                    "KiB",
+                    "KB",
+                    "MiB",
+                    "MB",
+                    "GiB",
+                    "GB",
+                    "percent",
+                    "%",
+                    "pct",
+                    "%",
+                    "rps",
+                    "/s",
+                    "/sec",
+                    "/s",
+                    "qps",
+                    "/s",
+                    "/second",
+                    "/s",
+                    "/m",
+                    "/min",
+                    "/minute",
+                    "/min",
+                    "/hour",
+                    "/h");
+
     private static final Map<String, String> PLAIN = units("", "1");
 
     private Quantities() {}
@@ -64,7 +133,9 @@
 
     /** Whether a note before a number is a unit, as in {@code (ms)250}. */
     static boolean isUnit(String note) {
-        return SPANS.containsKey(note) || MEMORY.containsKey(note) || SHARES.containsKey(note)
+        return SPANS.containsKey(note)
+                || MEMORY.containsKey(note)
+                || SHARES.containsKey(note)
                 || RATES.containsKey(note);
     }
 
@@ -84,28 +155,38 @@
         }
         Matcher grouped = GROUPED.matcher(text);
         Matcher comma = COMMA.matcher(text);
-        if (grouped.matches() && !(text.indexOf(',') < 0 && text.indexOf('\'') < 0 && text.indexOf('\u2019') < 0)) {
+        if (grouped.matches()
+                && !(text.indexOf(',') < 0
+                        && text.indexOf('\'') < 0
+                        && text.indexOf('\u2019') < 0)) {
             String plain = grouped.group(1).replaceAll("[^0-9+-]", "") + grouped.group(2);
-            return Read.wrong(text + " has its digits in groups, and a comma means nothing in a number",
+            return Read.wrong(
+                    text + " has its digits in groups, and a comma means nothing in a number",
                     "write " + plain + (kind.isNumber() ? unitless(kind, grouped.group(2)) : ""));
         }
         if (comma.matches()) {
-            return Read.wrong(text + " has a comma where a number has a point", "write " + comma.group(1) + "."
-                    + comma.group(2) + comma.group(3));
+            return Read.wrong(
+                    text + " has a comma where a number has a point",
+                    "write " + comma.group(1) + "." + comma.group(2) + comma.group(3));
         }
         if (text.matches("[+-]?[0-9.]*,[0-9.,]*[^0-9.,]*")) {
-            return Read.wrong(text + " has a comma, which means nothing in a number",
+            return Read.wrong(
+                    text + " has a comma, which means nothing in a number",
                     "write its digits without groups, and a point before its fraction");
         }
         Matcher shape = SHAPE.matcher(text);
-        if (!shape.matches() || !shape.group(1).matches(".*[0-9].*") || shape.group(1).endsWith("_")) {
+        if (!shape.matches()
+                || !shape.group(1).matches(".*[0-9].*")
+                || shape.group(1).endsWith("_")) {
             return Read.wrong(text + " is no number", Meaning.wanted(entry));
         }
         return withUnit(shape.group(1).replace("_", ""), shape.group(2), entry);
     }
 
     private static String unitless(Kind kind, String unit) {
-        return unit.isEmpty() && (kind == Kind.SPAN || kind == Kind.SPAN_MILLIS) ? "ms, or in another unit" : "";
+        return unit.isEmpty() && (kind == Kind.SPAN || kind == Kind.SPAN_MILLIS)
+                ? "ms, or in another unit"
+                : "";
     }
 
     private static Read withUnit(String digits, String unit, Entry entry) {
@@ -117,7 +198,8 @@
         }
         if (Math.abs((long) number.precision() - number.scale()) > MOST_POWER
                 || Math.abs((long) number.scale()) > MOST_POWER) {
-            return Read.wrong(digits + unit + " is beyond anything that can be meant", Meaning.wanted(entry));
+            return Read.wrong(
+                    digits + unit + " is beyond anything that can be meant", Meaning.wanted(entry));
         }
         Map<String, String> units = of(entry.kind());
         String factor = units.get(unit);
@@ -125,30 +207,53 @@
             return wrongUnit(number, digits, unit, entry, units);
         }
         int slash = factor.indexOf('/');
-        BigDecimal value = slash < 0 ? number.multiply(new BigDecimal(factor))
-                : number.divide(new BigDecimal(factor.substring(slash + 1)), MathContext.DECIMAL64);
-        boolean whole = entry.kind() != Kind.SPAN && entry.kind() != Kind.SPAN_MILLIS
-                || value.stripTrailingZeros().scale() <= 0;
-        return whole ? new Read(value, "", "")
-                : Read.wrong(digits + unit + " is no whole number of nanoseconds", Meaning.wanted(entry));
+        BigDecimal value =
+                slash < 0
+                        ? number.multiply(new BigDecimal(factor))
+                        : number.divide(
+                                new BigDecimal(factor.substring(slash + 1)), MathContext.DECIMAL64);
+        boolean whole =
+                entry.kind() != Kind.SPAN && entry.kind() != Kind.SPAN_MILLIS
+                        || value.stripTrailingZeros().scale() <= 0;
+        return whole
+                ? new Read(value, "", "")
+                : Read.wrong(
+                        digits + unit + " is no whole number of nanoseconds",
+                        Meaning.wanted(entry));
     }
 
-    private static Read wrongUnit(BigDecimal number, String digits, String unit, Entry entry,
-            Map<String, String> units) {
+    private static Read wrongUnit(
+            BigDecimal number, String digits, String unit, Entry entry, Map<String, String> units) {
         Kind kind = entry.kind();
         if (unit.isEmpty()) {
             return switch (kind) {
-                case SPAN, SPAN_MILLIS -> Read.wrong(digits + " has no unit, so it is no time",
-                        "write " + digits + "ms, " + digits + "s or another unit of time");
-                case SHARE -> Read.wrong(digits + " has no %, so it is no share", "write "
-                        + plain(number.abs().compareTo(BigDecimal.ONE) <= 0 ? number.movePointRight(2) : number) + "%");
-                case RATE -> Read.wrong(digits + " has no unit, so it is no rate", "write " + digits + "/s");
-                default -> Read.wrong(digits + " has no unit, so it is no amount of memory",
-                        "write " + digits + "KB or " + digits + "MB");
+                case SPAN, SPAN_MILLIS ->
+                        Read.wrong(
+                                digits + " has no unit, so it is no time",
+                                "write " + digits + "ms, " + digits + "s or another unit of time");
+                case SHARE ->
+                        Read.wrong(
+                                digits + " has no %, so it is no share",
+                                "write "
+                                        + plain(
+                                                number.abs().compareTo(BigDecimal.ONE) <= 0
+                                                        ? number.movePointRight(2)
+                                                        : number)
+                                        + "%");
+                case RATE ->
+                        Read.wrong(
+                                digits + " has no unit, so it is no rate",
+                                "write " + digits + "/s");
+                default ->
+                        Read.wrong(
+                                digits + " has no unit, so it is no amount of memory",
+                                "write " + digits + "KB or " + digits + "MB");
             };
         }
         if (units == PLAIN) {
-            return Read.wrong(digits + unit + " has a unit, and " + entry.own() + " has none", "write " + digits);
+            return Read.wrong(
+                    digits + unit + " has a unit, and " + entry.own() + " has none",
+                    "write " + digits);
         }
         for (String known : units.keySet()) {
             if (known.toLowerCase(Locale.ROOT).equals(unit.toLowerCase(Locale.ROOT))) {
@@ -156,10 +261,12 @@
             }
         }
         String called = CALLED.get(unit);
-        String near = called != null && units.containsKey(called.split(",")[0]) ? called
-                : null;
-        return Read.wrong(unit + " is no unit that " + entry.own() + " is given in", near == null
-                ? "write one of: " + String.join(", ", units.keySet()) : "write " + digits + near);
+        String near = called != null && units.containsKey(called.split(",")[0]) ? called : null;
+        return Read.wrong(
+                unit + " is no unit that " + entry.own() + " is given in",
+                near == null
+                        ? "write one of: " + String.join(", ", units.keySet())
+                        : "write " + digits + near);
     }
 
     private static String plain(BigDecimal number) {
--- a/src/main/java/lupinwood/config/Reader.java
+++ b/src/main/java/lupinwood/config/Reader.java
@@ -19,9 +19,9 @@
 import lupinwood.settings.Schema;
 
 /**
- * Reads a configuration: its first text, what that includes, the values given names, then each entry against the
- * schema, and at last what must hold across entries. One mistake gives one message: what is known to be wrong is not
- * judged further, and counts as given.
+ * Reads a configuration: its first text, what that includes, the values given names, then each
+ * entry against the schema, and at last what must hold across entries. One mistake gives one
+ * message: what is known to be wrong is not judged further, and counts as given.
  */
 public final class Reader {
     private static final int MOST_DEPTH = 8;
@@ -40,20 +40,27 @@
     private final boolean part;
     private final Problems problems = new Problems();
     private final List<Source> sources = new ArrayList<>();
+
     /** All texts' statements with those that they include in the place of the including. */
     private final List<Statement> statements = new ArrayList<>();
+
     private final Map<String, Place> includedAt = new HashMap<>();
     private final Map<String, Word> named = new LinkedHashMap<>();
     private final Map<String, Given> given = new LinkedHashMap<>();
+
     /** Blocks that were given, by name, with their place. */
     private final Map<String, Place> blocks = new LinkedHashMap<>();
+
     private final Map<String, Set<String>> items = new LinkedHashMap<>();
     private final List<Fault> wrong = new ArrayList<>();
     private int bytes;
+
     /** No further text is taken in. */
     private boolean full;
+
     /** Whether what a configuration lacks can be told from what was read. */
     private boolean whole = true;
+
     /** Whether all texts' braces could be made out. */
     private boolean structured = true;
 
@@ -67,7 +74,9 @@
         return new Reader(from, false).read(first);
     }
 
-    /** One that holds some entries only, as an operator's file beside the platform's configuration. */
+    /**
+     * One that holds some entries only, as an operator's file beside the platform's configuration.
+     */
     public static Config readPart(Sources from, String first) {
         return new Reader(from, true).read(first);
     }
@@ -86,8 +95,11 @@
             statements.forEach(this::let);
             statements.forEach(this::top);
             if (statements.isEmpty() && whole) {
-                problems.add(start, "there is no entry in this configuration", "begin with name, listen, executor,"
-                        + " index and naming; 'config explain' tells all entries");
+                problems.add(
+                        start,
+                        "there is no entry in this configuration",
+                        "begin with name, listen, executor,"
+                                + " index and naming; 'config explain' tells all entries");
                 whole = false;
             }
         }
@@ -116,7 +128,8 @@
             bytes += read.length;
             source = Source.of(name, read);
         } catch (Source.NoText e) {
-            problems.add(e.place, "there are bytes here that are no UTF-8", "save the file as UTF-8");
+            problems.add(
+                    e.place, "there are bytes here that are no UTF-8", "save the file as UTF-8");
             whole = false;
             return;
         }
@@ -135,8 +148,13 @@
     }
 
     private void include(Statement statement, String by, Deque<Place> chain) {
-        Place place = statement.values.isEmpty() ? statement.name.place() : statement.values.get(0).place();
-        if (statement.values.size() != 1 || statement.inside != null || statement.property != null) {
+        Place place =
+                statement.values.isEmpty()
+                        ? statement.name.place()
+                        : statement.values.get(0).place();
+        if (statement.values.size() != 1
+                || statement.inside != null
+                || statement.property != null) {
             problems.add(place, "include takes one file", "write include \"FILE\"");
             whole = false;
             return;
@@ -148,25 +166,35 @@
         try {
             String name = from.resolve(by, statement.values.get(0).text());
             Place before = includedAt.get(name);
-            boolean circle = name.equals(sources.get(0).name())
-                    || chain.stream().anyMatch(link -> link.file().equals(name));
+            boolean circle =
+                    name.equals(sources.get(0).name())
+                            || chain.stream().anyMatch(link -> link.file().equals(name));
             if (circle) {
-                String links = chain.stream().dropWhile(link -> !link.file().equals(name))
-                        .map(link -> link.file() + ":" + link.line()).collect(Collectors.joining(" -> "));
-                throw new Sources.Unreadable("these files include each other in a circle: " + links + " -> " + name);
+                String links =
+                        chain.stream()
+                                .dropWhile(link -> !link.file().equals(name))
+                                .map(link -> link.file() + ":" + link.line())
+                                .collect(Collectors.joining(" -> "));
+                throw new Sources.Unreadable(
+                        "these files include each other in a circle: " + links + " -> " + name);
             } else if (before != null) {
                 throw new Sources.Unreadable(name + " was included before, at " + before);
             } else if (chain.size() > MOST_DEPTH) {
                 full = true;
-                throw new Sources.Unreadable("files include each other more than " + MOST_DEPTH + " deep");
+                throw new Sources.Unreadable(
+                        "files include each other more than " + MOST_DEPTH + " deep");
             } else if (includedAt.size() >= MOST_FILES) {
                 full = true;
                 throw new Sources.Unreadable("more than " + MOST_FILES + " files are included");
             }
             include(name, place, chain);
         } catch (Sources.Unreadable e) {
-            problems.add(place, e.getMessage(), e.getMessage().contains("includ")
-                    ? "include each file once, and none that leads back here" : "");
+            problems.add(
+                    place,
+                    e.getMessage(),
+                    e.getMessage().contains("includ")
+                            ? "include each file once, and none that leads back here"
+                            : "");
             whole = false;
         }
         chain.removeLast();
@@ -178,20 +206,29 @@
         if (!statement.name.text().equals(LET) || statement.broken) {
             return;
         }
-        boolean sound = statement.values.size() == 2 && statement.inside == null && statement.property == null
-                && statement.values.get(0).kind() == Word.Kind.BARE;
+        boolean sound =
+                statement.values.size() == 2
+                        && statement.inside == null
+                        && statement.property == null
+                        && statement.values.get(0).kind() == Word.Kind.BARE;
         if (!sound) {
-            problems.add(statement.name.place(), "let takes a name and one value", "write let NAME VALUE");
+            problems.add(
+                    statement.name.place(),
+                    "let takes a name and one value",
+                    "write let NAME VALUE");
             if (!statement.values.isEmpty()) {
                 Word given = statement.values.get(0);
-                named.putIfAbsent(given.text(), new Word(Word.Kind.BARE, "", "", given.place(), false));
+                named.putIfAbsent(
+                        given.text(), new Word(Word.Kind.BARE, "", "", given.place(), false));
             }
             return;
         }
         Word name = statement.values.get(0);
         Word before = named.putIfAbsent(name.text(), statement.values.get(1));
         if (before != null) {
-            problems.add(name.place(), name.text() + " was given a value before, at " + before.place(),
+            problems.add(
+                    name.place(),
+                    name.text() + " was given a value before, at " + before.place(),
                     "give this one another name");
         }
     }
@@ -204,14 +241,21 @@
         Word value = named.get(word.text().substring(1));
         if (value == null) {
             String near = Names.nearest(word.text().substring(1), named.keySet());
-            problems.add(word.place(), "nothing is named " + word.text().substring(1), near == null
-                    ? "add let " + word.text().substring(1) + " VALUE" : "write $" + near);
+            problems.add(
+                    word.place(),
+                    "nothing is named " + word.text().substring(1),
+                    near == null
+                            ? "add let " + word.text().substring(1) + " VALUE"
+                            : "write $" + near);
         } else if (value.kind() == Word.Kind.BARE && value.text().startsWith("$")) {
-            problems.add(word.place(), word.text() + " stands for another name, " + value.text(),
+            problems.add(
+                    word.place(),
+                    word.text() + " stands for another name, " + value.text(),
                     "let each name stand for a value");
             return null;
         }
-        return value == null ? null
+        return value == null
+                ? null
                 : new Word(value.kind(), value.text(), value.note(), word.place(), value.sound());
     }
 
@@ -222,8 +266,10 @@
         if (name.equals(LET) || statement.broken && statement.inside == null) {
             if (!name.equals(LET)) {
                 spoilt(name);
-                whole &= statement.name.sound() && statement.name.kind() != Word.Kind.NUMBER
-                        && statement.name.kind() != Word.Kind.KEYWORD;
+                whole &=
+                        statement.name.sound()
+                                && statement.name.kind() != Word.Kind.NUMBER
+                                && statement.name.kind() != Word.Kind.KEYWORD;
             }
             return;
         }
@@ -255,9 +301,13 @@
 
     private void item(Statement statement, Set<String> names) {
         String list = statement.name.text();
-        if (statement.values.size() != 1 || statement.inside == null || statement.property != null) {
+        if (statement.values.size() != 1
+                || statement.inside == null
+                || statement.property != null) {
             if (!statement.broken) {
-                problems.add(statement.name.place(), "a " + list + " takes one name and its entries in braces",
+                problems.add(
+                        statement.name.place(),
+                        "a " + list + " takes one name and its entries in braces",
                         "write " + list + " NAME { ... }");
             }
             whole = false; // what is inside is then in no place
@@ -270,7 +320,10 @@
         }
         String item = word.text();
         if (item.isEmpty() || item.contains(" ") || item.contains(",")) {
-            problems.add(word.place(), "a " + list + "'s name has no blank and no comma", "write it with - or _");
+            problems.add(
+                    word.place(),
+                    "a " + list + "'s name has no blank and no comma",
+                    "write it with - or _");
             whole = false;
             return;
         }
@@ -284,7 +337,9 @@
         String name = statement.name.text();
         if (!statement.values.isEmpty() || statement.inside == null || statement.property != null) {
             if (!statement.broken) {
-                problems.add(statement.name.place(), name + " takes its entries in braces",
+                problems.add(
+                        statement.name.place(),
+                        name + " takes its entries in braces",
                         "write " + name + " { ... }");
             }
             whole = false;
@@ -297,12 +352,18 @@
         boolean overrides = statement.name.note().equals(OVERRIDE);
         Place before = blocks.putIfAbsent(name, statement.name.place());
         if (before != null && !overrides) {
-            problems.add(statement.name.place(), name + " was given before, at " + before,
-                    "put its entries there, or write (override)" + statement.name.text() + " to change some of them");
+            problems.add(
+                    statement.name.place(),
+                    name + " was given before, at " + before,
+                    "put its entries there, or write (override)"
+                            + statement.name.text()
+                            + " to change some of them");
             return;
         }
         if (before == null && overrides) {
-            problems.add(statement.name.place(), "there is no " + name + " before this to override",
+            problems.add(
+                    statement.name.place(),
+                    "there is no " + name + " before this to override",
                     "take (override) out, or put this after what it overrides");
             blocks.remove(name);
             whole = false;
@@ -321,7 +382,9 @@
     private void note(Statement statement) {
         String note = statement.name.note();
         if (!note.isEmpty() && !note.equals(OVERRIDE)) {
-            problems.add(statement.name.place(), "(" + note + ") means nothing before an entry",
+            problems.add(
+                    statement.name.place(),
+                    "(" + note + ") means nothing before an entry",
                     "write (override), or nothing");
         }
     }
@@ -338,12 +401,17 @@
             return;
         }
         if (statement.inside != null) {
-            problems.add(statement.name.place(), entry.own() + " takes a value and no braces", Meaning.wanted(entry));
+            problems.add(
+                    statement.name.place(),
+                    entry.own() + " takes a value and no braces",
+                    Meaning.wanted(entry));
             spoilt(name);
             return;
         }
         if (statement.property != null) {
-            problems.add(statement.property, "an entry's value has no name of its own and no =",
+            problems.add(
+                    statement.property,
+                    "an entry's value has no name of its own and no =",
                     "write it as an entry of its own, like " + entry.own() + " VALUE");
             spoilt(name);
             return;
@@ -362,10 +430,14 @@
         Given before = given.get(name);
         boolean overrides = inOverride || statement.name.note().equals(OVERRIDE);
         if (before != null && !overrides) {
-            problems.add(place, statement.name.text() + " was given before, at " + before.place(),
+            problems.add(
+                    place,
+                    statement.name.text() + " was given before, at " + before.place(),
                     "take one of them out, or write (override)" + statement.name.text() + " here");
         } else if (before == null && statement.name.note().equals(OVERRIDE)) {
-            problems.add(place, "there is no " + statement.name.text() + " before this to override",
+            problems.add(
+                    place,
+                    "there is no " + statement.name.text() + " before this to override",
                     "take (override) out, or put this after what it overrides");
         }
         Place at = statement.values.isEmpty() ? place : statement.values.get(0).place();
@@ -376,11 +448,15 @@
         Word word = statement.values.size() == 1 ? plain(statement.values.get(0)) : null;
         String key = "settings." + statement.name.text();
         if (Schema.keyed(key) != null) {
-            problems.add(statement.name.place(), statement.name.text() + " has an entry of its own: "
-                    + Schema.keyed(key).name(), "write it there");
+            problems.add(
+                    statement.name.place(),
+                    statement.name.text() + " has an entry of its own: " + Schema.keyed(key).name(),
+                    "write it there");
         } else if (word == null || statement.inside != null || statement.property != null) {
-            problems.add(statement.name.place(), "an extra entry takes one text", "write \"" + statement.name.text()
-                    + "\" \"VALUE\"");
+            problems.add(
+                    statement.name.place(),
+                    "an extra entry takes one text",
+                    "write \"" + statement.name.text() + "\" \"VALUE\"");
         } else {
             give(statement, name, word.text(), inOverride);
         }
@@ -409,15 +485,24 @@
         String where = prefix.isEmpty() ? "" : " in " + prefix.strip();
         if (elsewhere != null) {
             boolean list = Schema.LISTS.contains(elsewhere);
-            problems.add(place, own + " has no place" + (where.isEmpty() ? " here" : where), elsewhere.isEmpty()
-                    ? "write it outside of all braces" : "write it in " + elsewhere + (list ? " NAME" : "") + " { }");
-        } else if (!prefix.isEmpty() && (own.equals(INCLUDE) || own.equals(LET) || Schema.LISTS.contains(own)
-                || SECTIONS.contains(own))) {
+            problems.add(
+                    place,
+                    own + " has no place" + (where.isEmpty() ? " here" : where),
+                    elsewhere.isEmpty()
+                            ? "write it outside of all braces"
+                            : "write it in " + elsewhere + (list ? " NAME" : "") + " { }");
+        } else if (!prefix.isEmpty()
+                && (own.equals(INCLUDE)
+                        || own.equals(LET)
+                        || Schema.LISTS.contains(own)
+                        || SECTIONS.contains(own))) {
             problems.add(place, own + " has no place" + where, "write it outside of all braces");
         } else {
             String near = Names.nearest(own, here);
-            problems.add(place, "there is no entry " + own + where, near == null ? "see 'config explain' for all entries"
-                    : "write " + near);
+            problems.add(
+                    place,
+                    "there is no entry " + own + where,
+                    near == null ? "see 'config explain' for all entries" : "write " + near);
         }
         whole &= statement.inside == null; // a misspelled section, whose entries are then nowhere
         if (elsewhere != null) {
@@ -445,17 +530,24 @@
             return words.toString();
         }
         if (statement.values.size() != 1) {
-            if (statement.values.size() == 2 && entry.kind().isNumber()
+            if (statement.values.size() == 2
+                    && entry.kind().isNumber()
                     && Quantities.isUnit(statement.values.get(1).text())) {
                 Word number = statement.values.get(0);
-                problems.add(number.place(), "there is a blank between " + number.text() + " and its unit",
+                problems.add(
+                        number.place(),
+                        "there is a blank between " + number.text() + " and its unit",
                         "write " + number.text() + statement.values.get(1).text());
                 return null;
             }
             boolean none = statement.values.isEmpty();
             Place place = none ? statement.name.place() : statement.values.get(1).place();
-            problems.add(place, none ? entry.own() + " has no value" : entry.own() + " takes one value, not "
-                    + statement.values.size(), Meaning.wanted(entry));
+            problems.add(
+                    place,
+                    none
+                            ? entry.own() + " has no value"
+                            : entry.own() + " takes one value, not " + statement.values.size(),
+                    Meaning.wanted(entry));
             return null;
         }
         Word word = plain(statement.values.get(0));
@@ -481,7 +573,10 @@
             return one.place();
         }
         int space = name.lastIndexOf(' ');
-        Place block = space < 0 ? blocks.get(name) : blocks.getOrDefault(name.substring(0, space), blocks.get(name));
+        Place block =
+                space < 0
+                        ? blocks.get(name)
+                        : blocks.getOrDefault(name.substring(0, space), blocks.get(name));
         return block == null ? start : block;
     }
 }
--- a/src/main/java/lupinwood/config/Report.java
+++ b/src/main/java/lupinwood/config/Report.java
@@ -17,7 +17,10 @@
     public static String text(Problems problems, Function<Place, Source> sources) {
         StringBuilder out = new StringBuilder();
         for (Problem problem : problems.all()) {
-            out.append(problem.place()).append(": error: ").append(visible(problem.text())).append('\n');
+            out.append(problem.place())
+                    .append(": error: ")
+                    .append(visible(problem.text()))
+                    .append('\n');
             Source source = sources.apply(problem.place());
             String line = source == null ? "" : source.line(problem.place().line());
             if (!line.isBlank()) {
@@ -39,15 +42,29 @@
         int from = column < MOST_SHOWN * 3 / 4 ? 0 : column - MOST_SHOWN / 2;
         int to = Math.min(line.length(), from + MOST_SHOWN);
         int carets = Math.max(1, Math.min(place.length(), to - column));
-        out.append("    ").append(visible(line.substring(from, to))).append('\n')
-                .append("    ").append(" ".repeat(column - from)).append("^".repeat(carets)).append('\n');
+        out.append("    ")
+                .append(visible(line.substring(from, to)))
+                .append('\n')
+                .append("    ")
+                .append(" ".repeat(column - from))
+                .append("^".repeat(carets))
+                .append('\n');
     }
 
     /** Without characters that would move the reader's cursor. */
     static String visible(String text) {
         StringBuilder out = new StringBuilder();
-        text.chars().forEach(c -> out.append(c == '\t' ? ' '
-                : Character.isISOControl(c) || Character.getType(c) == Character.FORMAT ? '\uFFFD' : (char) c));
+        text.chars()
+                .forEach(
+                        c ->
+                                out.append(
+                                        c == '\t'
+                                                ? ' '
+                                                : Character.isISOControl(c)
+                                                                || Character.getType(c)
+                                                                        == Character.FORMAT
+                                                        ? '\uFFFD'
+                                                        : (char) c));
         return out.toString();
     }
 
--- a/src/main/java/lupinwood/config/Source.java
+++ b/src/main/java/lupinwood/config/Source.java
@@ -22,8 +22,11 @@
 
     /** Of a file's bytes. */
     static Source of(String name, byte[] bytes) throws NoText {
-        CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder()
-                .onMalformedInput(CodingErrorAction.REPORT).onUnmappableCharacter(CodingErrorAction.REPORT);
+        CharsetDecoder decoder =
+                StandardCharsets.UTF_8
+                        .newDecoder()
+                        .onMalformedInput(CodingErrorAction.REPORT)
+                        .onUnmappableCharacter(CodingErrorAction.REPORT);
         CharBuffer text = CharBuffer.allocate(bytes.length);
         CoderResult result = decoder.decode(ByteBuffer.wrap(bytes), text, true);
         text.flip();
--- a/src/main/java/lupinwood/config/Statement.java
+++ b/src/main/java/lupinwood/config/Statement.java
@@ -7,10 +7,13 @@
 final class Statement {
     final Word name;
     final List<Word> values = new ArrayList<>();
+
     /** Where it has a property, as {@code name=value}, which no entry takes; null without one. */
     Place property;
+
     /** Null without braces. */
     List<Statement> inside;
+
     /** Whether something in it can't be used and was reported; nothing else is then said of it. */
     boolean broken;
 
--- a/src/main/java/lupinwood/config/Syntax.java
+++ b/src/main/java/lupinwood/config/Syntax.java
@@ -11,14 +11,18 @@
     /** Ends with the end of the text. */
     static List<? extends Token> words(Source source) {
         KdlLexer lexer = new KdlLexer(CharStreams.fromString(source.text(), source.name()));
-        lexer.removeErrorListeners(); // every text is made of words: what is none is a slip of a kind of its own
+        lexer.removeErrorListeners(); // every text is made of words: what is none is a slip of a
+        // kind of its own
         return lexer.getAllTokens();
     }
 
     static Place place(Source source, Token word) {
         int length = word.getText().length();
         int end = word.getText().indexOf('\n');
-        return new Place(source.name(), word.getLine(), word.getCharPositionInLine() + 1,
+        return new Place(
+                source.name(),
+                word.getLine(),
+                word.getCharPositionInLine() + 1,
                 Math.max(1, end < 0 ? length : end));
     }
 }
--- a/src/main/java/lupinwood/config/Texts.java
+++ b/src/main/java/lupinwood/config/Texts.java
@@ -29,8 +29,12 @@
                 case 'u' -> {
                     int end = text.indexOf('}', i);
                     String digits = end < 0 ? "" : text.substring(Math.min(end, i + 2), end);
-                    int code = digits.isEmpty() || digits.length() > 6 || !digits.matches("[0-9a-fA-F]+") ? -1
-                            : Integer.parseInt(digits, 16);
+                    int code =
+                            digits.isEmpty()
+                                            || digits.length() > 6
+                                            || !digits.matches("[0-9a-fA-F]+")
+                                    ? -1
+                                    : Integer.parseInt(digits, 16);
                     if (!Character.isValidCodePoint(code) || code >= 0xD800 && code < 0xE000) {
                         return null;
                     }
@@ -43,11 +47,16 @@
         return plain.toString();
     }
 
-    /** The lines between the triple quotes without the blanks that stand before the closing ones; or null. */
+    /**
+     * The lines between the triple quotes without the blanks that stand before the closing ones; or
+     * null.
+     */
     static String multiline(String quoted) {
         List<String> lines = quoted.substring(3, quoted.length() - 3).lines().toList();
         if (lines.size() < 2 || !lines.get(lines.size() - 1).isBlank()) {
-            return quoted.substring(3, quoted.length() - 3).endsWith("\n") ? strip(lines, "") : null;
+            return quoted.substring(3, quoted.length() - 3).endsWith("\n")
+                    ? strip(lines, "")
+                    : null;
         }
         return strip(lines.subList(0, lines.size() - 1), lines.get(lines.size() - 1));
     }
@@ -58,7 +67,8 @@
             if (!line.isBlank() && !line.startsWith(blanks)) {
                 return null;
             }
-            text.append(text.length() == 0 ? "" : "\n").append(line.isBlank() ? "" : line.substring(blanks.length()));
+            text.append(text.length() == 0 ? "" : "\n")
+                    .append(line.isBlank() ? "" : line.substring(blanks.length()));
         }
         return text.toString();
     }
--- a/src/main/java/lupinwood/config/Writer.java
+++ b/src/main/java/lupinwood/config/Writer.java
@@ -11,7 +11,9 @@
 public final class Writer {
     private Writer() {}
 
-    /** @param remark what to say behind an entry, by its name; empty for nothing */
+    /**
+     * @param remark what to say behind an entry, by its name; empty for nothing
+     */
     public static String write(Meaning meaning, Function<String, String> remark) {
         StringBuilder out = new StringBuilder();
         String section = "";
@@ -24,16 +26,27 @@
                 out.append(section.isEmpty() ? "" : "}\n").append(out.length() == 0 ? "" : "\n");
                 if (!of.isEmpty()) {
                     int end = of.indexOf(' ');
-                    out.append(end < 0 ? of : of.substring(0, end) + " " + text(of.substring(end + 1)))
+                    out.append(
+                                    end < 0
+                                            ? of
+                                            : of.substring(0, end)
+                                                    + " "
+                                                    + text(of.substring(end + 1)))
                             .append(" {\n");
                 }
                 section = of;
             }
-            String own = entry == null ? text(name.substring(Schema.EXTRA.length() + 1)) : entry.own();
-            String value = entry == null ? quoted(each.getValue()) : value(entry, name, each.getValue());
+            String own =
+                    entry == null ? text(name.substring(Schema.EXTRA.length() + 1)) : entry.own();
+            String value =
+                    entry == null ? quoted(each.getValue()) : value(entry, name, each.getValue());
             String said = remark.apply(name);
-            out.append(of.isEmpty() ? "" : "    ").append(own).append(' ').append(value)
-                    .append(said.isEmpty() ? "" : " // " + said).append('\n');
+            out.append(of.isEmpty() ? "" : "    ")
+                    .append(own)
+                    .append(' ')
+                    .append(value)
+                    .append(said.isEmpty() ? "" : " // " + said)
+                    .append('\n');
         }
         items(meaning, out, section);
         return out.toString();
@@ -61,12 +74,16 @@
             return words.toString();
         }
         boolean quotes = entry.kind() == Kind.ADDRESS || entry.kind() == Kind.HEX;
-        return quotes ? quoted(value) : entry.kind() == Kind.TEXT ? text(value) : Meaning.said(name, value);
+        return quotes
+                ? quoted(value)
+                : entry.kind() == Kind.TEXT ? text(value) : Meaning.said(name, value);
     }
 
     /** Bare where that reads as the same text. */
     private static String text(String text) {
-        boolean bare = text.matches("[A-Za-z_][A-Za-z0-9_.-]*") && !text.matches("true|false|null|inf|nan");
+        boolean bare =
+                text.matches("[A-Za-z_][A-Za-z0-9_.-]*")
+                        && !text.matches("true|false|null|inf|nan");
         return bare ? text : quoted(text);
     }
 
--- a/src/main/java/lupinwood/core/Admission.java
+++ b/src/main/java/lupinwood/core/Admission.java
@@ -15,16 +15,20 @@
 import lupinwood.node.TrackId;
 
 /**
- * What may come in as a ticket: readable, known, within the protocol's bounds and in time. All else is
- * answered at once and never told to the node, whose picture of customers, waiting and cost it would spoil.
+ * What may come in as a ticket: readable, known, within the protocol's bounds and in time. All else
+ * is answered at once and never told to the node, whose picture of customers, waiting and cost it
+ * would spoil.
  */
 final class Admission {
     /** The one fault that may lie with this side: a pause, or a crowd in front of the door. */
     static final String TOO_LATE = "past its abandon time";
+
     /** Of one ticket alone: whoever sends it may well know the protocol otherwise. */
     static final String NO_TIME = "with a time to wait or a hint that is none";
+
     private static final int MOST_BODY = 2048;
     private static final int MOST_KB = 2000;
+
     /** Both clocks are this machine's; a ticket from further ahead would outlive its own window. */
     private static final Span AHEAD = Span.ofSeconds(0.25);
 
@@ -72,7 +76,10 @@
         return arrival.patience().isPositive() ? arrival.patience().min(abandon) : abandon;
     }
 
-    /** Why it is no sound ticket, or null; the receipt is that of an earlier try with its mark, or null. */
+    /**
+     * Why it is no sound ticket, or null; the receipt is that of an earlier try with its mark, or
+     * null.
+     */
     String fault(Arrival arrival, Receipts.Receipt receipt, boolean idInUse, Moment now) {
         if (arrival == null) {
             return "that can't be read";
@@ -80,7 +87,8 @@
         if (!tracks.containsKey(Settings.word(arrival.track()))) {
             return "of no known track";
         }
-        // Where the settings name no customers, tickets carry none, and whatever they carry tells nothing.
+        // Where the settings name no customers, tickets carry none, and whatever they carry tells
+        // nothing.
         if (!customers.isEmpty() && !customers.containsKey(arrival.customer())) {
             return "of no known customer";
         }
@@ -91,7 +99,9 @@
         if (track.effect() == Effect.RECEIPTED != (arrival.receipt() != null)) {
             return "with a mark on the wrong track, or without one";
         }
-        if (receipt != null && receipt.body != null && !Arrays.equals(receipt.body, arrival.body())) {
+        if (receipt != null
+                && receipt.body != null
+                && !Arrays.equals(receipt.body, arrival.body())) {
             return "with the mark of another";
         }
         if (now.plus(AHEAD).isBefore(arrival.reached())) {
@@ -103,8 +113,12 @@
         if (!now.isBefore(arrival.reached().plus(waits(arrival)))) {
             return TOO_LATE;
         }
-        boolean sound = arrival.memoryKb() > 0 && arrival.memoryKb() < MOST_KB && arrival.rank() >= 0
-                && arrival.rank() < 1 && arrival.body().length <= MOST_BODY;
+        boolean sound =
+                arrival.memoryKb() > 0
+                        && arrival.memoryKb() < MOST_KB
+                        && arrival.rank() >= 0
+                        && arrival.rank() < 1
+                        && arrival.body().length <= MOST_BODY;
         return sound ? null : "out of bounds";
     }
 }
--- a/src/main/java/lupinwood/core/Answer.java
+++ b/src/main/java/lupinwood/core/Answer.java
@@ -9,9 +9,16 @@
  * @param comeBackAfter zero for no such advice
  * @param result the bytes as the executor gave them
  */
-public record Answer(Word word, double advice, Span comeBackAfter, boolean askNoOther, byte[] result) {
+public record Answer(
+        Word word, double advice, Span comeBackAfter, boolean askNoOther, byte[] result) {
     /** The kinds of answer. */
-    public enum Word { SATISFIED, BOUNCED, ABANDONED, GOOD, NOT_GOOD }
+    public enum Word {
+        SATISFIED,
+        BOUNCED,
+        ABANDONED,
+        GOOD,
+        NOT_GOOD
+    }
 
     private static final byte[] NOTHING = {};
 
--- a/src/main/java/lupinwood/core/Arrival.java
+++ b/src/main/java/lupinwood/core/Arrival.java
@@ -32,19 +32,33 @@
         ReceiptKey receipt,
         byte[] body) {
 
-    /** What stands for a time that was told and is none: no figure, none above zero, or out of all bounds. */
+    /**
+     * What stands for a time that was told and is none: no figure, none above zero, or out of all
+     * bounds.
+     */
     public static final Span NO_TIME = new Span(-1);
 
     /** One that tells only what every ticket does. */
-    public Arrival(TryId tryId, String track, String customer, SubjectId subject, CallerId caller, Moment reached,
-            double memoryKb, double rank, ReceiptKey receipt, byte[] body) {
-        this(tryId, track, customer, subject, caller, Span.ZERO, Span.ZERO, false, reached, memoryKb, rank, receipt,
-                body);
+    public Arrival(
+            TryId tryId,
+            String track,
+            String customer,
+            SubjectId subject,
+            CallerId caller,
+            Moment reached,
+            double memoryKb,
+            double rank,
+            ReceiptKey receipt,
+            byte[] body) {
+        this(
+                tryId, track, customer, subject, caller, Span.ZERO, Span.ZERO, false, reached,
+                memoryKb, rank, receipt, body);
     }
 
     /** The same, with that moment told by another clock. */
     Arrival reachedAt(Moment moment) {
-        return new Arrival(tryId, track, customer, subject, caller, patience, work, repeat, moment, memoryKb, rank,
-                receipt, body);
+        return new Arrival(
+                tryId, track, customer, subject, caller, patience, work, repeat, moment, memoryKb,
+                rank, receipt, body);
     }
 }
--- a/src/main/java/lupinwood/core/Connections.java
+++ b/src/main/java/lupinwood/core/Connections.java
@@ -14,33 +14,44 @@
 import lupinwood.node.TicketId;
 
 /**
- * The dispatchers' connections: what is open on each, which were idle for too long, and which are no
- * dispatcher's. A connection has a standing once the executor carried out a ticket of it. Without one it goes
- * for its first unsound ticket, and is asked to close where one after the other is turned away; who sends on
- * all the same errs.
+ * The dispatchers' connections: what is open on each, which were idle for too long, and which are
+ * no dispatcher's. A connection has a standing once the executor carried out a ticket of it.
+ * Without one it goes for its first unsound ticket, and is asked to close where one after the other
+ * is turned away; who sends on all the same errs.
  */
 final class Connections {
     /** The protocol's bound on open tickets of one connection. */
     static final int MOST_OPEN = 32;
+
     /** A dispatcher that was asked to close an idle connection and doesn't is cut off then. */
     private static final Span TIME_TO_CLOSE = Span.ofSeconds(5);
+
     /**
-     * Who connects speaks within so many of these; dispatchers connect to send at once. Each begins when the one before
-     * was seen to be over: after a pause, what was said meanwhile has still to be read here, so a pause counts once.
+     * Who connects speaks within so many of these; dispatchers connect to send at once. Each begins
+     * when the one before was seen to be over: after a pause, what was said meanwhile has still to
+     * be read here, so a pause counts once.
      */
     private static final Span SILENCE = Span.ofSeconds(0.25);
+
     private static final int MOST_SILENCES = 6;
+
     /** Who has taken its last answers, and the end behind them, closes its side by then. */
     private static final Span TIME_TO_END = Span.ofSeconds(0.5);
+
     /** So many unsound tickets in a row are forgiven to one with a standing. */
     private static final int MOST_STRIKES = 16;
+
     /** One without a standing for so long, and turned away as often, is asked to close. */
     private static final Span NEW = Span.ofSeconds(1);
+
     private static final int MOST_UNWANTED = 32;
+
     /** A ticket may cross the wish to close for as long, by a pause of either machine. */
     private static final Span CROSSING = Span.ofSeconds(2);
 
-    /** What stands without an open ticket; each kind is kept in the order in which it came to be so. */
+    /**
+     * What stands without an open ticket; each kind is kept in the order in which it came to be so.
+     */
     private enum Rest {
         /** Its last answers and the end behind them have gone out. */
         ENDED,
@@ -57,33 +68,47 @@
         final Map<Long, TicketId> open = new HashMap<>();
         Deadlines.Deadline idle;
         Moment idleSince;
+
         /** Null while a ticket is open on it. */
         Rest rest;
+
         boolean spoke;
+
         /** So many times it was seen to have said nothing. */
         int silences;
+
         boolean standing;
         int strikes;
         int unwanted;
         Moment openedAt;
+
         /** Since when a message on it is known to be unfinished; null where none is. */
         Moment unfinishedSince;
+
         /** When it was asked to close, or null. */
         Moment finishedAt;
+
         boolean closing;
         boolean written;
         Ending why;
 
         Rest restsAs() {
-            return !open.isEmpty() ? null : closing ? written ? Rest.ENDED : Rest.OWED
-                    : !spoke ? Rest.SILENT : finishedAt != null ? Rest.ASKED_TO_CLOSE : Rest.RESTING;
+            return !open.isEmpty()
+                    ? null
+                    : closing
+                            ? written ? Rest.ENDED : Rest.OWED
+                            : !spoke
+                                    ? Rest.SILENT
+                                    : finishedAt != null ? Rest.ASKED_TO_CLOSE : Rest.RESTING;
         }
     }
 
     private final Slots<Connection> table;
     private final Map<Rest, Set<Connection>> resting = new EnumMap<>(Rest.class);
+
     /** Past so many that spoke and were not asked to close, those that rest are asked to. */
     private final int many;
+
     private final Dispatchers dispatchers;
     private final Deadlines deadlines;
     private final Supplier<Moment> clock;
@@ -92,7 +117,12 @@
     private boolean leaving;
     private int open;
 
-    Connections(int most, Span longestIdle, Span timeToRead, Dispatchers dispatchers, Deadlines deadlines,
+    Connections(
+            int most,
+            Span longestIdle,
+            Span timeToRead,
+            Dispatchers dispatchers,
+            Deadlines deadlines,
             Supplier<Moment> clock) {
         this.longestIdle = longestIdle;
         this.timeToRead = timeToRead;
@@ -128,14 +158,26 @@
     }
 
     /**
-     * Guards against the silent and the forgotten: a full table must not shut out who has something to say. Who came
-     * just now goes after those that have rested for as long as it takes to speak, and before those in use.
+     * Guards against the silent and the forgotten: a full table must not shut out who has something
+     * to say. Who came just now goes after those that have rested for as long as it takes to speak,
+     * and before those in use.
      */
     private boolean makeRoom() {
-        List<Connection> going = first(Stream.of(
-                of(Rest.ENDED), of(Rest.SILENT).takeWhile(c -> c.silences > 0), of(Rest.ASKED_TO_CLOSE),
-                of(Rest.RESTING).takeWhile(c -> c.idleSince.plus(SILENCE).isBefore(clock.get())),
-                of(Rest.SILENT), of(Rest.RESTING), of(Rest.OWED)));
+        List<Connection> going =
+                first(
+                        Stream.of(
+                                of(Rest.ENDED),
+                                of(Rest.SILENT).takeWhile(c -> c.silences > 0),
+                                of(Rest.ASKED_TO_CLOSE),
+                                of(Rest.RESTING)
+                                        .takeWhile(
+                                                c ->
+                                                        c.idleSince
+                                                                .plus(SILENCE)
+                                                                .isBefore(clock.get())),
+                                of(Rest.SILENT),
+                                of(Rest.RESTING),
+                                of(Rest.OWED)));
         for (Connection connection : going) {
             remove(connection.id);
             boolean unused = isLeftUnused(connection);
@@ -147,9 +189,13 @@
         return !going.isEmpty();
     }
 
-    /** A pause of this machine, after which something has still to be read, is over by the second silence. */
+    /**
+     * A pause of this machine, after which something has still to be read, is over by the second
+     * silence.
+     */
     private boolean isLeftUnused(Connection connection) {
-        return connection.rest == Rest.ENDED || connection.silences > 1
+        return connection.rest == Rest.ENDED
+                || connection.silences > 1
                 || connection.rest == Rest.ASKED_TO_CLOSE && isStubborn(connection);
     }
 
@@ -163,11 +209,12 @@
     }
 
     /**
-     * Guards against a table that fills with those that rest: asked in time they close by themselves, and no ticket
-     * crosses a close from here.
+     * Guards against a table that fills with those that rest: asked in time they close by
+     * themselves, and no ticket crosses a close from here.
      */
     private void askInTime() {
-        if (table.size() - resting.get(Rest.SILENT).size() - resting.get(Rest.ASKED_TO_CLOSE).size() > many) {
+        if (table.size() - resting.get(Rest.SILENT).size() - resting.get(Rest.ASKED_TO_CLOSE).size()
+                > many) {
             first(Stream.of(of(Rest.RESTING))).forEach(this::finish);
         }
     }
@@ -274,7 +321,8 @@
     }
 
     /**
-     * What came on it was unsound. Whoever has no standing goes for it, once all that is open is answered.
+     * What came on it was unsound. Whoever has no standing goes for it, once all that is open is
+     * answered.
      */
     void fault(ConnectionId id) {
         Connection connection = table.get(id.number());
@@ -285,7 +333,10 @@
         }
     }
 
-    /** A ticket of it was unsound in a figure of its own; only many in a row tell of who errs in all. */
+    /**
+     * A ticket of it was unsound in a figure of its own; only many in a row tell of who errs in
+     * all.
+     */
     void strike(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null && !connection.closing && ++connection.strikes >= MOST_STRIKES) {
@@ -296,7 +347,9 @@
     /** A ticket of it was turned away or withdrawn, which alone is nothing bad. */
     void unwanted(ConnectionId id) {
         Connection connection = table.get(id.number());
-        if (connection != null && !connection.standing && ++connection.unwanted >= MOST_UNWANTED
+        if (connection != null
+                && !connection.standing
+                && ++connection.unwanted >= MOST_UNWANTED
                 && connection.openedAt.plus(NEW).isBefore(clock.get())) {
             finish(connection);
         }
@@ -310,12 +363,16 @@
         }
     }
 
-    /** A dispatcher may be slow to write, and somebody waits for what it began until the longest abandon time is over. */
+    /**
+     * A dispatcher may be slow to write, and somebody waits for what it began until the longest
+     * abandon time is over.
+     */
     private boolean maySayIt(Connection connection) {
         if (connection.unfinishedSince == null) {
             connection.unfinishedSince = clock.get();
         }
-        return connection.standing && clock.get().isBefore(connection.unfinishedSince.plus(timeToRead));
+        return connection.standing
+                && clock.get().isBefore(connection.unfinishedSince.plus(timeToRead));
     }
 
     /** Nothing more is read from it, and it is closed once what is open is answered. */
@@ -331,7 +388,9 @@
         }
     }
 
-    /** Its last answers go out first; nobody waits for them longer than the longest abandon time. */
+    /**
+     * Its last answers go out first; nobody waits for them longer than the longest abandon time.
+     */
     private void close(Connection connection) {
         sort(connection);
         cutOffIn(connection, timeToRead);
@@ -350,8 +409,10 @@
 
     private void cutOffIn(Connection connection, Span wait) {
         deadlines.callOff(connection.idle);
-        connection.idle = deadlines.at(clock.get().plus(wait),
-                () -> dispatchers.close(connection.id, Ending.SLOW_READER));
+        connection.idle =
+                deadlines.at(
+                        clock.get().plus(wait),
+                        () -> dispatchers.close(connection.id, Ending.SLOW_READER));
     }
 
     void closeIdle(Span idle) {
@@ -386,24 +447,31 @@
             }
             deadlines.callOff(connection.idle);
             Moment since = connection.idleSince;
-            connection.idle = connection.finishedAt != null
-                    ? deadlines.at(since.plus(TIME_TO_CLOSE),
-                            () -> end(connection, Ending.CLOSED_HERE))
-                    : deadlines.at(since.plus(longestIdle), () -> finish(connection));
+            connection.idle =
+                    connection.finishedAt != null
+                            ? deadlines.at(
+                                    since.plus(TIME_TO_CLOSE),
+                                    () -> end(connection, Ending.CLOSED_HERE))
+                            : deadlines.at(since.plus(longestIdle), () -> finish(connection));
         }
     }
 
     private void awaitWord(Connection connection) {
-        connection.idle = deadlines.at(clock.get().plus(SILENCE), () -> {
-            if (++connection.silences < MOST_SILENCES) {
-                awaitWord(connection);
-            } else {
-                end(connection, Ending.SAID_NOTHING);
-            }
-        });
+        connection.idle =
+                deadlines.at(
+                        clock.get().plus(SILENCE),
+                        () -> {
+                            if (++connection.silences < MOST_SILENCES) {
+                                awaitWord(connection);
+                            } else {
+                                end(connection, Ending.SAID_NOTHING);
+                            }
+                        });
     }
 
-    /** Closing at once could cross a ticket that is on its way; so the dispatcher is asked to close. */
+    /**
+     * Closing at once could cross a ticket that is on its way; so the dispatcher is asked to close.
+     */
     private void finish(Connection connection) {
         if (connection.finishedAt == null) {
             connection.finishedAt = clock.get();
--- a/src/main/java/lupinwood/core/Deadlines.java
+++ b/src/main/java/lupinwood/core/Deadlines.java
@@ -6,7 +6,9 @@
 import java.util.TreeSet;
 import lupinwood.node.Moment;
 
-/** All that is due later, soonest first and in the order given; the only such structure of the host. */
+/**
+ * All that is due later, soonest first and in the order given; the only such structure of the host.
+ */
 public final class Deadlines {
     /** One job due; it can be called off. */
     public static final class Deadline {
@@ -21,8 +23,10 @@
         }
     }
 
-    private final TreeSet<Deadline> queue = new TreeSet<>(
-            Comparator.<Deadline, Moment>comparing(d -> d.at).thenComparingLong(d -> d.order));
+    private final TreeSet<Deadline> queue =
+            new TreeSet<>(
+                    Comparator.<Deadline, Moment>comparing(d -> d.at)
+                            .thenComparingLong(d -> d.order));
     private long order;
 
     public Deadline at(Moment moment, Runnable job) {
--- a/src/main/java/lupinwood/core/Ending.java
+++ b/src/main/java/lupinwood/core/Ending.java
@@ -3,8 +3,8 @@
 import lupinwood.node.Outcome;
 
 /**
- * Every way in which a run, a call or a connection can end. The outcome that the node hears is settled here
- * and nowhere else, and with it what proves that nothing ran.
+ * Every way in which a run, a call or a connection can end. The outcome that the node hears is
+ * settled here and nowhere else, and with it what proves that nothing ran.
  */
 public enum Ending {
     /** The run or the call went well. */
--- a/src/main/java/lupinwood/core/Executor.java
+++ b/src/main/java/lupinwood/core/Executor.java
@@ -15,8 +15,8 @@
     boolean skipCall(TryId id);
 
     /**
-     * Whether a track's runs are on the link, so that its loss puts their commands in doubt. Runs elsewhere end by
-     * themselves, each with its own ending.
+     * Whether a track's runs are on the link, so that its loss puts their commands in doubt. Runs
+     * elsewhere end by themselves, each with its own ending.
      */
     default boolean isOnLink(String track) {
         return true;
--- a/src/main/java/lupinwood/core/HealthChecks.java
+++ b/src/main/java/lupinwood/core/HealthChecks.java
@@ -17,6 +17,7 @@
 
     /** A dispatcher that asked for a deep check hears by then at the latest. */
     private static final Span DEEP_WAIT = Span.ofSeconds(1);
+
     private static final int MOST_DEEP = 64;
 
     private final Deadlines deadlines;
@@ -25,11 +26,18 @@
     private final Supplier<Moment> clock;
     private final Reply reply;
     private final Map<Long, Deep> deep = new HashMap<>();
+
     /** Until there is a node, none is well. */
     private boolean good;
+
     private boolean fromStore = true;
 
-    HealthChecks(Deadlines deadlines, Executor executor, Tags tags, Supplier<Moment> clock, Reply reply) {
+    HealthChecks(
+            Deadlines deadlines,
+            Executor executor,
+            Tags tags,
+            Supplier<Moment> clock,
+            Reply reply) {
         this.deadlines = deadlines;
         this.executor = executor;
         this.tags = tags;
@@ -48,7 +56,8 @@
             return;
         }
         long asked = tags.next();
-        Deadlines.Deadline late = deadlines.at(clock.get().plus(DEEP_WAIT), () -> diagnosed(asked, false));
+        Deadlines.Deadline late =
+                deadlines.at(clock.get().plus(DEEP_WAIT), () -> diagnosed(asked, false));
         deep.put(asked, new Deep(connection, tag, late));
         executor.checkDeep(asked);
     }
