--- a/src/main/java/lupinwood/core/Host.java
+++ b/src/main/java/lupinwood/core/Host.java
@@ -23,8 +23,8 @@
 import lupinwood.node.TrackId;
 
 /**
- * The machine as its node sees it. News is told to this by one thread, which sets the time first with
- * {@link #advance} and ends each round of news with {@link #settle}.
+ * The machine as its node sees it. News is told to this by one thread, which sets the time first
+ * with {@link #advance} and ends each round of news with {@link #settle}.
  */
 public final class Host implements Server {
     /** Makes the node once the executor is up. */
@@ -36,14 +36,22 @@
     public record Bounds(int connections, int tickets, int receipts, long receiptBytes) {}
 
     /** Where results go. */
-    public record Ports(Dispatchers dispatchers, Executor executor, Index index, Consumer<String> log) {}
+    public record Ports(
+            Dispatchers dispatchers, Executor executor, Index index, Consumer<String> log) {}
 
     /** How long a connection may be idle where the settings don't tell. */
     private static final Span ALWAYS_IDLE = Span.ofSeconds(3600);
-    /** On sockets the window of a receipted ticket is longer by this; a repeat so late is not run. */
+
+    /**
+     * On sockets the window of a receipted ticket is longer by this; a repeat so late is not run.
+     */
     private static final Span WINDOW_SLACK = Span.ofSeconds(0.05);
+
     private static final Span ASK_AGAIN = Span.ofSeconds(0.004);
-    /** What stands for a command that was not carried out, seen in answer to calls to be left out. */
+
+    /**
+     * What stands for a command that was not carried out, seen in answer to calls to be left out.
+     */
     private static final String UNNAMED = "-";
 
     private Map<String, String> settings;
@@ -54,41 +62,68 @@
     private final Connections connections;
     private final Slots<Taken> tickets;
     private final Map<TryId, Taken> byTry = new HashMap<>();
-    /** Those that were given to run: what goes through these must not grow with all that are held. */
+
+    /**
+     * Those that were given to run: what goes through these must not grow with all that are held.
+     */
     private final Set<Taken> started = new LinkedHashSet<>();
+
     private final Receipts receipts;
     private Admission admission;
     private final Tags tags = new Tags();
     private final List<String> gaugeNames;
     private final WakeUps wakeUps;
     private final HealthChecks checks;
+
     /** News of the host's own making, told once the node has said all it has to say. */
     private final Deque<Runnable> news = new ArrayDeque<>();
 
     /** Null while nobody asks for it. */
     private Answers answers;
+
     private Moment now;
-    /** How far the machine's clock stands ahead of the time told here; less than nothing where it stands behind. */
+
+    /**
+     * How far the machine's clock stands ahead of the time told here; less than nothing where it
+     * stands behind.
+     */
     private Span clockAhead = Span.ZERO;
+
     private Node node;
+
     /** When the executor was started; null before its first word. */
     private Moment bornAt;
+
     /** Whether the executor was cold when the node was made. */
     private boolean bornCold;
+
     private double advice = -1;
     private boolean leaving;
     private Moment lastTicket;
     private long connectionsEver;
+
     /** The tag whose gauges, when they come, prove that all commands before were read; by link. */
     private long replayTag;
-    /** Whether the executor may stop runs, and let them go on without a call; so until it says otherwise. */
+
+    /**
+     * Whether the executor may stop runs, and let them go on without a call; so until it says
+     * otherwise.
+     */
     private boolean stops = true;
+
     private boolean skips = true;
+
     /** When gauges are asked for to settle doubts, or null. */
     private Deadlines.Deadline doubts;
 
-    public Host(Map<String, String> settings, long seed, Maker maker, Ports ports, Deadlines deadlines,
-            Bounds bounds, Moment now) {
+    public Host(
+            Map<String, String> settings,
+            long seed,
+            Maker maker,
+            Ports ports,
+            Deadlines deadlines,
+            Bounds bounds,
+            Moment now) {
         this.settings = settings;
         this.seed = seed;
         this.maker = maker;
@@ -100,14 +135,26 @@
         Settings read = new Settings(settings);
         Span longestIdle = read.span("domain.keepalive_max_ns");
         admission = new Admission(read);
-        connections = new Connections(bounds.connections(),
-                longestIdle.isPositive() ? longestIdle : ALWAYS_IDLE, admission.longestAbandon(),
-                ports.dispatchers(), deadlines, this::now);
+        connections =
+                new Connections(
+                        bounds.connections(),
+                        longestIdle.isPositive() ? longestIdle : ALWAYS_IDLE,
+                        admission.longestAbandon(),
+                        ports.dispatchers(),
+                        deadlines,
+                        this::now);
         tickets = new Slots<>(bounds.tickets());
         receipts = new Receipts(bounds.receipts(), bounds.receiptBytes());
         String gauges = read.text("domain.gauges");
         gaugeNames = gauges.isEmpty() ? List.of() : List.of(gauges.split(","));
-        wakeUps = new WakeUps(gaugeNames, deadlines, ports.executor(), tags, this::now, known -> node.wake(known));
+        wakeUps =
+                new WakeUps(
+                        gaugeNames,
+                        deadlines,
+                        ports.executor(),
+                        tags,
+                        this::now,
+                        known -> node.wake(known));
         checks = new HealthChecks(deadlines, ports.executor(), tags, this::now, this::sayHealth);
     }
 
@@ -119,7 +166,11 @@
     private void tell(Arrival arrival, Answer.Word word) {
         if (answers != null) {
             Span took = now.since(arrival.reached()).max(Span.ZERO);
-            answers.answered(arrival.track(), word, took, admission.says(arrival).agreed().compareTo(took) < 0);
+            answers.answered(
+                    arrival.track(),
+                    word,
+                    took,
+                    admission.says(arrival).agreed().compareTo(took) < 0);
         }
     }
 
@@ -130,7 +181,10 @@
         now = now.isBefore(moment) ? moment : now;
     }
 
-    /** What the machine's clock, by which tickets are stamped, shows at this time; it may step either way. */
+    /**
+     * What the machine's clock, by which tickets are stamped, shows at this time; it may step
+     * either way.
+     */
     public void clockShows(Moment moment) {
         clockAhead = moment.since(now);
     }
@@ -176,14 +230,16 @@
     }
 
     /**
-     * A ticket came; null where it can't be read. False where the tag is still open: the dispatcher has lost
-     * count, and no answer could be told apart.
+     * A ticket came; null where it can't be read. False where the tag is still open: the dispatcher
+     * has lost count, and no answer could be told apart.
      */
     public boolean arrived(ConnectionId connection, long tag, Arrival stamped) {
         if (connections.isClosing(connection)) {
-            // Guards against a ticket read with what ended its connection: it is owed an answer, and must not run.
+            // Guards against a ticket read with what ended its connection: it is owed an answer,
+            // and must not run.
             if (connections.open(connection, tag) == null) {
-                ports.dispatchers().answer(connection, tag, Answer.bounced(advice, Span.ZERO, false));
+                ports.dispatchers()
+                        .answer(connection, tag, Answer.bounced(advice, Span.ZERO, false));
             }
             return true;
         }
@@ -202,22 +258,30 @@
             }
             return true;
         }
-        // The window counts in the clock by which tickets are stamped, all else in one that never steps.
-        Receipts.Receipt receipt = stamped == null ? null : receipts.find(stamped.receipt(), stamped.reached());
-        Arrival arrival = stamped == null ? null : stamped.reachedAt(stamped.reached().minus(clockAhead));
+        // The window counts in the clock by which tickets are stamped, all else in one that never
+        // steps.
+        Receipts.Receipt receipt =
+                stamped == null ? null : receipts.find(stamped.receipt(), stamped.reached());
+        Arrival arrival =
+                stamped == null ? null : stamped.reachedAt(stamped.reached().minus(clockAhead));
         if (receipt == null && arrival != null && arrival.receipt() != null && receipts.isFull()) {
-            // Guards against a flood of marks that are seen once: what could not be remembered must not run.
+            // Guards against a flood of marks that are seen once: what could not be remembered must
+            // not run.
             ports.log().accept("bounced a ticket whose mark there is no room to remember");
-            ports.dispatchers().answer(connection, tag, Answer.bounced(advice, Span.ofSeconds(1), false));
+            ports.dispatchers()
+                    .answer(connection, tag, Answer.bounced(advice, Span.ofSeconds(1), false));
             connections.unwanted(connection);
             return true;
         }
         boolean idInUse = arrival != null && byTry.containsKey(arrival.tryId());
-        String fault = connections.isStubborn(connection) ? "on a connection asked to close"
-                : admission.fault(arrival, receipt, idInUse, now);
+        String fault =
+                connections.isStubborn(connection)
+                        ? "on a connection asked to close"
+                        : admission.fault(arrival, receipt, idInUse, now);
         if (fault != null) {
             ports.log().accept("abandoned a ticket " + fault);
-            ports.dispatchers().answer(connection, tag, Answer.plain(Answer.Word.ABANDONED, advice));
+            ports.dispatchers()
+                    .answer(connection, tag, Answer.plain(Answer.Word.ABANDONED, advice));
             if (fault.equals(Admission.TOO_LATE)) {
                 tell(arrival, Answer.Word.ABANDONED);
                 connections.unwanted(connection);
@@ -240,11 +304,23 @@
         Arrival arrival = taken.arrival;
         taken.original = original;
         Span waited = now.since(arrival.reached()).max(Span.ZERO);
-        taken.handle = node.take(new Ticket(taken.id, admission.track(arrival), admission.customer(arrival),
-                arrival.subject(), arrival.caller(),
-                arrival.patience().isPositive() ? admission.waits(arrival).minus(waited) : Span.ZERO, arrival.work(),
-                arrival.memoryKb(), arrival.rank(), arrival.repeat(), waited,
-                original == null ? null : original.ticket));
+        taken.handle =
+                node.take(
+                        new Ticket(
+                                taken.id,
+                                admission.track(arrival),
+                                admission.customer(arrival),
+                                arrival.subject(),
+                                arrival.caller(),
+                                arrival.patience().isPositive()
+                                        ? admission.waits(arrival).minus(waited)
+                                        : Span.ZERO,
+                                arrival.work(),
+                                arrival.memoryKb(),
+                                arrival.rank(),
+                                arrival.repeat(),
+                                waited,
+                                original == null ? null : original.ticket));
     }
 
     /** The dispatcher waits no more for it. */
@@ -257,7 +333,10 @@
         }
     }
 
-    /** What can't be read came on it: nothing more is, and it ends once all that is open on it is answered. */
+    /**
+     * What can't be read came on it: nothing more is, and it ends once all that is open on it is
+     * answered.
+     */
     public void malformed(ConnectionId connection) {
         connections.end(connection, Ending.MALFORMED);
     }
@@ -283,8 +362,11 @@
     }
 
     private void sayHealth(ConnectionId connection, long tag, boolean well) {
-        ports.dispatchers().answer(connection, tag,
-                Answer.plain(well ? Answer.Word.GOOD : Answer.Word.NOT_GOOD, advice));
+        ports.dispatchers()
+                .answer(
+                        connection,
+                        tag,
+                        Answer.plain(well ? Answer.Word.GOOD : Answer.Word.NOT_GOOD, advice));
     }
 
     private void answer(Taken taken, Answer answer) {
@@ -344,8 +426,8 @@
     }
 
     /**
-     * Takes over settings that differ only in what may change while the node runs; false once it leaves, since the
-     * notice to leave was given under the old ones.
+     * Takes over settings that differ only in what may change while the node runs; false once it
+     * leaves, since the notice to leave was given under the old ones.
      */
     public boolean retune(Tuning tuning) {
         if (leaving) {
@@ -362,62 +444,72 @@
     /** What ran there will never end, and may have had its effect. */
     public void executorStartedAnew() {
         ports.log().accept("the executor was started anew, its runs are lost");
-        List.copyOf(started).forEach(taken -> {
-            if (!taken.elsewhere) {
-                lost(taken.arrival.tryId(), Ending.EXECUTOR_GONE);
-            }
-        });
+        List.copyOf(started)
+                .forEach(
+                        taken -> {
+                            if (!taken.elsewhere) {
+                                lost(taken.arrival.tryId(), Ending.EXECUTOR_GONE);
+                            }
+                        });
     }
 
     /**
-     * After a lost link: what was sent last may not have been read. What was never written is written now,
-     * and a pure ticket's run may be asked for twice, since a run that goes on ignores it. All else is in
-     * doubt.
+     * After a lost link: what was sent last may not have been read. What was never written is
+     * written now, and a pure ticket's run may be asked for twice, since a run that goes on ignores
+     * it. All else is in doubt.
      */
     private void sendAgain() {
-        started.forEach(taken -> {
-            if (taken.elsewhere) {
-                return;
-            }
-            if (!taken.startKnown) {
-                if (taken.sent && track(taken).effect() != Effect.PURE) {
-                    taken.unsure = true;
-                } else {
-                    askToRun(taken);
-                }
-            } else if (taken.unreadReply != null && !taken.answered) {
-                taken.unsure = taken.replySent;
-                if (!taken.unsure) {
-                    giveReply(taken);
-                }
-            }
-        });
+        started.forEach(
+                taken -> {
+                    if (taken.elsewhere) {
+                        return;
+                    }
+                    if (!taken.startKnown) {
+                        if (taken.sent && track(taken).effect() != Effect.PURE) {
+                            taken.unsure = true;
+                        } else {
+                            askToRun(taken);
+                        }
+                    } else if (taken.unreadReply != null && !taken.answered) {
+                        taken.unsure = taken.replySent;
+                        if (!taken.unsure) {
+                            giveReply(taken);
+                        }
+                    }
+                });
     }
 
     private void giveReply(Taken taken) {
         taken.repliedAfter = tags.last();
         TryId id = taken.arrival.tryId();
-        taken.replySent = taken.unreadReply == Taken.NO_CALL ? ports.executor().skipCall(id)
-                : ports.executor().giveReply(id, taken.unreadReply);
+        taken.replySent =
+                taken.unreadReply == Taken.NO_CALL
+                        ? ports.executor().skipCall(id)
+                        : ports.executor().giveReply(id, taken.unreadReply);
     }
 
     /**
-     * Commands in doubt must not simply be given again: a receipted run might have ended just now and run
-     * twice, and a run that has its reply would take the same for that to its next call. The gauge of tickets
-     * on the cores tells: it counts every run there (and what else uses them), and all notices up to it were
-     * read before. Where it counts no more than the runs that are there for certain, none of those in doubt
-     * is, so none of the commands was read. Until it does it is asked for again.
+     * Commands in doubt must not simply be given again: a receipted run might have ended just now
+     * and run twice, and a run that has its reply would take the same for that to its next call.
+     * The gauge of tickets on the cores tells: it counts every run there (and what else uses them),
+     * and all notices up to it were read before. Where it counts no more than the runs that are
+     * there for certain, none of those in doubt is, so none of the commands was read. Until it does
+     * it is asked for again.
      */
     private void settleDoubts(double onCores) {
         int[] certain = {0};
         List<Taken> doubtful = new ArrayList<>();
-        started.forEach(taken -> {
-            if (taken.unsure) {
-                doubtful.add(taken);
-            } else if (!taken.elsewhere && taken.startKnown && taken.callBody == null && taken.unreadReply == null) {
-                certain[0]++;
-            }
-        });
+        started.forEach(
+                taken -> {
+                    if (taken.unsure) {
+                        doubtful.add(taken);
+                    } else if (!taken.elsewhere
+                            && taken.startKnown
+                            && taken.callBody == null
+                            && taken.unreadReply == null) {
+                        certain[0]++;
+                    }
+                });
         if (doubtful.isEmpty() || Double.isNaN(onCores)) {
             return;
         }
@@ -432,10 +524,13 @@
                 }
             }
         } else if (doubts == null) {
-            doubts = deadlines.at(now.plus(ASK_AGAIN), () -> {
-                doubts = null;
-                ports.executor().askGauges(tags.next());
-            });
+            doubts =
+                    deadlines.at(
+                            now.plus(ASK_AGAIN),
+                            () -> {
+                                doubts = null;
+                                ports.executor().askGauges(tags.next());
+                            });
         }
     }
 
@@ -468,10 +563,16 @@
         exited(id, ending, Span.ZERO, null);
     }
 
-    /** The final answer of a run, or of a repeat, unless one was given; and the node hears of the end. */
+    /**
+     * The final answer of a run, or of a repeat, unless one was given; and the node hears of the
+     * end.
+     */
     private void conclude(Taken taken, Ending ending, Span took, byte[] result) {
-        answer(taken, ending == Ending.WELL ? Answer.satisfied(advice, result)
-                : Answer.plain(Answer.Word.ABANDONED, advice));
+        answer(
+                taken,
+                ending == Ending.WELL
+                        ? Answer.satisfied(advice, result)
+                        : Answer.plain(Answer.Word.ABANDONED, advice));
         taken.handle.ended(ending.outcome(), took);
     }
 
@@ -502,8 +603,9 @@
     }
 
     /**
-     * The executor would not run it: that ends it. Stopping runs and going on without a call are tried where the
-     * settings speak of them, and given up for good at the first of this. Of other commands only the log tells.
+     * The executor would not run it: that ends it. Stopping runs and going on without a call are
+     * tried where the settings speak of them, and given up for good at the first of this. Of other
+     * commands only the log tells.
      */
     public void notCarriedOut(String command, TryId id) {
         ports.log().accept("the executor did not carry out " + command + " " + id.digits());
@@ -516,14 +618,24 @@
                 }
             }
             case "KILL" -> stops = false; // the run goes on to its end, as it would have
-            // Where the answer names neither, it can be only to those whose call was to be left out.
-            case "BYPASS", UNNAMED -> started.stream().filter(one -> one.unreadReply == Taken.NO_CALL
-                    && (one == taken || command.equals(UNNAMED))).toList().forEach(this::mustCall);
-            default -> { }
+            // Where the answer names neither, it can be only to those whose call was to be left
+            // out.
+            case "BYPASS", UNNAMED ->
+                    started.stream()
+                            .filter(
+                                    one ->
+                                            one.unreadReply == Taken.NO_CALL
+                                                    && (one == taken || command.equals(UNNAMED)))
+                            .toList()
+                            .forEach(this::mustCall);
+            default -> {}
         }
     }
 
-    /** No call can be left out here: its run still waits for one, which is made now where that does no harm. */
+    /**
+     * No call can be left out here: its run still waits for one, which is made now where that does
+     * no harm.
+     */
     private void mustCall(Taken taken) {
         if (skips) {
             skips = false;
@@ -542,13 +654,15 @@
             replayTag = 0;
             sendAgain();
         } else if (replayTag == 0) {
-            started.forEach(taken -> {
-                taken.startKnown |= taken.sent && !taken.unsure && tag > taken.startedAfter;
-                if (taken.replySent && !taken.unsure && tag > taken.repliedAfter) {
-                    taken.callBody = taken.unreadReply == Taken.NO_CALL ? null : taken.callBody;
-                    taken.unreadReply = null;
-                }
-            });
+            started.forEach(
+                    taken -> {
+                        taken.startKnown |= taken.sent && !taken.unsure && tag > taken.startedAfter;
+                        if (taken.replySent && !taken.unsure && tag > taken.repliedAfter) {
+                            taken.callBody =
+                                    taken.unreadReply == Taken.NO_CALL ? null : taken.callBody;
+                            taken.unreadReply = null;
+                        }
+                    });
         }
         if (replayTag == 0) {
             settleDoubts(Gauges.named(gaugeNames, values).wantingCore());
@@ -600,7 +714,9 @@
     private void askToRun(Taken taken) {
         taken.startedAfter = tags.last();
         taken.elsewhere = !ports.executor().isOnLink(taken.arrival.track());
-        taken.sent = ports.executor().run(taken.arrival.tryId(), taken.arrival.track(), taken.arrival.body());
+        taken.sent =
+                ports.executor()
+                        .run(taken.arrival.tryId(), taken.arrival.track(), taken.arrival.body());
     }
 
     /** Once answered nothing can start any more, so asking is safe, and tells whether it runs. */
@@ -663,10 +779,13 @@
             dropCall(taken); // a second call gives up the first
             TryId id = taken.arrival.tryId();
             taken.calledAt = now;
-            taken.callCap = deadlines.at(now.plus(cap), () -> {
-                ports.index().giveUp(id);
-                callEnded(id, Ending.GIVEN_UP, null);
-            });
+            taken.callCap =
+                    deadlines.at(
+                            now.plus(cap),
+                            () -> {
+                                ports.index().giveUp(id);
+                                callEnded(id, Ending.GIVEN_UP, null);
+                            });
             ports.index().call(id, cap, taken.callBody);
         }
     }
@@ -688,20 +807,23 @@
 
     @Override
     public void reuse(TicketId ticket) {
-        news.add(() -> {
-            Taken taken = tickets.get(ticket.number());
-            if (taken == null) {
-                return;
-            }
-            Receipts.Receipt original = taken.original;
-            // Guards against one mark on two bodies: the other's result must not be handed out for this one.
-            boolean same = original != null && Arrays.equals(original.body, taken.arrival.body());
-            if (same && original.result == null && !original.over) {
-                original.waiting.add(ticket);
-            } else {
-                reused(ticket, same ? original.result : null);
-            }
-        });
+        news.add(
+                () -> {
+                    Taken taken = tickets.get(ticket.number());
+                    if (taken == null) {
+                        return;
+                    }
+                    Receipts.Receipt original = taken.original;
+                    // Guards against one mark on two bodies: the other's result must not be handed
+                    // out for this one.
+                    boolean same =
+                            original != null && Arrays.equals(original.body, taken.arrival.body());
+                    if (same && original.result == null && !original.over) {
+                        original.waiting.add(ticket);
+                    } else {
+                        reused(ticket, same ? original.result : null);
+                    }
+                });
     }
 
     @Override
@@ -717,8 +839,8 @@
     }
 
     /**
-     * A repeat that came in time may be read up to its abandon time later; that time may grow meanwhile, by a
-     * configuration, and the receipt must outlive it all the same.
+     * A repeat that came in time may be read up to its abandon time later; that time may grow
+     * meanwhile, by a configuration, and the receipt must outlive it all the same.
      */
     private void dropOnceOver(Receipts.Receipt receipt, TrackId track) {
         Moment over = receipt.ends.plus(admission.says(track).abandon()).minus(clockAhead);
@@ -825,7 +947,15 @@
 
     /** What stands open, for the log. */
     public String figures() {
-        return "connections " + connections.size() + ", open " + connections.openTickets() + ", tickets "
-                + tickets.size() + ", receipts " + receipts.size() + ", deadlines " + deadlines.size();
+        return "connections "
+                + connections.size()
+                + ", open "
+                + connections.openTickets()
+                + ", tickets "
+                + tickets.size()
+                + ", receipts "
+                + receipts.size()
+                + ", deadlines "
+                + deadlines.size();
     }
 }
--- a/src/main/java/lupinwood/core/Receipts.java
+++ b/src/main/java/lupinwood/core/Receipts.java
@@ -11,22 +11,27 @@
 import lupinwood.node.TicketId;
 
 /**
- * The receipted tickets remembered here, with the results of those that ran, bounded in number and in bytes. When
- * bodies and results outgrow their bound the oldest lose theirs; the receipt itself stays, so a repeat is still
- * known and never runs. When there are too many, no more are taken.
+ * The receipted tickets remembered here, with the results of those that ran, bounded in number and
+ * in bytes. When bodies and results outgrow their bound the oldest lose theirs; the receipt itself
+ * stays, so a repeat is still known and never runs. When there are too many, no more are taken.
  */
 final class Receipts {
     /** One remembered ticket. */
     static final class Receipt {
         final ReceiptKey key;
         final TicketId ticket;
+
         /** By the clock that stamps tickets. */
         final Moment ends;
+
         /** Null once it was dropped for want of room. */
         byte[] body;
+
         /** Null before the run went well, or once it was dropped for want of room. */
         byte[] result;
+
         boolean over;
+
         /** Repeats that wait for the result. */
         final List<TicketId> waiting = new ArrayList<>();
 
@@ -44,8 +49,13 @@
 
     private final Map<ReceiptKey, Receipt> byKey = new HashMap<>();
     private final Map<TicketId, Receipt> byTicket = new HashMap<>();
-    /** Those that are over and still have their bytes, the oldest first: what is dropped is found in one step. */
+
+    /**
+     * Those that are over and still have their bytes, the oldest first: what is dropped is found in
+     * one step.
+     */
     private final Set<Receipt> heavy = new LinkedHashSet<>();
+
     private final int most;
     private final long mostBytes;
     private long bytes;
@@ -70,7 +80,8 @@
     }
 
     Receipt remember(ReceiptKey key, TicketId ticket, Moment ends, byte[] body) {
-        // One before, past its window, may still run and have repeats that wait for it; it goes at its own time.
+        // One before, past its window, may still run and have repeats that wait for it; it goes at
+        // its own time.
         Receipt receipt = new Receipt(key, ticket, ends, body);
         byKey.put(key, receipt);
         byTicket.put(ticket, receipt);
--- a/src/main/java/lupinwood/core/Slots.java
+++ b/src/main/java/lupinwood/core/Slots.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. An id is a slot and the generation of its use, so that late news of what stood
- * there before never hits what stands there now.
+ * A table of numbered slots. An id is a slot and the generation of its use, so that late news of
+ * what stood there before never hits what stands there now.
  */
 public final class Slots<T> {
     private static final int SLOT_BITS = 20;
@@ -51,7 +51,9 @@
     /** What stands under this id, or null once that is over. */
     public T get(long id) {
         int slot = (int) (id & (1 << SLOT_BITS) - 1);
-        return slot < slots.size() && generations.get(slot) == id >>> SLOT_BITS ? slots.get(slot) : null;
+        return slot < slots.size() && generations.get(slot) == id >>> SLOT_BITS
+                ? slots.get(slot)
+                : null;
     }
 
     public T remove(long id) {
--- a/src/main/java/lupinwood/core/TryId.java
+++ b/src/main/java/lupinwood/core/TryId.java
@@ -5,7 +5,8 @@
     private static final int LENGTH = 16;
 
     public static boolean isValid(String text) {
-        return text != null && text.length() == LENGTH
+        return text != null
+                && text.length() == LENGTH
                 && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f');
     }
 }
--- a/src/main/java/lupinwood/council/Carriage.java
+++ b/src/main/java/lupinwood/council/Carriage.java
@@ -25,12 +25,14 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * How nodes talk: JSON in MINA's length-prefixed strings, on threads of its own. A message may be lost, as when a link
- * breaks or a peer doesn't read; nothing waits for one. Whoever doesn't read costs itself only.
+ * How nodes talk: JSON in MINA's length-prefixed strings, on threads of its own. A message may be
+ * lost, as when a link breaks or a peer doesn't read; nothing waits for one. Whoever doesn't read
+ * costs itself only.
  */
 final class Carriage {
     /** A message is no longer, in bytes. */
     static final int MOST_BYTES = 512 * 1024;
+
     private static final int MOST_UNREAD = 1024 * 1024;
     private static final int MOST_SESSIONS = 2048;
     private static final int IDLE_SECONDS = 30;
@@ -45,14 +47,17 @@
     }
 
     private final Log log;
-    private final IoProcessor<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, 1);
+    private final IoProcessor<NioSession> processor =
+            new SimpleIoProcessorPool<>(NioProcessor.class, 1);
     private final NioSocketConnector connector = new NioSocketConnector(processor);
     private final BiConsumer<Peer, JsonObject> heard;
     private NioSocketAcceptor acceptor;
     private final Map<InetSocketAddress, ConnectFuture> links = new HashMap<>();
     private volatile long bytes;
 
-    /** @param heard on a thread of the carriage's own */
+    /**
+     * @param heard on a thread of the carriage's own
+     */
     Carriage(BiConsumer<Peer, JsonObject> heard, Log log) {
         this.heard = heard;
         this.log = log;
@@ -84,10 +89,15 @@
         acceptor.bind(at);
     }
 
-    /** Says it over the standing link to there, or one that is made now; lost where there is none. */
+    /**
+     * Says it over the standing link to there, or one that is made now; lost where there is none.
+     */
     synchronized void say(InetSocketAddress to, JsonObject message) {
         ConnectFuture link = links.get(to);
-        boolean gone = link != null && link.isDone() && (!link.isConnected() || !link.getSession().isConnected());
+        boolean gone =
+                link != null
+                        && link.isDone()
+                        && (!link.isConnected() || !link.getSession().isConnected());
         if (link == null || gone) {
             link = connector.connect(to);
             links.put(to, link);
@@ -96,23 +106,26 @@
             write(link.getSession(), message);
         } else {
             ConnectFuture made = link;
-            made.addListener(done -> {
-                if (made.isConnected()) {
-                    write(made.getSession(), message);
-                }
-            });
+            made.addListener(
+                    done -> {
+                        if (made.isConnected()) {
+                            write(made.getSession(), message);
+                        }
+                    });
         }
     }
 
     /** The links to addresses that nobody asks for any more are closed. */
     synchronized void keepOnly(Collection<InetSocketAddress> asked) {
-        links.entrySet().removeIf(link -> {
-            boolean close = !asked.contains(link.getKey());
-            if (close && link.getValue().isConnected()) {
-                link.getValue().getSession().closeNow();
-            }
-            return close;
-        });
+        links.entrySet()
+                .removeIf(
+                        link -> {
+                            boolean close = !asked.contains(link.getKey());
+                            if (close && link.getValue().isConnected()) {
+                                link.getValue().getSession().closeNow();
+                            }
+                            return close;
+                        });
     }
 
     private static void write(IoSession session, JsonObject message) {
@@ -151,8 +164,11 @@
                 read = JsonParser.parseString((String) message).getAsJsonObject();
                 heard.accept(new Peer(session), read);
             } catch (RuntimeException e) {
-                log.line("fleet: closing the connection with " + session.getRemoteAddress()
-                        + ", which says what can't be read: " + e.getClass().getSimpleName());
+                log.line(
+                        "fleet: closing the connection with "
+                                + session.getRemoteAddress()
+                                + ", which says what can't be read: "
+                                + e.getClass().getSimpleName());
                 session.closeNow();
             }
         }
@@ -170,7 +186,11 @@
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                log.line("fleet: closing the connection with " + session.getRemoteAddress() + ": " + cause);
+                log.line(
+                        "fleet: closing the connection with "
+                                + session.getRemoteAddress()
+                                + ": "
+                                + cause);
             }
             session.closeNow();
         }
--- a/src/main/java/lupinwood/council/Council.java
+++ b/src/main/java/lupinwood/council/Council.java
@@ -50,11 +50,11 @@
 import lupinwood.node.Span;
 
 /**
- * One voter's part in the council: the library's engine, the book that it agrees on, and the steward who decides while
- * this voter leads. All happens on one loop, whose clock may be made up.
+ * One voter's part in the council: the library's engine, the book that it agrees on, and the
+ * steward who decides while this voter leads. All happens on one loop, whose clock may be made up.
  *
- * <p>A beat is answered only after a majority confirmed that this voter still led after the beat came: so whoever leads
- * later began after every word that a holder may count from.
+ * <p>A beat is answered only after a majority confirmed that this voter still led after the beat
+ * came: so whoever leads later began after every word that a holder may count from.
  */
 public final class Council {
     /**
@@ -63,14 +63,33 @@
      * @param post takes a message to the voter of an id
      * @param restored what the folder held; null for one that never voted
      */
-    public record Means(Loop loop, BiConsumer<String, RaftMessage> post, RaftStore store, RestoredRaftState restored,
-            Random random, Consumer<String> log) {}
+    public record Means(
+            Loop loop,
+            BiConsumer<String, RaftMessage> post,
+            RaftStore store,
+            RestoredRaftState restored,
+            Random random,
+            Consumer<String> log) {}
 
     /** What one voter says of the council. */
-    public record State(NodeName self, NodeName leader, int term, List<Seen> seen, List<Book.Held> duties,
-            String digest, long deeds, List<Permit> permits, String haltedBy, List<Book.Entry> history, Release release,
-            String good, List<Rest> rests, Map<String, Tally> past,
-            List<Book.Member> members, List<Plan> plans, long lastPlan) {}
+    public record State(
+            NodeName self,
+            NodeName leader,
+            int term,
+            List<Seen> seen,
+            List<Book.Held> duties,
+            String digest,
+            long deeds,
+            List<Permit> permits,
+            String haltedBy,
+            List<Book.Entry> history,
+            Release release,
+            String good,
+            List<Rest> rests,
+            Map<String, Tally> past,
+            List<Book.Member> members,
+            List<Plan> plans,
+            long lastPlan) {}
 
     /**
      * What an operator asks for.
@@ -81,7 +100,8 @@
      * @param wish what is to be released; else null
      * @param server which one is to rest, or to be back; else null
      */
-    public record Order(String id, String what, NodeName node, String by, Wish wish, String server) {
+    public record Order(
+            String id, String what, NodeName node, String by, Wish wish, String server) {
         public Order(String id, String what, NodeName node, String by) {
             this(id, what, node, by, null, null);
         }
@@ -99,25 +119,42 @@
      */
     public record Wish(Release.Kind kind, String to, String text, boolean backsOnHalt) {}
 
-    /** @param done whether it was carried out; else the text says why not now */
+    /**
+     * @param done whether it was carried out; else the text says why not now
+     */
     public record Answer(boolean done, String text) {}
 
     static final String GROUP = "fleet";
     private static final String NEW_TERM = "term";
-    /** The engine counts heartbeats in whole seconds of its own; its clock runs so much faster that a lease holds so many. */
+
+    /**
+     * The engine counts heartbeats in whole seconds of its own; its clock runs so much faster that
+     * a lease holds so many.
+     */
     private static final double ENGINE_SECONDS_A_LEASE = 24;
+
     private static final int HEARTBEAT_SECONDS = 1;
     private static final int SILENCE_SECONDS = 8;
     private static final int ELECTION_MILLIS = 2000;
     private static final int SNAPSHOT_EVERY = 1000;
     private static final int REPORT_SECONDS = 3600;
-    /** Beats that wait for one confirmation; past that the newest is passed over, and told again by its node. */
+
+    /**
+     * Beats that wait for one confirmation; past that the newest is passed over, and told again by
+     * its node.
+     */
     private static final int MOST_WAITING = 4096;
+
     private static final int MOST_DEEDS_AT_ONCE = 64;
-    /** A batch of the longest deeds, a text or the past of all nodes, has to fit into one message. */
+
+    /**
+     * A batch of the longest deeds, a text or the past of all nodes, has to fit into one message.
+     */
     private static final int MOST_IN_A_BATCH = 4;
 
-    /** @param again whether it was answered before, and hears of something new since */
+    /**
+     * @param again whether it was answered before, and hears of something new since
+     */
     private record Waiting(Beat beat, Consumer<Reply> to, boolean again) {}
 
     private final NodeName self;
@@ -129,17 +166,27 @@
     private final RaftNode raft;
     private final double speed;
     private final Set<Deed> underWay = new HashSet<>();
+
     /** The latest beat of each node, which may be answered once more. */
     private final Map<NodeName, Waiting> latest = new HashMap<>();
+
     private List<Waiting> waiting = new ArrayList<>();
     private boolean confirming;
     private int ledTerm = -1;
     private boolean changing;
     private boolean over;
 
-    /** @param tokensAbove where tokens begin should this be the council's first leader ever */
-    public Council(NodeName self, String endpoint, Collection<String> founders, Rules rules, List<DutyName> duties,
-            long tokensAbove, Means means) {
+    /**
+     * @param tokensAbove where tokens begin should this be the council's first leader ever
+     */
+    public Council(
+            NodeName self,
+            String endpoint,
+            Collection<String> founders,
+            Rules rules,
+            List<DutyName> duties,
+            long tokensAbove,
+            Means means) {
         this.self = self;
         this.means = means;
         this.rules = rules;
@@ -147,13 +194,27 @@
         book = new Book(rules.mostMembers());
         steward = new Steward(rules, duties);
         speed = ENGINE_SECONDS_A_LEASE / rules.lease().seconds();
-        RaftConfig config = RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
-                .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS).setLeaderHeartbeatTimeoutSecs(SILENCE_SECONDS)
-                .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY).setRaftNodeReportPublishPeriodSecs(REPORT_SECONDS)
-                .setAppendEntriesRequestBatchSize(MOST_IN_A_BATCH).setTransferSnapshotsFromFollowersEnabled(false).build();
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(config)
-                .setExecutor(new Executor()).setTransport(new Post()).setStateMachine(new Agreed()).setStore(means.store())
-                .setModelFactory(RaftText.MODEL).setRandom(means.random()).setClock(new EngineClock());
+        RaftConfig config =
+                RaftConfig.newBuilder()
+                        .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
+                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
+                        .setLeaderHeartbeatTimeoutSecs(SILENCE_SECONDS)
+                        .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
+                        .setRaftNodeReportPublishPeriodSecs(REPORT_SECONDS)
+                        .setAppendEntriesRequestBatchSize(MOST_IN_A_BATCH)
+                        .setTransferSnapshotsFromFollowersEnabled(false)
+                        .build();
+        RaftNode.RaftNodeBuilder builder =
+                RaftNode.newBuilder()
+                        .setGroupId(GROUP)
+                        .setConfig(config)
+                        .setExecutor(new Executor())
+                        .setTransport(new Post())
+                        .setStateMachine(new Agreed())
+                        .setStore(means.store())
+                        .setModelFactory(RaftText.MODEL)
+                        .setRandom(means.random())
+                        .setClock(new EngineClock());
         if (means.restored() == null) {
             List<RaftEndpoint> all = new ArrayList<>();
             founders.forEach(id -> all.add(new Voter(id)));
@@ -198,8 +259,8 @@
     }
 
     /**
-     * One question to the majority at a time: a beat that comes while one is under way waits for the next, since votes
-     * for that one may be older than the beat.
+     * One question to the majority at a time: a beat that comes while one is under way waits for
+     * the next, since votes for that one may be older than the beat.
      */
     private void confirm() {
         if (confirming || waiting.isEmpty() || over) {
@@ -209,16 +270,23 @@
         List<Waiting> batch = waiting;
         waiting = new ArrayList<>();
         int term = ledTerm;
-        raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()).whenComplete((done, failed) -> {
-            confirming = false;
-            if (failed == null && leads() && term == ledTerm) {
-                batch.forEach(this::answer);
-                act();
-            } else {
-                batch.forEach(one -> one.to().accept(Steward.elsewhere(one.beat(), leader())));
-            }
-            confirm();
-        });
+        raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                .whenComplete(
+                        (done, failed) -> {
+                            confirming = false;
+                            if (failed == null && leads() && term == ledTerm) {
+                                batch.forEach(this::answer);
+                                act();
+                            } else {
+                                batch.forEach(
+                                        one ->
+                                                one.to()
+                                                        .accept(
+                                                                Steward.elsewhere(
+                                                                        one.beat(), leader())));
+                            }
+                            confirm();
+                        });
     }
 
     private void answer(Waiting one) {
@@ -230,8 +298,10 @@
     /** Whether this voter leads; notices when it begins to, or ends. */
     private boolean leads() {
         RaftTerm term = raft.getTerm();
-        boolean leads = !over && term.getLeaderEndpoint() != null
-                && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
+        boolean leads =
+                !over
+                        && term.getLeaderEndpoint() != null
+                        && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (leads && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
             steward.leads(book, means.loop().now());
@@ -272,29 +342,60 @@
         }
         // The steward knows no wall clock; the line of history has one all the same.
         Deed written = timed(deed);
-        raft.<Boolean>replicate(DeedText.of(written)).whenComplete((Ordered<Boolean> result, Throwable failed) -> {
-            underWay.remove(deed);
-            if (done != null) {
-                done.accept(failed == null && result.getResult());
-            }
-            if (failed == null && result.getResult()) {
-                means.log().accept("written: " + deed);
-                if (deed instanceof Deed.Give give) {
-                    tellAgain(give.heir());
-                }
-            }
-        });
+        raft.<Boolean>replicate(DeedText.of(written))
+                .whenComplete(
+                        (Ordered<Boolean> result, Throwable failed) -> {
+                            underWay.remove(deed);
+                            if (done != null) {
+                                done.accept(failed == null && result.getResult());
+                            }
+                            if (failed == null && result.getResult()) {
+                                means.log().accept("written: " + deed);
+                                if (deed instanceof Deed.Give give) {
+                                    tellAgain(give.heir());
+                                }
+                            }
+                        });
     }
 
     private static Deed timed(Deed deed) {
-        return deed instanceof Deed.Back back ? new Deed.Back(back.permit(), back.why(), millis())
-                : deed instanceof Deed.Step one ? new Deed.Step(one.token(), one.release(), one.step(), one.back(), one.nodes(),
-                        one.why(), one.past(), millis())
-                : deed instanceof Deed.Turn one ? new Deed.Turn(one.order(), one.release(), one.by(), millis())
-                : deed instanceof Deed.Finish one ? new Deed.Finish(one.token(), one.release(), one.done(), one.why(), millis())
-                : deed instanceof Deed.SetPlan one ? new Deed.SetPlan(one.token(), one.after(), one.bears(), one.alone(),
-                        one.slots(), one.why(), millis())
-                : deed instanceof Deed.Halt one ? new Deed.Halt(one.order(), one.halted(), one.by(), millis()) : deed;
+        return deed instanceof Deed.Back back
+                ? new Deed.Back(back.permit(), back.why(), millis())
+                : deed instanceof Deed.Step one
+                        ? new Deed.Step(
+                                one.token(),
+                                one.release(),
+                                one.step(),
+                                one.back(),
+                                one.nodes(),
+                                one.why(),
+                                one.past(),
+                                millis())
+                        : deed instanceof Deed.Turn one
+                                ? new Deed.Turn(one.order(), one.release(), one.by(), millis())
+                                : deed instanceof Deed.Finish one
+                                        ? new Deed.Finish(
+                                                one.token(),
+                                                one.release(),
+                                                one.done(),
+                                                one.why(),
+                                                millis())
+                                        : deed instanceof Deed.SetPlan one
+                                                ? new Deed.SetPlan(
+                                                        one.token(),
+                                                        one.after(),
+                                                        one.bears(),
+                                                        one.alone(),
+                                                        one.slots(),
+                                                        one.why(),
+                                                        millis())
+                                                : deed instanceof Deed.Halt one
+                                                        ? new Deed.Halt(
+                                                                one.order(),
+                                                                one.halted(),
+                                                                one.by(),
+                                                                millis())
+                                                        : deed;
     }
 
     /** An heir needn't wait for its next beat to hear of it. */
@@ -306,7 +407,10 @@
         }
     }
 
-    /** A deed that another part of the node wants written; false where it did not fit, or may not have been written. */
+    /**
+     * A deed that another part of the node wants written; false where it did not fit, or may not
+     * have been written.
+     */
     public void write(Deed deed, Consumer<Boolean> done) {
         if (leads()) {
             propose(deed, done);
@@ -322,7 +426,10 @@
         return names;
     }
 
-    /** The fleet's text of that digest, and which text a node is to go by; each null where it isn't known here. */
+    /**
+     * The fleet's text of that digest, and which text a node is to go by; each null where it isn't
+     * known here.
+     */
     String text(String digest) {
         return book.text(digest);
     }
@@ -347,17 +454,49 @@
      * @param withPlans how much goes where, and what nodes do at places
      */
     public State state(boolean withTallies, boolean withPast, boolean withPlans) {
-        List<Seen> seen = leads() ? steward.picture(book, means.loop().now()).stream().map(one -> one.report() == null ? one
-                : new Seen(one.name(), one.life(), one.site(), one.standing(), one.heard(), one.report().with(withTallies, withPlans)))
-                .toList() : List.of();
-        return new State(self, leader(), raft.getTerm().getTerm(), seen, new ArrayList<>(book.duties()), book.digest(),
-                book.deeds(), new ArrayList<>(book.permits()), book.haltedBy(), book.history(), book.release(), book.good(),
+        List<Seen> seen =
+                leads()
+                        ? steward.picture(book, means.loop().now()).stream()
+                                .map(
+                                        one ->
+                                                one.report() == null
+                                                        ? one
+                                                        : new Seen(
+                                                                one.name(),
+                                                                one.life(),
+                                                                one.site(),
+                                                                one.standing(),
+                                                                one.heard(),
+                                                                one.report()
+                                                                        .with(
+                                                                                withTallies,
+                                                                                withPlans)))
+                                .toList()
+                        : List.of();
+        return new State(
+                self,
+                leader(),
+                raft.getTerm().getTerm(),
+                seen,
+                new ArrayList<>(book.duties()),
+                book.digest(),
+                book.deeds(),
+                new ArrayList<>(book.permits()),
+                book.haltedBy(),
+                book.history(),
+                book.release(),
+                book.good(),
                 new ArrayList<>(book.rests()),
                 withPast ? book.past() : null,
-                withPlans ? new ArrayList<>(book.members()) : null, withPlans ? book.livePlans() : null, book.lastPlan());
+                withPlans ? new ArrayList<>(book.members()) : null,
+                withPlans ? book.livePlans() : null,
+                book.lastPlan());
     }
 
-    /** Carries out an operator's order, once; null to the answer where another leads, or nobody does. */
+    /**
+     * Carries out an operator's order, once; null to the answer where another leads, or nobody
+     * does.
+     */
     public void order(Order order, OutRules outs, int mostResting, Consumer<Answer> to) {
         if (!leads()) {
             to.accept(null);
@@ -367,33 +506,74 @@
         long at = millis();
         List<NodeName> out = steward.seenOut(book, means.loop().now());
         Wish wish = order.wish();
-        String against = switch (order.what()) {
-            case "leave" -> book.against(order.node(), outs, out);
-            case "release" -> book.againstRelease(wish.kind(), wish.to(), wish.text());
-            case "back" -> book.release() == null ? "no release is open" : book.release().back()
-                    ? book.release() + " is on its way back already" : "";
-            case "rest" -> book.againstRest(order.server(), mostResting);
-            case "unrest" -> book.rests().stream().anyMatch(rest -> rest.server().equals(order.server())) ? ""
-                    : order.server() + " doesn't rest";
-            default -> "";
-        };
-        Deed deed = switch (order.what()) {
-            case "leave" -> new Deed.Allow(order.id(), order.node(), order.by(), at, outs, out);
-            case "halt", "resume" -> new Deed.Halt(order.id(), order.what().equals("halt"), order.by(), at);
-            case "forget" -> new Deed.Forget(order.node());
-            case "rest" -> new Deed.LetRest(order.id(), order.server(), order.by(), mostResting, at);
-            case "unrest" -> new Deed.EndRest(order.id(), order.server(), order.by(), at);
-            case "release" -> new Deed.Begin(order.id(), order.by(), wish.kind(), wish.to(), wish.text(), wish.backsOnHalt(), at);
-            case "back" -> new Deed.Turn(order.id(), book.release() == null ? 0 : book.release().number(), order.by(), at);
-            default -> null;
-        };
+        String against =
+                switch (order.what()) {
+                    case "leave" -> book.against(order.node(), outs, out);
+                    case "release" -> book.againstRelease(wish.kind(), wish.to(), wish.text());
+                    case "back" ->
+                            book.release() == null
+                                    ? "no release is open"
+                                    : book.release().back()
+                                            ? book.release() + " is on its way back already"
+                                            : "";
+                    case "rest" -> book.againstRest(order.server(), mostResting);
+                    case "unrest" ->
+                            book.rests().stream()
+                                            .anyMatch(rest -> rest.server().equals(order.server()))
+                                    ? ""
+                                    : order.server() + " doesn't rest";
+                    default -> "";
+                };
+        Deed deed =
+                switch (order.what()) {
+                    case "leave" ->
+                            new Deed.Allow(order.id(), order.node(), order.by(), at, outs, out);
+                    case "halt", "resume" ->
+                            new Deed.Halt(order.id(), order.what().equals("halt"), order.by(), at);
+                    case "forget" -> new Deed.Forget(order.node());
+                    case "rest" ->
+                            new Deed.LetRest(
+                                    order.id(), order.server(), order.by(), mostResting, at);
+                    case "unrest" -> new Deed.EndRest(order.id(), order.server(), order.by(), at);
+                    case "release" ->
+                            new Deed.Begin(
+                                    order.id(),
+                                    order.by(),
+                                    wish.kind(),
+                                    wish.to(),
+                                    wish.text(),
+                                    wish.backsOnHalt(),
+                                    at);
+                    case "back" ->
+                            new Deed.Turn(
+                                    order.id(),
+                                    book.release() == null ? 0 : book.release().number(),
+                                    order.by(),
+                                    at);
+                    default -> null;
+                };
         if (before != null || deed == null || !against.isEmpty()) {
-            to.accept(new Answer(before != null, before != null ? before : deed == null ? "there is no order "
-                    + order.what() : against));
+            to.accept(
+                    new Answer(
+                            before != null,
+                            before != null
+                                    ? before
+                                    : deed == null
+                                            ? "there is no order " + order.what()
+                                            : against));
             return;
         }
-        propose(deed, fitted -> to.accept(new Answer(fitted, book.answer(order.id()) != null ? book.answer(order.id())
-                : fitted ? order.what() + " " + order.node() : "it did not fit any more, or may be written yet; ask again")));
+        propose(
+                deed,
+                fitted ->
+                        to.accept(
+                                new Answer(
+                                        fitted,
+                                        book.answer(order.id()) != null
+                                                ? book.answer(order.id())
+                                                : fitted
+                                                        ? order.what() + " " + order.node()
+                                                        : "it did not fit any more, or may be written yet; ask again")));
     }
 
     /** Who votes, as far as this voter knows. */
@@ -409,8 +589,9 @@
     }
 
     /**
-     * Lets a voter in that lost its folder, under its new id, one step at a time and at each asking: the id that it had
-     * goes first, so that what it may have promised under it binds nobody to a vote it no longer knows of.
+     * Lets a voter in that lost its folder, under its new id, one step at a time and at each
+     * asking: the id that it had goes first, so that what it may have promised under it binds
+     * nobody to a vote it no longer knows of.
      */
     void admit(String id) {
         RaftGroupMembers members = raft.getCommittedMembers();
@@ -418,25 +599,42 @@
         if (!leads() || changing || members.getVotingMembers().contains(one)) {
             return;
         }
-        Optional<RaftEndpoint> old = members.getMembers().stream()
-                .filter(other -> !other.equals(one) && Voter.of(other).name().equals(one.name())).findFirst();
-        MembershipChangeMode mode = old.isPresent() ? MembershipChangeMode.REMOVE_MEMBER
-                : members.getMembers().contains(one) ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
-                : MembershipChangeMode.ADD_LEARNER;
+        Optional<RaftEndpoint> old =
+                members.getMembers().stream()
+                        .filter(
+                                other ->
+                                        !other.equals(one)
+                                                && Voter.of(other).name().equals(one.name()))
+                        .findFirst();
+        MembershipChangeMode mode =
+                old.isPresent()
+                        ? MembershipChangeMode.REMOVE_MEMBER
+                        : members.getMembers().contains(one)
+                                ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
+                                : MembershipChangeMode.ADD_LEARNER;
         changing = true;
-        raft.changeMembership(old.orElse(one), mode, members.getLogIndex()).whenComplete((done, failed) -> {
-            changing = false;
-            if (failed == null) {
-                means.log().accept("written: " + mode + " " + RaftText.id(old.orElse(one)));
-            }
-        });
+        raft.changeMembership(old.orElse(one), mode, members.getLogIndex())
+                .whenComplete(
+                        (done, failed) -> {
+                            changing = false;
+                            if (failed == null) {
+                                means.log()
+                                        .accept(
+                                                "written: "
+                                                        + mode
+                                                        + " "
+                                                        + RaftText.id(old.orElse(one)));
+                            }
+                        });
     }
 
     /** Has another voter lead, where there is one: a leader that goes by itself leaves no gap. */
     void handOver() {
         if (leads()) {
-            raft.getCommittedMembers().getVotingMembers().stream().filter(one -> !one.equals(raft.getLocalEndpoint()))
-                    .findFirst().ifPresent(raft::transferLeadership);
+            raft.getCommittedMembers().getVotingMembers().stream()
+                    .filter(one -> !one.equals(raft.getLocalEndpoint()))
+                    .findFirst()
+                    .ifPresent(raft::transferLeadership);
         }
     }
 
--- a/src/main/java/lupinwood/council/DeedText.java
+++ b/src/main/java/lupinwood/council/DeedText.java
@@ -14,14 +14,31 @@
 final class DeedText {
     private static final Gson GSON = new Gson();
     private static final Map<String, Class<? extends Deed>> KINDS = new TreeMap<>();
+
     /** A page is cut into pieces of so many characters, so that no message grows past its bound. */
     private static final int PIECE = 64 * 1024;
 
     static {
-        for (Class<? extends Deed> kind : List.of(Deed.Found.class, Deed.Join.class, Deed.Leave.class, Deed.Forget.class,
-                Deed.Give.class, Deed.Free.class, Deed.Keep.class, Deed.Allow.class, Deed.Back.class, Deed.Halt.class,
-                Deed.Begin.class, Deed.Step.class, Deed.Turn.class, Deed.Finish.class,
-                Deed.LetRest.class, Deed.EndRest.class, Deed.SetPlan.class, Deed.Retire.class)) {
+        for (Class<? extends Deed> kind :
+                List.of(
+                        Deed.Found.class,
+                        Deed.Join.class,
+                        Deed.Leave.class,
+                        Deed.Forget.class,
+                        Deed.Give.class,
+                        Deed.Free.class,
+                        Deed.Keep.class,
+                        Deed.Allow.class,
+                        Deed.Back.class,
+                        Deed.Halt.class,
+                        Deed.Begin.class,
+                        Deed.Step.class,
+                        Deed.Turn.class,
+                        Deed.Finish.class,
+                        Deed.LetRest.class,
+                        Deed.EndRest.class,
+                        Deed.SetPlan.class,
+                        Deed.Retire.class)) {
             KINDS.put(kind.getSimpleName(), kind);
         }
     }
--- a/src/main/java/lupinwood/council/Emptied.java
+++ b/src/main/java/lupinwood/council/Emptied.java
@@ -6,8 +6,9 @@
 import lupinwood.fleet.Standing;
 
 /**
- * Whether a server that rests is empty: each node that is in has said, in this life and lately, that it sends nothing new
- * there and has nothing there. A node that can't be heard is never taken to have stopped: it may be at work beyond a cut.
+ * Whether a server that rests is empty: each node that is in has said, in this life and lately,
+ * that it sends nothing new there and has nothing there. A node that can't be heard is never taken
+ * to have stopped: it may be at work beyond a cut.
  */
 public final class Emptied {
     private static final int MOST_NAMED = 5;
@@ -28,6 +29,7 @@
             }
         }
         int more = left.size() - MOST_NAMED;
-        return String.join(", ", left.subList(0, Math.min(left.size(), MOST_NAMED))) + (more > 0 ? " and " + more + " more" : "");
+        return String.join(", ", left.subList(0, Math.min(left.size(), MOST_NAMED)))
+                + (more > 0 ? " and " + more + " more" : "");
     }
 }
--- a/src/main/java/lupinwood/council/Fleet.java
+++ b/src/main/java/lupinwood/council/Fleet.java
@@ -42,13 +42,13 @@
 import lupinwood.release.Picture;
 
 /**
- * One node's part in its fleet: its talk with the council, the duties it holds, and where it is a voter, its part in the
- * council itself. All on a thread of its own; the deciding thread only reads {@link #view}. Whatever happens here, the
- * node serves on.
+ * One node's part in its fleet: its talk with the council, the duties it holds, and where it is a
+ * voter, its part in the council itself. All on a thread of its own; the deciding thread only reads
+ * {@link #view}. Whatever happens here, the node serves on.
  */
 public final class Fleet {
-    public static final List<DutyName> DUTIES = List.of(DutyName.KEEPER, DutyName.TRIAL, DutyName.CONDUCTOR,
-            DutyName.PLANNER);
+    public static final List<DutyName> DUTIES =
+            List.of(DutyName.KEEPER, DutyName.TRIAL, DutyName.CONDUCTOR, DutyName.PLANNER);
     private static final Gson GSON = new Gson();
     private static final String PROGRAM = Spoilt.program();
     private static final Span LOOK = Span.ofSeconds(0.02);
@@ -64,9 +64,14 @@
      * @param hands checks and takes the fleet's text
      * @param leave has the node leave as by the notice; returns at once
      */
-    public record Self(Supplier<Condition> condition, Supplier<List<String>> leftOut, Supplier<List<String>> emptied,
-            Supplier<List<Report.Use>> uses, Supplier<Tally> tally,
-            Supplier<Hands> hands, Runnable leave) {}
+    public record Self(
+            Supplier<Condition> condition,
+            Supplier<List<String>> leftOut,
+            Supplier<List<String>> emptied,
+            Supplier<List<Report.Use>> uses,
+            Supplier<Tally> tally,
+            Supplier<Hands> hands,
+            Runnable leave) {}
 
     private final FleetSettings settings;
     private final Self self;
@@ -77,16 +82,22 @@
     private final Life life = new Life(random.nextLong());
     private final Session session;
     private final Set<Grant> known = new HashSet<>();
+
     /** The reply whose findings are in the view. */
     private Reply toldOf;
+
     private List<FleetView.Found> found = List.of();
+
     /** Where each voter is reached; it may move. */
     private Map<NodeName, InetSocketAddress> voters;
+
     private volatile FleetView view = FleetView.NONE;
     private volatile boolean leaving;
     private Folder folder;
+
     /** Null before this voter takes part, and in a node that is none. */
     private Council council;
+
     private Founding founding;
     private KeeperWork keeper;
     private TextWork texts;
@@ -104,17 +115,29 @@
         this.log = log;
         loop = new RealLoop(log);
         carriage = new Carriage(this::heard, log);
-        session = new Session(settings.rules(), settings.name(), life, settings.site(), settings.names(),
-                random.nextLong(), loop.now());
+        session =
+                new Session(
+                        settings.rules(),
+                        settings.name(),
+                        life,
+                        settings.site(),
+                        settings.names(),
+                        random.nextLong(),
+                        loop.now());
     }
 
-    /** Whatever the fleet can't do here is told by the log: a node that serves alone is better than none. */
+    /**
+     * Whatever the fleet can't do here is told by the log: a node that serves alone is better than
+     * none.
+     */
     public void start() {
         if (settings.votes()) {
             try {
                 vote();
             } catch (IOException e) {
-                log.line("fleet: this node can't be a voter until it is started anew: " + e.getMessage());
+                log.line(
+                        "fleet: this node can't be a voter until it is started anew: "
+                                + e.getMessage());
                 founding = null;
             }
         }
@@ -125,7 +148,15 @@
         conductor = new Conductor(settings.name(), settings.limits());
         loop.execute(this::talk);
         loop.execute(this::look);
-        log.line("fleet: " + settings.name() + " in " + settings.site() + ", life " + life + ", voters " + settings.names());
+        log.line(
+                "fleet: "
+                        + settings.name()
+                        + " in "
+                        + settings.site()
+                        + ", life "
+                        + life
+                        + ", voters "
+                        + settings.names());
     }
 
     private void vote() throws IOException {
@@ -134,11 +165,14 @@
         RestoredRaftState kept = folder.restore();
         Founding.State state = Founding.of(kept);
         founding = new Founding(settings.name(), settings.names(), state, FOUNDING_EVERY.times(4));
-        log.line("fleet: a voter, " + switch (state) {
-            case EMPTY -> "with nothing kept: founds the council, or comes anew to one that is";
-            case FOUNDS -> "founding the council";
-            case VOTES -> "with what it kept";
-        });
+        log.line(
+                "fleet: a voter, "
+                        + switch (state) {
+                            case EMPTY ->
+                                    "with nothing kept: founds the council, or comes anew to one that is";
+                            case FOUNDS -> "founding the council";
+                            case VOTES -> "with what it kept";
+                        });
         loop.execute(state == Founding.State.VOTES ? () -> takePart(kept, null) : this::found);
     }
 
@@ -160,12 +194,15 @@
                     return;
                 }
                 case COME_ANEW -> {
-                    String id = settings.name().text() + "~" + Integer.toHexString(random.nextInt());
-                    log.line("fleet: the council has this voter's votes, its folder hasn't: comes anew as " + id);
+                    String id =
+                            settings.name().text() + "~" + Integer.toHexString(random.nextInt());
+                    log.line(
+                            "fleet: the council has this voter's votes, its folder hasn't: comes anew as "
+                                    + id);
                     takePart(null, id);
                     return;
                 }
-                default -> { }
+                default -> {}
             }
         } catch (IOException e) {
             folderFailed(e.getMessage());
@@ -176,20 +213,35 @@
     }
 
     private void askOthers(JsonObject text) {
-        voters.forEach((name, address) -> {
-            if (!name.equals(settings.name())) {
-                carriage.say(address, text);
-            }
-        });
+        voters.forEach(
+                (name, address) -> {
+                    if (!name.equals(settings.name())) {
+                        carriage.say(address, text);
+                    }
+                });
     }
 
     private void takePart(RestoredRaftState kept, String newId) {
         String id = newId != null ? newId : settings.name().text();
         List<String> founders = settings.names().stream().map(NodeName::text).toList();
-        // The seconds of the wall clock matter once in a council's life: tokens of a lost one stay lower.
+        // The seconds of the wall clock matter once in a council's life: tokens of a lost one stay
+        // lower.
         long above = WallClock.now().getEpochSecond() * 1000;
-        council = new Council(settings.name(), id, founders, settings.rules(), DUTIES, above,
-                new Council.Means(loop, this::post, folder, kept, random, text -> log.line("fleet: " + text)));
+        council =
+                new Council(
+                        settings.name(),
+                        id,
+                        founders,
+                        settings.rules(),
+                        DUTIES,
+                        above,
+                        new Council.Means(
+                                loop,
+                                this::post,
+                                folder,
+                                kept,
+                                random,
+                                text -> log.line("fleet: " + text)));
         council.start();
         askIn();
     }
@@ -207,7 +259,9 @@
     }
 
     private void folderFailed(String why) {
-        log.line("fleet: the folder failed, this voter votes no more until it is started anew: " + why);
+        log.line(
+                "fleet: the folder failed, this voter votes no more until it is started anew: "
+                        + why);
         if (council != null) {
             council.stop();
             council = null;
@@ -236,11 +290,12 @@
             case "raft" -> {
                 RaftMessage message = RaftText.message(text.getAsJsonObject("m"), Council.GROUP);
                 String to = text.get("to").getAsString();
-                loop.offer(() -> {
-                    if (council != null && council.endpoint().equals(to)) {
-                        council.heard(message);
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            if (council != null && council.endpoint().equals(to)) {
+                                council.heard(message);
+                            }
+                        });
             }
             case "beat" -> {
                 Beat beat = GSON.fromJson(text.get("b"), Beat.class);
@@ -252,37 +307,43 @@
             }
             case "who" -> {
                 NodeName name = new NodeName(text.get("from").getAsString());
-                loop.offer(() -> {
-                    if (founding != null && voters.containsKey(name)) {
-                        Founding.State state = council != null ? Founding.State.VOTES : founding.state();
-                        carriage.say(voters.get(name), Founding.tell(settings.name(), state));
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            if (founding != null && voters.containsKey(name)) {
+                                Founding.State state =
+                                        council != null ? Founding.State.VOTES : founding.state();
+                                carriage.say(
+                                        voters.get(name), Founding.tell(settings.name(), state));
+                            }
+                        });
             }
             case "am" -> {
                 NodeName name = new NodeName(text.get("from").getAsString());
                 Founding.State state = Founding.State.valueOf(text.get("state").getAsString());
-                loop.offer(() -> {
-                    if (founding != null) {
-                        founding.heard(name, state, loop.now());
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            if (founding != null) {
+                                founding.heard(name, state, loop.now());
+                            }
+                        });
             }
             case "admit" -> {
                 String id = text.get("id").getAsString();
-                loop.offer(() -> {
-                    if (council != null && voters.containsKey(new Voter(id).name())) {
-                        council.admit(id);
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            if (council != null && voters.containsKey(new Voter(id).name())) {
+                                council.admit(id);
+                            }
+                        });
             }
             case "keep" -> {
                 Deed.Keep keep = GSON.fromJson(text.get("d"), Deed.Keep.class);
-                loop.offer(() -> {
-                    if (council != null && keep.digest().length() < 4096) {
-                        council.write(keep, done -> { });
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            if (council != null && keep.digest().length() < 4096) {
+                                council.write(keep, done -> {});
+                            }
+                        });
             }
             case "order" -> {
                 Council.Order order = GSON.fromJson(text.get("o"), Council.Order.class);
@@ -290,14 +351,20 @@
             }
             case "deed" -> {
                 Deed deed = DeedText.deed(text.get("d").getAsString());
-                loop.offer(() -> {
-                    // Whoever says it, the book takes these under the conductor's token only; a halt harms nothing.
-                    boolean conductors = deed instanceof Deed.Step || deed instanceof Deed.Finish || deed instanceof Deed.Halt
-                            || deed instanceof Deed.Turn || deed instanceof Deed.SetPlan;
-                    if (council != null && conductors) {
-                        council.write(deed, done -> { });
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            // Whoever says it, the book takes these under the conductor's token
+                            // only; a halt harms nothing.
+                            boolean conductors =
+                                    deed instanceof Deed.Step
+                                            || deed instanceof Deed.Finish
+                                            || deed instanceof Deed.Halt
+                                            || deed instanceof Deed.Turn
+                                            || deed instanceof Deed.SetPlan;
+                            if (council != null && conductors) {
+                                council.write(deed, done -> {});
+                            }
+                        });
             }
             case "text?" -> {
                 String digest = text.get("digest").getAsString();
@@ -307,30 +374,37 @@
                 NodeName name = new NodeName(text.get("name").getAsString());
                 loop.offer(() -> tellWanted(name, from));
             }
-            case "text" -> loop.offer(() -> texts.fetched(text.get("digest").getAsString(), text.get("text").getAsString()));
+            case "text" ->
+                    loop.offer(
+                            () ->
+                                    texts.fetched(
+                                            text.get("digest").getAsString(),
+                                            text.get("text").getAsString()));
             case "ask" -> loop.offer(() -> from.say(told(text)));
             case "told" -> {
                 JsonElement state = text.get("state");
                 boolean leads = text.get("leads").getAsBoolean();
-                loop.offer(() -> {
-                    keep(state);
-                    if (leads) {
-                        conduct(state);
-                        plan(state);
-                    }
-                });
+                loop.offer(
+                        () -> {
+                            keep(state);
+                            if (leads) {
+                                conduct(state);
+                                plan(state);
+                            }
+                        });
             }
-            default -> { } // of a newer version
+            default -> {} // of a newer version
         }
     }
 
     private void beat(Beat beat, Carriage.Peer from) {
-        Consumer<Reply> to = reply -> {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "reply");
-            text.add("r", GSON.toJsonTree(reply));
-            from.say(text);
-        };
+        Consumer<Reply> to =
+                reply -> {
+                    JsonObject text = new JsonObject();
+                    text.addProperty("k", "reply");
+                    text.add("r", GSON.toJsonTree(reply));
+                    from.say(text);
+                };
         if (council == null) {
             to.accept(Steward.elsewhere(beat, null));
         } else {
@@ -339,17 +413,21 @@
     }
 
     private void order(Council.Order order, Carriage.Peer from) {
-        Consumer<Council.Answer> to = answer -> {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "done");
-            text.addProperty("leads", answer != null);
-            text.add("a", GSON.toJsonTree(answer));
-            from.say(text);
-        };
+        Consumer<Council.Answer> to =
+                answer -> {
+                    JsonObject text = new JsonObject();
+                    text.addProperty("k", "done");
+                    text.addProperty("leads", answer != null);
+                    text.add("a", GSON.toJsonTree(answer));
+                    from.say(text);
+                };
         if (council == null) {
             to.accept(null);
         } else {
-            String against = order.what().equals("rest") ? settings.against(order.server(), council.resting()) : "";
+            String against =
+                    order.what().equals("rest")
+                            ? settings.against(order.server(), council.resting())
+                            : "";
             if (!against.isEmpty()) {
                 to.accept(council.isLeading() ? new Council.Answer(false, against) : null);
                 return;
@@ -376,7 +454,10 @@
         }
     }
 
-    /** For a node that is about to start: which text it is to go by, with the text; by whoever leads. */
+    /**
+     * For a node that is about to start: which text it is to go by, with the text; by whoever
+     * leads.
+     */
     private void tellWanted(NodeName name, Carriage.Peer to) {
         String digest = council == null ? null : council.wanted(name);
         JsonObject text = new JsonObject();
@@ -396,10 +477,19 @@
         JsonObject text = new JsonObject();
         text.addProperty("k", "told");
         text.addProperty("leads", council != null && council.isLeading());
-        text.addProperty("leader", council == null || council.leader() == null ? "" : council.leader().text());
+        text.addProperty(
+                "leader",
+                council == null || council.leader() == null ? "" : council.leader().text());
         text.add("number", question.get("number"));
-        text.add("state", council == null ? new JsonObject() : GSON.toJsonTree(council.state(question.has("tallies"),
-                question.has("past"), question.has("plans"))));
+        text.add(
+                "state",
+                council == null
+                        ? new JsonObject()
+                        : GSON.toJsonTree(
+                                council.state(
+                                        question.has("tallies"),
+                                        question.has("past"),
+                                        question.has("plans"))));
         return text;
     }
 
@@ -411,8 +501,15 @@
         }
         Moment now = loop.now();
         session.leavesOut(self.leftOut().get());
-        session.reports(new Report(PROGRAM, texts.runs(), texts.checked(), self.emptied().get(),
-                session.allotment().plan(), self.uses().get(), self.tally().get()));
+        session.reports(
+                new Report(
+                        PROGRAM,
+                        texts.runs(),
+                        texts.checked(),
+                        self.emptied().get(),
+                        session.allotment().plan(),
+                        self.uses().get(),
+                        self.tally().get()));
         Session.Sent sent = session.beat(leaving ? Condition.LEAVING : self.condition().get(), now);
         if (sent != null) {
             say(sent);
@@ -434,7 +531,10 @@
         }
         session.heard(reply, loop.now());
         if (reply.taken() && !reply.trouble().equals(before)) {
-            log.line(reply.trouble().isEmpty() ? "fleet: no longer outside" : "fleet: outside, since " + reply.trouble());
+            log.line(
+                    reply.trouble().isEmpty()
+                            ? "fleet: no longer outside"
+                            : "fleet: outside, since " + reply.trouble());
         }
         if (reply.taken()) {
             texts.follow(reply.wanted());
@@ -451,27 +551,61 @@
     private void publish() {
         Moment now = loop.now();
         List<FleetView.Held> held = new ArrayList<>();
-        session.holding().holds(now).forEach(grant -> held.add(new FleetView.Held(grant.duty(), grant.token(),
-                now.plus(session.holding().left(grant.duty(), now)))));
+        session.holding()
+                .holds(now)
+                .forEach(
+                        grant ->
+                                held.add(
+                                        new FleetView.Held(
+                                                grant.duty(),
+                                                grant.token(),
+                                                now.plus(
+                                                        session.holding()
+                                                                .left(grant.duty(), now)))));
         Reply latest = session.latest();
         if (latest != toldOf && latest != null) {
             toldOf = latest;
-            found = latest.found().stream().map(one -> new FleetView.Found(one.server(), one.well(),
-                    session.latestWord().minus(one.age()))).toList();
-        }
-        Moment touch = session.isInTouch(now) ? session.latestWord().plus(settings.rules().lease())
-                : new Moment(Long.MIN_VALUE);
-        List<String> rests = latest == null || latest.wanted() == null || latest.wanted().rests() == null ? restsAtStart
-                : latest.wanted().rests();
+            found =
+                    latest.found().stream()
+                            .map(
+                                    one ->
+                                            new FleetView.Found(
+                                                    one.server(),
+                                                    one.well(),
+                                                    session.latestWord().minus(one.age())))
+                            .toList();
+        }
+        Moment touch =
+                session.isInTouch(now)
+                        ? session.latestWord().plus(settings.rules().lease())
+                        : new Moment(Long.MIN_VALUE);
+        List<String> rests =
+                latest == null || latest.wanted() == null || latest.wanted().rests() == null
+                        ? restsAtStart
+                        : latest.wanted().rests();
         Allotment may = session.allotment();
-        view = new FleetView(touch, held, found, new FleetView.Share(may.plan(), may.slots(), may.until()), rests, latest == null ? null : latest.leader());
+        view =
+                new FleetView(
+                        touch,
+                        held,
+                        found,
+                        new FleetView.Share(may.plan(), may.slots(), may.until()),
+                        rests,
+                        latest == null ? null : latest.leader());
         Set<Grant> holds = new HashSet<>(session.holding().holds(now));
         List<Grant> news = new ArrayList<>(holds);
         news.removeAll(known);
         news.sort(Comparator.comparing(Grant::token));
         news.forEach(grant -> log.line("fleet: holds " + grant.duty() + " under " + grant.token()));
-        known.stream().filter(grant -> !holds.contains(grant))
-                .forEach(grant -> log.line("fleet: holds " + grant.duty() + " no more, under " + grant.token()));
+        known.stream()
+                .filter(grant -> !holds.contains(grant))
+                .forEach(
+                        grant ->
+                                log.line(
+                                        "fleet: holds "
+                                                + grant.duty()
+                                                + " no more, under "
+                                                + grant.token()));
         known.clear();
         known.addAll(holds);
     }
@@ -487,7 +621,9 @@
         if (session.latest() != null && session.isInTouch(loop.now())) {
             texts.follow(session.latest().wanted());
         }
-        boolean plans = !settings.places().isEmpty() && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
+        boolean plans =
+                !settings.places().isEmpty()
+                        && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
         if (token != null || leads != null && releaseOpen || plans) {
             JsonObject ask = new JsonObject();
             ask.addProperty("k", "ask");
@@ -514,8 +650,12 @@
         if (token == null || !state.isJsonObject() || !state.getAsJsonObject().has("seen")) {
             return;
         }
-        if (keeper != null && !keeper.tell(token, GSON.toJson(state),
-                () -> token.equals(view.mayAct(DutyName.KEEPER, loop.now())), bad -> loop.execute(() -> keeperFails(bad)))) {
+        if (keeper != null
+                && !keeper.tell(
+                        token,
+                        GSON.toJson(state),
+                        () -> token.equals(view.mayAct(DutyName.KEEPER, loop.now())),
+                        bad -> loop.execute(() -> keeperFails(bad)))) {
             return;
         }
         Moment now = loop.now();
@@ -523,8 +663,13 @@
             keptAt = now;
             JsonObject text = new JsonObject();
             text.addProperty("k", "keep");
-            text.add("d", GSON.toJsonTree(new Deed.Keep(token, state.getAsJsonObject().getAsJsonArray("seen").size()
-                    + " nodes known")));
+            text.add(
+                    "d",
+                    GSON.toJsonTree(
+                            new Deed.Keep(
+                                    token,
+                                    state.getAsJsonObject().getAsJsonArray("seen").size()
+                                            + " nodes known")));
             carriage.say(voters.get(session.talksTo()), text);
         }
     }
@@ -536,12 +681,22 @@
             return;
         }
         Council.State state = GSON.fromJson(told, Council.State.class);
-        Picture picture = new Picture(state.release(), state.good(), state.haltedBy(), state.seen(), state.permits(),
-                settings.outs().mostOf(state.seen().size()), state.past());
+        Picture picture =
+                new Picture(
+                        state.release(),
+                        state.good(),
+                        state.haltedBy(),
+                        state.seen(),
+                        state.permits(),
+                        settings.outs().mostOf(state.seen().size()),
+                        state.past());
         String before = conductor.says();
         List<Act> acts = conductor.decide(picture, token, loop.now());
         if (!conductor.says().equals(before) && !conductor.says().isEmpty()) {
-            log.line("fleet: " + (state.release() == null ? "" : state.release() + ": ") + conductor.says());
+            log.line(
+                    "fleet: "
+                            + (state.release() == null ? "" : state.release() + ": ")
+                            + conductor.says());
         }
         for (Act act : acts) {
             JsonObject text = new JsonObject();
@@ -550,14 +705,25 @@
                 text.addProperty("d", DeedText.of(write.deed()));
             } else if (act instanceof Act.Let let) {
                 text.addProperty("k", "order");
-                text.add("o", GSON.toJsonTree(new Council.Order(let.order(), "leave", let.node(),
-                        state.release() == null ? "the conductor" : state.release().toString())));
+                text.add(
+                        "o",
+                        GSON.toJsonTree(
+                                new Council.Order(
+                                        let.order(),
+                                        "leave",
+                                        let.node(),
+                                        state.release() == null
+                                                ? "the conductor"
+                                                : state.release().toString())));
             }
             carriage.say(voters.get(session.talksTo()), text);
         }
     }
 
-    /** The planner has the picture: the next plan, if there is to be one, under its token, to whoever leads. */
+    /**
+     * The planner has the picture: the next plan, if there is to be one, under its token, to
+     * whoever leads.
+     */
     private void plan(JsonElement told) {
         Token token = session.holding().mayAct(DutyName.PLANNER, loop.now());
         if (token == null || !told.getAsJsonObject().has("plans")) {
@@ -568,8 +734,16 @@
             plansUnder = token;
             planner = new Planner(settings.rules().lease());
         }
-        Deed.SetPlan plan = planner.decide(new Planner.View(settings.places(), state.members(), state.seen(), state.plans(),
-                state.lastPlan()), token, loop.now());
+        Deed.SetPlan plan =
+                planner.decide(
+                        new Planner.View(
+                                settings.places(),
+                                state.members(),
+                                state.seen(),
+                                state.plans(),
+                                state.lastPlan()),
+                        token,
+                        loop.now());
         if (plan != null) {
             log.line("fleet: plans: " + planner.why());
             JsonObject text = new JsonObject();
@@ -589,13 +763,14 @@
 
     /** The voters have moved: the names stay as they are, links are made anew. */
     public void reach(Map<NodeName, InetSocketAddress> moved) {
-        loop.execute(() -> {
-            if (moved.keySet().equals(voters.keySet()) && !moved.equals(voters)) {
-                voters = Map.copyOf(moved);
-                carriage.keepOnly(voters.values());
-                log.line("fleet: reaches the voters at " + voters);
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (moved.keySet().equals(voters.keySet()) && !moved.equals(voters)) {
+                        voters = Map.copyOf(moved);
+                        carriage.keepOnly(voters.values());
+                        log.line("fleet: reaches the voters at " + voters);
+                    }
+                });
     }
 
     /** Read by any thread; never waits. */
@@ -611,14 +786,15 @@
     /** The node leaves: its duties go to heirs while it drains. Returns at once. */
     public void leave() {
         leaving = true;
-        loop.execute(() -> {
-            session.handOnAll(loop.now());
-            publish();
-            talkNow(Condition.LEAVING);
-            if (council != null) {
-                council.handOver();
-            }
-        });
+        loop.execute(
+                () -> {
+                    session.handOnAll(loop.now());
+                    publish();
+                    talkNow(Condition.LEAVING);
+                    if (council != null) {
+                        council.handOver();
+                    }
+                });
     }
 
     private void talkNow(Condition condition) {
@@ -631,22 +807,24 @@
     /** The last word, and the end; takes as long at the most. */
     public void end(Span most) {
         CountDownLatch said = new CountDownLatch(1);
-        loop.execute(() -> {
-            session.handOnAll(loop.now());
-            say(session.last(loop.now()));
-            loop.after(most.times(0.5), said::countDown);
-        });
+        loop.execute(
+                () -> {
+                    session.handOnAll(loop.now());
+                    say(session.last(loop.now()));
+                    loop.after(most.times(0.5), said::countDown);
+                });
         try {
             said.await(most.nanos(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.execute(() -> {
-            over = true;
-            if (council != null) {
-                council.stop();
-            }
-        });
+        loop.execute(
+                () -> {
+                    over = true;
+                    if (council != null) {
+                        council.stop();
+                    }
+                });
         loop.end();
         carriage.end();
         if (folder != null) {
@@ -657,7 +835,12 @@
     /** For the log: what is known here now. */
     public String figures() {
         FleetView now = view;
-        return "fleet: " + (now.isInTouch(loop.now()) ? "in touch with " + now.leader() : "alone") + ", holds " + known.size()
-                + ", bytes " + carriage.bytes() + (folder == null ? "" : ", syncs " + folder.flushes());
+        return "fleet: "
+                + (now.isInTouch(loop.now()) ? "in touch with " + now.leader() : "alone")
+                + ", holds "
+                + known.size()
+                + ", bytes "
+                + carriage.bytes()
+                + (folder == null ? "" : ", syncs " + folder.flushes());
     }
 }
--- a/src/main/java/lupinwood/council/FleetSettings.java
+++ b/src/main/java/lupinwood/council/FleetSettings.java
@@ -29,9 +29,19 @@
  * @param mostResting so many of them may rest at once
  * @param report where the keeper tells the fleet's picture; null for nowhere
  */
-public record FleetSettings(NodeName name, Site site, Map<NodeName, InetSocketAddress> voters, InetSocketAddress listen,
-        Path folder, InetSocketAddress report, Rules rules, OutRules outs, Limits limits,
-        Map<String, Set<String>> servers, int mostResting, List<Place> places) {
+public record FleetSettings(
+        NodeName name,
+        Site site,
+        Map<NodeName, InetSocketAddress> voters,
+        InetSocketAddress listen,
+        Path folder,
+        InetSocketAddress report,
+        Rules rules,
+        OutRules outs,
+        Limits limits,
+        Map<String, Set<String>> servers,
+        int mostResting,
+        List<Place> places) {
     private static final BigDecimal LEASE = new BigDecimal(3_000_000_000L);
     private static final BigDecimal WATCH = new BigDecimal(60_000_000_000L);
     private static final BigDecimal WATCH_MOST = new BigDecimal(900_000_000_000L);
@@ -45,27 +55,45 @@
             return null;
         }
         Map<NodeName, InetSocketAddress> voters = new LinkedHashMap<>();
-        names.forEach(name -> voters.put(new NodeName(name), address(meaning.value("voter " + name + " address"))));
-        String name = meaning.values().getOrDefault("name", ""); // an operator's file by itself has none
+        names.forEach(
+                name ->
+                        voters.put(
+                                new NodeName(name),
+                                address(meaning.value("voter " + name + " address"))));
+        String name =
+                meaning.values().getOrDefault("name", ""); // an operator's file by itself has none
         boolean votes = names.contains(name);
         String listen = meaning.value("fleet listen");
         Span lease = new Span(meaning.number("fleet lease", LEASE).longValue());
         Rules rules = Rules.of(lease, meaning.number("fleet drift", DRIFT).doubleValue());
-        return new FleetSettings(new NodeName(name),
-                new Site(meaning.values().getOrDefault("fleet region", "region"),
-                        meaning.values().getOrDefault("fleet zone", "zone")), voters,
+        return new FleetSettings(
+                new NodeName(name),
+                new Site(
+                        meaning.values().getOrDefault("fleet region", "region"),
+                        meaning.values().getOrDefault("fleet zone", "zone")),
+                voters,
                 !votes ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
                 votes ? Path.of(meaning.values().getOrDefault("fleet folder", "")) : null,
-                meaning.value("fleet report") == null ? null : address(meaning.value("fleet report")), rules,
+                meaning.value("fleet report") == null
+                        ? null
+                        : address(meaning.value("fleet report")),
+                rules,
                 outs(meaning, new ArrayList<>(voters.keySet())),
-                limits(meaning, lease), servers(meaning), meaning.number("out below-most", BigDecimal.ONE).intValue(),
+                limits(meaning, lease),
+                servers(meaning),
+                meaning.number("out below-most", BigDecimal.ONE).intValue(),
                 places(meaning));
     }
 
     private static Map<String, Set<String>> servers(Meaning meaning) {
         Map<String, Set<String>> servers = new LinkedHashMap<>();
         for (String name : meaning.items(Schema.SERVER)) {
-            servers.put(name, Set.of(meaning.values().getOrDefault("server " + name + " tracks", "").split(",")));
+            servers.put(
+                    name,
+                    Set.of(
+                            meaning.values()
+                                    .getOrDefault("server " + name + " tracks", "")
+                                    .split(",")));
         }
         return servers;
     }
@@ -77,23 +105,39 @@
             String at = "server " + name + " ";
             if (meaning.value(at + "bears") != null) {
                 int bears = meaning.number(at + "bears", null).intValue();
-                places.add(new Place(name, new Site(meaning.values().getOrDefault(at + "region", "region"),
-                        meaning.values().getOrDefault(at + "zone", "zone")), bears,
-                        meaning.number(at + "near", BigDecimal.ONE).intValue(), meaning.number(at + "far", BigDecimal.ZERO).intValue(),
-                        Boolean.parseBoolean(meaning.values().getOrDefault(at + "stays-in-region", "false"))));
+                places.add(
+                        new Place(
+                                name,
+                                new Site(
+                                        meaning.values().getOrDefault(at + "region", "region"),
+                                        meaning.values().getOrDefault(at + "zone", "zone")),
+                                bears,
+                                meaning.number(at + "near", BigDecimal.ONE).intValue(),
+                                meaning.number(at + "far", BigDecimal.ZERO).intValue(),
+                                Boolean.parseBoolean(
+                                        meaning.values()
+                                                .getOrDefault(at + "stays-in-region", "false"))));
             }
         }
         return places;
     }
 
-    /** Why a server may not rest beside those that do: by this node's file, nobody would carry out some track. */
+    /**
+     * Why a server may not rest beside those that do: by this node's file, nobody would carry out
+     * some track.
+     */
     String against(String server, Set<String> resting) {
         if (!servers.containsKey(server)) {
             return "the file of " + name + ", which leads, names no server " + server;
         }
         for (String track : servers.get(server)) {
-            boolean other = servers.entrySet().stream().anyMatch(one -> !one.getKey().equals(server)
-                    && !resting.contains(one.getKey()) && one.getValue().contains(track));
+            boolean other =
+                    servers.entrySet().stream()
+                            .anyMatch(
+                                    one ->
+                                            !one.getKey().equals(server)
+                                                    && !resting.contains(one.getKey())
+                                                    && one.getValue().contains(track));
             if (!other) {
                 return "nobody else would carry out tickets of " + track;
             }
@@ -102,18 +146,23 @@
     }
 
     private static Limits limits(Meaning meaning, Span lease) {
-        return Limits.of(new Span(meaning.number("release watch", WATCH).longValue()),
+        return Limits.of(
+                new Span(meaning.number("release watch", WATCH).longValue()),
                 new Span(meaning.number("release watch-most", WATCH_MOST).longValue()),
-                meaning.number("release harm", HARM).doubleValue(), lease);
+                meaning.number("release harm", HARM).doubleValue(),
+                lease);
     }
 
     private static OutRules outs(Meaning meaning, List<NodeName> voters) {
         OutRules usual = OutRules.USUAL;
-        return new OutRules(meaning.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
+        return new OutRules(
+                meaning.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
                 meaning.number("out share", BigDecimal.valueOf(usual.share())).doubleValue(),
                 meaning.number("out zone-most", BigDecimal.valueOf(usual.zoneMost())).intValue(),
-                meaning.number("out zone-share", BigDecimal.valueOf(usual.zoneShare())).doubleValue(),
-                meaning.number("out least-in", BigDecimal.valueOf(usual.leastIn())).intValue(), voters);
+                meaning.number("out zone-share", BigDecimal.valueOf(usual.zoneShare()))
+                        .doubleValue(),
+                meaning.number("out least-in", BigDecimal.valueOf(usual.leastIn())).intValue(),
+                voters);
     }
 
     public boolean votes() {
@@ -126,6 +175,7 @@
 
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 }
--- a/src/main/java/lupinwood/council/FleetView.java
+++ b/src/main/java/lupinwood/council/FleetView.java
@@ -8,27 +8,46 @@
 import lupinwood.node.Moment;
 
 /**
- * What other threads of a node may know of the fleet: a ready picture, replaced as a whole, on the monotonic clock of
- * {@link System#nanoTime}.
+ * What other threads of a node may know of the fleet: a ready picture, replaced as a whole, on the
+ * monotonic clock of {@link System#nanoTime}.
  *
  * @param touchUntil after it the council's word is stale, and this node does as it would alone
  * @param held what this node holds, each with its end
  * @param found what the holder of the duty trial found, in no order
  * @param share what it may have at places below by the plan, and until when
- * @param rests servers to which nothing new is to be sent, by the council's last word, however old that is
+ * @param rests servers to which nothing new is to be sent, by the council's last word, however old
+ *     that is
  * @param leader who leads the council; null where nobody is known to
  */
-public record FleetView(Moment touchUntil, List<Held> held, List<Found> found, Share share, List<String> rests,
+public record FleetView(
+        Moment touchUntil,
+        List<Held> held,
+        List<Found> found,
+        Share share,
+        List<String> rests,
         NodeName leader) {
-    static final FleetView NONE = new FleetView(new Moment(Long.MIN_VALUE), List.of(), List.of(), new Share(0, Map.of(), new Moment(Long.MIN_VALUE)), List.of(), null);
+    static final FleetView NONE =
+            new FleetView(
+                    new Moment(Long.MIN_VALUE),
+                    List.of(),
+                    List.of(),
+                    new Share(0, Map.of(), new Moment(Long.MIN_VALUE)),
+                    List.of(),
+                    null);
 
-    /** @param until when it may be done no more */
+    /**
+     * @param until when it may be done no more
+     */
     public record Held(DutyName duty, Token token, Moment until) {}
 
-    /** @param plan zero before the first */
+    /**
+     * @param plan zero before the first
+     */
     public record Share(long plan, Map<String, Integer> slots, Moment until) {}
 
-    /** @param at when it was tried, by this node's clock */
+    /**
+     * @param at when it was tried, by this node's clock
+     */
     public record Found(String server, boolean well, Moment at) {}
 
     public boolean isInTouch(Moment now) {
--- a/src/main/java/lupinwood/council/Folder.java
+++ b/src/main/java/lupinwood/council/Folder.java
@@ -23,9 +23,10 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * A voter's folder: one file of MVStore, which checks what it reads and takes up its last whole version. What is to be
- * durable is synced before the library goes on. After the first failure nothing is written any more: what a disk that
- * failed once says it has kept can't be trusted, so the voter stops voting until it is started anew.
+ * A voter's folder: one file of MVStore, which checks what it reads and takes up its last whole
+ * version. What is to be durable is synced before the library goes on. After the first failure
+ * nothing is written any more: what a disk that failed once says it has kept can't be trusted, so
+ * the voter stops voting until it is started anew.
  */
 final class Folder implements RaftStore, Closeable {
     private static final String FILE = "council.mv";
@@ -51,7 +52,8 @@
     }
 
     /**
-     * Opens or makes it; a second process on one folder, a damaged file and a newer form are told by the exception.
+     * Opens or makes it; a second process on one folder, a damaged file and a newer form are told
+     * by the exception.
      *
      * @param failed told once, when a write failed
      */
@@ -59,18 +61,28 @@
         Files.createDirectories(at);
         MVStore store;
         try {
-            store = new MVStore.Builder().fileName(at.resolve(FILE).toString()).autoCommitDisabled().cacheSize(CACHE_MB)
-                    .open();
+            store =
+                    new MVStore.Builder()
+                            .fileName(at.resolve(FILE).toString())
+                            .autoCommitDisabled()
+                            .cacheSize(CACHE_MB)
+                            .open();
         } catch (MVStoreException e) {
             String message = e.getMessage() == null ? "" : e.getMessage();
-            throw new IOException(message.contains("lock") ? "another process uses the folder " + at
-                    : "the folder " + at + " can't be read: " + message.replaceAll("\\[.*", "").strip());
+            throw new IOException(
+                    message.contains("lock")
+                            ? "another process uses the folder " + at
+                            : "the folder "
+                                    + at
+                                    + " can't be read: "
+                                    + message.replaceAll("\\[.*", "").strip());
         }
         Folder folder = new Folder(store, failed);
         String form = folder.facts.putIfAbsent("form", FORM);
         if (form != null && !form.equals(FORM)) {
             store.closeImmediately();
-            throw new IOException("the folder " + at + " has form " + form + "; this build reads form " + FORM);
+            throw new IOException(
+                    "the folder " + at + " has form " + form + "; this build reads form " + FORM);
         }
         return folder;
     }
@@ -79,9 +91,11 @@
     RestoredRaftState restore() throws IOException {
         try {
             List<SnapshotChunk> pieces = new ArrayList<>();
-            chunks.keyIterator(null).forEachRemaining(key -> pieces.add(RaftText.chunk(json(chunks.get(key)))));
+            chunks.keyIterator(null)
+                    .forEachRemaining(key -> pieces.add(RaftText.chunk(json(chunks.get(key)))));
             List<LogEntry> entries = new ArrayList<>();
-            log.keyIterator(null).forEachRemaining(key -> entries.add(RaftText.entry(json(log.get(key)))));
+            log.keyIterator(null)
+                    .forEachRemaining(key -> entries.add(RaftText.entry(json(log.get(key)))));
             return Kept.restore(self(), members(), term(), pieces, entries);
         } catch (RuntimeException e) {
             throw new IOException("the folder holds what can't be read: " + e);
@@ -90,9 +104,13 @@
 
     private RaftEndpointPersistentState self() {
         String kept = facts.get("self");
-        return kept == null ? null : RaftText.MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Voter(json(kept).get("id").getAsString()))
-                .setVoting(json(kept).get("voting").getAsBoolean()).build();
+        return kept == null
+                ? null
+                : RaftText.MODEL
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(new Voter(json(kept).get("id").getAsString()))
+                        .setVoting(json(kept).get("voting").getAsBoolean())
+                        .build();
     }
 
     private RaftGroupMembersView members() {
@@ -106,8 +124,14 @@
             return null;
         }
         JsonElement votedFor = json(kept).get("votedFor");
-        return RaftText.MODEL.createRaftTermPersistentStateBuilder().setTerm(json(kept).get("term").getAsInt())
-                .setVotedFor(votedFor == null || votedFor.isJsonNull() ? null : new Voter(votedFor.getAsString())).build();
+        return RaftText.MODEL
+                .createRaftTermPersistentStateBuilder()
+                .setTerm(json(kept).get("term").getAsInt())
+                .setVotedFor(
+                        votedFor == null || votedFor.isJsonNull()
+                                ? null
+                                : new Voter(votedFor.getAsString()))
+                .build();
     }
 
     private static JsonObject json(String text) {
@@ -161,7 +185,8 @@
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
+            throws IOException {
         put("members", RaftText.of(members));
         durable();
     }
@@ -192,7 +217,9 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         whole();
         try {
-            chunks.put(key(chunk.getIndex(), chunk.getSnapshotChunkIndex()), RaftText.of(chunk).toString());
+            chunks.put(
+                    key(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
+                    RaftText.of(chunk).toString());
         } catch (MVStoreException e) {
             throw failure(e);
         }
--- a/src/main/java/lupinwood/council/Founding.java
+++ b/src/main/java/lupinwood/council/Founding.java
@@ -15,17 +15,27 @@
 import lupinwood.node.Span;
 
 /**
- * How a voter becomes one. With an empty folder it can't know whether it never voted or has lost what it promised. So a
- * council is founded only while all voters named are there: each writes down that it founds once all others are empty or
- * founding too, and takes part once all have. Whoever then hears of a term from another, and has nothing itself, has lost
- * its folder: it never votes as who it was, and asks to be let in under a new id.
+ * How a voter becomes one. With an empty folder it can't know whether it never voted or has lost
+ * what it promised. So a council is founded only while all voters named are there: each writes down
+ * that it founds once all others are empty or founding too, and takes part once all have. Whoever
+ * then hears of a term from another, and has nothing itself, has lost its folder: it never votes as
+ * who it was, and asks to be let in under a new id.
  */
 final class Founding {
     /** What another voter is: nothing kept, founding, or with a term behind it. */
-    enum State { EMPTY, FOUNDS, VOTES }
+    enum State {
+        EMPTY,
+        FOUNDS,
+        VOTES
+    }
 
     /** What this voter is to do. */
-    enum Step { WAIT, FOUND, TAKE_PART, COME_ANEW }
+    enum Step {
+        WAIT,
+        FOUND,
+        TAKE_PART,
+        COME_ANEW
+    }
 
     private record Word(State state, Moment at) {}
 
@@ -51,15 +61,22 @@
         if (words.values().stream().anyMatch(word -> word.state() == State.VOTES)) {
             return state == State.EMPTY ? Step.COME_ANEW : Step.TAKE_PART;
         }
-        boolean all = others.stream().allMatch(name -> words.containsKey(name)
-                && now.since(words.get(name).at()).compareTo(fresh) <= 0);
+        boolean all =
+                others.stream()
+                        .allMatch(
+                                name ->
+                                        words.containsKey(name)
+                                                && now.since(words.get(name).at()).compareTo(fresh)
+                                                        <= 0);
         if (!all) {
             return Step.WAIT;
         }
         if (state == State.EMPTY) {
             return Step.FOUND;
         }
-        return words.values().stream().allMatch(word -> word.state() == State.FOUNDS) ? Step.TAKE_PART : Step.WAIT;
+        return words.values().stream().allMatch(word -> word.state() == State.FOUNDS)
+                ? Step.TAKE_PART
+                : Step.WAIT;
     }
 
     void founded() {
@@ -75,20 +92,36 @@
         if (kept == null) {
             return State.EMPTY;
         }
-        boolean never = kept.getTermPersistentState().getTerm() == 0 && kept.getLogEntries().isEmpty()
-                && kept.getSnapshotEntry() == null;
-        return never && Voter.of(kept.getLocalEndpointPersistentState().getLocalEndpoint()).id().indexOf('~') < 0
-                ? State.FOUNDS : State.VOTES;
+        boolean never =
+                kept.getTermPersistentState().getTerm() == 0
+                        && kept.getLogEntries().isEmpty()
+                        && kept.getSnapshotEntry() == null;
+        return never
+                        && Voter.of(kept.getLocalEndpointPersistentState().getLocalEndpoint())
+                                        .id()
+                                        .indexOf('~')
+                                < 0
+                ? State.FOUNDS
+                : State.VOTES;
     }
 
     /** Writes down that this voter is one of the founders. */
     static void write(Folder folder, NodeName self, List<NodeName> voters) throws IOException {
         Set<RaftEndpoint> all = new LinkedHashSet<>();
         voters.forEach(name -> all.add(new Voter(name.text())));
-        folder.persistAndFlushLocalEndpoint(RaftText.MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Voter(self.text())).setVoting(true).build());
-        folder.persistAndFlushInitialGroupMembers(RaftText.MODEL.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(all).setVotingMembers(all).build());
+        folder.persistAndFlushLocalEndpoint(
+                RaftText.MODEL
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(new Voter(self.text()))
+                        .setVoting(true)
+                        .build());
+        folder.persistAndFlushInitialGroupMembers(
+                RaftText.MODEL
+                        .createRaftGroupMembersViewBuilder()
+                        .setLogIndex(0)
+                        .setMembers(all)
+                        .setVotingMembers(all)
+                        .build());
     }
 
     static JsonObject ask(NodeName self) {
--- a/src/main/java/lupinwood/council/Hands.java
+++ b/src/main/java/lupinwood/council/Hands.java
@@ -7,27 +7,29 @@
 /** What a node does with the fleet's text. The outcomes may come by any thread. */
 public interface Hands {
     /** A node that can't. */
-    Hands NONE = new Hands() {
-        @Override
-        public String runs() {
-            return "";
-        }
-
-        @Override
-        public List<String> restsAtStart() {
-            return List.of();
-        }
-
-        @Override
-        public void check(String digest, String text, Consumer<Report.Checked> done) {
-            done.accept(new Report.Checked(digest, false, false, "this node takes no text"));
-        }
-
-        @Override
-        public void take(String digest, String text, Consumer<String> done) {
-            done.accept("this node takes no text");
-        }
-    };
+    Hands NONE =
+            new Hands() {
+                @Override
+                public String runs() {
+                    return "";
+                }
+
+                @Override
+                public List<String> restsAtStart() {
+                    return List.of();
+                }
+
+                @Override
+                public void check(String digest, String text, Consumer<Report.Checked> done) {
+                    done.accept(
+                            new Report.Checked(digest, false, false, "this node takes no text"));
+                }
+
+                @Override
+                public void take(String digest, String text, Consumer<String> done) {
+                    done.accept("this node takes no text");
+                }
+            };
 
     /** The digest of the text that it was started with; empty for none. */
     String runs();
--- a/src/main/java/lupinwood/council/KeeperWork.java
+++ b/src/main/java/lupinwood/council/KeeperWork.java
@@ -16,8 +16,9 @@
 import lupinwood.log.Log;
 
 /**
- * The keeper's act outside: the fleet's picture, put by HTTP with the token. Whoever takes it refuses a lower token than it
- * has seen by 409 or 412; then, or when it fails a few times in a row, this node can't do the duty.
+ * The keeper's act outside: the fleet's picture, put by HTTP with the token. Whoever takes it
+ * refuses a lower token than it has seen by 409 or 412; then, or when it fails a few times in a
+ * row, this node can't do the duty.
  */
 final class KeeperWork {
     private static final int TIMEOUT_MILLIS = 1000;
@@ -27,12 +28,18 @@
 
     private final InetSocketAddress to;
     private final Log log;
-    private final ThreadPoolExecutor thread = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(1), job -> {
-                Thread one = new Thread(job, "keeper");
-                one.setDaemon(true);
-                return one;
-            });
+    private final ThreadPoolExecutor thread =
+            new ThreadPoolExecutor(
+                    1,
+                    1,
+                    10,
+                    TimeUnit.SECONDS,
+                    new ArrayBlockingQueue<>(1),
+                    job -> {
+                        Thread one = new Thread(job, "keeper");
+                        one.setDaemon(true);
+                        return one;
+                    });
     private int failures;
 
     KeeperWork(InetSocketAddress to, Log log) {
@@ -84,8 +91,11 @@
     }
 
     private int status(Token token, byte[] picture) throws IOException {
-        HttpURLConnection put = (HttpURLConnection) URI.create("http://" + to.getHostString() + ":" + to.getPort()
-                + "/fleet").toURL().openConnection();
+        HttpURLConnection put =
+                (HttpURLConnection)
+                        URI.create("http://" + to.getHostString() + ":" + to.getPort() + "/fleet")
+                                .toURL()
+                                .openConnection();
         try {
             put.setRequestMethod("PUT");
             put.setConnectTimeout(TIMEOUT_MILLIS);
--- a/src/main/java/lupinwood/council/Kept.java
+++ b/src/main/java/lupinwood/council/Kept.java
@@ -22,25 +22,45 @@
      * @param chunks of all snapshots that are there, whole or not
      * @param log in the order of their numbers, those that a snapshot holds included
      */
-    public static RestoredRaftState restore(RaftEndpointPersistentState self, RaftGroupMembersView members,
-            RaftTermPersistentState term, Collection<SnapshotChunk> chunks, Collection<LogEntry> log) {
+    public static RestoredRaftState restore(
+            RaftEndpointPersistentState self,
+            RaftGroupMembersView members,
+            RaftTermPersistentState term,
+            Collection<SnapshotChunk> chunks,
+            Collection<LogEntry> log) {
         if (self == null || members == null) {
             return null;
         }
         TreeMap<Long, List<SnapshotChunk>> snapshots = new TreeMap<>();
-        chunks.forEach(chunk -> snapshots.computeIfAbsent(chunk.getIndex(), none -> new ArrayList<>()).add(chunk));
+        chunks.forEach(
+                chunk ->
+                        snapshots
+                                .computeIfAbsent(chunk.getIndex(), none -> new ArrayList<>())
+                                .add(chunk));
         SnapshotEntry snapshot = null;
         for (List<SnapshotChunk> one : snapshots.descendingMap().values()) {
             SnapshotChunk first = one.get(0);
             if (snapshot == null && one.size() == first.getSnapshotChunkCount()) {
-                snapshot = RaftText.MODEL.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                        .setSnapshotChunks(one).setGroupMembersView(first.getGroupMembersView()).build();
+                snapshot =
+                        RaftText.MODEL
+                                .createSnapshotEntryBuilder()
+                                .setIndex(first.getIndex())
+                                .setTerm(first.getTerm())
+                                .setSnapshotChunks(one)
+                                .setGroupMembersView(first.getGroupMembersView())
+                                .build();
             }
         }
         long from = snapshot == null ? 0 : snapshot.getIndex();
         List<LogEntry> entries = log.stream().filter(entry -> entry.getIndex() > from).toList();
-        RaftTermPersistentState known = term != null ? term
-                : RaftText.MODEL.createRaftTermPersistentStateBuilder().setTerm(0).setVotedFor(null).build();
+        RaftTermPersistentState known =
+                term != null
+                        ? term
+                        : RaftText.MODEL
+                                .createRaftTermPersistentStateBuilder()
+                                .setTerm(0)
+                                .setVotedFor(null)
+                                .build();
         return new RestoredRaftState(self, members, known, snapshot, entries);
     }
 }
--- a/src/main/java/lupinwood/council/Question.java
+++ b/src/main/java/lupinwood/council/Question.java
@@ -33,27 +33,43 @@
     }
 
     /** What the one who leads knows; null where nobody who does answered in time. */
-    public static Council.State state(Collection<InetSocketAddress> voters, Span within, Log log) throws InterruptedException {
+    public static Council.State state(Collection<InetSocketAddress> voters, Span within, Log log)
+            throws InterruptedException {
         return state(voters, within, log, false);
     }
 
-    /** @param plans with all plans that some node may go by */
-    public static Council.State state(Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
+    /**
+     * @param plans with all plans that some node may go by
+     */
+    public static Council.State state(
+            Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
             throws InterruptedException {
-        return ask(voters, within, log, plans).values().stream().filter(one -> one.get("leads").getAsBoolean())
-                .map(one -> GSON.fromJson(one.get("state"), Council.State.class)).findFirst().orElse(null);
+        return ask(voters, within, log, plans).values().stream()
+                .filter(one -> one.get("leads").getAsBoolean())
+                .map(one -> GSON.fromJson(one.get("state"), Council.State.class))
+                .findFirst()
+                .orElse(null);
     }
 
     /** Null where nobody who leads answered in time, or nobody can be reached. */
-    public static Wanted wanted(Collection<InetSocketAddress> voters, NodeName node, Span within, Log log)
+    public static Wanted wanted(
+            Collection<InetSocketAddress> voters, NodeName node, Span within, Log log)
             throws InterruptedException {
         BlockingQueue<Wanted> answers = new ArrayBlockingQueue<>(64);
-        Carriage carriage = new Carriage((from, text) -> {
-            if (text.get("k").getAsString().equals("wanted") && text.get("leads").getAsBoolean()) {
-                answers.offer(new Wanted(text.get("digest").getAsString(), text.get("text").getAsString(),
-                        text.get("program").getAsString(), rests(text)));
-            }
-        }, log);
+        Carriage carriage =
+                new Carriage(
+                        (from, text) -> {
+                            if (text.get("k").getAsString().equals("wanted")
+                                    && text.get("leads").getAsBoolean()) {
+                                answers.offer(
+                                        new Wanted(
+                                                text.get("digest").getAsString(),
+                                                text.get("text").getAsString(),
+                                                text.get("program").getAsString(),
+                                                rests(text)));
+                            }
+                        },
+                        log);
         try {
             JsonObject text = new JsonObject();
             text.addProperty("k", "wanted?");
@@ -62,7 +78,10 @@
             Wanted wanted = null;
             while (wanted == null && System.nanoTime() < end) {
                 voters.forEach(voter -> carriage.say(voter, text));
-                wanted = answers.poll(Math.min(AGAIN_MILLIS, within.nanos() / 3_000_000), TimeUnit.MILLISECONDS);
+                wanted =
+                        answers.poll(
+                                Math.min(AGAIN_MILLIS, within.nanos() / 3_000_000),
+                                TimeUnit.MILLISECONDS);
             }
             return wanted;
         } finally {
@@ -71,28 +90,34 @@
     }
 
     /**
-     * What each voter that answered in time says, in the order of the answers; ends early once the one who leads has
-     * answered.
+     * What each voter that answered in time says, in the order of the answers; ends early once the
+     * one who leads has answered.
      */
-    public static Map<Integer, JsonObject> ask(Collection<InetSocketAddress> voters, Span within, Log log)
+    public static Map<Integer, JsonObject> ask(
+            Collection<InetSocketAddress> voters, Span within, Log log)
             throws InterruptedException {
         return ask(voters, within, log, false);
     }
 
-    private static Map<Integer, JsonObject> ask(Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
+    private static Map<Integer, JsonObject> ask(
+            Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
             throws InterruptedException {
         Map<Integer, JsonObject> answers = new LinkedHashMap<>();
         CountDownLatch enough = new CountDownLatch(1);
-        Carriage carriage = new Carriage((from, text) -> {
-            synchronized (answers) {
-                if (text.get("k").getAsString().equals("told")) {
-                    answers.put(text.get("number").getAsInt(), text);
-                    if (text.get("leads").getAsBoolean() || answers.size() == voters.size()) {
-                        enough.countDown();
-                    }
-                }
-            }
-        }, log);
+        Carriage carriage =
+                new Carriage(
+                        (from, text) -> {
+                            synchronized (answers) {
+                                if (text.get("k").getAsString().equals("told")) {
+                                    answers.put(text.get("number").getAsInt(), text);
+                                    if (text.get("leads").getAsBoolean()
+                                            || answers.size() == voters.size()) {
+                                        enough.countDown();
+                                    }
+                                }
+                            }
+                        },
+                        log);
         try {
             int number = 0;
             for (InetSocketAddress voter : voters) {
@@ -114,18 +139,24 @@
     }
 
     /**
-     * Has an operator's order carried out by whoever leads; asked again until somebody does, which does no harm.
+     * Has an operator's order carried out by whoever leads; asked again until somebody does, which
+     * does no harm.
      *
      * @return null where nobody led in time
      */
-    public static Council.Answer order(Collection<InetSocketAddress> voters, Council.Order order, Span within, Log log)
+    public static Council.Answer order(
+            Collection<InetSocketAddress> voters, Council.Order order, Span within, Log log)
             throws InterruptedException {
         BlockingQueue<Council.Answer> answers = new ArrayBlockingQueue<>(64);
-        Carriage carriage = new Carriage((from, text) -> {
-            if (text.get("k").getAsString().equals("done") && text.get("leads").getAsBoolean()) {
-                answers.offer(GSON.fromJson(text.get("a"), Council.Answer.class));
-            }
-        }, log);
+        Carriage carriage =
+                new Carriage(
+                        (from, text) -> {
+                            if (text.get("k").getAsString().equals("done")
+                                    && text.get("leads").getAsBoolean()) {
+                                answers.offer(GSON.fromJson(text.get("a"), Council.Answer.class));
+                            }
+                        },
+                        log);
         try {
             JsonObject text = new JsonObject();
             text.addProperty("k", "order");
--- a/src/main/java/lupinwood/council/RaftText.java
+++ b/src/main/java/lupinwood/council/RaftText.java
@@ -31,8 +31,9 @@
 import java.util.Set;
 
 /**
- * The library's messages and log entries as JSON, and back. Operations are our own texts, but for the library's change of
- * voters. What can't be read is told by an {@link IllegalArgumentException}.
+ * The library's messages and log entries as JSON, and back. Operations are our own texts, but for
+ * the library's change of voters. What can't be read is told by an {@link
+ * IllegalArgumentException}.
  */
 final class RaftText {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
@@ -46,40 +47,98 @@
         text.addProperty("from", id(message.getSender()));
         text.addProperty("term", message.getTerm());
         if (message instanceof AppendEntriesRequest one) {
-            kind(text, "append", "prevTerm", one.getPreviousLogTerm(), "prev", one.getPreviousLogIndex(), "commit",
-                    one.getCommitIndex(), "query", one.getQuerySequenceNumber(), "flow", one.getFlowControlSequenceNumber());
+            kind(
+                    text,
+                    "append",
+                    "prevTerm",
+                    one.getPreviousLogTerm(),
+                    "prev",
+                    one.getPreviousLogIndex(),
+                    "commit",
+                    one.getCommitIndex(),
+                    "query",
+                    one.getQuerySequenceNumber(),
+                    "flow",
+                    one.getFlowControlSequenceNumber());
             JsonArray entries = new JsonArray();
             one.getLogEntries().forEach(entry -> entries.add(of(entry)));
             text.add("entries", entries);
         } else if (message instanceof AppendEntriesSuccessResponse one) {
-            kind(text, "appended", "last", one.getLastLogIndex(), "query", one.getQuerySequenceNumber(), "flow",
+            kind(
+                    text,
+                    "appended",
+                    "last",
+                    one.getLastLogIndex(),
+                    "query",
+                    one.getQuerySequenceNumber(),
+                    "flow",
                     one.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse one) {
-            kind(text, "unfit", "next", one.getExpectedNextIndex(), "query", one.getQuerySequenceNumber(), "flow",
+            kind(
+                    text,
+                    "unfit",
+                    "next",
+                    one.getExpectedNextIndex(),
+                    "query",
+                    one.getQuerySequenceNumber(),
+                    "flow",
                     one.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest one) {
             kind(text, "prevote", "lastTerm", one.getLastLogTerm(), "last", one.getLastLogIndex());
         } else if (message instanceof PreVoteResponse one) {
             kind(text, "prevoted", "yes", one.isGranted() ? 1 : 0);
         } else if (message instanceof VoteRequest one) {
-            kind(text, "vote", "lastTerm", one.getLastLogTerm(), "last", one.getLastLogIndex(), "sticky",
+            kind(
+                    text,
+                    "vote",
+                    "lastTerm",
+                    one.getLastLogTerm(),
+                    "last",
+                    one.getLastLogIndex(),
+                    "sticky",
                     one.isSticky() ? 1 : 0);
         } else if (message instanceof VoteResponse one) {
             kind(text, "voted", "yes", one.isGranted() ? 1 : 0);
         } else if (message instanceof TriggerLeaderElectionRequest one) {
             kind(text, "elect", "lastTerm", one.getLastLogTerm(), "last", one.getLastLogIndex());
         } else if (message instanceof InstallSnapshotRequest one) {
-            kind(text, "install", "leader", one.isSenderLeader() ? 1 : 0, "snapTerm", one.getSnapshotTerm(), "snap",
-                    one.getSnapshotIndex(), "chunks", one.getTotalSnapshotChunkCount(), "query",
-                    one.getQuerySequenceNumber(), "flow", one.getFlowControlSequenceNumber());
-            text.add("chunk", one.getSnapshotChunk() == null ? JsonNull.INSTANCE : of(one.getSnapshotChunk()));
+            kind(
+                    text,
+                    "install",
+                    "leader",
+                    one.isSenderLeader() ? 1 : 0,
+                    "snapTerm",
+                    one.getSnapshotTerm(),
+                    "snap",
+                    one.getSnapshotIndex(),
+                    "chunks",
+                    one.getTotalSnapshotChunkCount(),
+                    "query",
+                    one.getQuerySequenceNumber(),
+                    "flow",
+                    one.getFlowControlSequenceNumber());
+            text.add(
+                    "chunk",
+                    one.getSnapshotChunk() == null
+                            ? JsonNull.INSTANCE
+                            : of(one.getSnapshotChunk()));
             text.add("members", ids(one.getSnapshottedMembers()));
             text.add("view", of(one.getGroupMembersView()));
         } else if (message instanceof InstallSnapshotResponse one) {
-            kind(text, "installed", "snap", one.getSnapshotIndex(), "chunk", one.getRequestedSnapshotChunkIndex(), "query",
-                    one.getQuerySequenceNumber(), "flow", one.getFlowControlSequenceNumber());
+            kind(
+                    text,
+                    "installed",
+                    "snap",
+                    one.getSnapshotIndex(),
+                    "chunk",
+                    one.getRequestedSnapshotChunkIndex(),
+                    "query",
+                    one.getQuerySequenceNumber(),
+                    "flow",
+                    one.getFlowControlSequenceNumber());
         } else {
-            throw new IllegalArgumentException("no such message: " + message.getClass().getSimpleName());
+            throw new IllegalArgumentException(
+                    "no such message: " + message.getClass().getSimpleName());
         }
         return text;
     }
@@ -103,36 +162,103 @@
         Voter from = new Voter(text.get("from").getAsString());
         int term = integer(text, "term");
         return switch (text.get("kind").getAsString()) {
-            case "append" -> MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setPreviousLogTerm(integer(text, "prevTerm")).setPreviousLogIndex(number(text, "prev"))
-                    .setCommitIndex(number(text, "commit")).setLogEntries(entries(text.getAsJsonArray("entries")))
-                    .setQuerySequenceNumber(number(text, "query")).setFlowControlSequenceNumber(number(text, "flow")).build();
-            case "appended" -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(from)
-                    .setTerm(term).setLastLogIndex(number(text, "last")).setQuerySequenceNumber(number(text, "query"))
-                    .setFlowControlSequenceNumber(number(text, "flow")).build();
-            case "unfit" -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setExpectedNextIndex(number(text, "next")).setQuerySequenceNumber(number(text, "query"))
-                    .setFlowControlSequenceNumber(number(text, "flow")).build();
-            case "prevote" -> MODEL.createPreVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(integer(text, "lastTerm")).setLastLogIndex(number(text, "last")).build();
-            case "prevoted" -> MODEL.createPreVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setGranted(integer(text, "yes") == 1).build();
-            case "vote" -> MODEL.createVoteRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(integer(text, "lastTerm")).setLastLogIndex(number(text, "last"))
-                    .setSticky(integer(text, "sticky") == 1).build();
-            case "voted" -> MODEL.createVoteResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setGranted(integer(text, "yes") == 1).build();
-            case "elect" -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setLastLogTerm(integer(text, "lastTerm")).setLastLogIndex(number(text, "last")).build();
-            case "install" -> MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSenderLeader(integer(text, "leader") == 1).setSnapshotTerm(integer(text, "snapTerm"))
-                    .setSnapshotIndex(number(text, "snap")).setTotalSnapshotChunkCount(integer(text, "chunks"))
-                    .setSnapshotChunk(text.get("chunk").isJsonNull() ? null : chunk(text.getAsJsonObject("chunk")))
-                    .setSnapshottedMembers(voters(text.getAsJsonArray("members"))).setGroupMembersView(view(text.get("view")))
-                    .setQuerySequenceNumber(number(text, "query")).setFlowControlSequenceNumber(number(text, "flow")).build();
-            case "installed" -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(from).setTerm(term)
-                    .setSnapshotIndex(number(text, "snap")).setRequestedSnapshotChunkIndex(integer(text, "chunk"))
-                    .setQuerySequenceNumber(number(text, "query")).setFlowControlSequenceNumber(number(text, "flow")).build();
+            case "append" ->
+                    MODEL.createAppendEntriesRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setPreviousLogTerm(integer(text, "prevTerm"))
+                            .setPreviousLogIndex(number(text, "prev"))
+                            .setCommitIndex(number(text, "commit"))
+                            .setLogEntries(entries(text.getAsJsonArray("entries")))
+                            .setQuerySequenceNumber(number(text, "query"))
+                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .build();
+            case "appended" ->
+                    MODEL.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogIndex(number(text, "last"))
+                            .setQuerySequenceNumber(number(text, "query"))
+                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .build();
+            case "unfit" ->
+                    MODEL.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setExpectedNextIndex(number(text, "next"))
+                            .setQuerySequenceNumber(number(text, "query"))
+                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .build();
+            case "prevote" ->
+                    MODEL.createPreVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(integer(text, "lastTerm"))
+                            .setLastLogIndex(number(text, "last"))
+                            .build();
+            case "prevoted" ->
+                    MODEL.createPreVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setGranted(integer(text, "yes") == 1)
+                            .build();
+            case "vote" ->
+                    MODEL.createVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(integer(text, "lastTerm"))
+                            .setLastLogIndex(number(text, "last"))
+                            .setSticky(integer(text, "sticky") == 1)
+                            .build();
+            case "voted" ->
+                    MODEL.createVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setGranted(integer(text, "yes") == 1)
+                            .build();
+            case "elect" ->
+                    MODEL.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(integer(text, "lastTerm"))
+                            .setLastLogIndex(number(text, "last"))
+                            .build();
+            case "install" ->
+                    MODEL.createInstallSnapshotRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setSenderLeader(integer(text, "leader") == 1)
+                            .setSnapshotTerm(integer(text, "snapTerm"))
+                            .setSnapshotIndex(number(text, "snap"))
+                            .setTotalSnapshotChunkCount(integer(text, "chunks"))
+                            .setSnapshotChunk(
+                                    text.get("chunk").isJsonNull()
+                                            ? null
+                                            : chunk(text.getAsJsonObject("chunk")))
+                            .setSnapshottedMembers(voters(text.getAsJsonArray("members")))
+                            .setGroupMembersView(view(text.get("view")))
+                            .setQuerySequenceNumber(number(text, "query"))
+                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .build();
+            case "installed" ->
+                    MODEL.createInstallSnapshotResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setSnapshotIndex(number(text, "snap"))
+                            .setRequestedSnapshotChunkIndex(integer(text, "chunk"))
+                            .setQuerySequenceNumber(number(text, "query"))
+                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .build();
             default -> throw new IllegalArgumentException("no such kind");
         };
     }
@@ -161,8 +287,11 @@
     }
 
     static LogEntry entry(JsonObject text) {
-        return MODEL.createLogEntryBuilder().setIndex(number(text, "i")).setTerm(integer(text, "t"))
-                .setOperation(operation(text)).build();
+        return MODEL.createLogEntryBuilder()
+                .setIndex(number(text, "i"))
+                .setTerm(integer(text, "t"))
+                .setOperation(operation(text))
+                .build();
     }
 
     private static Object operation(JsonObject text) {
@@ -170,10 +299,12 @@
             return text.get("op").getAsString();
         }
         JsonObject voters = text.getAsJsonObject("voters");
-        return MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(voters(voters.getAsJsonArray("members")))
+        return MODEL.createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(voters(voters.getAsJsonArray("members")))
                 .setVotingMembers(voters(voters.getAsJsonArray("voting")))
                 .setEndpoint(new Voter(voters.get("one").getAsString()))
-                .setMode(MembershipChangeMode.valueOf(voters.get("mode").getAsString())).build();
+                .setMode(MembershipChangeMode.valueOf(voters.get("mode").getAsString()))
+                .build();
     }
 
     private static List<LogEntry> entries(JsonArray texts) {
@@ -191,9 +322,14 @@
     }
 
     static SnapshotChunk chunk(JsonObject text) {
-        return MODEL.createSnapshotChunkBuilder().setIndex(number(text, "i")).setTerm(integer(text, "t"))
-                .setOperation(operation(text)).setSnapshotChunkIndex(integer(text, "n"))
-                .setSnapshotChunkCount(integer(text, "of")).setGroupMembersView(view(text.get("view"))).build();
+        return MODEL.createSnapshotChunkBuilder()
+                .setIndex(number(text, "i"))
+                .setTerm(integer(text, "t"))
+                .setOperation(operation(text))
+                .setSnapshotChunkIndex(integer(text, "n"))
+                .setSnapshotChunkCount(integer(text, "of"))
+                .setGroupMembersView(view(text.get("view")))
+                .build();
     }
 
     static JsonElement of(RaftGroupMembersView view) {
@@ -212,9 +348,11 @@
             return null;
         }
         JsonObject text = element.getAsJsonObject();
-        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(number(text, "at"))
+        return MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(number(text, "at"))
                 .setMembers(voters(text.getAsJsonArray("members")))
-                .setVotingMembers(voters(text.getAsJsonArray("voting"))).build();
+                .setVotingMembers(voters(text.getAsJsonArray("voting")))
+                .build();
     }
 
     // ---- small things ----
--- a/src/main/java/lupinwood/council/RealLoop.java
+++ b/src/main/java/lupinwood/council/RealLoop.java
@@ -9,16 +9,23 @@
 
 /** A thread of its own, on the machine's monotonic clock. */
 final class RealLoop implements Loop {
-    /** What others may have waiting for it; what the council hears past that is passed over, and comes again. */
+    /**
+     * What others may have waiting for it; what the council hears past that is passed over, and
+     * comes again.
+     */
     private static final int MOST_WAITING = 4096;
+
     private static final long LONGEST_END = 200;
 
     private final Log log;
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, job -> {
-        Thread one = new Thread(job, "fleet");
-        one.setDaemon(true);
-        return one;
-    });
+    private final ScheduledThreadPoolExecutor thread =
+            new ScheduledThreadPoolExecutor(
+                    1,
+                    job -> {
+                        Thread one = new Thread(job, "fleet");
+                        one.setDaemon(true);
+                        return one;
+                    });
 
     RealLoop(Log log) {
         this.log = log;
--- a/src/main/java/lupinwood/council/Spoilt.java
+++ b/src/main/java/lupinwood/council/Spoilt.java
@@ -3,8 +3,8 @@
 import lupinwood.node.Span;
 
 /**
- * What the laboratory's launcher spoils in a process of its own, to see that the council bears it, or that the audit finds
- * a safeguard that is missing. Nothing in 'serve' sets any of it.
+ * What the laboratory's launcher spoils in a process of its own, to see that the council bears it,
+ * or that the audit finds a safeguard that is missing. Nothing in 'serve' sets any of it.
  */
 public final class Spoilt {
     private static volatile Span syncTakes = Span.ZERO;
--- a/src/main/java/lupinwood/council/TextWork.java
+++ b/src/main/java/lupinwood/council/TextWork.java
@@ -8,9 +8,9 @@
 import lupinwood.log.Log;
 
 /**
- * Follows the council's word on the text that this node is to go by: has it fetched by its digest, checked when asked, and
- * taken; one thing at a time. A text that wasn't taken isn't tried again until the council wants another. Belongs to the
- * fleet's loop.
+ * Follows the council's word on the text that this node is to go by: has it fetched by its digest,
+ * checked when asked, and taken; one thing at a time. A text that wasn't taken isn't tried again
+ * until the council wants another. Belongs to the fleet's loop.
  */
 final class TextWork {
     private static final int MOST_KEPT = 3;
@@ -43,13 +43,20 @@
             return;
         }
         boolean takes = !wanted.runs().equals(runs) && !wanted.runs().equals(notTaken);
-        boolean checks = !wanted.checks().isEmpty() && (checked == null || !checked.digest().equals(wanted.checks()));
+        boolean checks =
+                !wanted.checks().isEmpty()
+                        && (checked == null || !checked.digest().equals(wanted.checks()));
         if (wanted.runs().equals(runs)) {
             notTaken = null;
         }
         if (takes) {
-            with(wanted.runs(), text -> hands.take(wanted.runs(), text,
-                    why -> loop.accept(() -> taken(wanted.runs(), text, why))));
+            with(
+                    wanted.runs(),
+                    text ->
+                            hands.take(
+                                    wanted.runs(),
+                                    text,
+                                    why -> loop.accept(() -> taken(wanted.runs(), text, why))));
         } else if (checks) {
             with(wanted.checks(), text -> check(wanted.checks(), text));
         }
@@ -66,12 +73,23 @@
     }
 
     private void check(String digest, String text) {
-        hands.check(digest, text, told -> loop.accept(() -> {
-            busy = false;
-            checked = told;
-            log.line("fleet: the text " + told.digest() + (told.fits() ? told.restarts() ? " fits, and needs a restart"
-                    : " fits" : " does not fit: " + told.why()));
-        }));
+        hands.check(
+                digest,
+                text,
+                told ->
+                        loop.accept(
+                                () -> {
+                                    busy = false;
+                                    checked = told;
+                                    log.line(
+                                            "fleet: the text "
+                                                    + told.digest()
+                                                    + (told.fits()
+                                                            ? told.restarts()
+                                                                    ? " fits, and needs a restart"
+                                                                    : " fits"
+                                                            : " does not fit: " + told.why()));
+                                }));
     }
 
     private void taken(String digest, String text, String why) {
@@ -84,8 +102,11 @@
             busy = true;
             check(digest, text); // so that the fleet hears whether a restart would do
         }
-        log.line("fleet: " + (why.isEmpty() ? "goes by " : "does not go by ") + (digest.isEmpty() ? "its own files alone"
-                : "the text " + digest) + (why.isEmpty() ? "" : ": " + why));
+        log.line(
+                "fleet: "
+                        + (why.isEmpty() ? "goes by " : "does not go by ")
+                        + (digest.isEmpty() ? "its own files alone" : "the text " + digest)
+                        + (why.isEmpty() ? "" : ": " + why));
     }
 
     /** A voter sent it. */
--- a/src/main/java/lupinwood/council/Voter.java
+++ b/src/main/java/lupinwood/council/Voter.java
@@ -3,7 +3,10 @@
 import io.microraft.RaftEndpoint;
 import lupinwood.fleet.NodeName;
 
-/** A voter as the library names it. Its id is the node's name, and a mark behind {@code ~} where its folder was lost. */
+/**
+ * A voter as the library names it. Its id is the node's name, and a mark behind {@code ~} where its
+ * folder was lost.
+ */
 record Voter(String id) implements RaftEndpoint {
     @Override
     public Object getId() {
--- a/src/main/java/lupinwood/failover/Health.java
+++ b/src/main/java/lupinwood/failover/Health.java
@@ -6,30 +6,34 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import lupinwood.fleet.NodeName;
 import lupinwood.fleet.Life;
+import lupinwood.fleet.NodeName;
 import lupinwood.fleet.Report;
 import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
 import lupinwood.fleet.Standing;
 import lupinwood.node.Moment;
 import lupinwood.node.Span;
 
 /**
- * What is known of places by what nodes tell: which are sick, and how much each is trusted again after it was. A site to
- * which all is sick while others do well there is itself what suffers, and isn't listened to. Where all that anybody tries is
- * sick, nothing is: a fault of the whole moves nothing.
+ * What is known of places by what nodes tell: which are sick, and how much each is trusted again
+ * after it was. A site to which all is sick while others do well there is itself what suffers, and
+ * isn't listened to. Where all that anybody tries is sick, nothing is: a fault of the whole moves
+ * nothing.
  */
 final class Health {
     private static final double SICK = 0.5;
     private static final double WELL = 0.2;
     private static final int ENOUGH = 4;
+
     /** Of what was seen before, that much counts at each look on. */
     private static final double KEPT = 0.6;
+
     private static final double TRUST_STEP = 0.25;
     private static final double LEAST_STEP = 1.0 / 16;
+
     /** In leases. */
     private static final double STEP_EVERY = 2;
+
     private static final double FLAPPED_WITHIN = 40;
 
     private static final class Row {
@@ -67,21 +71,32 @@
 
     /** A look at all that nodes tell; what came since the last one counts most. */
     void look(Iterable<Seen> all, Set<String> places, Moment now) {
-        rows.values().forEach(sites -> sites.values().forEach(row -> {
-            row.ended *= KEPT;
-            row.failed *= KEPT;
-            row.leaveOut = 0;
-            row.nodes = 0;
-        }));
+        rows.values()
+                .forEach(
+                        sites ->
+                                sites.values()
+                                        .forEach(
+                                                row -> {
+                                                    row.ended *= KEPT;
+                                                    row.failed *= KEPT;
+                                                    row.leaveOut = 0;
+                                                    row.nodes = 0;
+                                                }));
         for (Seen seen : all) {
-            if (seen.standing() == Standing.OUT || seen.standing() == Standing.UNKNOWN || seen.report() == null) {
+            if (seen.standing() == Standing.OUT
+                    || seen.standing() == Standing.UNKNOWN
+                    || seen.report() == null) {
                 continue; // what it said last is old
             }
             for (Report.Use use : seen.report().uses()) {
-                Before last = before.put(new Of(seen.name(), use.place()), new Before(seen.life(), use.ended(), use.failed()));
+                Before last =
+                        before.put(
+                                new Of(seen.name(), use.place()),
+                                new Before(seen.life(), use.ended(), use.failed()));
                 boolean same = last != null && last.life().equals(seen.life());
-                Row row = rows.computeIfAbsent(use.place(), none -> new TreeMap<>())
-                        .computeIfAbsent(seen.site().toString(), none -> new Row());
+                Row row =
+                        rows.computeIfAbsent(use.place(), none -> new TreeMap<>())
+                                .computeIfAbsent(seen.site().toString(), none -> new Row());
                 row.nodes++;
                 row.leaveOut += use.leftOut() ? 1 : 0;
                 row.ended += use.ended() - (same ? last.ended() : 0);
@@ -112,7 +127,8 @@
                 sick.add(place);
             }
         }
-        boolean whole = !sick.isEmpty() && sick.equals(tried) && places.size() > 1 && tried.size() > 1;
+        boolean whole =
+                !sick.isEmpty() && sick.equals(tried) && places.size() > 1 && tried.size() > 1;
         for (String place : places) {
             Trust trust = trusts.computeIfAbsent(place, none -> new Trust());
             if (whole) {
@@ -129,29 +145,45 @@
     /** Sites that see all that they try as sick, of which others see some as well. */
     private Set<String> suffering() {
         Map<String, int[]> sites = new TreeMap<>();
-        rows.forEach((place, bySite) -> bySite.forEach((site, row) -> {
-            if (row.share() >= 0) {
-                int[] counts = sites.computeIfAbsent(site, none -> new int[3]);
-                counts[0]++;
-                counts[1] += row.share() > SICK ? 1 : 0;
-                boolean wellElsewhere = bySite.entrySet().stream().anyMatch(other -> !other.getKey().equals(site)
-                        && other.getValue().share() >= 0 && other.getValue().share() < WELL);
-                counts[2] += row.share() > SICK && wellElsewhere ? 1 : 0;
-            }
-        }));
+        rows.forEach(
+                (place, bySite) ->
+                        bySite.forEach(
+                                (site, row) -> {
+                                    if (row.share() >= 0) {
+                                        int[] counts =
+                                                sites.computeIfAbsent(site, none -> new int[3]);
+                                        counts[0]++;
+                                        counts[1] += row.share() > SICK ? 1 : 0;
+                                        boolean wellElsewhere =
+                                                bySite.entrySet().stream()
+                                                        .anyMatch(
+                                                                other ->
+                                                                        !other.getKey().equals(site)
+                                                                                && other.getValue()
+                                                                                                .share()
+                                                                                        >= 0
+                                                                                && other.getValue()
+                                                                                                .share()
+                                                                                        < WELL);
+                                        counts[2] += row.share() > SICK && wellElsewhere ? 1 : 0;
+                                    }
+                                }));
         Set<String> suffering = new HashSet<>();
-        sites.forEach((site, counts) -> {
-            if (counts[0] == counts[1] && counts[2] > 0) {
-                suffering.add(site);
-            }
-        });
+        sites.forEach(
+                (site, counts) -> {
+                    if (counts[0] == counts[1] && counts[2] > 0) {
+                        suffering.add(site);
+                    }
+                });
         return suffering;
     }
 
     private void sicken(Trust trust, Moment now) {
         if (!trust.sick) {
             // One that falls again soon after it was trusted again gets it back in smaller steps.
-            boolean flaps = trust.sickAt != null && now.since(trust.sickAt).compareTo(lease.times(FLAPPED_WITHIN)) < 0;
+            boolean flaps =
+                    trust.sickAt != null
+                            && now.since(trust.sickAt).compareTo(lease.times(FLAPPED_WITHIN)) < 0;
             trust.step = flaps ? Math.max(LEAST_STEP, trust.step / 2) : TRUST_STEP;
             trust.sick = true;
             trust.sickAt = now;
--- a/src/main/java/lupinwood/failover/Planner.java
+++ b/src/main/java/lupinwood/failover/Planner.java
@@ -22,10 +22,11 @@
 import lupinwood.node.Span;
 
 /**
- * Makes plans for whoever holds the duty. What a zone needs goes near first, then into the region, then elsewhere, each
- * place to no more than it is trusted with; what is left of a place belongs to its own zone, but for a part kept free, so that
- * others can be helped at once. A plan that takes and gives at once wouldn't fit while nodes may go by the one before: then
- * what is taken is taken first, and given once that plan is retired.
+ * Makes plans for whoever holds the duty. What a zone needs goes near first, then into the region,
+ * then elsewhere, each place to no more than it is trusted with; what is left of a place belongs to
+ * its own zone, but for a part kept free, so that others can be helped at once. A plan that takes
+ * and gives at once wouldn't fit while nodes may go by the one before: then what is taken is taken
+ * first, and given once that plan is retired.
  */
 public final class Planner {
     /** What came of one life of a node when it was looked at last. */
@@ -33,14 +34,19 @@
 
     /** Of what is needed on the mean, since tickets come unevenly and nodes have whole slots. */
     private static final double ROOM = 1.35;
+
     private static final double LEARNS = 0.3;
     private static final int ENOUGH = 20;
+
     /** Of what a place has left, that much stays free. */
     private static final double FREE = 0.3;
+
     /** Nothing is planned anew for less than this part of a place. */
     private static final double WORTH = 0.1;
+
     /** Who has less than so many times what it has in hand now lacks some. */
     private static final double SCARCE = 1.1;
+
     /** Looks between two plans for no other cause than that it would be tidier. */
     private static final double TIDIES_EVERY = 8;
 
@@ -49,10 +55,16 @@
     private final Map<String, Double> needs = new TreeMap<>();
     private final Map<String, Double> rates = new TreeMap<>();
     private final Map<NodeName, Asked> asked = new HashMap<>();
-    /** Seconds that a ticket of a site takes, with its way there: so more are needed in hand where they go far. */
+
+    /**
+     * Seconds that a ticket of a site takes, with its way there: so more are needed in hand where
+     * they go far.
+     */
     private final Map<String, Double> takes = new TreeMap<>();
+
     /** What is to be given once what it takes has been given back; null for nothing. */
     private Map<String, Map<String, Integer>> pending;
+
     private Moment lastLook;
     private Moment plannedAt;
     private Map<String, Double> trustedThen = Map.of();
@@ -69,7 +81,12 @@
      * @param members of the book: a plan counts them all, also those that are out
      * @param live all plans that may be gone by still
      */
-    public record View(List<Place> places, Collection<Book.Member> members, List<Seen> seen, List<Plan> live, long lastPlan) {}
+    public record View(
+            List<Place> places,
+            Collection<Book.Member> members,
+            List<Seen> seen,
+            List<Plan> live,
+            long lastPlan) {}
 
     /** Why it planned last what it did, in one line. */
     public String why() {
@@ -78,12 +95,14 @@
 
     /** The next plan, or null where the one there is does. */
     public Deed.SetPlan decide(View view, Token token, Moment now) {
-        if (view.places().isEmpty() || view.members().isEmpty()
+        if (view.places().isEmpty()
+                || view.members().isEmpty()
                 || lastLook != null && now.since(lastLook).compareTo(every) < 0) {
             return null;
         }
         lastLook = now;
-        boolean settled = view.live().size() < 2; // else what was planned last has yet to be heard everywhere
+        boolean settled =
+                view.live().size() < 2; // else what was planned last has yet to be heard everywhere
         TreeSet<String> names = new TreeSet<>();
         view.places().forEach(place -> names.add(place.name()));
         health.look(view.seen(), names, now);
@@ -97,12 +116,16 @@
         if (!settled) {
             return null;
         }
-        Map<String, Map<String, Integer>> target = whole(allot(view.places(), sites, counts), view.places());
+        Map<String, Map<String, Integer>> target =
+                whole(allot(view.places(), sites, counts), view.places());
         Map<String, Integer> bears = new TreeMap<>();
         Map<String, Map<String, Integer>> alone = new TreeMap<>();
         for (Place place : view.places()) {
             bears.put(place.name(), place.bears());
-            sites.forEach((name, site) -> alone.computeIfAbsent(name, none -> new TreeMap<>()).put(place.name(), place.alone(site)));
+            sites.forEach(
+                    (name, site) ->
+                            alone.computeIfAbsent(name, none -> new TreeMap<>())
+                                    .put(place.name(), place.alone(site)));
         }
         Plan newest = view.live().isEmpty() ? null : view.live().get(view.live().size() - 1);
         boolean sameRoster = newest != null && roster(view.members()).equals(newest.roster());
@@ -111,9 +134,11 @@
             return null;
         }
         if (pending != null && sameRoster && trusted(view).equals(trustedThen)) {
-            target = pending; // else what is asked for would move on while what it takes is given back
+            target = pending; // else what is asked for would move on while what it takes is given
+            // back
         }
-        Map<String, Map<String, Integer>> next = fits(view, target, bears, alone) ? target : least(target, view);
+        Map<String, Map<String, Integer>> next =
+                fits(view, target, bears, alone) ? target : least(target, view);
         if (sameRoster && next.equals(current) || !fits(view, next, bears, alone)) {
             pending = null; // as when a place bears less than before
             return null;
@@ -132,14 +157,17 @@
     }
 
     /**
-     * How many tickets at once each site would like to have below: how many come in a second, times how long one of
-     * its own takes. What is out or waits would tell of what it was given, and not of what it needs.
+     * How many tickets at once each site would like to have below: how many come in a second, times
+     * how long one of its own takes. What is out or waits would tell of what it was given, and not
+     * of what it needs.
      */
     private void need(View view, Map<String, Integer> counts, Moment now) {
         Map<String, double[]> took = new TreeMap<>();
         Map<String, Double> came = new TreeMap<>();
         for (Seen one : view.seen()) {
-            if (one.report() == null || one.standing() == Standing.OUT || one.standing() == Standing.UNKNOWN) {
+            if (one.report() == null
+                    || one.standing() == Standing.OUT
+                    || one.standing() == Standing.UNKNOWN) {
                 asked.remove(one.name());
                 continue;
             }
@@ -152,34 +180,50 @@
                 well += use.ended() - use.failed();
             }
             Asked last = asked.put(one.name(), new Asked(one.life(), most, seconds, well, now));
-            if (last != null && last.life().equals(one.life()) && now.since(last.at()).isPositive()) {
-                came.merge(one.site().toString(), (most - last.asked()) / now.since(last.at()).seconds(), Double::sum);
+            if (last != null
+                    && last.life().equals(one.life())
+                    && now.since(last.at()).isPositive()) {
+                came.merge(
+                        one.site().toString(),
+                        (most - last.asked()) / now.since(last.at()).seconds(),
+                        Double::sum);
                 double[] sums = took.computeIfAbsent(one.site().toString(), none -> new double[2]);
                 sums[0] += seconds - last.seconds();
                 sums[1] += well - last.well();
             }
         }
-        took.forEach((site, sums) -> {
-            if (sums[1] > ENOUGH) {
-                takes.merge(site, sums[0] / sums[1], (old, latest) -> old + (latest - old) * LEARNS);
-            }
-        });
+        took.forEach(
+                (site, sums) -> {
+                    if (sums[1] > ENOUGH) {
+                        takes.merge(
+                                site,
+                                sums[0] / sums[1],
+                                (old, latest) -> old + (latest - old) * LEARNS);
+                    }
+                });
         double usual = takes.values().stream().mapToDouble(one -> one).average().orElse(0);
-        counts.forEach((site, count) -> {
-            double latest = came.getOrDefault(site, -1.0);
-            if (latest >= 0) {
-                rates.merge(site, latest, (old, more) -> old + (more - old) * LEARNS);
-            }
-            needs.put(site, Math.max(count, rates.getOrDefault(site, 0.0)
-                    * takes.getOrDefault(site, usual) * ROOM));
-        });
+        counts.forEach(
+                (site, count) -> {
+                    double latest = came.getOrDefault(site, -1.0);
+                    if (latest >= 0) {
+                        rates.merge(site, latest, (old, more) -> old + (more - old) * LEARNS);
+                    }
+                    needs.put(
+                            site,
+                            Math.max(
+                                    count,
+                                    rates.getOrDefault(site, 0.0)
+                                            * takes.getOrDefault(site, usual)
+                                            * ROOM));
+                });
         needs.keySet().retainAll(counts.keySet());
         rates.keySet().retainAll(counts.keySet());
         takes.keySet().retainAll(counts.keySet());
     }
 
     /** Slots by site and place, before they are parted among nodes. */
-    private Map<String, Map<String, Double>> allot(List<Place> places, Map<String, Site> sites, Map<String, Integer> counts) {
+    private Map<String, Map<String, Double>> allot(
+            List<Place> places, Map<String, Site> sites, Map<String, Integer> counts) {
         Map<String, Double> left = new HashMap<>();
         for (Place place : places) {
             // Standing rights of all nodes come first, and are part of what each gets.
@@ -189,14 +233,15 @@
         Map<String, Double> open = new TreeMap<>(needs);
         sites.forEach((name, site) -> given.put(name, new TreeMap<>()));
         for (Place place : places) {
-            sites.forEach((name, site) -> {
-                double standing = (double) place.alone(site) * counts.get(name);
-                given.get(name).put(place.name(), standing);
-                left.merge(place.name(), -standing, Double::sum);
-                if (health.trust(place.name()) > 0) {
-                    open.merge(name, -standing, Double::sum);
-                }
-            });
+            sites.forEach(
+                    (name, site) -> {
+                        double standing = (double) place.alone(site) * counts.get(name);
+                        given.get(name).put(place.name(), standing);
+                        left.merge(place.name(), -standing, Double::sum);
+                        if (health.trust(place.name()) > 0) {
+                            open.merge(name, -standing, Double::sum);
+                        }
+                    });
         }
         for (int distance = 0; distance <= 2; distance++) {
             spread(places, sites, distance, open, left, given);
@@ -211,74 +256,120 @@
         return given;
     }
 
-    /** What is open still goes to places so far away: each place's room is parted by need, each need by room. */
-    private static void spread(List<Place> places, Map<String, Site> sites, int distance, Map<String, Double> open,
-            Map<String, Double> left, Map<String, Map<String, Double>> given) {
+    /**
+     * What is open still goes to places so far away: each place's room is parted by need, each need
+     * by room.
+     */
+    private static void spread(
+            List<Place> places,
+            Map<String, Site> sites,
+            int distance,
+            Map<String, Double> open,
+            Map<String, Double> left,
+            Map<String, Map<String, Double>> given) {
         for (int round = 0; round < 4; round++) {
             Map<String, Double> asked = new HashMap<>();
             Map<String, Map<String, Double>> asks = new TreeMap<>();
-            sites.forEach((name, site) -> {
-                double room = 0;
-                List<Place> there = new ArrayList<>();
-                for (Place place : places) {
-                    if (place.distance(site) == distance && place.mayReach(site) && left.get(place.name()) > 0) {
-                        room += left.get(place.name());
-                        there.add(place);
-                    }
-                }
-                for (Place place : there) {
-                    double part = Math.max(0, open.getOrDefault(name, 0.0)) * left.get(place.name()) / room;
-                    asks.computeIfAbsent(name, none -> new TreeMap<>()).put(place.name(), part);
-                    asked.merge(place.name(), part, Double::sum);
-                }
-            });
-            asks.forEach((name, parts) -> parts.forEach((place, part) -> {
-                double all = asked.get(place);
-                double may = all <= left.get(place) ? part : part * left.get(place) / all;
-                given.get(name).merge(place, may, Double::sum);
-                open.merge(name, -may, Double::sum);
-            }));
-            asked.forEach((place, all) -> left.merge(place, -Math.min(all, left.get(place)), Double::sum));
+            sites.forEach(
+                    (name, site) -> {
+                        double room = 0;
+                        List<Place> there = new ArrayList<>();
+                        for (Place place : places) {
+                            if (place.distance(site) == distance
+                                    && place.mayReach(site)
+                                    && left.get(place.name()) > 0) {
+                                room += left.get(place.name());
+                                there.add(place);
+                            }
+                        }
+                        for (Place place : there) {
+                            double part =
+                                    Math.max(0, open.getOrDefault(name, 0.0))
+                                            * left.get(place.name())
+                                            / room;
+                            asks.computeIfAbsent(name, none -> new TreeMap<>())
+                                    .put(place.name(), part);
+                            asked.merge(place.name(), part, Double::sum);
+                        }
+                    });
+            asks.forEach(
+                    (name, parts) ->
+                            parts.forEach(
+                                    (place, part) -> {
+                                        double all = asked.get(place);
+                                        double may =
+                                                all <= left.get(place)
+                                                        ? part
+                                                        : part * left.get(place) / all;
+                                        given.get(name).merge(place, may, Double::sum);
+                                        open.merge(name, -may, Double::sum);
+                                    }));
+            asked.forEach(
+                    (place, all) ->
+                            left.merge(place, -Math.min(all, left.get(place)), Double::sum));
         }
     }
 
     /**
-     * Whole slots. What a site loses by that at all places together it gets back in whole ones, where it lost most and as long
-     * as there is room: else a need that is spread thinly would come to nothing.
+     * Whole slots. What a site loses by that at all places together it gets back in whole ones,
+     * where it lost most and as long as there is room: else a need that is spread thinly would come
+     * to nothing.
      */
-    private Map<String, Map<String, Integer>> whole(Map<String, Map<String, Double>> given, List<Place> places) {
+    private Map<String, Map<String, Integer>> whole(
+            Map<String, Map<String, Double>> given, List<Place> places) {
         Map<String, Double> room = new HashMap<>();
         for (Place place : places) {
-            double sum = given.values().stream().mapToDouble(parts -> Math.floor(parts.getOrDefault(place.name(), 0.0) + 1e-9)).sum();
+            double sum =
+                    given.values().stream()
+                            .mapToDouble(
+                                    parts ->
+                                            Math.floor(
+                                                    parts.getOrDefault(place.name(), 0.0) + 1e-9))
+                            .sum();
             room.put(place.name(), Math.floor(place.bears() * health.trust(place.name())) - sum);
         }
         Map<String, Map<String, Integer>> slots = new TreeMap<>();
-        given.forEach((site, parts) -> {
-            Map<String, Integer> own = new TreeMap<>();
-            Map<String, Double> lost = new TreeMap<>();
-            parts.forEach((place, part) -> {
-                own.put(place, (int) Math.floor(part + 1e-9));
-                lost.put(place, part - Math.floor(part + 1e-9));
-            });
-            double all = lost.values().stream().mapToDouble(one -> one).sum();
-            List<String> most = lost.entrySet().stream().filter(one -> one.getValue() > 0).sorted(
-                    Comparator.comparing((Map.Entry<String, Double> one) -> -one.getValue()).thenComparing(Map.Entry::getKey))
-                    .map(Map.Entry::getKey).toList();
-            for (String place : most) {
-                if (all > 0.1 && room.get(place) >= 1) {
-                    own.merge(place, 1, Integer::sum);
-                    room.merge(place, -1.0, Double::sum);
-                    all--;
-                }
-            }
-            own.values().removeIf(one -> one == 0);
-            slots.put(site, own);
-        });
+        given.forEach(
+                (site, parts) -> {
+                    Map<String, Integer> own = new TreeMap<>();
+                    Map<String, Double> lost = new TreeMap<>();
+                    parts.forEach(
+                            (place, part) -> {
+                                own.put(place, (int) Math.floor(part + 1e-9));
+                                lost.put(place, part - Math.floor(part + 1e-9));
+                            });
+                    double all = lost.values().stream().mapToDouble(one -> one).sum();
+                    List<String> most =
+                            lost.entrySet().stream()
+                                    .filter(one -> one.getValue() > 0)
+                                    .sorted(
+                                            Comparator.comparing(
+                                                            (Map.Entry<String, Double> one) ->
+                                                                    -one.getValue())
+                                                    .thenComparing(Map.Entry::getKey))
+                                    .map(Map.Entry::getKey)
+                                    .toList();
+                    for (String place : most) {
+                        if (all > 0.1 && room.get(place) >= 1) {
+                            own.merge(place, 1, Integer::sum);
+                            room.merge(place, -1.0, Double::sum);
+                            all--;
+                        }
+                    }
+                    own.values().removeIf(one -> one == 0);
+                    slots.put(site, own);
+                });
         return slots;
     }
 
-    /** Whether the plan there is does: nobody lacks much, no place's trust has changed, and little would move. */
-    private boolean does(Map<String, Map<String, Integer>> target, Map<String, Map<String, Integer>> current, View view,
+    /**
+     * Whether the plan there is does: nobody lacks much, no place's trust has changed, and little
+     * would move.
+     */
+    private boolean does(
+            Map<String, Map<String, Integer>> target,
+            Map<String, Map<String, Integer>> current,
+            View view,
             Moment now) {
         if (!trusted(view).equals(trustedThen)) {
             return false;
@@ -289,7 +380,8 @@
                 return false;
             }
         }
-        boolean late = plannedAt == null || now.since(plannedAt).compareTo(every.times(TIDIES_EVERY)) >= 0;
+        boolean late =
+                plannedAt == null || now.since(plannedAt).compareTo(every.times(TIDIES_EVERY)) >= 0;
         return !late || isNear(target, current, view.places());
     }
 
@@ -301,11 +393,15 @@
 
     /** What a site has at places that are trusted. */
     private double has(Map<String, Map<String, Integer>> slots, String site) {
-        return slots.getOrDefault(site, Map.of()).entrySet().stream().filter(one -> health.trust(one.getKey()) > 0)
-                .mapToInt(Map.Entry::getValue).sum();
+        return slots.getOrDefault(site, Map.of()).entrySet().stream()
+                .filter(one -> health.trust(one.getKey()) > 0)
+                .mapToInt(Map.Entry::getValue)
+                .sum();
     }
 
-    private static boolean isNear(Map<String, Map<String, Integer>> target, Map<String, Map<String, Integer>> current,
+    private static boolean isNear(
+            Map<String, Map<String, Integer>> target,
+            Map<String, Map<String, Integer>> current,
             List<Place> places) {
         for (Place place : places) {
             double moved = 0;
@@ -321,7 +417,10 @@
         return true;
     }
 
-    private static boolean fits(View view, Map<String, Map<String, Integer>> slots, Map<String, Integer> bears,
+    private static boolean fits(
+            View view,
+            Map<String, Map<String, Integer>> slots,
+            Map<String, Integer> bears,
             Map<String, Map<String, Integer>> alone) {
         List<Plan> all = new ArrayList<>(view.live());
         all.add(new Plan(view.lastPlan() + 1, roster(view.members()), slots));
@@ -329,46 +428,69 @@
     }
 
     /** What is taken now: nobody gets more than by any live plan, and nobody more than wanted. */
-    private static Map<String, Map<String, Integer>> least(Map<String, Map<String, Integer>> target, View view) {
+    private static Map<String, Map<String, Integer>> least(
+            Map<String, Map<String, Integer>> target, View view) {
         Map<String, Map<String, Integer>> least = new TreeMap<>();
-        target.forEach((site, parts) -> {
-            Map<String, Integer> own = new TreeMap<>();
-            parts.forEach((place, wanted) -> {
-                int may = wanted;
-                for (Plan plan : view.live()) {
-                    may = Math.min(may, plan.slots().getOrDefault(site, Map.of()).getOrDefault(place, 0));
-                }
-                if (may > 0) {
-                    own.put(place, may);
-                }
-            });
-            least.put(site, own);
-        });
+        target.forEach(
+                (site, parts) -> {
+                    Map<String, Integer> own = new TreeMap<>();
+                    parts.forEach(
+                            (place, wanted) -> {
+                                int may = wanted;
+                                for (Plan plan : view.live()) {
+                                    may =
+                                            Math.min(
+                                                    may,
+                                                    plan.slots()
+                                                            .getOrDefault(site, Map.of())
+                                                            .getOrDefault(place, 0));
+                                }
+                                if (may > 0) {
+                                    own.put(place, may);
+                                }
+                            });
+                    least.put(site, own);
+                });
         return least;
     }
 
-    private String changes(Map<String, Map<String, Integer>> current, Map<String, Map<String, Integer>> next) {
+    private String changes(
+            Map<String, Map<String, Integer>> current, Map<String, Map<String, Integer>> next) {
         List<String> all = new ArrayList<>();
-        next.forEach((site, parts) -> {
-            TreeSet<String> places = new TreeSet<>(parts.keySet());
-            places.addAll(current.getOrDefault(site, Map.of()).keySet());
-            for (String place : places) {
-                int was = current.getOrDefault(site, Map.of()).getOrDefault(place, 0);
-                int is = parts.getOrDefault(place, 0);
-                if (was != is) {
-                    all.add(site + " at " + place + " " + was + " -> " + is);
-                }
-            }
-        });
+        next.forEach(
+                (site, parts) -> {
+                    TreeSet<String> places = new TreeSet<>(parts.keySet());
+                    places.addAll(current.getOrDefault(site, Map.of()).keySet());
+                    for (String place : places) {
+                        int was = current.getOrDefault(site, Map.of()).getOrDefault(place, 0);
+                        int is = parts.getOrDefault(place, 0);
+                        if (was != is) {
+                            all.add(site + " at " + place + " " + was + " -> " + is);
+                        }
+                    }
+                });
         all.sort(Comparator.comparing(one -> one));
         String trusts = "";
-        for (String place : new TreeSet<>(next.values().stream().flatMap(parts -> parts.keySet().stream()).toList())) {
+        for (String place :
+                new TreeSet<>(
+                        next.values().stream()
+                                .flatMap(parts -> parts.keySet().stream())
+                                .toList())) {
             if (health.trust(place) < 1) {
-                trusts += ", " + place + " is trusted with " + Math.round(health.trust(place) * 100) + "%";
+                trusts +=
+                        ", "
+                                + place
+                                + " is trusted with "
+                                + Math.round(health.trust(place) * 100)
+                                + "%";
             }
         }
         int more = all.size() - 6;
-        return String.join(", ", all.subList(0, Math.min(6, all.size()))) + (more > 0 ? " and " + more + " more" : "") + trusts
-                + (health.unheard().isEmpty() ? "" : ", not heeded, since they suffer themselves: " + health.unheard());
+        return String.join(", ", all.subList(0, Math.min(6, all.size())))
+                + (more > 0 ? " and " + more + " more" : "")
+                + trusts
+                + (health.unheard().isEmpty()
+                        ? ""
+                        : ", not heeded, since they suffer themselves: " + health.unheard());
     }
 }
