--- a/src/main/java/lupinwood/fleet/Allotment.java
+++ b/src/main/java/lupinwood/fleet/Allotment.java
@@ -4,9 +4,10 @@
 import lupinwood.node.Moment;
 
 /**
- * What this node may have at places below, by the plan that it heard of last and while its lease lasts, counted as
- * {@link Holding} counts duties: from before it asked, on a clock that may run slow. After that, and before the first word,
- * only what is its by standing right. Plans never go back within one life, so an older word that comes late changes nothing.
+ * What this node may have at places below, by the plan that it heard of last and while its lease
+ * lasts, counted as {@link Holding} counts duties: from before it asked, on a clock that may run
+ * slow. After that, and before the first word, only what is its by standing right. Plans never go
+ * back within one life, so an older word that comes late changes nothing.
  */
 public final class Allotment {
     private final Map<String, Integer> alone;
@@ -14,12 +15,16 @@
     private Map<String, Integer> slots = Map.of();
     private Moment until = new Moment(Long.MIN_VALUE);
 
-    /** @param alone what it may have at a place by standing right */
+    /**
+     * @param alone what it may have at a place by standing right
+     */
     public Allotment(Map<String, Integer> alone) {
         this.alone = Map.copyOf(alone);
     }
 
-    /** @param ends when the lease that this word gives ends by this node's clock */
+    /**
+     * @param ends when the lease that this word gives ends by this node's clock
+     */
     public void told(long plan, Map<String, Integer> may, Moment ends) {
         if (plan < number || plan == 0) {
             return;
--- a/src/main/java/lupinwood/fleet/Beat.java
+++ b/src/main/java/lupinwood/fleet/Beat.java
@@ -14,19 +14,47 @@
  * @param found what it tried under the duty trial
  * @param report null of an older version
  */
-public record Beat(int version, NodeName name, Life life, Site site, Condition condition, long number, List<Grant> holds,
-        List<Grant> handsOn, List<Grant> failsAt, List<String> leftOut, List<Finding> found, Report report) {
+public record Beat(
+        int version,
+        NodeName name,
+        Life life,
+        Site site,
+        Condition condition,
+        long number,
+        List<Grant> holds,
+        List<Grant> handsOn,
+        List<Grant> failsAt,
+        List<String> leftOut,
+        List<Finding> found,
+        Report report) {
     public static final int VERSION = 1;
-    /** What one node may name of each, so many servers at the least; a longer list is cut, which costs only that node. */
+
+    /**
+     * What one node may name of each, so many servers at the least; a longer list is cut, which
+     * costs only that node.
+     */
     public static final int MOST = 1024;
 
     /** Without what would be too much, or is missing in an older form. */
     public Beat cut() {
-        return new Beat(version, name, life, site, condition, number, cut(holds), cut(handsOn), cut(failsAt),
-                cut(leftOut), cut(found), report == null ? null : report.cut());
+        return new Beat(
+                version,
+                name,
+                life,
+                site,
+                condition,
+                number,
+                cut(holds),
+                cut(handsOn),
+                cut(failsAt),
+                cut(leftOut),
+                cut(found),
+                report == null ? null : report.cut());
     }
 
     private static <T> List<T> cut(List<T> list) {
-        return list == null ? List.of() : list.size() <= MOST ? list : List.copyOf(list.subList(0, MOST));
+        return list == null
+                ? List.of()
+                : list.size() <= MOST ? list : List.copyOf(list.subList(0, MOST));
     }
 }
--- a/src/main/java/lupinwood/fleet/Book.java
+++ b/src/main/java/lupinwood/fleet/Book.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * What the fleet has agreed on: its members, and who holds which duty under which token. The same deeds in the same order
- * give the same book everywhere. It knows no time: whether a lease has run out is the steward's to reckon.
+ * What the fleet has agreed on: its members, and who holds which duty under which token. The same
+ * deeds in the same order give the same book everywhere. It knows no time: whether a lease has run
+ * out is the steward's to reckon.
  */
 public final class Book {
     /**
@@ -44,12 +45,24 @@
     public record Entry(long atMillis, String text) {}
 
     /** The whole book, as it is kept and sent. */
-    public record Page(List<Member> members, List<Held> duties, long lastToken, String digest, long deeds,
-            List<Permit> permits, long lastPermit, String haltedBy, List<Done> done, List<Entry> history, Releases.Page releases,
-            List<Rest> rests, Plans.Page plans) {}
+    public record Page(
+            List<Member> members,
+            List<Held> duties,
+            long lastToken,
+            String digest,
+            long deeds,
+            List<Permit> permits,
+            long lastPermit,
+            String haltedBy,
+            List<Done> done,
+            List<Entry> history,
+            Releases.Page releases,
+            List<Rest> rests,
+            Plans.Page plans) {}
 
     private static final int MOST_DUTIES = 64;
     private static final int MOST_PERMITS = 1024;
+
     /** Orders that may be repeated, and lines of history. */
     private static final int MOST_KEPT = 256;
 
@@ -63,8 +76,10 @@
     private final ArrayDeque<Done> done = new ArrayDeque<>();
     private final ArrayDeque<Entry> history = new ArrayDeque<>();
     private long lastPermit;
+
     /** Who halted; empty while nothing is. */
     private String haltedBy = "";
+
     private long lastToken;
     private String digest = "";
     private long deeds;
@@ -99,9 +114,20 @@
     }
 
     public Page page() {
-        return new Page(new ArrayList<>(members.values()), new ArrayList<>(duties.values()), lastToken, digest, deeds,
-                new ArrayList<>(permits.values()), lastPermit, haltedBy, new ArrayList<>(done), new ArrayList<>(history),
-                releases.page(), new ArrayList<>(rests.values()), plans.page());
+        return new Page(
+                new ArrayList<>(members.values()),
+                new ArrayList<>(duties.values()),
+                lastToken,
+                digest,
+                deeds,
+                new ArrayList<>(permits.values()),
+                lastPermit,
+                haltedBy,
+                new ArrayList<>(done),
+                new ArrayList<>(history),
+                releases.page(),
+                new ArrayList<>(rests.values()),
+                plans.page());
     }
 
     /** Whether the deed fitted and was done; one that no longer fits changes nothing. */
@@ -115,11 +141,13 @@
             if (member == null || !member.life().equals(leave.life())) {
                 return false;
             }
-            members.put(leave.name(), new Member(member.name(), member.life(), member.site(), false));
+            members.put(
+                    leave.name(), new Member(member.name(), member.life(), member.site(), false));
             return true;
         }
         if (deed instanceof Deed.Forget forget) {
-            boolean holds = duties.values().stream().anyMatch(held -> forget.name().equals(held.holder()));
+            boolean holds =
+                    duties.values().stream().anyMatch(held -> forget.name().equals(held.holder()));
             if (holds || members.remove(forget.name()) == null) {
                 return false;
             }
@@ -144,7 +172,14 @@
         if (deed instanceof Deed.Back back) {
             Permit permit = permits.remove(back.permit());
             if (permit != null) {
-                write(back.atMillis(), "permit " + back.permit() + " of " + permit.node() + " ended: " + back.why());
+                write(
+                        back.atMillis(),
+                        "permit "
+                                + back.permit()
+                                + " of "
+                                + permit.node()
+                                + " ended: "
+                                + back.why());
             }
             return permit != null;
         }
@@ -167,7 +202,8 @@
             return begin(begin);
         }
         if (deed instanceof Deed.SetPlan plan) {
-            boolean fits = isUnder(DutyName.PLANNER, plan.token()) && plans.plan(plan, members.values());
+            boolean fits =
+                    isUnder(DutyName.PLANNER, plan.token()) && plans.plan(plan, members.values());
             if (fits && !plan.why().isEmpty()) {
                 write(plan.atMillis(), "plan " + plans.last() + ": " + plan.why());
             }
@@ -209,8 +245,13 @@
             Release release = releases.release();
             boolean fits = isUnder(DutyName.CONDUCTOR, finish.token()) && releases.finish(finish);
             if (fits) {
-                write(finish.atMillis(), release + (finish.done() ? " is done" : " has ended, nodes run what they ran before")
-                        + (finish.why().isEmpty() ? "" : ": " + finish.why()));
+                write(
+                        finish.atMillis(),
+                        release
+                                + (finish.done()
+                                        ? " is done"
+                                        : " has ended, nodes run what they ran before")
+                                + (finish.why().isEmpty() ? "" : ": " + finish.why()));
             }
             return fits;
         }
@@ -235,18 +276,34 @@
             return false;
         }
         did(begin.order(), releases.release() + " of " + begin.to());
-        write(begin.atMillis(), begin.by() + " began " + releases.release() + " of "
-                + (begin.kind() == Release.Kind.PROGRAM ? "the program " : "the configuration ") + begin.to());
+        write(
+                begin.atMillis(),
+                begin.by()
+                        + " began "
+                        + releases.release()
+                        + " of "
+                        + (begin.kind() == Release.Kind.PROGRAM
+                                ? "the program "
+                                : "the configuration ")
+                        + begin.to());
         return true;
     }
 
     private boolean step(Deed.Step step) {
-        if (!isUnder(DutyName.CONDUCTOR, step.token()) || !haltedBy.isEmpty() || !releases.step(step)) {
+        if (!isUnder(DutyName.CONDUCTOR, step.token())
+                || !haltedBy.isEmpty()
+                || !releases.step(step)) {
             return false;
         }
-        write(step.atMillis(), releases.release() + (step.back() ? " taken back from " : " given to ") + step.nodes().size()
-                + (step.nodes().size() == 1 ? " node, " : " nodes, ") + step.nodes().get(0)
-                + (step.nodes().size() == 1 ? "" : " first") + (step.why().isEmpty() ? "" : ": " + step.why()));
+        write(
+                step.atMillis(),
+                releases.release()
+                        + (step.back() ? " taken back from " : " given to ")
+                        + step.nodes().size()
+                        + (step.nodes().size() == 1 ? " node, " : " nodes, ")
+                        + step.nodes().get(0)
+                        + (step.nodes().size() == 1 ? "" : " first")
+                        + (step.why().isEmpty() ? "" : ": " + step.why()));
         return true;
     }
 
@@ -266,16 +323,28 @@
 
     /** Why a release may not begin now; empty where it may. */
     public String againstRelease(Release.Kind kind, String to, String text) {
-        return !haltedBy.isEmpty() ? haltedBy + " halted" : !rests.isEmpty() ? rests.firstKey()
-                + " rests; it has to be back first" : releases.against(kind, to, text);
+        return !haltedBy.isEmpty()
+                ? haltedBy + " halted"
+                : !rests.isEmpty()
+                        ? rests.firstKey() + " rests; it has to be back first"
+                        : releases.against(kind, to, text);
     }
 
     /** Why a server may not rest now; empty where it may. */
     public String againstRest(String server, int most) {
         Release release = releases.release();
-        return !haltedBy.isEmpty() ? haltedBy + " halted" : release != null ? release + " by " + release.by()
-                + " is open; it has to end first" : rests.containsKey(server) ? server + " rests already"
-                : rests.size() >= most ? rests.keySet() + " rest, and no more than " + most + " may" : "";
+        return !haltedBy.isEmpty()
+                ? haltedBy + " halted"
+                : release != null
+                        ? release + " by " + release.by() + " is open; it has to end first"
+                        : rests.containsKey(server)
+                                ? server + " rests already"
+                                : rests.size() >= most
+                                        ? rests.keySet()
+                                                + " rest, and no more than "
+                                                + most
+                                                + " may"
+                                        : "";
     }
 
     /** The newest plan; null before the first. */
@@ -315,7 +384,10 @@
 
     /** What a node is to run. */
     public Reply.Wanted wanted(NodeName node) {
-        return new Reply.Wanted(releases.wanted(node), releases.toCheck(), releases.release() != null,
+        return new Reply.Wanted(
+                releases.wanted(node),
+                releases.toCheck(),
+                releases.release() != null,
                 List.copyOf(rests.keySet()));
     }
 
@@ -334,16 +406,24 @@
             return true; // it was done before
         }
         Member member = members.get(allow.node());
-        boolean has = permits.values().stream().anyMatch(permit -> permit.node().equals(allow.node()));
-        if (!haltedBy.isEmpty() || member == null || has || permits.size() >= MOST_PERMITS
-                || !new Outs(allow.rules(), members.values(), permits.values(), allow.seenOut()).against(allow.node())
+        boolean has =
+                permits.values().stream().anyMatch(permit -> permit.node().equals(allow.node()));
+        if (!haltedBy.isEmpty()
+                || member == null
+                || has
+                || permits.size() >= MOST_PERMITS
+                || !new Outs(allow.rules(), members.values(), permits.values(), allow.seenOut())
+                        .against(allow.node())
                         .isEmpty()) {
             return false;
         }
-        Permit permit = new Permit(++lastPermit, member.name(), member.life(), member.site(), allow.by());
+        Permit permit =
+                new Permit(++lastPermit, member.name(), member.life(), member.site(), allow.by());
         permits.put(permit.number(), permit);
         did(allow.order(), "permit " + permit.number() + " for " + permit.node());
-        write(allow.atMillis(), allow.by() + " let " + permit.node() + " go under permit " + permit.number());
+        write(
+                allow.atMillis(),
+                allow.by() + " let " + permit.node() + " go under permit " + permit.number());
         return true;
     }
 
@@ -363,7 +443,11 @@
 
     /** What an order that was carried out came to; null for one that wasn't. */
     public String answer(String order) {
-        return done.stream().filter(one -> one.order().equals(order)).map(Done::text).findFirst().orElse(null);
+        return done.stream()
+                .filter(one -> one.order().equals(order))
+                .map(Done::text)
+                .findFirst()
+                .orElse(null);
     }
 
     /** Why a node may not go now; empty where it may. */
@@ -372,7 +456,8 @@
             return haltedBy + " halted";
         }
         boolean has = permits.values().stream().anyMatch(permit -> permit.node().equals(node));
-        return has ? node + " has a permit already"
+        return has
+                ? node + " has a permit already"
                 : new Outs(rules, members.values(), permits.values(), seenOut).against(node);
     }
 
@@ -391,8 +476,11 @@
 
     private boolean join(Deed.Join join) {
         if (!members.containsKey(join.name()) && members.size() >= mostMembers) {
-            // Guards against names that come once each, as of nodes named anew at each start: who went makes room.
-            members.values().stream().filter(member -> !member.in()).findFirst()
+            // Guards against names that come once each, as of nodes named anew at each start: who
+            // went makes room.
+            members.values().stream()
+                    .filter(member -> !member.in())
+                    .findFirst()
                     .ifPresent(gone -> members.remove(gone.name()));
             if (members.size() >= mostMembers) {
                 return false;
@@ -405,12 +493,16 @@
     private boolean give(Deed.Give give) {
         Held held = duties.get(give.duty());
         Member heir = members.get(give.heir());
-        boolean fits = held == null ? give.after().number() == 0 && duties.size() < MOST_DUTIES
-                : held.isFree() && held.token().equals(give.after());
+        boolean fits =
+                held == null
+                        ? give.after().number() == 0 && duties.size() < MOST_DUTIES
+                        : held.isFree() && held.token().equals(give.after());
         if (!fits || heir == null || !heir.in() || !heir.life().equals(give.life())) {
             return false;
         }
-        duties.put(give.duty(), new Held(give.duty(), give.heir(), give.life(), new Token(++lastToken)));
+        duties.put(
+                give.duty(),
+                new Held(give.duty(), give.heir(), give.life(), new Token(++lastToken)));
         return true;
     }
 
--- a/src/main/java/lupinwood/fleet/Condition.java
+++ b/src/main/java/lupinwood/fleet/Condition.java
@@ -1,4 +1,9 @@
 package lupinwood.fleet;
 
 /** How a node finds itself; GONE is the last that it says. */
-public enum Condition { COLD, WARM, LEAVING, GONE }
+public enum Condition {
+    COLD,
+    WARM,
+    LEAVING,
+    GONE
+}
--- a/src/main/java/lupinwood/fleet/DutyName.java
+++ b/src/main/java/lupinwood/fleet/DutyName.java
@@ -4,11 +4,13 @@
 public record DutyName(String text) implements Comparable<DutyName> {
     /** Tries servers that all nodes have left out. */
     public static final DutyName TRIAL = new DutyName("trial");
+
     /** Gathers the fleet's picture and tells it outside. */
     public static final DutyName KEEPER = new DutyName("keeper");
 
     /** Plans how much goes from where to where. */
     public static final DutyName PLANNER = new DutyName("planner");
+
     /** Leads releases. */
     public static final DutyName CONDUCTOR = new DutyName("conductor");
 
--- a/src/main/java/lupinwood/fleet/Holding.java
+++ b/src/main/java/lupinwood/fleet/Holding.java
@@ -9,9 +9,10 @@
 import lupinwood.node.Span;
 
 /**
- * Which duties this node holds, by its own monotonic clock. A grant counts from before the node asked for it, and is
- * shortened by how slow its clock may run: so it ends here before the council may give the duty on, however long a reply
- * was on its way. To be asked before every act, since the process may have been stopped since it last was.
+ * Which duties this node holds, by its own monotonic clock. A grant counts from before the node
+ * asked for it, and is shortened by how slow its clock may run: so it ends here before the council
+ * may give the duty on, however long a reply was on its way. To be asked before every act, since
+ * the process may have been stopped since it last was.
  */
 public final class Holding {
     /** Beats whose reply may still come. */
@@ -23,6 +24,7 @@
     private final Map<Long, Moment> askedAt = new HashMap<>();
     private long latest;
     private final TreeMap<DutyName, Until> held = new TreeMap<>();
+
     /** Given back or failed at, and not to be taken again under the same token. */
     private final Map<DutyName, Token> done = new HashMap<>();
 
@@ -39,8 +41,9 @@
     }
 
     /**
-     * The council's word on what is held; it may come twice to one beat, the second time with more. One to an older beat
-     * than the latest answered, or to one that isn't known any more, says nothing.
+     * The council's word on what is held; it may come twice to one beat, the second time with more.
+     * One to an older beat than the latest answered, or to one that isn't known any more, says
+     * nothing.
      */
     public void told(Reply reply, Moment now) {
         Moment asked = askedAt.get(reply.number());
@@ -55,7 +58,9 @@
         for (Grant grant : reply.grants()) {
             Until before = held.get(grant.duty());
             boolean newer = before == null || before.token().compareTo(grant.token()) <= 0;
-            boolean over = done.containsKey(grant.duty()) && done.get(grant.duty()).compareTo(grant.token()) >= 0;
+            boolean over =
+                    done.containsKey(grant.duty())
+                            && done.get(grant.duty()).compareTo(grant.token()) >= 0;
             if (newer && !over && now.isBefore(until)) {
                 next.put(grant.duty(), new Until(grant.token(), until));
             }
@@ -84,15 +89,18 @@
     /** What is held now. */
     public List<Grant> holds(Moment now) {
         List<Grant> holds = new ArrayList<>();
-        held.forEach((duty, until) -> {
-            if (now.isBefore(until.moment())) {
-                holds.add(new Grant(duty, until.token()));
-            }
-        });
+        held.forEach(
+                (duty, until) -> {
+                    if (now.isBefore(until.moment())) {
+                        holds.add(new Grant(duty, until.token()));
+                    }
+                });
         return holds;
     }
 
-    /** From now on the duty isn't done here under the token it is held by; null where it isn't held. */
+    /**
+     * From now on the duty isn't done here under the token it is held by; null where it isn't held.
+     */
     public Grant giveUp(DutyName duty) {
         Until until = held.remove(duty);
         if (until == null) {
--- a/src/main/java/lupinwood/fleet/Life.java
+++ b/src/main/java/lupinwood/fleet/Life.java
@@ -1,6 +1,8 @@
 package lupinwood.fleet;
 
-/** One start of a node: drawn anew each time, so that two processes under one name are told apart. */
+/**
+ * One start of a node: drawn anew each time, so that two processes under one name are told apart.
+ */
 public record Life(long number) {
     @Override
     public String toString() {
--- a/src/main/java/lupinwood/fleet/Outs.java
+++ b/src/main/java/lupinwood/fleet/Outs.java
@@ -8,10 +8,15 @@
 final class Outs {
     private final OutRules rules;
     private final Collection<Book.Member> members;
+
     /** By permits, and by what was seen: not in, unknown, cold or leaving. */
     private final Set<NodeName> out;
 
-    Outs(OutRules rules, Collection<Book.Member> members, Collection<Permit> permits, Collection<NodeName> seenOut) {
+    Outs(
+            OutRules rules,
+            Collection<Book.Member> members,
+            Collection<Permit> permits,
+            Collection<NodeName> seenOut) {
         this.rules = rules;
         this.members = members;
         out = new HashSet<>(seenOut);
@@ -24,11 +29,12 @@
     }
 
     /**
-     * Why this node may not go now; empty where it may. One that isn't known to be well may not: a new leader has heard
-     * nobody yet, and all would be out already by what it sees.
+     * Why this node may not go now; empty where it may. One that isn't known to be well may not: a
+     * new leader has heard nobody yet, and all would be out already by what it sees.
      */
     String against(NodeName node) {
-        Book.Member member = members.stream().filter(one -> one.name().equals(node)).findFirst().orElse(null);
+        Book.Member member =
+                members.stream().filter(one -> one.name().equals(node)).findFirst().orElse(null);
         if (member == null) {
             return "there is no node " + node;
         }
@@ -38,7 +44,13 @@
         int all = members.size();
         int gone = count() + 1;
         if (gone > rules.mostOf(all)) {
-            return "of " + all + " nodes " + (gone - 1) + " are out, and no more than " + rules.mostOf(all) + " may be";
+            return "of "
+                    + all
+                    + " nodes "
+                    + (gone - 1)
+                    + " are out, and no more than "
+                    + rules.mostOf(all)
+                    + " may be";
         }
         if (all - gone < rules.leastIn()) {
             return "fewer than " + rules.leastIn() + " nodes would stay in";
@@ -47,15 +59,33 @@
         if (rules.voters() != null && rules.voters().contains(node)) {
             int without = 1 + (int) rules.voters().stream().filter(out::contains).count();
             if (without * 2 >= rules.voters().size()) {
-                return "of " + rules.voters().size() + " voters " + (without - 1) + " are out, and a majority has to stay";
+                return "of "
+                        + rules.voters().size()
+                        + " voters "
+                        + (without - 1)
+                        + " are out, and a majority has to stay";
             }
         }
         int inZone = (int) members.stream().filter(one -> one.site().equals(member.site())).count();
-        int outOfZone = 1 + (int) members.stream()
-                .filter(one -> one.site().equals(member.site()) && out.contains(one.name())).count();
+        int outOfZone =
+                1
+                        + (int)
+                                members.stream()
+                                        .filter(
+                                                one ->
+                                                        one.site().equals(member.site())
+                                                                && out.contains(one.name()))
+                                        .count();
         if (outOfZone > rules.mostOfZone(inZone)) {
-            return "of " + inZone + " nodes in " + member.site() + " " + (outOfZone - 1) + " are out, and no more than "
-                    + rules.mostOfZone(inZone) + " may be";
+            return "of "
+                    + inZone
+                    + " nodes in "
+                    + member.site()
+                    + " "
+                    + (outOfZone - 1)
+                    + " are out, and no more than "
+                    + rules.mostOfZone(inZone)
+                    + " may be";
         }
         return "";
     }
--- a/src/main/java/lupinwood/fleet/Plan.java
+++ b/src/main/java/lupinwood/fleet/Plan.java
@@ -7,17 +7,21 @@
 import java.util.TreeMap;
 
 /**
- * How many tickets at once each node may have at each place below. A site's slots at a place are parted evenly among its
- * nodes, and what is left over goes one each to some of them, other ones at each place. A node that isn't in the roster has
- * nothing by it, also if it stands in one of its zones: it came later and wasn't counted.
+ * How many tickets at once each node may have at each place below. A site's slots at a place are
+ * parted evenly among its nodes, and what is left over goes one each to some of them, other ones at
+ * each place. A node that isn't in the roster has nothing by it, also if it stands in one of its
+ * zones: it came later and wasn't counted.
  *
  * @param number counts up; a node goes by the highest that it heard of
- * @param roster all nodes that the plan counts, with their sites at that time, in the order of their names
+ * @param roster all nodes that the plan counts, with their sites at that time, in the order of
+ *     their names
  * @param slots of all nodes of a site together, at a place; a place that isn't named may have none
  */
-public record Plan(long number, Map<String, String> roster, Map<String, Map<String, Integer>> slots) {
+public record Plan(
+        long number, Map<String, String> roster, Map<String, Map<String, Integer>> slots) {
     public Plan {
-        roster = new TreeMap<>(roster); // its order parts what is left over, so it must be the same everywhere
+        roster = new TreeMap<>(roster); // its order parts what is left over, so it must be the same
+        // everywhere
     }
 
     /** What a node may have, by place. */
@@ -26,7 +30,8 @@
         Map<String, Integer> own = new TreeMap<>();
         if (site != null) {
             int[] rank = ranks().get(node.text());
-            slots.getOrDefault(site, Map.of()).forEach((place, all) -> own.put(place, part(all, rank, place)));
+            slots.getOrDefault(site, Map.of())
+                    .forEach((place, all) -> own.put(place, part(all, rank, place)));
         }
         return own;
     }
@@ -42,16 +47,24 @@
         roster.values().forEach(site -> counts.merge(site, 1, Integer::sum));
         Map<String, Integer> next = new TreeMap<>();
         Map<String, int[]> ranks = new TreeMap<>();
-        roster.forEach((node, site) -> ranks.put(node, new int[] {next.merge(site, 1, Integer::sum) - 1, counts.get(site)}));
+        roster.forEach(
+                (node, site) ->
+                        ranks.put(
+                                node,
+                                new int[] {
+                                    next.merge(site, 1, Integer::sum) - 1, counts.get(site)
+                                }));
         return ranks;
     }
 
     /**
-     * A place that might be sent more than it can bear, or null. To be called with all plans that any node may still go by.
+     * A place that might be sent more than it can bear, or null. To be called with all plans that
+     * any node may still go by.
      *
      * @param alone what a node of a site may have at a place without any plan
      */
-    public static String overfull(List<Plan> plans, Map<String, Integer> bears, Map<String, Map<String, Integer>> alone) {
+    public static String overfull(
+            List<Plan> plans, Map<String, Integer> bears, Map<String, Map<String, Integer>> alone) {
         Set<String> nodes = new HashSet<>();
         Map<String, Map<String, Integer>> most = new TreeMap<>();
         for (Plan plan : plans) {
@@ -63,18 +76,34 @@
                 }
             }
             Map<String, int[]> ranks = plan.ranks();
-            plan.roster().forEach((node, site) -> {
-                nodes.add(node);
-                Map<String, Integer> own = most.computeIfAbsent(node, none -> new TreeMap<>());
-                plan.slots().getOrDefault(site, Map.of()).forEach((place, all) ->
-                        own.merge(place, part(all, ranks.get(node), place), Math::max));
-                alone.getOrDefault(site, Map.of()).forEach((place, may) -> own.merge(place, may, Math::max));
-            });
+            plan.roster()
+                    .forEach(
+                            (node, site) -> {
+                                nodes.add(node);
+                                Map<String, Integer> own =
+                                        most.computeIfAbsent(node, none -> new TreeMap<>());
+                                plan.slots()
+                                        .getOrDefault(site, Map.of())
+                                        .forEach(
+                                                (place, all) ->
+                                                        own.merge(
+                                                                place,
+                                                                part(all, ranks.get(node), place),
+                                                                Math::max));
+                                alone.getOrDefault(site, Map.of())
+                                        .forEach((place, may) -> own.merge(place, may, Math::max));
+                            });
         }
         Map<String, Integer> sums = new TreeMap<>();
-        nodes.forEach(node -> most.get(node).forEach((place, may) -> sums.merge(place, may, Integer::sum)));
-        return sums.entrySet().stream().filter(one -> one.getValue() > bears.getOrDefault(one.getKey(), 0)).map(Map.Entry::getKey)
-                .findFirst().orElse(null);
+        nodes.forEach(
+                node ->
+                        most.get(node)
+                                .forEach((place, may) -> sums.merge(place, may, Integer::sum)));
+        return sums.entrySet().stream()
+                .filter(one -> one.getValue() > bears.getOrDefault(one.getKey(), 0))
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse(null);
     }
 
     Plan without(NodeName node) {
--- a/src/main/java/lupinwood/fleet/Plans.java
+++ b/src/main/java/lupinwood/fleet/Plans.java
@@ -7,14 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * The agreed part of plans. Several may be live: a node that hasn't heard of the newest goes by an older one while its lease
- * lasts. At any moment, whatever each node believes, no place may be sent more than it can bear: so a plan fits only if for
- * each place the sum over all nodes of the most that any live plan, this one included, or their standing right gives them
- * is no more than that. More is given only after what it takes from has been taken back and the older plan is retired.
+ * The agreed part of plans. Several may be live: a node that hasn't heard of the newest goes by an
+ * older one while its lease lasts. At any moment, whatever each node believes, no place may be sent
+ * more than it can bear: so a plan fits only if for each place the sum over all nodes of the most
+ * that any live plan, this one included, or their standing right gives them is no more than that.
+ * More is given only after what it takes from has been taken back and the older plan is retired.
  */
 final class Plans {
     /** As it is kept and sent. */
-    record Page(List<Plan> live, Map<String, Integer> bears, Map<String, Map<String, Integer>> alone, long last) {}
+    record Page(
+            List<Plan> live,
+            Map<String, Integer> bears,
+            Map<String, Map<String, Integer>> alone,
+            long last) {}
 
     private final List<Plan> live = new ArrayList<>();
     private Map<String, Integer> bears = Map.of();
--- a/src/main/java/lupinwood/fleet/Release.java
+++ b/src/main/java/lupinwood/fleet/Release.java
@@ -14,10 +14,21 @@
  * @param steps how many waves were given, there and back
  * @param given the nodes that are to have it now, in the order in which they got it
  */
-public record Release(long number, Kind kind, String from, String to, String by, boolean backsOnHalt, int turnedAt,
-        int steps, List<NodeName> given) {
+public record Release(
+        long number,
+        Kind kind,
+        String from,
+        String to,
+        String by,
+        boolean backsOnHalt,
+        int turnedAt,
+        int steps,
+        List<NodeName> given) {
     /** What is released. */
-    public enum Kind { CONFIGURATION, PROGRAM }
+    public enum Kind {
+        CONFIGURATION,
+        PROGRAM
+    }
 
     /** Whether it is on its way back. */
     public boolean back() {
@@ -25,7 +36,8 @@
     }
 
     Release with(int turned, int step, List<NodeName> nodes) {
-        return new Release(number, kind, from, to, by, backsOnHalt, turned, step, List.copyOf(nodes));
+        return new Release(
+                number, kind, from, to, by, backsOnHalt, turned, step, List.copyOf(nodes));
     }
 
     public boolean isGiven(NodeName node) {
--- a/src/main/java/lupinwood/fleet/Releases.java
+++ b/src/main/java/lupinwood/fleet/Releases.java
@@ -7,27 +7,40 @@
 import java.util.Set;
 
 /**
- * The agreed part of releases: which text and which program are good, and which release is under way. Two versions are
- * in use at the most, since the next one begins only when this one has ended.
+ * The agreed part of releases: which text and which program are good, and which release is under
+ * way. Two versions are in use at the most, since the next one begins only when this one has ended.
  */
 final class Releases {
     /** Characters of a text: it travels in one message and stands in each voter's folder. */
     static final int MOST_TEXT = 32 * 1024;
 
-    /** @param text of the digest that it goes with */
+    /**
+     * @param text of the digest that it goes with
+     */
     record Text(String digest, String text) {}
 
     /** As it is kept and sent. */
-    record Page(Text good, String program, Text next, Release open, long last, Map<String, Tally> past) {}
+    record Page(
+            Text good,
+            String program,
+            Text next,
+            Release open,
+            long last,
+            Map<String, Tally> past) {}
 
     private static final Text NONE = new Text("", "");
     private Text good = NONE;
+
     /** The program's last good version; empty while nobody released one. */
     private String program = "";
+
     private Text next = NONE;
+
     /** Null while none is open. */
     private Release open;
+
     private long last;
+
     /** How the nodes did before the release; whoever leads it later has this from here. */
     private Map<String, Tally> past = Map.of();
 
@@ -56,7 +69,11 @@
             return open + " by " + open.by() + " is open; it has to end first";
         }
         if (text.length() > MOST_TEXT) {
-            return "the text has " + text.length() + " characters, and " + MOST_TEXT + " is the most";
+            return "the text has "
+                    + text.length()
+                    + " characters, and "
+                    + MOST_TEXT
+                    + " is the most";
         }
         if (to.equals(kind == Release.Kind.CONFIGURATION ? good.digest() : program)) {
             return "that means the same as what the fleet runs, " + (to.isEmpty() ? "nothing" : to);
@@ -69,15 +86,27 @@
             return false;
         }
         boolean text = begin.kind() == Release.Kind.CONFIGURATION;
-        open = new Release(++last, begin.kind(), text ? good.digest() : program, begin.to(), begin.by(),
-                begin.backsOnHalt(), -1, 0, List.of());
+        open =
+                new Release(
+                        ++last,
+                        begin.kind(),
+                        text ? good.digest() : program,
+                        begin.to(),
+                        begin.by(),
+                        begin.backsOnHalt(),
+                        -1,
+                        0,
+                        List.of());
         next = text ? new Text(begin.to(), begin.text()) : NONE;
         return true;
     }
 
     /** A wave: there the nodes get it, on the way back they have it no more. */
     boolean step(Deed.Step step) {
-        if (open == null || step.release() != open.number() || step.step() != open.steps() + 1 || step.back() != open.back()) {
+        if (open == null
+                || step.release() != open.number()
+                || step.step() != open.steps() + 1
+                || step.back() != open.back()) {
             return false;
         }
         Set<NodeName> given = new LinkedHashSet<>(open.given());
@@ -98,7 +127,9 @@
     }
 
     boolean finish(Deed.Finish finish) {
-        if (open == null || finish.release() != open.number() || finish.done() == (open.back() || open.steps() == 0)
+        if (open == null
+                || finish.release() != open.number()
+                || finish.done() == (open.back() || open.steps() == 0)
                 || !finish.done() && !open.given().isEmpty()) {
             return false;
         }
@@ -123,7 +154,8 @@
 
     /** The digest of the text that a node is to go by. */
     String wanted(NodeName node) {
-        boolean given = open != null && open.kind() == Release.Kind.CONFIGURATION && open.isGiven(node);
+        boolean given =
+                open != null && open.kind() == Release.Kind.CONFIGURATION && open.isGiven(node);
         return given ? open.to() : good.digest();
     }
 
@@ -135,11 +167,15 @@
 
     /** The digest of a text that nodes are to check now; empty for none. */
     String toCheck() {
-        return open != null && open.kind() == Release.Kind.CONFIGURATION && !open.back() ? open.to() : "";
+        return open != null && open.kind() == Release.Kind.CONFIGURATION && !open.back()
+                ? open.to()
+                : "";
     }
 
     /** Null where no text of that digest is kept. */
     String text(String digest) {
-        return digest.equals(good.digest()) ? good.text() : digest.equals(next.digest()) ? next.text() : null;
+        return digest.equals(good.digest())
+                ? good.text()
+                : digest.equals(next.digest()) ? next.text() : null;
     }
 }
--- a/src/main/java/lupinwood/fleet/Reply.java
+++ b/src/main/java/lupinwood/fleet/Reply.java
@@ -19,8 +19,18 @@
  * @param share what the node may send where, for a lease from before its beat; null without a plan
  * @param others how many nodes the council heard lately
  */
-public record Reply(long number, boolean taken, NodeName leader, String trouble, Span lease, List<Grant> grants,
-        List<Finding> found, long leave, Wanted wanted, Share share, int others) {
+public record Reply(
+        long number,
+        boolean taken,
+        NodeName leader,
+        String trouble,
+        Span lease,
+        List<Grant> grants,
+        List<Finding> found,
+        long leave,
+        Wanted wanted,
+        Share share,
+        int others) {
     /**
      * A node's part of a plan.
      *
@@ -43,6 +53,7 @@
     }
 
     static Reply notTaken(long number, NodeName leader) {
-        return new Reply(number, false, leader, "", Span.ZERO, List.of(), List.of(), 0, null, null, 0);
+        return new Reply(
+                number, false, leader, "", Span.ZERO, List.of(), List.of(), 0, null, null, 0);
     }
 }
--- a/src/main/java/lupinwood/fleet/Rules.java
+++ b/src/main/java/lupinwood/fleet/Rules.java
@@ -10,11 +10,19 @@
  * @param beat how long between two words of a node that holds nothing
  * @param beatHolding the same of one that holds a duty
  * @param silent without a word for so long a node is unknown
- * @param shunned a node that failed at a duty doesn't get it again for so long, the first time; twice as long each time
+ * @param shunned a node that failed at a duty doesn't get it again for so long, the first time;
+ *     twice as long each time
  * @param shunnedMost and no longer than this
  * @param mostMembers the book holds no more; a further node serves on and stands outside
  */
-public record Rules(Span lease, double drift, Span beat, Span beatHolding, Span silent, Span shunned, Span shunnedMost,
+public record Rules(
+        Span lease,
+        double drift,
+        Span beat,
+        Span beatHolding,
+        Span silent,
+        Span shunned,
+        Span shunnedMost,
         int mostMembers) {
     private static final double MOST_DRIFT = 0.2;
 
@@ -26,8 +34,15 @@
 
     /** All else follows from the lease. */
     public static Rules of(Span lease, double drift) {
-        return new Rules(lease, drift, lease.times(1.0 / 3), lease.times(1.0 / 6), lease.times(1.2), lease.times(2),
-                lease.times(40), 4096);
+        return new Rules(
+                lease,
+                drift,
+                lease.times(1.0 / 3),
+                lease.times(1.0 / 6),
+                lease.times(1.2),
+                lease.times(2),
+                lease.times(40),
+                4096);
     }
 
     /** What a holder may count on, from before it asked, on a clock that may run slow. */
--- a/src/main/java/lupinwood/fleet/Seen.java
+++ b/src/main/java/lupinwood/fleet/Seen.java
@@ -8,4 +8,5 @@
  * @param heard how long ago it was heard; null where this leader never heard it
  * @param report null where it told none
  */
-public record Seen(NodeName name, Life life, Site site, Standing standing, Span heard, Report report) {}
+public record Seen(
+        NodeName name, Life life, Site site, Standing standing, Span heard, Report report) {}
--- a/src/main/java/lupinwood/fleet/Session.java
+++ b/src/main/java/lupinwood/fleet/Session.java
@@ -10,9 +10,9 @@
 import lupinwood.node.Span;
 
 /**
- * A node's standing talk with the council: whom to tell, when again, and what was said. It follows the word of who
- * leads; where nothing answers it goes round the voters, after pauses that double and differ from node to node, so that
- * hundreds that were cut off don't come back as one.
+ * A node's standing talk with the council: whom to tell, when again, and what was said. It follows
+ * the word of who leads; where nothing answers it goes round the voters, after pauses that double
+ * and differ from node to node, so that hundreds that were cut off don't come back as one.
  */
 public final class Session {
     /** A beat to be sent. */
@@ -30,8 +30,10 @@
     private NodeName to;
     private long number;
     private Moment next;
+
     /** Null while no beat is without its reply. */
     private Moment awaitsSince;
+
     private int silences;
     private Moment latestWord;
     private Reply latest;
@@ -43,7 +45,14 @@
     private final Map<String, Finding> found = new LinkedHashMap<>();
     private final Map<String, Moment> foundAt = new LinkedHashMap<>();
 
-    public Session(Rules rules, NodeName name, Life life, Site site, List<NodeName> voters, long seed, Moment now) {
+    public Session(
+            Rules rules,
+            NodeName name,
+            Life life,
+            Site site,
+            List<NodeName> voters,
+            long seed,
+            Moment now) {
         this.rules = rules;
         this.name = name;
         this.life = life;
@@ -81,8 +90,22 @@
         next = now.plus(pause(condition, now));
         List<Finding> aged = new ArrayList<>();
         found.forEach((server, one) -> aged.add(one.aged(now.since(foundAt.get(server)))));
-        return new Sent(to, new Beat(Beat.VERSION, name, life, site, condition, number, holding.holds(now),
-                List.copyOf(handsOn.values()), List.copyOf(failsAt.values()), leftOut, aged, report).cut());
+        return new Sent(
+                to,
+                new Beat(
+                                Beat.VERSION,
+                                name,
+                                life,
+                                site,
+                                condition,
+                                number,
+                                holding.holds(now),
+                                List.copyOf(handsOn.values()),
+                                List.copyOf(failsAt.values()),
+                                leftOut,
+                                aged,
+                                report)
+                        .cut());
     }
 
     /** The last beat of this life, with all duties handed on. */
@@ -92,10 +115,14 @@
     }
 
     private Span pause(Condition condition, Moment now) {
-        boolean urgent = !holding.holds(now).isEmpty() || !handsOn.isEmpty() || condition == Condition.LEAVING;
+        boolean urgent =
+                !holding.holds(now).isEmpty()
+                        || !handsOn.isEmpty()
+                        || condition == Condition.LEAVING;
         Span usual = urgent ? rules.beatHolding() : rules.beat();
         // The first round through the voters is quick; then the pauses double.
-        double factor = silences <= voters.size() ? 1 : Math.pow(2, Math.min(10, silences - voters.size()));
+        double factor =
+                silences <= voters.size() ? 1 : Math.pow(2, Math.min(10, silences - voters.size()));
         return usual.times(Math.min(factor, LONGEST_PAUSE) * (0.8 + 0.4 * random.nextDouble()));
     }
 
@@ -116,13 +143,18 @@
         latest = reply;
         Moment asked = holding.asked(reply.number());
         if (reply.share() != null && asked != null) {
-            allotment.told(reply.share().plan(), reply.share().slots(),
+            allotment.told(
+                    reply.share().plan(),
+                    reply.share().slots(),
                     asked.plus(rules.heldFor().min(reply.lease().times(1 - rules.drift()))));
         }
         holding.told(reply, now);
-        handsOn.values().removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
-        failsAt.values().removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
-        foundAt.entrySet().removeIf(one -> rules.lease().times(4).compareTo(now.since(one.getValue())) < 0);
+        handsOn.values()
+                .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
+        failsAt.values()
+                .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
+        foundAt.entrySet()
+                .removeIf(one -> rules.lease().times(4).compareTo(now.since(one.getValue())) < 0);
         found.keySet().retainAll(foundAt.keySet());
     }
 
@@ -130,11 +162,18 @@
         if (reply.number() != number) {
             return;
         }
-        boolean known = reply.leader() != null && voters.contains(reply.leader()) && !reply.leader().equals(to);
+        boolean known =
+                reply.leader() != null
+                        && voters.contains(reply.leader())
+                        && !reply.leader().equals(to);
         to = known ? reply.leader() : voters.get((voters.indexOf(to) + 1) % voters.size());
         silences++;
-        // A hint is followed soon, though not at once: two voters that name each other would be a storm.
-        Moment soon = now.plus(rules.beatHolding().times(known && silences < 4 ? 0.1 : 0.5 + random.nextDouble()));
+        // A hint is followed soon, though not at once: two voters that name each other would be a
+        // storm.
+        Moment soon =
+                now.plus(
+                        rules.beatHolding()
+                                .times(known && silences < 4 ? 0.1 : 0.5 + random.nextDouble()));
         next = soon.isBefore(next) ? soon : next;
     }
 
@@ -148,7 +187,10 @@
         return holding;
     }
 
-    /** The duty is no longer done here; the council hears of it with the next beat, which is due at once. */
+    /**
+     * The duty is no longer done here; the council hears of it with the next beat, which is due at
+     * once.
+     */
     public void handOn(DutyName duty, Moment now) {
         Grant grant = holding.giveUp(duty);
         if (grant != null) {
@@ -192,9 +234,13 @@
         next = next.isBefore(now) ? next : now;
     }
 
-    /** Whether the council's word is fresh enough to go by; else this node does as it would alone. */
+    /**
+     * Whether the council's word is fresh enough to go by; else this node does as it would alone.
+     */
     public boolean isInTouch(Moment now) {
-        return latestWord != null && now.since(latestWord).compareTo(rules.lease()) <= 0 && latest.trouble().isEmpty();
+        return latestWord != null
+                && now.since(latestWord).compareTo(rules.lease()) <= 0
+                && latest.trouble().isEmpty();
     }
 
     /** The latest word of who leads, or null before there was any. */
--- a/src/main/java/lupinwood/fleet/Steward.java
+++ b/src/main/java/lupinwood/fleet/Steward.java
@@ -16,18 +16,20 @@
 import lupinwood.node.Span;
 
 /**
- * Decides for the council while its voter leads: who is known to be well, and who is to hold which duty. What it knows of
- * sessions it alone knows, and learns anew when another voter leads; what must outlive it goes into the book by deeds.
+ * Decides for the council while its voter leads: who is known to be well, and who is to hold which
+ * duty. What it knows of sessions it alone knows, and learns anew when another voter leads; what
+ * must outlive it goes into the book by deeds.
  *
- * <p>A duty is given on only when its holder has said that it stopped, or when it has stopped for certain: so long after
- * the last word to it as its lease and the clocks' drift allow. A new leader can't know when that was, so it counts from
- * when it began to lead.
+ * <p>A duty is given on only when its holder has said that it stopped, or when it has stopped for
+ * certain: so long after the last word to it as its lease and the clocks' drift allow. A new leader
+ * can't know when that was, so it counts from when it began to lead.
  */
 public final class Steward {
     /** What the leader knows of one node beside the book. */
     private static final class Heard {
         Beat beat;
         Moment at;
+
         /** Since when it has been well without a break. */
         Moment wellSince;
 
@@ -43,25 +45,39 @@
     private record Shunned(int times, Moment until) {}
 
     private static final Comparator<Moment> EARLIER = Comparator.naturalOrder();
-    /** In leases: how long a node that came back has to be well, and how long a permit may lie unused. */
+
+    /**
+     * In leases: how long a node that came back has to be well, and how long a permit may lie
+     * unused.
+     */
     private static final double WELL_FOR = 2;
+
     private static final double UNUSED_FOR = 20;
 
     private final Rules rules;
     private final List<DutyName> duties;
     private final Map<NodeName, Heard> heard = new HashMap<>();
+
     /** When a duty's holder has stopped for certain, unless it is told on before. */
     private final TreeMap<DutyName, Moment> lapses = new TreeMap<>();
+
     private final Map<DutyName, Map<NodeName, Shunned>> shunned = new HashMap<>();
     private final Map<String, Finding> findings = new LinkedHashMap<>();
     private final Map<String, Moment> foundAt = new HashMap<>();
-    /** Being taken back: from then on it is granted no more, however long the book takes to say so. */
+
+    /**
+     * Being taken back: from then on it is granted no more, however long the book takes to say so.
+     */
     private final Set<Grant> takenBack = new HashSet<>();
+
     /** Since when a node with a permit is seen to be here still. */
     private final Map<Long, Moment> toldToGo = new HashMap<>();
+
     /** Until when a life may go by which plan, for all that were told. */
     private final Map<Of, TreeMap<Long, Moment>> told = new HashMap<>();
+
     private Moment leadsSince;
+
     /** Whether some node runs another text than it is to. */
     private boolean lags;
 
@@ -80,7 +96,8 @@
         told.clear();
         findings.clear();
         foundAt.clear();
-        book.duties().stream().filter(held -> !held.isFree())
+        book.duties().stream()
+                .filter(held -> !held.isFree())
                 .forEach(held -> lapses.put(held.duty(), now.plus(rules.lapsesAfter())));
     }
 
@@ -105,8 +122,12 @@
         Heard before = heard.get(beat.name());
         Book.Member member = book.member(beat.name());
         boolean another = member != null && member.in() && !member.life().equals(beat.life());
-        if (another && before != null && before.beat.life().equals(member.life()) && isFresh(before, now)) {
-            // Guards against two processes under one name: the one that is there stays, until it is silent.
+        if (another
+                && before != null
+                && before.beat.life().equals(member.life())
+                && isFresh(before, now)) {
+            // Guards against two processes under one name: the one that is there stays, until it is
+            // silent.
             return "the name " + beat.name() + " is in use by another process";
         }
         if (member == null && book.isFull()) {
@@ -119,7 +140,8 @@
             boolean wasWell = before.beat.condition() == Condition.WARM && isFresh(before, now);
             before.beat = beat;
             before.at = now;
-            before.wellSince = beat.condition() != Condition.WARM ? null : wasWell ? before.wellSince : now;
+            before.wellSince =
+                    beat.condition() != Condition.WARM ? null : wasWell ? before.wellSince : now;
         } else {
             Heard first = new Heard(beat, now);
             first.wellSince = beat.condition() == Condition.WARM ? now : null;
@@ -135,8 +157,10 @@
         for (Finding finding : beat.found()) {
             Moment at = now.minus(finding.age());
             Moment before = foundAt.get(finding.server());
-            if (trial.isBy(beat.name(), beat.life()) && trial.token().equals(finding.token())
-                    && (before == null || before.isBefore(at)) && (before != null || foundAt.size() < Beat.MOST)) {
+            if (trial.isBy(beat.name(), beat.life())
+                    && trial.token().equals(finding.token())
+                    && (before == null || before.isBefore(at))
+                    && (before != null || foundAt.size() < Beat.MOST)) {
                 findings.put(finding.server(), finding);
                 foundAt.put(finding.server(), at);
             }
@@ -149,7 +173,10 @@
         return now.since(one.at).compareTo(rules.silent()) <= 0;
     }
 
-    /** What is to be written into the book now. Said again until it is there, so a lost deed does no harm. */
+    /**
+     * What is to be written into the book now. Said again until it is there, so a lost deed does no
+     * harm.
+     */
     public List<Deed> decide(Book book, long tokensAbove, Moment now) {
         List<Deed> deeds = new ArrayList<>();
         if (!isLeading()) {
@@ -160,8 +187,15 @@
             return deeds;
         }
         roster(book, now, deeds);
-        lags = heard.values().stream().anyMatch(one -> isFresh(one, now) && one.beat.report() != null
-                && !book.wanted(one.beat.name()).runs().equals(one.beat.report().runs()));
+        lags =
+                heard.values().stream()
+                        .anyMatch(
+                                one ->
+                                        isFresh(one, now)
+                                                && one.beat.report() != null
+                                                && !book.wanted(one.beat.name())
+                                                        .runs()
+                                                        .equals(one.beat.report().runs()));
         permits(book, now, deeds);
         plans(book, now, deeds);
         for (DutyName duty : duties) {
@@ -169,8 +203,15 @@
             if (held.isFree()) {
                 lapses.remove(duty);
                 takenBack.removeIf(grant -> grant.duty().equals(duty));
-                heir(duty, book, now).ifPresent(
-                        heir -> deeds.add(new Deed.Give(duty, heir.name(), heir.life(), held.token())));
+                heir(duty, book, now)
+                        .ifPresent(
+                                heir ->
+                                        deeds.add(
+                                                new Deed.Give(
+                                                        duty,
+                                                        heir.name(),
+                                                        heir.life(),
+                                                        held.token())));
             } else {
                 takeBack(held, now, deeds);
             }
@@ -188,14 +229,18 @@
                 deeds.add(new Deed.Leave(beat.name(), beat.life()));
                 continue;
             }
-            boolean comes = beat.condition() == Condition.COLD || beat.condition() == Condition.WARM;
+            boolean comes =
+                    beat.condition() == Condition.COLD || beat.condition() == Condition.WARM;
             if (isFresh(one, now) && (!in && comes || in && changed)) {
                 deeds.add(new Deed.Join(beat.name(), beat.life(), beat.site()));
             }
         }
     }
 
-    /** A permit ends when its node has been well for a while under another life, or stays and never used it. */
+    /**
+     * A permit ends when its node has been well for a while under another life, or stays and never
+     * used it.
+     */
     private void permits(Book book, Moment now, List<Deed> deeds) {
         for (Permit permit : book.permits()) {
             Heard one = heard.get(permit.node());
@@ -217,11 +262,15 @@
 
     /** Members that are out by what is seen here: all that aren't heard to be warm. */
     public List<NodeName> seenOut(Book book, Moment now) {
-        return picture(book, now).stream().filter(seen -> seen.standing() != Standing.WARM).map(Seen::name).toList();
+        return picture(book, now).stream()
+                .filter(seen -> seen.standing() != Standing.WARM)
+                .map(Seen::name)
+                .toList();
     }
 
     private void takeBack(Book.Held held, Moment now, List<Deed> deeds) {
-        // A duty that was given since this voter leads has no end noted yet: it counts from when it is first seen here.
+        // A duty that was given since this voter leads has no end noted yet: it counts from when it
+        // is first seen here.
         Moment lapse = lapses.computeIfAbsent(held.duty(), duty -> now.plus(rules.lapsesAfter()));
         Heard holder = heard.get(held.holder());
         if (holder != null && holder.beat.life().equals(held.life())) {
@@ -251,7 +300,8 @@
             return; // told again before the book has it
         }
         int times = before == null ? 0 : before.times() + 1;
-        Span span = rules.shunned().times(Math.pow(2, Math.min(20, times))).min(rules.shunnedMost());
+        Span span =
+                rules.shunned().times(Math.pow(2, Math.min(20, times))).min(rules.shunnedMost());
         all.put(name, new Shunned(times, now.plus(span)));
     }
 
@@ -261,8 +311,8 @@
     }
 
     /**
-     * Who gets it: warm, heard within the last beats, not shunned; first whose zone is well, then who holds least, then
-     * who has been well for longest.
+     * Who gets it: warm, heard within the last beats, not shunned; first whose zone is well, then
+     * who holds least, then who has been well for longest.
      */
     private Optional<Book.Member> heir(DutyName duty, Book book, Moment now) {
         if (now.since(leadsSince).compareTo(rules.beat()) < 0) {
@@ -277,25 +327,42 @@
             }
         }
         return book.members().stream()
-                .filter(member -> member.in() && isWell(member, now) && !isShunned(duty, member.name(), now))
-                .min(Comparator.<Book.Member>comparingInt(member -> {
-                    int[] zone = zones.get(member.site());
-                    return zone[1] * 2 > zone[0] ? 0 : 1;
-                }).thenComparingLong(member -> book.duties().stream()
-                        .filter(held -> held.isBy(member.name(), member.life())).count())
-                        .thenComparing(member -> heard.get(member.name()).wellSince, EARLIER)
-                        .thenComparing(Book.Member::name));
+                .filter(
+                        member ->
+                                member.in()
+                                        && isWell(member, now)
+                                        && !isShunned(duty, member.name(), now))
+                .min(
+                        Comparator.<Book.Member>comparingInt(
+                                        member -> {
+                                            int[] zone = zones.get(member.site());
+                                            return zone[1] * 2 > zone[0] ? 0 : 1;
+                                        })
+                                .thenComparingLong(
+                                        member ->
+                                                book.duties().stream()
+                                                        .filter(
+                                                                held ->
+                                                                        held.isBy(
+                                                                                member.name(),
+                                                                                member.life()))
+                                                        .count())
+                                .thenComparing(
+                                        member -> heard.get(member.name()).wellSince, EARLIER)
+                                .thenComparing(Book.Member::name));
     }
 
     private boolean isWell(Book.Member member, Moment now) {
         Heard one = heard.get(member.name());
-        return one != null && one.beat.life().equals(member.life()) && one.beat.condition() == Condition.WARM
+        return one != null
+                && one.beat.life().equals(member.life())
+                && one.beat.condition() == Condition.WARM
                 && now.since(one.at).compareTo(rules.beat().times(1.6)) <= 0;
     }
 
     /**
-     * What to say to a beat, once the council has confirmed that this voter led after the beat came. Whatever it grants
-     * counts from now on.
+     * What to say to a beat, once the council has confirmed that this voter led after the beat
+     * came. Whatever it grants counts from now on.
      */
     public Reply replyTo(Beat beat, String trouble, Book book, NodeName self, Moment now) {
         List<Grant> grants = new ArrayList<>();
@@ -304,7 +371,8 @@
                 Grant grant = new Grant(held.duty(), held.token());
                 boolean stops = beat.handsOn().contains(grant) || beat.failsAt().contains(grant);
                 if (held.isBy(beat.name(), beat.life()) && !takenBack.contains(grant)) {
-                    // Named as long as the book has it, so that the node knows what is still to be taken back.
+                    // Named as long as the book has it, so that the node knows what is still to be
+                    // taken back.
                     grants.add(grant);
                     if (!stops) {
                         lapses.put(held.duty(), now.plus(rules.lapsesAfter()));
@@ -313,16 +381,44 @@
             }
         }
         List<Finding> told = new ArrayList<>();
-        findings.forEach((server, one) -> told.add(new Finding(server, one.well(), one.token(),
-                now.since(foundAt.get(server)))));
+        findings.forEach(
+                (server, one) ->
+                        told.add(
+                                new Finding(
+                                        server,
+                                        one.well(),
+                                        one.token(),
+                                        now.since(foundAt.get(server)))));
         int others = (int) heard.values().stream().filter(one -> isFresh(one, now)).count();
-        long leave = trouble.isEmpty() ? book.permits().stream().filter(permit -> permit.node().equals(beat.name())
-                && permit.life().equals(beat.life())).mapToLong(Permit::number).findFirst().orElse(0) : 0;
-        return new Reply(beat.number(), true, self, trouble, rules.lease(), grants, told, leave,
-                book.wanted(beat.name()).busyOr(lags), trouble.isEmpty() ? share(beat, book, now) : null, others);
+        long leave =
+                trouble.isEmpty()
+                        ? book.permits().stream()
+                                .filter(
+                                        permit ->
+                                                permit.node().equals(beat.name())
+                                                        && permit.life().equals(beat.life()))
+                                .mapToLong(Permit::number)
+                                .findFirst()
+                                .orElse(0)
+                        : 0;
+        return new Reply(
+                beat.number(),
+                true,
+                self,
+                trouble,
+                rules.lease(),
+                grants,
+                told,
+                leave,
+                book.wanted(beat.name()).busyOr(lags),
+                trouble.isEmpty() ? share(beat, book, now) : null,
+                others);
     }
 
-    /** A node's part of the newest plan, which it may go by until a lease after it asked; so here it counts until later. */
+    /**
+     * A node's part of the newest plan, which it may go by until a lease after it asked; so here it
+     * counts until later.
+     */
     private Reply.Share share(Beat beat, Book book, Moment now) {
         Plan plan = book.plan();
         if (plan == null) {
@@ -334,21 +430,31 @@
     }
 
     /**
-     * Older plans are retired once nobody can go by them any more: each life that was told of one has said that it goes by a
-     * newer, or its lease has run out. A new leader can't know what was told before it, so it waits for a lease first.
+     * Older plans are retired once nobody can go by them any more: each life that was told of one
+     * has said that it goes by a newer, or its lease has run out. A new leader can't know what was
+     * told before it, so it waits for a lease first.
      */
     private void plans(Book book, Moment now, List<Deed> deeds) {
         Plan newest = book.plan();
-        if (newest == null || book.livePlans().size() < 2 || now.since(leadsSince).compareTo(rules.lapsesAfter()) < 0) {
+        if (newest == null
+                || book.livePlans().size() < 2
+                || now.since(leadsSince).compareTo(rules.lapsesAfter()) < 0) {
             return;
         }
         long oldest = newest.number();
-        for (Iterator<Map.Entry<Of, TreeMap<Long, Moment>>> all = told.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<Of, TreeMap<Long, Moment>>> all = told.entrySet().iterator();
+                all.hasNext(); ) {
             Map.Entry<Of, TreeMap<Long, Moment>> one = all.next();
             Heard latest = heard.get(one.getKey().name());
-            boolean same = latest != null && latest.beat.life().equals(one.getKey().life()) && latest.beat.report() != null;
+            boolean same =
+                    latest != null
+                            && latest.beat.life().equals(one.getKey().life())
+                            && latest.beat.report() != null;
             long acknowledged = same ? latest.beat.report().plan() : 0;
-            one.getValue().entrySet().removeIf(plan -> !now.isBefore(plan.getValue()) || plan.getKey() < acknowledged);
+            one.getValue()
+                    .entrySet()
+                    .removeIf(
+                            plan -> !now.isBefore(plan.getValue()) || plan.getKey() < acknowledged);
             if (one.getValue().isEmpty()) {
                 all.remove();
             } else {
@@ -377,15 +483,22 @@
             } else if (!same || !isFresh(one, now)) {
                 standing = Standing.UNKNOWN;
             } else {
-                standing = switch (one.beat.condition()) {
-                    case WARM -> Standing.WARM;
-                    case COLD -> Standing.UP;
-                    case LEAVING -> Standing.LEAVING;
-                    case GONE -> Standing.OUT;
-                };
+                standing =
+                        switch (one.beat.condition()) {
+                            case WARM -> Standing.WARM;
+                            case COLD -> Standing.UP;
+                            case LEAVING -> Standing.LEAVING;
+                            case GONE -> Standing.OUT;
+                        };
             }
-            picture.add(new Seen(member.name(), member.life(), member.site(), standing, same ? now.since(one.at) : null,
-                    same ? one.beat.report() : null));
+            picture.add(
+                    new Seen(
+                            member.name(),
+                            member.life(),
+                            member.site(),
+                            standing,
+                            same ? now.since(one.at) : null,
+                            same ? one.beat.report() : null));
         }
         return picture;
     }
@@ -394,8 +507,13 @@
     public Map<String, Integer> leftOut(Moment now) {
         Map<String, Integer> counts = new TreeMap<>();
         Collection<Heard> all = heard.values();
-        all.stream().filter(one -> isFresh(one, now))
-                .forEach(one -> one.beat.leftOut().forEach(server -> counts.merge(server, 1, Integer::sum)));
+        all.stream()
+                .filter(one -> isFresh(one, now))
+                .forEach(
+                        one ->
+                                one.beat
+                                        .leftOut()
+                                        .forEach(server -> counts.merge(server, 1, Integer::sum)));
         return counts;
     }
 
--- a/src/main/java/lupinwood/fleet/Tally.java
+++ b/src/main/java/lupinwood/fleet/Tally.java
@@ -5,10 +5,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a node answered since it started, by track; counts only grow within one life, so a lost word does no harm. */
+/**
+ * What a node answered since it started, by track; counts only grow within one life, so a lost word
+ * does no harm.
+ */
 public record Tally(List<Count> counts) {
     /** Past so many tracks the further ones are counted together. */
     public static final int MOST_TRACKS = 16;
+
     public static final String OTHERS = "others";
     public static final Tally NOTHING = new Tally(List.of());
 
@@ -19,7 +23,8 @@
      * @param late of these, past the agreed time
      * @param seconds from arrival to answer, over all satisfied
      */
-    public record Count(String track, long satisfied, long late, long bounced, long abandoned, double seconds) {
+    public record Count(
+            String track, long satisfied, long late, long bounced, long abandoned, double seconds) {
         public long all() {
             return satisfied + bounced + abandoned;
         }
@@ -30,19 +35,30 @@
         }
 
         Count plus(Count other, int sign) {
-            return new Count(track, satisfied + sign * other.satisfied, late + sign * other.late,
-                    bounced + sign * other.bounced, abandoned + sign * other.abandoned, seconds + sign * other.seconds);
+            return new Count(
+                    track,
+                    satisfied + sign * other.satisfied,
+                    late + sign * other.late,
+                    bounced + sign * other.bounced,
+                    abandoned + sign * other.abandoned,
+                    seconds + sign * other.seconds);
         }
     }
 
     Tally cut() {
-        return counts == null ? NOTHING : counts.size() <= MOST_TRACKS + 1 ? this
-                : new Tally(List.copyOf(counts.subList(0, MOST_TRACKS + 1)));
+        return counts == null
+                ? NOTHING
+                : counts.size() <= MOST_TRACKS + 1
+                        ? this
+                        : new Tally(List.copyOf(counts.subList(0, MOST_TRACKS + 1)));
     }
 
     /** Null where that track has none. */
     public Count of(String track) {
-        return counts.stream().filter(count -> count.track().equals(track)).findFirst().orElse(null);
+        return counts.stream()
+                .filter(count -> count.track().equals(track))
+                .findFirst()
+                .orElse(null);
     }
 
     /** What came after an earlier word of the same life. */
--- a/src/main/java/lupinwood/lab/AjpPeer.java
+++ b/src/main/java/lupinwood/lab/AjpPeer.java
@@ -42,13 +42,18 @@
             headers.put("X-Mark", mark);
         }
         byte[] head = Requests.forward("POST", path, headers, content.length, secret);
-        byte[] part = content.length == 0 ? new byte[0] : Requests.part(content, 0, content.length, PACKET);
+        byte[] part =
+                content.length == 0
+                        ? new byte[0]
+                        : Requests.part(content, 0, content.length, PACKET);
         byte[] all = Arrays.copyOf(head, head.length + part.length);
         System.arraycopy(part, 0, all, head.length, part.length);
         return all;
     }
 
-    /** @param pieces in how many writes */
+    /**
+     * @param pieces in how many writes
+     */
     void send(byte[] bytes, int pieces) throws IOException {
         int step = Math.max(1, bytes.length / pieces);
         for (int from = 0; from < bytes.length; from += step) {
--- a/src/main/java/lupinwood/lab/Audit.java
+++ b/src/main/java/lupinwood/lab/Audit.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Holds what was sent, run and answered against the rules: each ticket has one final answer before its abandon time,
- * no mark and no effectful ticket runs twice, what is satisfied has the result of its own body. Thread-safe.
+ * Holds what was sent, run and answered against the rules: each ticket has one final answer before
+ * its abandon time, no mark and no effectful ticket runs twice, what is satisfied has the result of
+ * its own body. Thread-safe.
  */
 final class Audit {
     /** A ticket as it was sent. */
@@ -29,7 +30,9 @@
         count("sent");
     }
 
-    /** @param word as the node said it */
+    /**
+     * @param word as the node said it
+     */
     synchronized void answer(String id, String word, String result, long nowMillis) {
         if (excused.remove(id)) {
             return;
@@ -40,10 +43,15 @@
         } else if (ticket == null) {
             breaks("an answer to " + id + ", which was never sent");
         } else {
-            String kind = word.equals("ACK") ? "satisfied" : word.equals("NAK") ? "bounced" : "abandoned";
+            String kind =
+                    word.equals("ACK") ? "satisfied" : word.equals("NAK") ? "bounced" : "abandoned";
             count(kind);
             if (nowMillis > ticket.atMillis() + ticket.abandonMillis() + slackMillis) {
-                breaks(id + " was answered " + (nowMillis - ticket.atMillis()) + " ms after it was sent");
+                breaks(
+                        id
+                                + " was answered "
+                                + (nowMillis - ticket.atMillis())
+                                + " ms after it was sent");
             }
             if (kind.equals("satisfied") && !result.equals("done: " + ticket.body())) {
                 breaks(id + " was satisfied with another's result");
@@ -58,7 +66,8 @@
     synchronized void ran(String id, String track, String body) {
         count("runs");
         int tries = runsOf.merge("try " + id, 1, Integer::sum);
-        // Fronts may name tries themselves, so an unlock is known by its body, which no two marks share.
+        // Fronts may name tries themselves, so an unlock is known by its body, which no two marks
+        // share.
         if (track.startsWith("unlock") && runsOf.merge("unlock " + body, 1, Integer::sum) > 1) {
             breaks("the unlock '" + body + "' ran twice");
         } else if (tries > 1) {
@@ -74,12 +83,17 @@
         counts.merge(what, 1, Integer::sum);
     }
 
-    /** What is open now ended with its process, or was held up with it: what becomes of it is nobody's fault. */
+    /**
+     * What is open now ended with its process, or was held up with it: what becomes of it is
+     * nobody's fault.
+     */
     synchronized void excuse() {
-        open.keySet().forEach(id -> {
-            excused.add(id);
-            count("excused");
-        });
+        open.keySet()
+                .forEach(
+                        id -> {
+                            excused.add(id);
+                            count("excused");
+                        });
         open.clear();
     }
 
--- a/src/main/java/lupinwood/lab/Bearing.java
+++ b/src/main/java/lupinwood/lab/Bearing.java
@@ -1,8 +1,8 @@
 package lupinwood.lab;
 
 /**
- * How much a stand-in server bears: it counts what it has in hand, gets slower past that, and breaks for a while when it is far
- * past it. It knows nothing of who sends.
+ * How much a stand-in server bears: it counts what it has in hand, gets slower past that, and
+ * breaks for a while when it is far past it. It knows nothing of who sends.
  */
 final class Bearing {
     private static final double BREAKS_AT = 1.5;
@@ -21,7 +21,9 @@
         this.takesMillis = takesMillis;
     }
 
-    /** Whether the ticket was carried out; it takes its time in any case, unless the server is down. */
+    /**
+     * Whether the ticket was carried out; it takes its time in any case, unless the server is down.
+     */
     boolean carriesOut() {
         long takes;
         synchronized (this) {
--- a/src/main/java/lupinwood/lab/Caller.java
+++ b/src/main/java/lupinwood/lab/Caller.java
@@ -22,23 +22,31 @@
     private long tag;
     private final boolean heeds;
     private int open;
+
     /** The node asked for no more on this connection. */
     private boolean finished;
 
-    /** @param heard hears each answer's ticket id and its words */
+    /**
+     * @param heard hears each answer's ticket id and its words
+     */
     Caller(int port, Audit audit, BiConsumer<String, List<String>> heard) throws IOException {
         this(port, audit, heard, false);
     }
 
-    /** @param heeds whether it closes, as it should, once the node wants no more on it and all is answered */
-    Caller(int port, Audit audit, BiConsumer<String, List<String>> heard, boolean heeds) throws IOException {
+    /**
+     * @param heeds whether it closes, as it should, once the node wants no more on it and all is
+     *     answered
+     */
+    Caller(int port, Audit audit, BiConsumer<String, List<String>> heard, boolean heeds)
+            throws IOException {
         this.audit = audit;
         this.heeds = heeds;
         this.heard = heard;
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
         Door.daemon(this::read);
-        socket.getOutputStream().write(Wire.array("HEALTH", "1000000")); // who says nothing for long is closed
+        socket.getOutputStream()
+                .write(Wire.array("HEALTH", "1000000")); // who says nothing for long is closed
     }
 
     private void read() {
@@ -50,7 +58,11 @@
                 }
                 String id = tags.remove(words.get(0));
                 if (id != null) {
-                    audit.answer(id, words.get(1), words.size() > 3 ? words.get(3) : "", System.currentTimeMillis());
+                    audit.answer(
+                            id,
+                            words.get(1),
+                            words.size() > 3 ? words.get(3) : "",
+                            System.currentTimeMillis());
                     heard.accept(id, words);
                     answered();
                 }
@@ -75,8 +87,8 @@
     }
 
     /**
-     * Whether nothing more may be sent on it, since the node said so or since as much is open as the protocol allows; what is
-     * open is still answered, and then it closes by itself.
+     * Whether nothing more may be sent on it, since the node said so or since as much is open as
+     * the protocol allows; what is open is still answered, and then it closes by itself.
      */
     synchronized boolean isFinished() {
         finished |= open >= MOST_OPEN;
@@ -87,14 +99,27 @@
         send(id, ticket, customer, 0);
     }
 
-    /** @param shiftMillis how far this machine's wall clock is off */
-    synchronized void send(String id, Audit.Sent ticket, String customer, long shiftMillis) throws IOException {
-        String fields = "req=" + id + ",ts=" + (ticket.atMillis() + shiftMillis) + ",via=1,owner=" + customer + ",need=20.5,level=0.5"
-                + (ticket.mark() == null ? "" : ",opkey=" + ticket.mark());
+    /**
+     * @param shiftMillis how far this machine's wall clock is off
+     */
+    synchronized void send(String id, Audit.Sent ticket, String customer, long shiftMillis)
+            throws IOException {
+        String fields =
+                "req="
+                        + id
+                        + ",ts="
+                        + (ticket.atMillis() + shiftMillis)
+                        + ",via=1,owner="
+                        + customer
+                        + ",need=20.5,level=0.5"
+                        + (ticket.mark() == null ? "" : ",opkey=" + ticket.mark());
         audit.sent(id, ticket);
         open++;
         tags.put(Long.toString(++tag), id);
-        socket.getOutputStream().write(Wire.array("REQ", Long.toString(tag), ticket.track(), fields, ticket.body()));
+        socket.getOutputStream()
+                .write(
+                        Wire.array(
+                                "REQ", Long.toString(tag), ticket.track(), fields, ticket.body()));
     }
 
     @Override
--- a/src/main/java/lupinwood/lab/ConfigCost.java
+++ b/src/main/java/lupinwood/lab/ConfigCost.java
@@ -15,7 +15,10 @@
 import lupinwood.load.FileSources;
 import lupinwood.reload.Plan;
 
-/** What it costs to check, format and compare a large configuration, as multiples of reading its bytes. */
+/**
+ * What it costs to check, format and compare a large configuration, as multiples of reading its
+ * bytes.
+ */
 final class ConfigCost implements Experiment {
     private static final int ROUNDS = 41;
     private static final int ENTRIES_OF_A_TRACK = 6;
@@ -40,13 +43,24 @@
             List<String> broken = new ArrayList<>();
             config.problems().all().forEach(problem -> broken.add(problem.text()));
             Source source = new Source("cost", Files.readString(file));
-            double read = micros(() -> new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
+            double read =
+                    micros(() -> new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
             double check = micros(() -> Reader.read(new FileSources(), file.toString()));
             double format = micros(() -> Formatter.format(source, new Problems()));
             double plan = micros(() -> Plan.between(config.meaning(), config.meaning()));
-            return new Outcome(String.format(Locale.ROOT, "config-cost: entries %d, bytes %d, read %.0f us, check %.0f"
-                    + " times, format %.0f times, diff of two meanings %.0f times, broken %d", entries,
-                    Files.size(file), read, check / read, format / read, plan / read, broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "config-cost: entries %d, bytes %d, read %.0f us, check %.0f"
+                                    + " times, format %.0f times, diff of two meanings %.0f times, broken %d",
+                            entries,
+                            Files.size(file),
+                            read,
+                            check / read,
+                            format / read,
+                            plan / read,
+                            broken.size()),
+                    broken);
         } finally {
             Files.delete(file);
         }
@@ -67,7 +81,9 @@
     }
 
     private String text() {
-        StringBuilder text = new StringBuilder("""
+        StringBuilder text =
+                new StringBuilder(
+                        """
                 name large
                 listen "127.0.0.1:5050"
                 executor "127.0.0.1:4400"
@@ -79,8 +95,11 @@
                 limits { descriptors 256 }
                 """);
         for (int i = 0; i < entries / ENTRIES_OF_A_TRACK; i++) {
-            text.append("track t").append(i).append(" {\n    effect pure\n    credit 2\n    late-value 20%\n"
-                    + "    agreed-time 2s\n    abandon-time 8s // as told by the fleet\n    window 13020ms\n}\n");
+            text.append("track t")
+                    .append(i)
+                    .append(
+                            " {\n    effect pure\n    credit 2\n    late-value 20%\n"
+                                    + "    agreed-time 2s\n    abandon-time 8s // as told by the fleet\n    window 13020ms\n}\n");
         }
         return text.toString();
     }
--- a/src/main/java/lupinwood/lab/Door.java
+++ b/src/main/java/lupinwood/lab/Door.java
@@ -21,20 +21,23 @@
     private final ServerSocket socket;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    /** @param port 0 for any that is free */
+    /**
+     * @param port 0 for any that is free
+     */
     Door(int port, Talk talk) throws IOException {
         socket = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> {
-            while (!socket.isClosed()) {
-                try {
-                    Socket one = socket.accept();
-                    open.add(one);
-                    daemon(() -> talk(one, talk));
-                } catch (IOException e) {
-                    return; // the door was closed
-                }
-            }
-        });
+        daemon(
+                () -> {
+                    while (!socket.isClosed()) {
+                        try {
+                            Socket one = socket.accept();
+                            open.add(one);
+                            daemon(() -> talk(one, talk));
+                        } catch (IOException e) {
+                            return; // the door was closed
+                        }
+                    }
+                });
     }
 
     private void talk(Socket one, Talk talk) {
@@ -42,7 +45,8 @@
             one.setTcpNoDelay(true);
             talk.with(new BufferedInputStream(one.getInputStream()), one.getOutputStream());
         } catch (IOException | NumberFormatException e) {
-            // The other side went, or said what means nothing here; its connection ends, which it sees.
+            // The other side went, or said what means nothing here; its connection ends, which it
+            // sees.
         } finally {
             open.remove(one);
         }
@@ -64,13 +68,14 @@
 
     /** Ends what is open here; new ones may come. */
     void cut() {
-        open.forEach(one -> {
-            try {
-                one.close();
-            } catch (IOException e) {
-                open.remove(one);
-            }
-        });
+        open.forEach(
+                one -> {
+                    try {
+                        one.close();
+                    } catch (IOException e) {
+                        open.remove(one);
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/lupinwood/lab/DutiesInTime.java
+++ b/src/main/java/lupinwood/lab/DutiesInTime.java
@@ -13,26 +13,41 @@
 import lupinwood.node.Span;
 
 /**
- * Many schedules of faults in made-up time: at no time may two nodes do one duty, none of their acts is taken out of
- * order. After them each safeguard is left out in turn, and the audit has to find that.
+ * Many schedules of faults in made-up time: at no time may two nodes do one duty, none of their
+ * acts is taken out of order. After them each safeguard is left out in turn, and the audit has to
+ * find that.
  */
 final class DutiesInTime implements Experiment {
     private static final double SECONDS = 60;
+
     /** The bound on drift by turns: as clocks are, and far worse. */
     private static final double[] DRIFTS = {0.02, 0.2};
+
     private static final Span LEASE = Span.ofSeconds(3);
-    /** The share of time a duty has to be held in which a majority could talk, over all schedules. */
+
+    /**
+     * The share of time a duty has to be held in which a majority could talk, over all schedules.
+     */
     private static final double LEAST_HELD = 0.6;
+
     private static final int TRIES = 200;
 
-    private record Played(List<String> broken, long sampled, long held, List<Double> gaps, long acts, long refused,
+    private record Played(
+            List<String> broken,
+            long sampled,
+            long held,
+            List<Double> gaps,
+            long acts,
+            long refused,
             String schedule) {}
 
     private final long seed;
     private final int schedules;
     private final PrintStream out;
 
-    /** @param schedules how many; one is played by its own seed, and told in full */
+    /**
+     * @param schedules how many; one is played by its own seed, and told in full
+     */
     DutiesInTime(long seed, int schedules, PrintStream out) {
         this.seed = seed;
         this.out = out;
@@ -43,11 +58,25 @@
     public Outcome run() {
         if (schedules == 1) {
             Played one = play(seed, TimedFleet.Without.NOTHING, out::println);
-            return new Outcome("duties-time: " + one.schedule() + ", acts " + one.acts() + ", broken "
-                    + one.broken().size(), one.broken());
+            return new Outcome(
+                    "duties-time: "
+                            + one.schedule()
+                            + ", acts "
+                            + one.acts()
+                            + ", broken "
+                            + one.broken().size(),
+                    one.broken());
         }
-        List<Played> all = IntStream.range(0, schedules).parallel()
-                .mapToObj(i -> play(seed * 1_000_003 + i, TimedFleet.Without.NOTHING, text -> { })).toList();
+        List<Played> all =
+                IntStream.range(0, schedules)
+                        .parallel()
+                        .mapToObj(
+                                i ->
+                                        play(
+                                                seed * 1_000_003 + i,
+                                                TimedFleet.Without.NOTHING,
+                                                text -> {}))
+                        .toList();
         List<String> broken = new ArrayList<>();
         long sampled = 0;
         long held = 0;
@@ -55,7 +84,8 @@
         long refused = 0;
         List<Double> gaps = new ArrayList<>();
         for (Played one : all) {
-            one.broken().forEach(what -> broken.add(what + "; to play it again: " + one.schedule()));
+            one.broken()
+                    .forEach(what -> broken.add(what + "; to play it again: " + one.schedule()));
             sampled += one.sampled();
             held += one.held();
             acts += one.acts();
@@ -64,36 +94,64 @@
         }
         double share = (double) held / Math.max(1, sampled);
         if (share < LEAST_HELD) {
-            broken.add(String.format(Locale.ROOT, "duties were held for %.3f of the time only", share));
+            broken.add(
+                    String.format(
+                            Locale.ROOT, "duties were held for %.3f of the time only", share));
         }
         StringBuilder found = new StringBuilder();
         for (TimedFleet.Without without : TimedFleet.Without.values()) {
             if (without != TimedFleet.Without.NOTHING) {
                 int tries = firstFound(without);
-                found.append(", without ").append(without).append(" found in schedule ").append(tries);
+                found.append(", without ")
+                        .append(without)
+                        .append(" found in schedule ")
+                        .append(tries);
                 if (tries < 0) {
                     broken.add("nothing found without " + without + " in " + TRIES + " schedules");
                 }
             }
         }
         Collections.sort(gaps);
-        return new Outcome(String.format(Locale.ROOT, "duties-time: schedules %d, acts %d, refused by token %d, held %.3f,"
-                + " gaps %d, median %.2f and longest %.2f leases%s, broken %d", schedules, acts, refused, share, gaps.size(),
-                gaps.isEmpty() ? 0 : gaps.get(gaps.size() / 2), gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1), found,
-                broken.size()), broken);
+        return new Outcome(
+                String.format(
+                        Locale.ROOT,
+                        "duties-time: schedules %d, acts %d, refused by token %d, held %.3f,"
+                                + " gaps %d, median %.2f and longest %.2f leases%s, broken %d",
+                        schedules,
+                        acts,
+                        refused,
+                        share,
+                        gaps.size(),
+                        gaps.isEmpty() ? 0 : gaps.get(gaps.size() / 2),
+                        gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1),
+                        found,
+                        broken.size()),
+                broken);
     }
 
     /** In which schedule what was left out is found, or below zero. */
     private int firstFound(TimedFleet.Without without) {
-        return IntStream.range(0, TRIES).parallel()
-                .filter(i -> !play(seed * 7_000_003 + i, without, text -> { }).broken().isEmpty()).findFirst().orElse(-1);
+        return IntStream.range(0, TRIES)
+                .parallel()
+                .filter(i -> !play(seed * 7_000_003 + i, without, text -> {}).broken().isEmpty())
+                .findFirst()
+                .orElse(-1);
     }
 
     private static Played play(long seed, TimedFleet.Without without, Consumer<String> trace) {
         Random random = new Random(seed);
         int voters = random.nextBoolean() ? 3 : 5;
-        double drift = DRIFTS[without == TimedFleet.Without.DRIFT ? 1 : random.nextInt(DRIFTS.length)];
-        TimedFleet fleet = new TimedFleet(voters, 3 + random.nextInt(6), 3, Rules.of(LEASE, drift), drift, without, seed);
+        double drift =
+                DRIFTS[without == TimedFleet.Without.DRIFT ? 1 : random.nextInt(DRIFTS.length)];
+        TimedFleet fleet =
+                new TimedFleet(
+                        voters,
+                        3 + random.nextInt(6),
+                        3,
+                        Rules.of(LEASE, drift),
+                        drift,
+                        without,
+                        seed);
         fleet.links.loss = random.nextInt(4) == 0 ? 0.1 * random.nextDouble() : 0;
         fleet.links.repeats = random.nextInt(4) == 0 ? 0.1 : 0;
         fleet.links.more = random.nextInt(4) == 0 ? 0.3 : 0.003;
@@ -104,7 +162,13 @@
             fault(fleet, random, at, schedule);
         }
         fleet.time.playUntil(SECONDS);
-        return new Played(fleet.broken, fleet.sampled, fleet.held, fleet.gaps, fleet.acts, fleet.refused,
+        return new Played(
+                fleet.broken,
+                fleet.sampled,
+                fleet.held,
+                fleet.gaps,
+                fleet.acts,
+                fleet.refused,
                 "seed " + seed + " " + schedule);
     }
 
@@ -115,7 +179,7 @@
         double lasts = 0.5 + random.nextDouble() * 10;
         int kind = random.nextInt(13);
         Runnable begin;
-        Runnable end = () -> { };
+        Runnable end = () -> {};
         switch (kind) {
             case 0 -> begin = () -> one.stopFor(lasts);
             case 1 -> {
@@ -139,35 +203,73 @@
                 begin = () -> fleet.each(TimedFleet.Node::isUp, TimedFleet.Node::kill);
                 end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
             }
-            case 6 -> begin = () -> fleet.each(node -> node.holds(DutyName.TRIAL),
-                    node -> node.stopFor(lasts));
+            case 6 ->
+                    begin =
+                            () ->
+                                    fleet.each(
+                                            node -> node.holds(DutyName.TRIAL),
+                                            node -> node.stopFor(lasts));
             case 7 -> {
-                begin = () -> fleet.each(node -> node.votes && node.place % 2 == 0, TimedFleet.Node::kill);
+                begin =
+                        () ->
+                                fleet.each(
+                                        node -> node.votes && node.place % 2 == 0,
+                                        TimedFleet.Node::kill);
                 end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
             }
             case 8 -> {
-                begin = () -> fleet.each(node -> node.holds(DutyName.KEEPER), node -> around(fleet, node, true, true));
+                begin =
+                        () ->
+                                fleet.each(
+                                        node -> node.holds(DutyName.KEEPER),
+                                        node -> around(fleet, node, true, true));
                 end = fleet.links::mendAll;
             }
             case 10 -> {
-                begin = () -> fleet.each(node -> node.votes && node.leads() || node == one, TimedFleet.Node::failFolder);
-                end = () -> fleet.each(node -> node.votes, node -> {
-                    node.kill();
-                    node.start();
-                });
+                begin =
+                        () ->
+                                fleet.each(
+                                        node -> node.votes && node.leads() || node == one,
+                                        TimedFleet.Node::failFolder);
+                end =
+                        () ->
+                                fleet.each(
+                                        node -> node.votes,
+                                        node -> {
+                                            node.kill();
+                                            node.start();
+                                        });
             }
             case 11 -> {
-                begin = () -> fleet.each(node -> node.holds(DutyName.KEEPER), TimedFleet.Node::leave);
+                begin =
+                        () ->
+                                fleet.each(
+                                        node -> node.holds(DutyName.KEEPER),
+                                        TimedFleet.Node::leave);
                 end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
             }
-            case 9 -> begin = () -> {
-                fleet.dieVoting(lasts);
-                fleet.each(node -> node.votes && node.leads(), TimedFleet.Node::kill);
-                fleet.time.after(lasts, () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start));
-            };
-            default -> begin = () -> fleet.each(node -> node.votes, node -> node.stopFor(lasts * random.nextDouble()));
+            case 9 ->
+                    begin =
+                            () -> {
+                                fleet.dieVoting(lasts);
+                                fleet.each(
+                                        node -> node.votes && node.leads(), TimedFleet.Node::kill);
+                                fleet.time.after(
+                                        lasts,
+                                        () ->
+                                                fleet.each(
+                                                        node -> !node.isUp(),
+                                                        TimedFleet.Node::start));
+                            };
+            default ->
+                    begin =
+                            () ->
+                                    fleet.each(
+                                            node -> node.votes,
+                                            node -> node.stopFor(lasts * random.nextDouble()));
         }
-        schedule.add(String.format(Locale.ROOT, "%.2f+%.2f kind %d at %s", at, lasts, kind, one.name));
+        schedule.add(
+                String.format(Locale.ROOT, "%.2f+%.2f kind %d at %s", at, lasts, kind, one.name));
         fleet.time.after(at, begin);
         fleet.time.after(at + lasts, end);
     }
--- a/src/main/java/lupinwood/lab/DutiesRun.java
+++ b/src/main/java/lupinwood/lab/DutiesRun.java
@@ -8,8 +8,9 @@
 import lupinwood.log.Log;
 
 /**
- * Duties among real processes, with faults between them by a schedule that the seed makes: the auditor counts at the
- * sockets, and never finds an act under two tokens, one taken out of order, or a ticket that broke a rule.
+ * Duties among real processes, with faults between them by a schedule that the seed makes: the
+ * auditor counts at the sockets, and never finds an act under two tokens, one taken out of order,
+ * or a ticket that broke a rule.
  */
 final class DutiesRun implements Experiment {
     private static final int VOTERS = 3;
@@ -24,8 +25,17 @@
         void run() throws IOException, InterruptedException;
     }
 
-    /** What a run may be, beside the usual; in the last two what the acts reach refuses nothing, so early stops alone hold. */
-    enum Kind { USUAL, CALM, NO_TOKEN, LATE, NO_EARLY_STOP }
+    /**
+     * What a run may be, beside the usual; in the last two what the acts reach refuses nothing, so
+     * early stops alone hold.
+     */
+    enum Kind {
+        USUAL,
+        CALM,
+        NO_TOKEN,
+        LATE,
+        NO_EARLY_STOP
+    }
 
     private record Fault(double at, double lasts, String what, Job begin, Job end) {}
 
@@ -51,16 +61,34 @@
     @Override
     public Outcome run() throws Exception {
         List<String> broken = new ArrayList<>();
-        try (ProcessFleet fleet = new ProcessFleet(VOTERS, nodes, LEASE_MILLIS,
-                kind == Kind.CALM ? FULL_LOAD_EVERY : TICKETS_EVERY, kind.compareTo(Kind.NO_TOKEN) < 0, seed, log::line)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        VOTERS,
+                        nodes,
+                        LEASE_MILLIS,
+                        kind == Kind.CALM ? FULL_LOAD_EVERY : TICKETS_EVERY,
+                        kind.compareTo(Kind.NO_TOKEN) < 0,
+                        seed,
+                        log::line)) {
             if (kind == Kind.NO_EARLY_STOP) {
-                fleet.members.forEach(member -> member.process.wrong(List.of("--without-early-stop")));
+                fleet.members.forEach(
+                        member -> member.process.wrong(List.of("--without-early-stop")));
             }
             fleet.startAll();
             await(fleet, 30);
             List<Fault> faults = schedule(fleet);
-            String told = faults.stream().map(one -> String.format(Locale.ROOT, "%.1f+%.1f %s", one.at(), one.lasts(),
-                    one.what())).toList().toString();
+            String told =
+                    faults.stream()
+                            .map(
+                                    one ->
+                                            String.format(
+                                                    Locale.ROOT,
+                                                    "%.1f+%.1f %s",
+                                                    one.at(),
+                                                    one.lasts(),
+                                                    one.what()))
+                            .toList()
+                            .toString();
             log.line("schedule: " + told);
             double held = play(fleet, faults);
             broken.addAll(fleet.leaveAll());
@@ -71,15 +99,29 @@
             if (fleet.sink.acts() == 0) {
                 broken.add("nobody ever held the duty");
             } else if (held < LEAST_HELD) {
-                broken.add(String.format(Locale.ROOT, "the duty was done in %.2f of the time only", held));
+                broken.add(
+                        String.format(
+                                Locale.ROOT, "the duty was done in %.2f of the time only", held));
             }
             if (!broken.isEmpty()) {
                 broken.add("the schedule was " + told);
             }
-            return new Outcome(String.format(Locale.ROOT, "duties: nodes %d, faults %d, %s, done in %.3f of the time, tickets %d,"
-                    + " satisfied %d, bounced %d, abandoned %d, excused %d, broken %d", nodes, faults.size(),
-                    fleet.sink.line(LEASE_MILLIS), held, fleet.count("sent"), fleet.count("satisfied"),
-                    fleet.count("bounced"), fleet.count("abandoned"), fleet.count("excused"), broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "duties: nodes %d, faults %d, %s, done in %.3f of the time, tickets %d,"
+                                    + " satisfied %d, bounced %d, abandoned %d, excused %d, broken %d",
+                            nodes,
+                            faults.size(),
+                            fleet.sink.line(LEASE_MILLIS),
+                            held,
+                            fleet.count("sent"),
+                            fleet.count("satisfied"),
+                            fleet.count("bounced"),
+                            fleet.count("abandoned"),
+                            fleet.count("excused"),
+                            broken.size()),
+                    broken);
         }
     }
 
@@ -92,7 +134,9 @@
     private List<Fault> schedule(ProcessFleet fleet) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        for (double at = 2; at < seconds - 8 && kind != Kind.CALM; at += 3 + random.nextDouble() * 5) {
+        for (double at = 2;
+                at < seconds - 8 && kind != Kind.CALM;
+                at += 3 + random.nextDouble() * 5) {
             faults.add(kind.compareTo(Kind.LATE) >= 0 ? late(fleet, at) : fault(fleet, random, at));
         }
         return faults;
@@ -104,59 +148,123 @@
         ProcessFleet.Member one = fleet.members.get(random.nextInt(nodes));
         ProcessFleet.Member[] holder = new ProcessFleet.Member[1];
         return switch (random.nextInt(15)) {
-            case 0 -> new Fault(at, lasts, "the holder is stopped", () -> {
-                holder[0] = holder(fleet, one);
-                stop(holder[0]);
-            }, () -> goOn(holder[0]));
-            case 1 -> new Fault(at, lasts, "the holder is killed", () -> {
-                holder[0] = holder(fleet, one);
-                holder[0].kill();
-            }, () -> holder[0].start());
-            case 2 -> new Fault(at, lasts, "the holder is cut from the council", () -> {
-                holder[0] = holder(fleet, one);
-                fleet.link(holder[0], Link::cut);
-            }, () -> fleet.link(holder[0], Link::mend));
-            case 3 -> new Fault(at, lasts, "the holder is cut from what it acts on", () -> {
-                holder[0] = holder(fleet, one);
-                holder[0].toSink.cut();
-            }, () -> holder[0].toSink.mend());
-            case 4 -> new Fault(at, lasts, "what " + one.process.name() + " hears of the council is lost",
-                    () -> fleet.link(one, link -> link.swallow(false, true)), () -> fleet.link(one, Link::mend));
-            case 5 -> new Fault(at, lasts, "zone " + one.place % ProcessFleet.ZONES + " is cut off",
-                    () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::cut),
-                    () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::mend));
+            case 0 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "the holder is stopped",
+                            () -> {
+                                holder[0] = holder(fleet, one);
+                                stop(holder[0]);
+                            },
+                            () -> goOn(holder[0]));
+            case 1 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "the holder is killed",
+                            () -> {
+                                holder[0] = holder(fleet, one);
+                                holder[0].kill();
+                            },
+                            () -> holder[0].start());
+            case 2 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "the holder is cut from the council",
+                            () -> {
+                                holder[0] = holder(fleet, one);
+                                fleet.link(holder[0], Link::cut);
+                            },
+                            () -> fleet.link(holder[0], Link::mend));
+            case 3 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "the holder is cut from what it acts on",
+                            () -> {
+                                holder[0] = holder(fleet, one);
+                                holder[0].toSink.cut();
+                            },
+                            () -> holder[0].toSink.mend());
+            case 4 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "what " + one.process.name() + " hears of the council is lost",
+                            () -> fleet.link(one, link -> link.swallow(false, true)),
+                            () -> fleet.link(one, Link::mend));
+            case 5 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "zone " + one.place % ProcessFleet.ZONES + " is cut off",
+                            () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::cut),
+                            () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::mend));
             case 6 -> {
                 ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
                 boolean forgets = random.nextInt(3) == 0;
-                yield new Fault(at, lasts, voter.process.name() + " is killed" + (forgets ? ", and its folder lost" : ""), () -> {
-                    voter.kill();
-                    if (forgets) {
-                        voter.process.forgetFolder();
-                    }
-                }, voter::start);
+                yield new Fault(
+                        at,
+                        lasts,
+                        voter.process.name()
+                                + " is killed"
+                                + (forgets ? ", and its folder lost" : ""),
+                        () -> {
+                            voter.kill();
+                            if (forgets) {
+                                voter.process.forgetFolder();
+                            }
+                        },
+                        voter::start);
             }
-            case 8 -> new Fault(at, lasts, one.process.name() + " is told to leave", () -> leaves(one), one::start);
-            case 9 -> new Fault(at, lasts + 4, "two voters are killed, and " + one.process.name() + " is told to leave", () -> {
-                fleet.members.get(0).kill();
-                fleet.members.get(1).kill();
-                leaves(one);
-            }, () -> {
-                fleet.members.get(0).start();
-                fleet.members.get(1).start();
-                one.start();
-            });
-            case 7 -> new Fault(at, lasts + 4, "the holder's acts arrive late, and it is cut from the council", () -> {
-                holder[0] = holder(fleet, one);
-                holder[0].slow(lasts + 4, LATE_MILLIS);
-                Thread.sleep(LEASE_MILLIS / 6);
-                fleet.link(holder[0], Link::cut);
-            }, () -> {
-                fleet.link(holder[0], Link::mend);
-                holder[0].toSink.mend();
-            });
+            case 8 ->
+                    new Fault(
+                            at,
+                            lasts,
+                            one.process.name() + " is told to leave",
+                            () -> leaves(one),
+                            one::start);
+            case 9 ->
+                    new Fault(
+                            at,
+                            lasts + 4,
+                            "two voters are killed, and "
+                                    + one.process.name()
+                                    + " is told to leave",
+                            () -> {
+                                fleet.members.get(0).kill();
+                                fleet.members.get(1).kill();
+                                leaves(one);
+                            },
+                            () -> {
+                                fleet.members.get(0).start();
+                                fleet.members.get(1).start();
+                                one.start();
+                            });
+            case 7 ->
+                    new Fault(
+                            at,
+                            lasts + 4,
+                            "the holder's acts arrive late, and it is cut from the council",
+                            () -> {
+                                holder[0] = holder(fleet, one);
+                                holder[0].slow(lasts + 4, LATE_MILLIS);
+                                Thread.sleep(LEASE_MILLIS / 6);
+                                fleet.link(holder[0], Link::cut);
+                            },
+                            () -> {
+                                fleet.link(holder[0], Link::mend);
+                                holder[0].toSink.mend();
+                            });
             case 11 -> {
                 ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
-                yield new Fault(at, lasts + 4, voter.process.name() + "'s folder is full", () -> voter.process.fillDisk(4096),
+                yield new Fault(
+                        at,
+                        lasts + 4,
+                        voter.process.name() + "'s folder is full",
+                        () -> voter.process.fillDisk(4096),
                         () -> {
                             voter.kill();
                             voter.start();
@@ -164,31 +272,60 @@
             }
             case 12 -> {
                 ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
-                yield new Fault(at, lasts + 4, voter.process.name() + " comes back with a folder that is slow",
-                        () -> voter.startWrong(0, List.of("--sync-takes-ms", "300")), () -> voter.startWrong(0, List.of()));
+                yield new Fault(
+                        at,
+                        lasts + 4,
+                        voter.process.name() + " comes back with a folder that is slow",
+                        () -> voter.startWrong(0, List.of("--sync-takes-ms", "300")),
+                        () -> voter.startWrong(0, List.of()));
             }
             case 13 -> {
                 long off = random.nextBoolean() ? HOUR_MILLIS : -HOUR_MILLIS;
-                yield new Fault(at, lasts + 4, one.process.name() + " comes back with its wall clock an hour off",
-                        () -> one.startWrong(off, List.of("--shift-ms", Long.toString(off))), () -> one.startWrong(0, List.of()));
+                yield new Fault(
+                        at,
+                        lasts + 4,
+                        one.process.name() + " comes back with its wall clock an hour off",
+                        () -> one.startWrong(off, List.of("--shift-ms", Long.toString(off))),
+                        () -> one.startWrong(0, List.of()));
             }
-            case 14 -> new Fault(at, lasts + 4, one.process.name() + " comes back an hour behind, and its clock steps",
-                    () -> one.startWrong(0, List.of("--shift-ms", "-" + HOUR_MILLIS, "--step-after-ms", "3000")),
-                    () -> one.startWrong(0, List.of()));
-            default -> new Fault(at, lasts, "all links of " + one.process.name() + " are slow",
-                    () -> fleet.link(one, link -> link.delay(150)), () -> fleet.link(one, Link::mend));
+            case 14 ->
+                    new Fault(
+                            at,
+                            lasts + 4,
+                            one.process.name() + " comes back an hour behind, and its clock steps",
+                            () ->
+                                    one.startWrong(
+                                            0,
+                                            List.of(
+                                                    "--shift-ms",
+                                                    "-" + HOUR_MILLIS,
+                                                    "--step-after-ms",
+                                                    "3000")),
+                            () -> one.startWrong(0, List.of()));
+            default ->
+                    new Fault(
+                            at,
+                            lasts,
+                            "all links of " + one.process.name() + " are slow",
+                            () -> fleet.link(one, link -> link.delay(150)),
+                            () -> fleet.link(one, Link::mend));
         };
     }
 
     /** The council's word comes to the holder late, and then not at all. */
     private static Fault late(ProcessFleet fleet, double at) {
         ProcessFleet.Member[] holder = new ProcessFleet.Member[1];
-        return new Fault(at, LEASE_MILLIS / 1000.0 * 4, "the holder hears the council late, and then not at all", () -> {
-            holder[0] = holder(fleet, fleet.members.get(0));
-            fleet.link(holder[0], link -> link.delayBack((int) (LEASE_MILLIS * 0.7)));
-            Thread.sleep(2 * LEASE_MILLIS);
-            fleet.link(holder[0], link -> link.swallow(true, false));
-        }, () -> fleet.link(holder[0], Link::mend));
+        return new Fault(
+                at,
+                LEASE_MILLIS / 1000.0 * 4,
+                "the holder hears the council late, and then not at all",
+                () -> {
+                    holder[0] = holder(fleet, fleet.members.get(0));
+                    fleet.link(holder[0], link -> link.delayBack((int) (LEASE_MILLIS * 0.7)));
+                    Thread.sleep(2 * LEASE_MILLIS);
+                    fleet.link(holder[0], link -> link.swallow(true, false));
+                },
+                () -> fleet.link(holder[0], Link::mend));
     }
 
     private static ProcessFleet.Member holder(ProcessFleet fleet, ProcessFleet.Member otherwise) {
@@ -216,7 +353,8 @@
     }
 
     /** The share of time in which the duty was done lately. */
-    private double play(ProcessFleet fleet, List<Fault> faults) throws IOException, InterruptedException {
+    private double play(ProcessFleet fleet, List<Fault> faults)
+            throws IOException, InterruptedException {
         long begun = System.currentTimeMillis();
         List<Fault> waiting = new ArrayList<>(faults);
         List<Fault> open = new ArrayList<>();
@@ -225,17 +363,35 @@
         for (double now = 0; now < seconds; now = (System.currentTimeMillis() - begun) / 1000.0) {
             if (!waiting.isEmpty() && waiting.get(0).at() <= now) {
                 Fault next = waiting.remove(0);
-                log.line(String.format(Locale.ROOT, "at %.1f s for %.1f s: %s", now, next.lasts(), next.what()));
+                log.line(
+                        String.format(
+                                Locale.ROOT,
+                                "at %.1f s for %.1f s: %s",
+                                now,
+                                next.lasts(),
+                                next.what()));
                 next.begin().run();
                 open.add(next);
             }
-            for (Fault over : open.stream().filter(one -> one.at() + one.lasts() <= (System.currentTimeMillis() - begun) / 1000.0)
-                    .toList()) {
+            for (Fault over :
+                    open.stream()
+                            .filter(
+                                    one ->
+                                            one.at() + one.lasts()
+                                                    <= (System.currentTimeMillis() - begun)
+                                                            / 1000.0)
+                            .toList()) {
                 over.end().run();
                 open.remove(over);
             }
-            if (fleet.members.subList(0, VOTERS).stream().filter(voter -> voter.process.isUp() && !voter.process.isStopped())
-                    .count() * 2 > VOTERS) {
+            if (fleet.members.subList(0, VOTERS).stream()
+                                    .filter(
+                                            voter ->
+                                                    voter.process.isUp()
+                                                            && !voter.process.isStopped())
+                                    .count()
+                            * 2
+                    > VOTERS) {
                 looks++; // a majority could talk, cuts apart
             } else {
                 Thread.sleep(20);
--- a/src/main/java/lupinwood/lab/DutySink.java
+++ b/src/main/java/lupinwood/lab/DutySink.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Where the keeper puts its picture: it refuses a token lower than it has seen, and writes down who acted when under
- * which. It knows nothing of the nodes but the link on which each comes.
+ * Where the keeper puts its picture: it refuses a token lower than it has seen, and writes down who
+ * acted when under which. It knows nothing of the nodes but the link on which each comes.
  */
 final class DutySink {
     /** What an act may take from being asked for to arriving, on a machine that is busy. */
@@ -34,7 +34,9 @@
     private int handOvers;
     private final List<String> broken = new ArrayList<>();
 
-    /** @param refusesLower a safeguard that may be left out */
+    /**
+     * @param refusesLower a safeguard that may be left out
+     */
     DutySink(boolean refusesLower, Excuse excuse) {
         this.refusesLower = refusesLower;
         this.excuse = excuse;
@@ -48,7 +50,9 @@
         for (String line = Wire.line(in); line != null; line = Wire.line(in)) {
             int length = 0;
             long token = 0;
-            for (String header = Wire.line(in); header != null && !header.isEmpty(); header = Wire.line(in)) {
+            for (String header = Wire.line(in);
+                    header != null && !header.isEmpty();
+                    header = Wire.line(in)) {
                 if (header.regionMatches(true, 0, "Content-Length: ", 0, 16)) {
                     length = Integer.parseInt(header.substring(16));
                 } else if (header.regionMatches(true, 0, "Duty-Token: ", 0, 12)) {
@@ -58,24 +62,40 @@
             if (in.readNBytes(length).length < length) {
                 return;
             }
-            Wire.say(out, act(node, token, System.currentTimeMillis()) ? "HTTP/1.1 204 No Content\r\n"
-                    : "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n", null);
+            Wire.say(
+                    out,
+                    act(node, token, System.currentTimeMillis())
+                            ? "HTTP/1.1 204 No Content\r\n"
+                            : "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n",
+                    null);
         }
     }
 
     synchronized boolean act(String node, long token, long now) {
         firstSeen.putIfAbsent(token, now);
         if (token < most) {
-            // Somebody may have been stopped between asking itself and acting; else it acted beside its successor.
+            // Somebody may have been stopped between asking itself and acting; else it acted beside
+            // its successor.
             long since = firstSeen.get(most);
-            if (now - since > TRANSIT_MILLIS && !excuse.wasHeldUp(node, since - 2 * TRANSIT_MILLIS)) {
-                broken.add(node + " acted under " + token + " " + (now - since) + " ms after " + holder + " did under " + most);
+            if (now - since > TRANSIT_MILLIS
+                    && !excuse.wasHeldUp(node, since - 2 * TRANSIT_MILLIS)) {
+                broken.add(
+                        node
+                                + " acted under "
+                                + token
+                                + " "
+                                + (now - since)
+                                + " ms after "
+                                + holder
+                                + " did under "
+                                + most);
             }
             if (refusesLower) {
                 refused++;
                 return false;
             }
-            broken.add("an act of " + node + " under " + token + " was taken after one under " + most);
+            broken.add(
+                    "an act of " + node + " under " + token + " was taken after one under " + most);
         }
         if (token > most) {
             if (most > 0) {
@@ -112,11 +132,18 @@
         return new ArrayList<>(broken);
     }
 
-    /** @param leaseMillis what gaps are told in */
+    /**
+     * @param leaseMillis what gaps are told in
+     */
     synchronized String line(long leaseMillis) {
         List<Long> sorted = gaps.stream().sorted().toList();
-        return String.format(Locale.ROOT, "acts %d, refused %d, hand-overs %d, gaps median %.2f longest %.2f leases",
-                acts, refused, handOvers, sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2) / (double) leaseMillis,
+        return String.format(
+                Locale.ROOT,
+                "acts %d, refused %d, hand-overs %d, gaps median %.2f longest %.2f leases",
+                acts,
+                refused,
+                handOvers,
+                sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2) / (double) leaseMillis,
                 sorted.isEmpty() ? 0 : sorted.get(sorted.size() - 1) / (double) leaseMillis);
     }
 }
--- a/src/main/java/lupinwood/lab/Experiments.java
+++ b/src/main/java/lupinwood/lab/Experiments.java
@@ -5,9 +5,10 @@
 
 /** The runs by their names. */
 public final class Experiments {
-    public static final String NAMES = "tour, reload-storm, config-cost, pools, mixed-fronts, duties-time, duties, duties-no-token, duties-late, duties-no-early-stop, duties-calm,"
-            + " fleet-cost, trials, fleet-tour, hand-overs, fleet-on-off, permits, release, releases-time, release-tour, release-ways, rest, failover-time, plan-model, failover,"
-            + " failover-alone, start-time, class-archive";
+    public static final String NAMES =
+            "tour, reload-storm, config-cost, pools, mixed-fronts, duties-time, duties, duties-no-token, duties-late, duties-no-early-stop, duties-calm,"
+                    + " fleet-cost, trials, fleet-tour, hand-overs, fleet-on-off, permits, release, releases-time, release-tour, release-ways, rest, failover-time, plan-model, failover,"
+                    + " failover-alone, start-time, class-archive";
 
     private Experiments() {}
 
@@ -18,8 +19,8 @@
      * @param plot a file to which it is drawn, where it can be; empty for none
      * @param seconds how long it takes where that can be chosen; 0 for as usual
      */
-    public static Experiment named(String name, long seed, int size, int seconds, String plot, PrintStream out,
-            Log log) {
+    public static Experiment named(
+            String name, long seed, int size, int seconds, String plot, PrintStream out, Log log) {
         return switch (name) {
             case "tour" -> new Tour(seed, out, log);
             case "reload-storm" -> new ReloadStorm(seed, size > 0 ? size : 300, log);
@@ -27,28 +28,72 @@
             case "pools" -> new PoolsRun(seed);
             case "mixed-fronts" -> new MixedFronts(seed, size > 0 ? size : 400, log);
             case "duties-time" -> new DutiesInTime(seed, size > 0 ? size : 200, out);
-            case "duties" -> new DutiesRun(seed, size > 0 ? size : 12, seconds > 0 ? seconds : 60, DutiesRun.Kind.USUAL, log);
-            case "duties-no-token" -> new DutiesRun(seed, size > 0 ? size : 12, seconds > 0 ? seconds : 60, DutiesRun.Kind.NO_TOKEN, log);
-            case "duties-late" -> new DutiesRun(seed, size > 0 ? size : 5, seconds > 0 ? seconds : 40,
-                    DutiesRun.Kind.LATE, log);
-            case "duties-no-early-stop" -> new DutiesRun(seed, size > 0 ? size : 5, seconds > 0 ? seconds : 40,
-                    DutiesRun.Kind.NO_EARLY_STOP, log);
-            case "duties-calm" -> new DutiesRun(seed, size > 0 ? size : 12, seconds > 0 ? seconds : 1800,
-                    DutiesRun.Kind.CALM, log);
+            case "duties" ->
+                    new DutiesRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? seconds : 60,
+                            DutiesRun.Kind.USUAL,
+                            log);
+            case "duties-no-token" ->
+                    new DutiesRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? seconds : 60,
+                            DutiesRun.Kind.NO_TOKEN,
+                            log);
+            case "duties-late" ->
+                    new DutiesRun(
+                            seed,
+                            size > 0 ? size : 5,
+                            seconds > 0 ? seconds : 40,
+                            DutiesRun.Kind.LATE,
+                            log);
+            case "duties-no-early-stop" ->
+                    new DutiesRun(
+                            seed,
+                            size > 0 ? size : 5,
+                            seconds > 0 ? seconds : 40,
+                            DutiesRun.Kind.NO_EARLY_STOP,
+                            log);
+            case "duties-calm" ->
+                    new DutiesRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? seconds : 1800,
+                            DutiesRun.Kind.CALM,
+                            log);
             case "fleet-cost" -> new FleetCost(seed, size, seconds > 0 ? seconds : 60);
             case "trials" -> new TrialsRun(seed, size > 0 ? size : 12);
             case "fleet-tour" -> new FleetTour(seed, out);
             case "hand-overs" -> new HandOvers(seed, size > 0 ? size : 40);
             case "fleet-on-off" -> new FleetOnOff(seed, seconds > 0 ? seconds : 30);
-            case "release" -> new ReleaseRun(seed, size > 0 ? size : 12, seconds > 0 ? Math.max(1, seconds / 60) : 4, plot, log);
+            case "release" ->
+                    new ReleaseRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? Math.max(1, seconds / 60) : 4,
+                            plot,
+                            log);
             case "rest" -> new RestRun(seed, size > 0 ? size : 4, log);
             case "release-tour" -> new ReleaseTour(seed, out);
             case "release-ways" -> new ReleaseWays(seed, size > 0 ? size : 300, plot);
             case "failover-time" -> new FailoverInTime(seed, size > 0 ? size : 12);
             case "plan-model" -> new PlanModel();
-            case "failover" -> new FailoverRun(seed, size > 0 ? size : 12, seconds > 0 ? Math.max(1, seconds / 21) : 6, true, log);
-            case "failover-alone" -> new FailoverRun(seed, size > 0 ? size : 12, seconds > 0 ? Math.max(1, seconds / 21) : 6,
-                    false, log);
+            case "failover" ->
+                    new FailoverRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? Math.max(1, seconds / 21) : 6,
+                            true,
+                            log);
+            case "failover-alone" ->
+                    new FailoverRun(
+                            seed,
+                            size > 0 ? size : 12,
+                            seconds > 0 ? Math.max(1, seconds / 21) : 6,
+                            false,
+                            log);
             case "start-time" -> new StartTime(size > 0 ? size : 30, out);
             case "class-archive" -> StartTime.archiving(out);
             case "releases-time" -> new ReleasesInTime(seed, size > 0 ? size : 200, out);
--- a/src/main/java/lupinwood/lab/FailoverInTime.java
+++ b/src/main/java/lupinwood/lab/FailoverInTime.java
@@ -10,7 +10,10 @@
 /** Ways to choose among places, side by side in made-up time, with the same faults. */
 final class FailoverInTime implements Experiment {
     private static final double LOAD = 0.55;
-    /** How far the planned way may lie under the one that knows the truth, in parts of all tickets. */
+
+    /**
+     * How far the planned way may lie under the one that knows the truth, in parts of all tickets.
+     */
     private static final double MOST_UNDER = 0.06;
 
     private final long seed;
@@ -24,22 +27,38 @@
     @Override
     public Outcome run() {
         Map<FailoverPlay.Way, FailoverPlay.Played> all = new EnumMap<>(FailoverPlay.Way.class);
-        Arrays.stream(FailoverPlay.Way.values()).parallel()
-                .forEach(way -> {
-                    FailoverPlay.Played played = new FailoverPlay(way, nodes, LOAD, seed).play();
-                    synchronized (all) {
-                        all.put(way, played);
-                    }
-                });
+        Arrays.stream(FailoverPlay.Way.values())
+                .parallel()
+                .forEach(
+                        way -> {
+                            FailoverPlay.Played played =
+                                    new FailoverPlay(way, nodes, LOAD, seed).play();
+                            synchronized (all) {
+                                all.put(way, played);
+                            }
+                        });
         List<String> broken = new ArrayList<>();
         StringBuilder line = new StringBuilder("failover-time: nodes " + nodes);
-        all.forEach((way, played) -> {
-            line.append(String.format(Locale.ROOT, ", %s in time %.4f near %.3f broke %d most %.2f", way.name()
-                    .toLowerCase(Locale.ROOT).replace('_', '-'), played.inTime(), played.near(), played.broke(), played.mostOver()));
-            played.broken().forEach(what -> broken.add(way + ": " + what));
-        });
+        all.forEach(
+                (way, played) -> {
+                    line.append(
+                            String.format(
+                                    Locale.ROOT,
+                                    ", %s in time %.4f near %.3f broke %d most %.2f",
+                                    way.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                                    played.inTime(),
+                                    played.near(),
+                                    played.broke(),
+                                    played.mostOver()));
+                    played.broken().forEach(what -> broken.add(way + ": " + what));
+                });
         FailoverPlay.Played planned = all.get(FailoverPlay.Way.PLANNED);
-        line.append(String.format(Locale.ROOT, "; plans %d of %.0f characters", planned.plans(), planned.planBytes()));
+        line.append(
+                String.format(
+                        Locale.ROOT,
+                        "; plans %d of %.0f characters",
+                        planned.plans(),
+                        planned.planBytes()));
         if (planned.broke() > 0) {
             broken.add("a place broke under the plan");
         }
--- a/src/main/java/lupinwood/lab/FailoverPlay.java
+++ b/src/main/java/lupinwood/lab/FailoverPlay.java
@@ -31,16 +31,30 @@
 import lupinwood.pools.Pool;
 
 /**
- * Zones with their nodes and places in made-up time: places die, come back cold, answer errors, and break when they are sent
- * more than they can bear. Nodes choose as they are told to: near only, each for itself, evenly, by the agreed plan, or by a
- * planner that knows the truth. The plan is made by the real book, steward and planner, over words that are late or lost.
+ * Zones with their nodes and places in made-up time: places die, come back cold, answer errors, and
+ * break when they are sent more than they can bear. Nodes choose as they are told to: near only,
+ * each for itself, evenly, by the agreed plan, or by a planner that knows the truth. The plan is
+ * made by the real book, steward and planner, over words that are late or lost.
  */
 final class FailoverPlay {
     /** How nodes choose. */
-    enum Way { NEAR_ONLY, EACH_FOR_ITSELF, EVENLY, PLANNED, TRUTH }
+    enum Way {
+        NEAR_ONLY,
+        EACH_FOR_ITSELF,
+        EVENLY,
+        PLANNED,
+        TRUTH
+    }
 
     /** What it came to. */
-    record Played(double inTime, double near, int broke, double mostOver, int plans, double planBytes, List<String> broken) {}
+    record Played(
+            double inTime,
+            double near,
+            int broke,
+            double mostOver,
+            int plans,
+            double planBytes,
+            List<String> broken) {}
 
     static final int REGIONS = 3;
     static final int ZONES = 6;
@@ -63,8 +77,10 @@
         final Place place;
         final int index;
         int inHand;
+
         /** What nodes have out there, also on the way. */
         int sent;
+
         int most;
         boolean up = true;
         boolean errors;
@@ -81,16 +97,21 @@
             up = false;
             life++;
             inHand = 0;
-            time.after(seconds, () -> {
-                up = true;
-                coldUntil = now() + COLD_FOR;
-            });
+            time.after(
+                    seconds,
+                    () -> {
+                        up = true;
+                        coldUntil = now() + COLD_FOR;
+                    });
         }
 
         double takes() {
             double speed = now() < coldUntil ? COLD_SPEED : 1;
             // Past what it bears each gets its part only.
-            return SERVICE / speed * Math.max(1, (double) inHand / place.bears()) * (0.7 + 0.6 * random.nextDouble());
+            return SERVICE
+                    / speed
+                    * Math.max(1, (double) inHand / place.bears())
+                    * (0.7 + 0.6 * random.nextDouble());
         }
     }
 
@@ -125,7 +146,11 @@
             this.zone = zone;
             name = new NodeName(String.format("n%03d", place));
             site = site(zone);
-            pool = new Pool(servers.stream().map(one -> one.place.name()).toList(), lupinwood.pools.Rules.USUAL, random.nextLong());
+            pool =
+                    new Pool(
+                            servers.stream().map(one -> one.place.name()).toList(),
+                            lupinwood.pools.Rules.USUAL,
+                            random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
             servers.forEach(one -> alone.put(one.place.name(), one.place.alone(site)));
             share = new Allotment(alone);
@@ -136,12 +161,14 @@
             asked++;
             Ticket ticket = new Ticket(this);
             budget.first();
-            time.after(ABANDON, () -> {
-                if (!ticket.over) {
-                    ticket.over = true;
-                    waiting.remove(ticket);
-                }
-            });
+            time.after(
+                    ABANDON,
+                    () -> {
+                        if (!ticket.over) {
+                            ticket.over = true;
+                            waiting.remove(ticket);
+                        }
+                    });
             send(ticket);
             time.after(-Math.log(1 - random.nextDouble()) / rate, this::comes);
         }
@@ -179,7 +206,11 @@
             }
             for (int distance = 0; distance <= 2; distance++) {
                 int of = distance;
-                int chosen = pool.send(at, ticket.tried, server -> distance(zone, server) == of && may(server));
+                int chosen =
+                        pool.send(
+                                at,
+                                ticket.tried,
+                                server -> distance(zone, server) == of && may(server));
                 if (chosen >= 0) {
                     return chosen;
                 }
@@ -189,7 +220,8 @@
 
         private boolean may(int server) {
             Server one = servers.get(server);
-            return way == Way.TRUTH ? one.up && !one.errors && one.sent < one.place.bears()
+            return way == Way.TRUTH
+                    ? one.up && !one.errors && one.sent < one.place.bears()
                     : pool.out(server) < share.may(one.place.name(), moment());
         }
 
@@ -201,27 +233,47 @@
             }
             went++;
             server.sent++;
-            time.after(there, () -> {
-                if (!server.up || server.errors) {
-                    time.after(there, () -> ended(ticket, server.index, Pool.End.FAILED, sentAt));
-                    return;
-                }
-                server.inHand++;
-                server.most = Math.max(server.most, server.inHand);
-                int of = server.life;
-                if (way == Way.PLANNED && server.inHand > server.place.bears()) {
-                    breaks(server.place.name() + " has " + server.inHand + " tickets at " + now() + " s, and bears " + server.place.bears());
-                }
-                if (server.inHand > server.place.bears() * BREAKS_AT) {
-                    server.broke++;
-                    server.dies(DOWN_WHEN_BROKEN);
-                }
-                time.after(server.takes(), () -> {
-                    boolean same = server.life == of;
-                    server.inHand -= same ? 1 : 0;
-                    time.after(there, () -> ended(ticket, server.index, same ? Pool.End.WELL : Pool.End.FAILED, sentAt));
-                });
-            });
+            time.after(
+                    there,
+                    () -> {
+                        if (!server.up || server.errors) {
+                            time.after(
+                                    there,
+                                    () -> ended(ticket, server.index, Pool.End.FAILED, sentAt));
+                            return;
+                        }
+                        server.inHand++;
+                        server.most = Math.max(server.most, server.inHand);
+                        int of = server.life;
+                        if (way == Way.PLANNED && server.inHand > server.place.bears()) {
+                            breaks(
+                                    server.place.name()
+                                            + " has "
+                                            + server.inHand
+                                            + " tickets at "
+                                            + now()
+                                            + " s, and bears "
+                                            + server.place.bears());
+                        }
+                        if (server.inHand > server.place.bears() * BREAKS_AT) {
+                            server.broke++;
+                            server.dies(DOWN_WHEN_BROKEN);
+                        }
+                        time.after(
+                                server.takes(),
+                                () -> {
+                                    boolean same = server.life == of;
+                                    server.inHand -= same ? 1 : 0;
+                                    time.after(
+                                            there,
+                                            () ->
+                                                    ended(
+                                                            ticket,
+                                                            server.index,
+                                                            same ? Pool.End.WELL : Pool.End.FAILED,
+                                                            sentAt));
+                                });
+                    });
         }
 
         private void ended(Ticket ticket, int server, Pool.End end, double sentAt) {
@@ -249,23 +301,45 @@
             askedAt.keySet().removeIf(old -> old < number - 20);
             List<Report.Use> uses = new ArrayList<>();
             for (Server server : servers) {
-                uses.add(new Report.Use(server.place.name(), pool.out(server.index), asked, ended[server.index][0],
-                        ended[server.index][1], seconds[server.index], pool.isLeftOut(server.index)));
+                uses.add(
+                        new Report.Use(
+                                server.place.name(),
+                                pool.out(server.index),
+                                asked,
+                                ended[server.index][0],
+                                ended[server.index][1],
+                                seconds[server.index],
+                                pool.isLeftOut(server.index)));
             }
-            Beat beat = new Beat(Beat.VERSION, name, new Life(zone + 1), site, Condition.WARM, number, List.of(), List.of(),
-                    List.of(), List.of(), List.of(), new Report("1", "", null, List.of(), share.plan(), uses, Tally.NOTHING));
-            talk(() -> {
-                String trouble = steward.heard(beat, book, moment());
-                Reply reply = steward.replyTo(beat, trouble, book, name, moment());
-                talk(() -> hears(reply));
-            });
+            Beat beat =
+                    new Beat(
+                            Beat.VERSION,
+                            name,
+                            new Life(zone + 1),
+                            site,
+                            Condition.WARM,
+                            number,
+                            List.of(),
+                            List.of(),
+                            List.of(),
+                            List.of(),
+                            List.of(),
+                            new Report(
+                                    "1", "", null, List.of(), share.plan(), uses, Tally.NOTHING));
+            talk(
+                    () -> {
+                        String trouble = steward.heard(beat, book, moment());
+                        Reply reply = steward.replyTo(beat, trouble, book, name, moment());
+                        talk(() -> hears(reply));
+                    });
             time.after(rules.beat().seconds() * (0.8 + 0.4 * random.nextDouble()), this::beats);
         }
 
         private void hears(Reply reply) {
             Moment asked = askedAt.get(reply.number());
             if (asked != null && reply.share() != null) {
-                share.told(reply.share().plan(), reply.share().slots(), asked.plus(rules.heldFor()));
+                share.told(
+                        reply.share().plan(), reply.share().slots(), asked.plus(rules.heldFor()));
                 for (int left = waiting.size(); left > 0; left--) {
                     send(waiting.poll());
                 }
@@ -295,18 +369,31 @@
     private long went;
     private long wentNear;
     private int plans;
+
     /** Hears of each plan. */
-    Consumer<String> trace = text -> { };
+    Consumer<String> trace = text -> {};
+
     private double planBytes;
 
-    /** @param load of what all places can do together, how much is asked for */
+    /**
+     * @param load of what all places can do together, how much is asked for
+     */
     FailoverPlay(Way way, int count, double load, long seed) {
         this.way = way;
         random = new Random(seed);
         int aZone = count / ZONES;
         rate = load * SLOTS_A_NODE / SERVICE;
         for (int zone = 0; zone < ZONES; zone++) {
-            servers.add(new Server(new Place("p" + zone, site(zone), SLOTS_A_NODE * aZone, SLOTS_A_NODE / 2, 0, false), zone));
+            servers.add(
+                    new Server(
+                            new Place(
+                                    "p" + zone,
+                                    site(zone),
+                                    SLOTS_A_NODE * aZone,
+                                    SLOTS_A_NODE / 2,
+                                    0,
+                                    false),
+                            zone));
         }
         for (int i = 0; i < aZone * ZONES; i++) {
             nodes.add(new Node(i, i % ZONES));
@@ -347,28 +434,60 @@
         time.after(20, () -> servers.get(0).dies(25));
         time.after(60, () -> servers.get(3).errors = true);
         time.after(75, () -> servers.get(3).errors = false);
-        time.after(80, () -> nodes.stream().filter(node -> node.zone == 4).forEach(node -> node.cut = true));
+        time.after(
+                80,
+                () ->
+                        nodes.stream()
+                                .filter(node -> node.zone == 4)
+                                .forEach(node -> node.cut = true));
         time.after(92, () -> nodes.forEach(node -> node.cut = false));
-        time.after(95, () -> {
-            servers.get(0).dies(12);
-            servers.get(1).dies(14);
-        });
+        time.after(
+                95,
+                () -> {
+                    servers.get(0).dies(12);
+                    servers.get(1).dies(14);
+                });
         time.playUntil(SECONDS);
         int broke = servers.stream().mapToInt(server -> server.broke).sum();
-        double over = servers.stream().mapToDouble(server -> (double) server.most / server.place.bears()).max().orElse(0);
-        return new Played((double) inTime / offered, (double) wentNear / went, broke, over, plans, planBytes / Math.max(1, plans), broken);
+        double over =
+                servers.stream()
+                        .mapToDouble(server -> (double) server.most / server.place.bears())
+                        .max()
+                        .orElse(0);
+        return new Played(
+                (double) inTime / offered,
+                (double) wentNear / went,
+                broke,
+                over,
+                plans,
+                planBytes / Math.max(1, plans),
+                broken);
     }
 
     private void decides() {
         steward.decide(book, 1, moment()).forEach(book::apply);
         Book.Held held = book.duty(DUTY);
         if (way == Way.PLANNED && !held.isFree()) {
-            Deed.SetPlan plan = planner.decide(new Planner.View(servers.stream().map(server -> server.place).toList(),
-                    book.members(), steward.picture(book, moment()), book.livePlans(), book.lastPlan()), held.token(), moment());
+            Deed.SetPlan plan =
+                    planner.decide(
+                            new Planner.View(
+                                    servers.stream().map(server -> server.place).toList(),
+                                    book.members(),
+                                    steward.picture(book, moment()),
+                                    book.livePlans(),
+                                    book.lastPlan()),
+                            held.token(),
+                            moment());
             if (plan != null && !book.apply(plan)) {
                 breaks("a plan did not fit: " + plan);
             } else if (plan != null) {
-                trace.accept(String.format(Locale.ROOT, "%.1f plan %d: %s", now(), book.lastPlan(), plan.why()));
+                trace.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "%.1f plan %d: %s",
+                                now(),
+                                book.lastPlan(),
+                                plan.why()));
                 plans++;
                 planBytes += plan.toString().length();
             }
--- a/src/main/java/lupinwood/lab/FailoverRun.java
+++ b/src/main/java/lupinwood/lab/FailoverRun.java
@@ -9,9 +9,10 @@
 import lupinwood.log.Log;
 
 /**
- * Three regions of two zones, each with a place below, and real nodes that share the places by plans in common: places are
- * lost, err and come back, zones are cut off, planners and leaders die. The auditor counts at the places: never more there
- * than they bear by the fleet's doing, and the rules for tickets.
+ * Three regions of two zones, each with a place below, and real nodes that share the places by
+ * plans in common: places are lost, err and come back, zones are cut off, planners and leaders die.
+ * The auditor counts at the places: never more there than they bear by the fleet's doing, and the
+ * rules for tickets.
  */
 final class FailoverRun implements Experiment {
     private static final int VOTERS = 3;
@@ -23,7 +24,14 @@
     private static final int NEAR = 2;
     private static final long TAKES_MILLIS = 100;
 
-    private enum Fault { PLACE_ERRS, REGION_ERRS, ZONE_CUT_OFF, PLANNER_DIES, PLANNER_STALLS, NODE_DIES }
+    private enum Fault {
+        PLACE_ERRS,
+        REGION_ERRS,
+        ZONE_CUT_OFF,
+        PLANNER_DIES,
+        PLANNER_STALLS,
+        NODE_DIES
+    }
 
     private final long seed;
     private final int nodes;
@@ -34,7 +42,10 @@
     private final List<Bearing> bearings = new ArrayList<>();
     private final List<StandInServer> servers = new ArrayList<>();
 
-    /** @param planned else each node decides for itself, which is for comparison: the places may be sent too much */
+    /**
+     * @param planned else each node decides for itself, which is for comparison: the places may be
+     *     sent too much
+     */
     FailoverRun(long seed, int nodes, int rounds, boolean planned, Log log) {
         this.seed = seed;
         this.nodes = nodes;
@@ -51,21 +62,44 @@
         for (int zone = 0; zone < ZONES; zone++) {
             Bearing bearing = new Bearing(BEARS, TAKES_MILLIS);
             bearings.add(bearing);
-            StandInServer server = new StandInServer(new Audit(), random.nextLong(), 0).with(bearing);
+            StandInServer server =
+                    new StandInServer(new Audit(), random.nextLong(), 0).with(bearing);
             servers.add(server);
             Door door = new Door(0, server::talk);
             doors.add(door);
-            more.append("server p").append(zone).append(" { address \"").append(door.address()).append("\"; tracks history; region r")
-                    .append(zone * REGIONS / ZONES).append("; zone z").append(zone).append(planned ? "; bears " + BEARS + "; near " + NEAR
-                    : "").append(" }\n");
+            more.append("server p")
+                    .append(zone)
+                    .append(" { address \"")
+                    .append(door.address())
+                    .append("\"; tracks history; region r")
+                    .append(zone * REGIONS / ZONES)
+                    .append("; zone z")
+                    .append(zone)
+                    .append(planned ? "; bears " + BEARS + "; near " + NEAR : "")
+                    .append(" }\n");
         }
-        try (ProcessFleet fleet = new ProcessFleet(VOTERS, nodes, nodes, LEASE_MILLIS, TICKETS_EVERY, true, seed, log::line,
-                more.toString(), 2, REGIONS, ZONES)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        VOTERS,
+                        nodes,
+                        nodes,
+                        LEASE_MILLIS,
+                        TICKETS_EVERY,
+                        true,
+                        seed,
+                        log::line,
+                        more.toString(),
+                        2,
+                        REGIONS,
+                        ZONES)) {
             fleet.startAll();
             fleet.awaitLeader();
             Thread.sleep(6 * LEASE_MILLIS);
             for (int round = 0; round < rounds; round++) {
-                round(fleet, Fault.values()[Math.floorMod(seed + round, Fault.values().length)], random);
+                round(
+                        fleet,
+                        Fault.values()[Math.floorMod(seed + round, Fault.values().length)],
+                        random);
             }
             broken.addAll(fleet.leaveAll());
             int most = bearings.stream().mapToInt(Bearing::most).max().orElse(0);
@@ -73,11 +107,25 @@
             if (planned && most > BEARS) {
                 broken.add("a place that bears " + BEARS + " had " + most + " tickets at once");
             }
-            return new Outcome(String.format(Locale.ROOT, "failover: nodes %d, rounds %d, %s, places had at most %d of %d, broke %d,"
-                    + " tickets at places %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d", nodes, rounds,
-                    planned ? "by plan" : "each for itself", most, BEARS, broke,
-                    servers.stream().mapToLong(StandInServer::tries).sum(), fleet.count("sent"), fleet.count("satisfied"),
-                    fleet.count("bounced"), fleet.count("abandoned"), fleet.count("excused"), broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "failover: nodes %d, rounds %d, %s, places had at most %d of %d, broke %d,"
+                                    + " tickets at places %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d",
+                            nodes,
+                            rounds,
+                            planned ? "by plan" : "each for itself",
+                            most,
+                            BEARS,
+                            broke,
+                            servers.stream().mapToLong(StandInServer::tries).sum(),
+                            fleet.count("sent"),
+                            fleet.count("satisfied"),
+                            fleet.count("bounced"),
+                            fleet.count("abandoned"),
+                            fleet.count("excused"),
+                            broken.size()),
+                    broken);
         } finally {
             for (Door door : doors) {
                 door.close();
@@ -85,10 +133,14 @@
         }
     }
 
-    private void round(ProcessFleet fleet, Fault fault, Random random) throws InterruptedException, IOException {
+    private void round(ProcessFleet fleet, Fault fault, Random random)
+            throws InterruptedException, IOException {
         log.line("fault: " + fault);
         int zone = random.nextInt(ZONES);
-        ProcessFleet.Member one = fault.name().startsWith("PLANNER") ? planner(fleet) : fleet.members.get(nodes - 1 - random.nextInt(nodes / 2));
+        ProcessFleet.Member one =
+                fault.name().startsWith("PLANNER")
+                        ? planner(fleet)
+                        : fleet.members.get(nodes - 1 - random.nextInt(nodes / 2));
         switch (fault) {
             case PLACE_ERRS -> bearings.get(zone).errs(true);
             case REGION_ERRS -> {
@@ -118,8 +170,16 @@
 
     private ProcessFleet.Member planner(ProcessFleet fleet) throws InterruptedException {
         Council.State state = fleet.state();
-        return state == null ? fleet.members.get(0) : state.duties().stream().filter(held -> held.duty().text().equals("planner")
-                && !held.isFree()).findFirst().map(held -> fleet.members.get(Integer.parseInt(held.holder().text().substring(1))))
-                .orElse(fleet.members.get(0));
+        return state == null
+                ? fleet.members.get(0)
+                : state.duties().stream()
+                        .filter(held -> held.duty().text().equals("planner") && !held.isFree())
+                        .findFirst()
+                        .map(
+                                held ->
+                                        fleet.members.get(
+                                                Integer.parseInt(
+                                                        held.holder().text().substring(1))))
+                        .orElse(fleet.members.get(0));
     }
 }
--- a/src/main/java/lupinwood/lab/FleetCost.java
+++ b/src/main/java/lupinwood/lab/FleetCost.java
@@ -8,14 +8,19 @@
 import lupinwood.fleet.Rules;
 import lupinwood.node.Span;
 
-/** What a fleet says in calm made-up time, by size: messages and bytes a node and second, and hand-overs, of which none has a cause. */
+/**
+ * What a fleet says in calm made-up time, by size: messages and bytes a node and second, and
+ * hand-overs, of which none has a cause.
+ */
 final class FleetCost implements Experiment {
     private static final int VOTERS = 5;
     private static final double SETTLES = 10;
     private static final double CUT_SECONDS = 20;
     private static final double QUARTER = 0.25;
+
     /** A small fleet swings by itself; a large one has to come back spread. */
     private static final double MOST_CROWD = 3;
+
     private final long seed;
     private final List<Integer> sizes;
     private final int seconds;
@@ -32,8 +37,15 @@
         StringBuilder line = new StringBuilder("fleet-cost: ");
         double first = 0;
         for (int size : sizes) {
-            TimedFleet fleet = new TimedFleet(VOTERS, size - VOTERS, 3, Rules.of(Span.ofSeconds(3), 0.01), 0.01,
-                    TimedFleet.Without.NOTHING, seed);
+            TimedFleet fleet =
+                    new TimedFleet(
+                            VOTERS,
+                            size - VOTERS,
+                            3,
+                            Rules.of(Span.ofSeconds(3), 0.01),
+                            0.01,
+                            TimedFleet.Without.NOTHING,
+                            seed);
             fleet.stalls = false;
             fleet.weigh(new Gson());
             fleet.startAll();
@@ -55,20 +67,37 @@
             double beatsEach = (double) (fleet.beats - beats) / size / seconds;
             double crowd = crowdAfterACut(fleet, size);
             if (crowd > MOST_CROWD) {
-                broken.add(String.format(Locale.ROOT, "after a cut %d nodes came back at %.1f times the calm rate", size, crowd));
+                broken.add(
+                        String.format(
+                                Locale.ROOT,
+                                "after a cut %d nodes came back at %.1f times the calm rate",
+                                size,
+                                crowd));
             }
             boolean held = fleet.nodes.stream().anyMatch(node -> node.holds(DutyName.TRIAL));
             if (!held) {
                 broken.add("nobody holds the duty at " + size + " nodes");
             }
-            line.append(String.format(Locale.ROOT, "%d nodes: %.2f beats and %.0f bytes a node and second, joined and held in"
-                    + " %.1f s, hand-overs in %d s %d, back after a cut at most %.1f times the calm rate; ", size, beatsEach, perNode,
-                    fleet.firstHeld / 1e9, seconds, causeless, crowd));
+            line.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%d nodes: %.2f beats and %.0f bytes a node and second, joined and held in"
+                                    + " %.1f s, hand-overs in %d s %d, back after a cut at most %.1f times the calm rate; ",
+                            size,
+                            beatsEach,
+                            perNode,
+                            fleet.firstHeld / 1e9,
+                            seconds,
+                            causeless,
+                            crowd));
         }
         return new Outcome(line + "broken " + broken.size(), broken);
     }
 
-    /** All are cut from the council for some leases; then the most beats in a quarter of a second, beside the calm rate. */
+    /**
+     * All are cut from the council for some leases; then the most beats in a quarter of a second,
+     * beside the calm rate.
+     */
     private static double crowdAfterACut(TimedFleet fleet, int size) {
         for (TimedFleet.Node one : fleet.nodes) {
             for (int voter = 0; voter < VOTERS; voter++) {
--- a/src/main/java/lupinwood/lab/FleetOnOff.java
+++ b/src/main/java/lupinwood/lab/FleetOnOff.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Nodes of a fleet and nodes without one, side by side under the same load: what belonging to it costs. */
+/**
+ * Nodes of a fleet and nodes without one, side by side under the same load: what belonging to it
+ * costs.
+ */
 final class FleetOnOff implements Experiment {
     private static final int VOTERS = 3;
     private static final int EACH = 2;
@@ -19,7 +22,16 @@
 
     @Override
     public Outcome run() throws Exception {
-        try (ProcessFleet fleet = new ProcessFleet(VOTERS, VOTERS + EACH, VOTERS + 2 * EACH, 3000, 4, true, seed, line -> { })) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        VOTERS,
+                        VOTERS + EACH,
+                        VOTERS + 2 * EACH,
+                        3000,
+                        4,
+                        true,
+                        seed,
+                        line -> {})) {
             fleet.startAll();
             Thread.sleep(SETTLES_MILLIS + seconds * 1000L);
             StringBuilder line = new StringBuilder("fleet-on-off: ");
@@ -27,17 +39,31 @@
             line.append(told("members", fleet.members.subList(VOTERS, VOTERS + EACH)));
             line.append(told("alone", fleet.members.subList(VOTERS + EACH, VOTERS + 2 * EACH)));
             List<String> broken = new ArrayList<>(fleet.leaveAll());
-            return new Outcome(line + "tickets " + fleet.count("sent") + ", satisfied " + fleet.count("satisfied")
-                    + ", broken " + broken.size(), broken);
+            return new Outcome(
+                    line
+                            + "tickets "
+                            + fleet.count("sent")
+                            + ", satisfied "
+                            + fleet.count("satisfied")
+                            + ", broken "
+                            + broken.size(),
+                    broken);
         }
     }
 
     private static String told(String what, List<ProcessFleet.Member> members) {
         double median = members.stream().mapToDouble(one -> one.took(0.5)).average().orElse(0);
         double tail = members.stream().mapToDouble(one -> one.took(0.99)).average().orElse(0);
-        double memory = members.stream().mapToLong(one -> one.process.memoryMb()).average().orElse(0);
+        double memory =
+                members.stream().mapToLong(one -> one.process.memoryMb()).average().orElse(0);
         double cpu = members.stream().mapToLong(one -> one.process.cpuMillis()).average().orElse(0);
-        return String.format(Locale.ROOT, "%s: median %.2f ms, 99%% %.2f ms, %.0f MB, %.0f ms of core time; ", what, median,
-                tail, memory, cpu);
+        return String.format(
+                Locale.ROOT,
+                "%s: median %.2f ms, 99%% %.2f ms, %.0f MB, %.0f ms of core time; ",
+                what,
+                median,
+                tail,
+                memory,
+                cpu);
     }
 }
--- a/src/main/java/lupinwood/lab/FleetTour.java
+++ b/src/main/java/lupinwood/lab/FleetTour.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A first look at a fleet: three nodes as processes, what 'fleet status' tells of them, and what happens as one dies. */
+/**
+ * A first look at a fleet: three nodes as processes, what 'fleet status' tells of them, and what
+ * happens as one dies.
+ */
 final class FleetTour implements Experiment {
     private static final int NODES = 3;
     private static final long LEASE_MILLIS = 2000;
@@ -22,7 +25,8 @@
     @Override
     public Outcome run() throws Exception {
         List<String> broken = new ArrayList<>();
-        try (ProcessFleet fleet = new ProcessFleet(NODES, NODES, LEASE_MILLIS, 50, true, seed, line -> { })) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(NODES, NODES, LEASE_MILLIS, 50, true, seed, line -> {})) {
             out.println("Three nodes, each also a voter, with a lease of 2 s:\n");
             fleet.operatorFile().lines().forEach(line -> out.println("    " + line));
             fleet.startAll();
@@ -34,19 +38,31 @@
             long at = System.currentTimeMillis();
             fleet.members.get(Integer.parseInt(first.substring(1))).kill();
             until(() -> !fleet.sink.holder().equals(first), broken, "another keeper");
-            out.println("After " + (System.currentTimeMillis() - at) + " ms " + fleet.sink.holder() + " keeps the picture.");
+            out.println(
+                    "After "
+                            + (System.currentTimeMillis() - at)
+                            + " ms "
+                            + fleet.sink.holder()
+                            + " keeps the picture.");
             status(fleet, broken);
             fleet.members.get(Integer.parseInt(first.substring(1))).start();
             out.println("\n" + first + " is back; it doesn't take the duty back.");
             Thread.sleep(3 * LEASE_MILLIS);
             status(fleet, broken);
             broken.addAll(fleet.leaveAll());
-            return new Outcome("fleet-tour: tickets " + fleet.count("sent") + ", satisfied " + fleet.count("satisfied")
-                    + ", broken " + broken.size(), broken);
+            return new Outcome(
+                    "fleet-tour: tickets "
+                            + fleet.count("sent")
+                            + ", satisfied "
+                            + fleet.count("satisfied")
+                            + ", broken "
+                            + broken.size(),
+                    broken);
         }
     }
 
-    private void status(ProcessFleet fleet, List<String> broken) throws IOException, InterruptedException {
+    private void status(ProcessFleet fleet, List<String> broken)
+            throws IOException, InterruptedException {
         out.println("\n$ lupinwood fleet status --operator operator.kdl");
         ProcessFleet.Said said = fleet.command("fleet", "status", "--operator");
         said.lines().forEach(line -> out.println("    " + line));
@@ -59,7 +75,8 @@
         boolean holds();
     }
 
-    private static void until(Look look, List<String> broken, String what) throws InterruptedException {
+    private static void until(Look look, List<String> broken, String what)
+            throws InterruptedException {
         for (int i = 0; i < PATIENCE; i++) {
             if (look.holds()) {
                 return;
--- a/src/main/java/lupinwood/lab/HandOvers.java
+++ b/src/main/java/lupinwood/lab/HandOvers.java
@@ -10,14 +10,22 @@
 
 /** How long a duty is nobody's after its holder went, by how it went, in made-up time. */
 final class HandOvers implements Experiment {
-    private enum Way { DRAIN, KILL, STALL, CUT, KILLED_WITH_THE_LEADER }
+    private enum Way {
+        DRAIN,
+        KILL,
+        STALL,
+        CUT,
+        KILLED_WITH_THE_LEADER
+    }
 
     private static final double AT = 12;
     private static final double ENDS = 32;
     private static final int VOTERS = 5;
     private static final int NODES = 30;
+
     /** In leases: past it a duty lies too long. */
     private static final double MOST = 2;
+
     private final long seed;
     private final int plays;
 
@@ -29,7 +37,9 @@
     @Override
     public Outcome run() {
         List<String> broken = new ArrayList<>();
-        StringBuilder line = new StringBuilder("hand-overs: leases without a holder (median, longest of " + plays + ")");
+        StringBuilder line =
+                new StringBuilder(
+                        "hand-overs: leases without a holder (median, longest of " + plays + ")");
         for (Way way : Way.values()) {
             List<Double> gaps = new ArrayList<>();
             for (int i = 0; i < plays; i++) {
@@ -40,20 +50,31 @@
             if (longest > MOST) {
                 broken.add(way + " left the duty to nobody for " + longest + " leases");
             }
-            line.append(String.format(Locale.ROOT, ", %s %.2f %.2f", way.name().toLowerCase(Locale.ROOT).replace('_', '-'),
-                    gaps.get(gaps.size() / 2), longest));
+            line.append(
+                    String.format(
+                            Locale.ROOT,
+                            ", %s %.2f %.2f",
+                            way.name().toLowerCase(Locale.ROOT).replace('_', '-'),
+                            gaps.get(gaps.size() / 2),
+                            longest));
         }
         return new Outcome(line + ", broken " + broken.size(), broken);
     }
 
     private static double play(Way way, long seed, List<String> broken) {
         Rules rules = Rules.of(Span.ofSeconds(3), 0.01);
-        TimedFleet fleet = new TimedFleet(VOTERS, NODES - VOTERS, 3, rules, 0.01, TimedFleet.Without.NOTHING, seed);
+        TimedFleet fleet =
+                new TimedFleet(
+                        VOTERS, NODES - VOTERS, 3, rules, 0.01, TimedFleet.Without.NOTHING, seed);
         fleet.stalls = false;
         fleet.startAll();
         // Each play loses its holder at another place between two beats.
         fleet.time.playUntil(AT + seed % 97 / 97.0);
-        TimedFleet.Node holder = fleet.nodes.stream().filter(node -> node.holds(DutyName.KEEPER)).findFirst().orElse(null);
+        TimedFleet.Node holder =
+                fleet.nodes.stream()
+                        .filter(node -> node.holds(DutyName.KEEPER))
+                        .findFirst()
+                        .orElse(null);
         if (holder == null) {
             broken.add("nobody held the duty at first, seed " + seed);
             return 0;
@@ -62,17 +83,22 @@
             case DRAIN -> holder.leave();
             case KILL -> holder.kill();
             case STALL -> holder.stopFor(ENDS);
-            case CUT -> fleet.nodes.forEach(other -> {
-                fleet.links.cut(holder.place, other.place);
-                fleet.links.cut(other.place, holder.place);
-            });
-            case KILLED_WITH_THE_LEADER -> fleet.each(node -> node == holder || node.leads(), TimedFleet.Node::kill);
+            case CUT ->
+                    fleet.nodes.forEach(
+                            other -> {
+                                fleet.links.cut(holder.place, other.place);
+                                fleet.links.cut(other.place, holder.place);
+                            });
+            case KILLED_WITH_THE_LEADER ->
+                    fleet.each(node -> node == holder || node.leads(), TimedFleet.Node::kill);
         }
         double since = fleet.time.now() / 1e9;
         double gap = 0;
         for (double now = since; now < ENDS; now += 0.01) {
             fleet.time.playUntil(now);
-            boolean held = fleet.nodes.stream().anyMatch(node -> node != holder && node.holds(DutyName.KEEPER));
+            boolean held =
+                    fleet.nodes.stream()
+                            .anyMatch(node -> node != holder && node.holds(DutyName.KEEPER));
             if (held) {
                 break;
             }
--- a/src/main/java/lupinwood/lab/Link.java
+++ b/src/main/java/lupinwood/lab/Link.java
@@ -9,8 +9,9 @@
 import java.net.Socket;
 
 /**
- * A link from one process to a loopback port, which can be cut, swallow what is said in one direction or both, and be slow.
- * A cut ends what is open and refuses what comes; what is swallowed is read and lost, as by a broken net.
+ * A link from one process to a loopback port, which can be cut, swallow what is said in one
+ * direction or both, and be slow. A cut ends what is open and refuses what comes; what is swallowed
+ * is read and lost, as by a broken net.
  */
 final class Link implements Closeable {
     private static final int CONNECT_MILLIS = 1000;
@@ -73,16 +74,18 @@
             return;
         }
         try (Socket there = new Socket()) {
-            there.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), to), CONNECT_MILLIS);
+            there.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), to), CONNECT_MILLIS);
             there.setTcpNoDelay(true);
-            Door.daemon(() -> {
-                try (there) {
-                    carry(there.getInputStream(), out, false);
-                    out.close();
-                } catch (IOException e) {
-                    // One side went; the other direction ends with it.
-                }
-            });
+            Door.daemon(
+                    () -> {
+                        try (there) {
+                            carry(there.getInputStream(), out, false);
+                            out.close();
+                        } catch (IOException e) {
+                            // One side went; the other direction ends with it.
+                        }
+                    });
             carry(in, there.getOutputStream(), true);
         }
     }
--- a/src/main/java/lupinwood/lab/MadeUpFolder.java
+++ b/src/main/java/lupinwood/lab/MadeUpFolder.java
@@ -34,13 +34,15 @@
     }
 
     private final boolean forgetsVotes;
-    private Runnable voted = () -> { };
-    private Runnable failed = () -> { };
+    private Runnable voted = () -> {};
+    private Runnable failed = () -> {};
     private boolean fails;
     private Content now = new Content();
     private Content durable = new Content();
 
-    /** @param forgetsVotes a safeguard left out: the term and the vote are never written down */
+    /**
+     * @param forgetsVotes a safeguard left out: the term and the vote are never written down
+     */
     MadeUpFolder(boolean forgetsVotes) {
         this.forgetsVotes = forgetsVotes;
     }
@@ -81,7 +83,8 @@
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
+            throws IOException {
         writes();
         now.members = members;
         flush();
@@ -108,7 +111,9 @@
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         writes();
-        now.chunks.put(String.format("%019d.%09d", chunk.getIndex(), chunk.getSnapshotChunkIndex()), chunk);
+        now.chunks.put(
+                String.format("%019d.%09d", chunk.getIndex(), chunk.getSnapshotChunkIndex()),
+                chunk);
     }
 
     @Override
--- a/src/main/java/lupinwood/lab/MadeUpLinks.java
+++ b/src/main/java/lupinwood/lab/MadeUpLinks.java
@@ -4,16 +4,23 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Links between numbered parties that lose, delay, repeat and reorder, and can be cut each way by itself. */
+/**
+ * Links between numbered parties that lose, delay, repeat and reorder, and can be cut each way by
+ * itself.
+ */
 final class MadeUpLinks {
     private final MadeUpTime time;
     private final Random random;
     private final Set<Long> cut = new HashSet<>();
+
     /** The share of messages lost, and of those that come twice. */
     double loss;
+
     double repeats;
+
     /** Seconds, at the least and on top at the most; one in a hundred takes ten times as long. */
     double least = 0.0005;
+
     double more = 0.003;
     private long messages;
 
@@ -50,11 +57,13 @@
         }
         for (int copies = random.nextDouble() < repeats ? 2 : 1; copies > 0; copies--) {
             double takes = least + more * random.nextDouble() * (random.nextInt(100) == 0 ? 10 : 1);
-            time.after(takes, () -> {
-                if (!isCut(from, to)) {
-                    arrives.run();
-                }
-            });
+            time.after(
+                    takes,
+                    () -> {
+                        if (!isCut(from, to)) {
+                            arrives.run();
+                        }
+                    });
         }
     }
 
--- a/src/main/java/lupinwood/lab/MadeUpTime.java
+++ b/src/main/java/lupinwood/lab/MadeUpTime.java
@@ -3,12 +3,15 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** What happens when, in made-up time: the soonest first, what is at once in the order it was told. */
+/**
+ * What happens when, in made-up time: the soonest first, what is at once in the order it was told.
+ */
 final class MadeUpTime {
     private record Event(long at, long order, Runnable job) {}
 
     private final PriorityQueue<Event> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private long now;
     private long order;
 
--- a/src/main/java/lupinwood/lab/MixedFronts.java
+++ b/src/main/java/lupinwood/lab/MixedFronts.java
@@ -18,8 +18,9 @@
 import lupinwood.net.Serving;
 
 /**
- * One node with both fronts and all kinds of tickets on each: web servers that cut off, leave off and show wrong secrets,
- * unlocks whose mark comes over both fronts at once, and a notice to leave in the middle of it.
+ * One node with both fronts and all kinds of tickets on each: web servers that cut off, leave off
+ * and show wrong secrets, unlocks whose mark comes over both fronts at once, and a notice to leave
+ * in the middle of it.
  */
 final class MixedFronts implements Experiment {
     private static final int CALLERS = 6;
@@ -30,13 +31,15 @@
     private final int tickets;
     private final Log log;
     private final Audit audit = new Audit();
-    private final StandInExecutor executor = new StandInExecutor(3, audit, run -> { });
+    private final StandInExecutor executor = new StandInExecutor(3, audit, run -> {});
     private final List<String> wrong = new ArrayList<>();
     private int resp;
     private int ajp;
     private volatile boolean leaving;
 
-    /** @param tickets how many each caller sends */
+    /**
+     * @param tickets how many each caller sends
+     */
     MixedFronts(long seed, int tickets, Log log) {
         random = new Random(seed);
         this.tickets = tickets;
@@ -45,14 +48,16 @@
 
     @Override
     public Outcome run() throws Exception {
-        try (Door work = new Door(0, executor::talk); Door index = new Door(0, StandIns::index);
+        try (Door work = new Door(0, executor::talk);
+                Door index = new Door(0, StandIns::index);
                 Door naming = new Door(0, StandIns::naming);
                 Door good = new Door(0, new StandInServer(audit, random.nextLong(), 0)::talk);
                 Door bad = new Door(0, new StandInServer(audit, random.nextLong(), 20)::talk);
                 Door worse = new Door(0, new StandInServer(audit, random.nextLong(), 60)::talk)) {
             resp = freePort();
             ajp = freePort();
-            Serving node = new Serving(config(work, index, naming, good, bad, worse), Brain::new, log);
+            Serving node =
+                    new Serving(config(work, index, naming, good, bad, worse), Brain::new, log);
             node.start();
             await("the executor's WELCOME", () -> node.executorAt() != null);
             play();
@@ -61,7 +66,11 @@
             leave(node);
             List<String> broken = new ArrayList<>(audit.close());
             broken.addAll(wrong);
-            return new Outcome("mixed-fronts: " + audit.line() + (wrong.isEmpty() ? "" : ", wrong " + wrong.size()), broken);
+            return new Outcome(
+                    "mixed-fronts: "
+                            + audit.line()
+                            + (wrong.isEmpty() ? "" : ", wrong " + wrong.size()),
+                    broken);
         }
     }
 
@@ -74,10 +83,12 @@
     private void play() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(2 * CALLERS);
         for (int i = 0; i < CALLERS; i++) {
-            // Both have the same chance, and with it the same marks: each unlock comes over both fronts at once.
+            // Both have the same chance, and with it the same marks: each unlock comes over both
+            // fronts at once.
             long seed = random.nextLong();
             Door.daemon(() -> guarded(() -> callByResp(new Random(seed)), done));
-            Door.daemon(() -> guarded(() -> callByAjp(new Random(seed), new Random(seed + 1)), done));
+            Door.daemon(
+                    () -> guarded(() -> callByAjp(new Random(seed), new Random(seed + 1)), done));
         }
         if (!done.await(120, TimeUnit.SECONDS)) {
             wrongs("callers that never end");
@@ -111,7 +122,10 @@
     /** What two callers with the same chance plan alike. */
     private static Planned plan(Random chance) {
         int kind = chance.nextInt(10);
-        String track = kind < 3 ? "history" : kind < 4 ? "quote" : kind < 5 ? "report" : kind < 7 ? "lookup" : "unlock";
+        String track =
+                kind < 3
+                        ? "history"
+                        : kind < 4 ? "quote" : kind < 5 ? "report" : kind < 7 ? "lookup" : "unlock";
         long number = chance.nextLong();
         if (kind == 9) {
             track = "unlock-far";
@@ -121,7 +135,7 @@
     }
 
     private void callByResp(Random chance) throws IOException, InterruptedException {
-        try (Caller caller = new Caller(resp, audit, (id, words) -> { })) {
+        try (Caller caller = new Caller(resp, audit, (id, words) -> {})) {
             for (int i = 0; i < tickets; i++) {
                 Planned one = plan(chance);
                 caller.send(String.format("%016x", chance.nextLong()), sent(one), "north");
@@ -132,7 +146,8 @@
     }
 
     private static Audit.Sent sent(Planned one) {
-        return new Audit.Sent(one.track(), one.body(), one.mark(), System.currentTimeMillis(), ABANDON_MILLIS);
+        return new Audit.Sent(
+                one.track(), one.body(), one.mark(), System.currentTimeMillis(), ABANDON_MILLIS);
     }
 
     private void callByAjp(Random chance, Random faults) throws IOException {
@@ -151,14 +166,22 @@
                 }
                 case 1 -> refused("wrong", peer.bytes("/history", "north", null, "x"));
                 case 2 -> refused(SECRET, peer.bytes("/nowhere", "north", null, "x"));
-                case 3 -> refused(SECRET, peer.bytes("/unlock", "north", null, "an unlock without its mark"));
+                case 3 ->
+                        refused(
+                                SECRET,
+                                peer.bytes("/unlock", "north", null, "an unlock without its mark"));
                 default -> {
-                    String id = String.format("ajp%x-%d", System.identityHashCode(peer), i) + faults.nextLong();
+                    String id =
+                            String.format("ajp%x-%d", System.identityHashCode(peer), i)
+                                    + faults.nextLong();
                     audit.sent(id, sent(one));
                     peer.send(bytes, 1 + faults.nextInt(4));
                     BackReader.Answer answer = peer.answer();
                     if (answer != null) {
-                        audit.answer(id, word(answer.status()), new String(answer.body(), StandardCharsets.ISO_8859_1),
+                        audit.answer(
+                                id,
+                                word(answer.status()),
+                                new String(answer.body(), StandardCharsets.ISO_8859_1),
                                 System.currentTimeMillis());
                     }
                     if (answer == null || !answer.reuse()) {
@@ -175,7 +198,10 @@
     private void refused(String secret, byte[] bytes) throws IOException {
         audit.count("ajp refused");
         try (AjpPeer stranger = new AjpPeer(ajp, secret)) {
-            byte[] shown = secret.equals(SECRET) ? bytes : stranger.bytes("/history", "north", null, "must not run");
+            byte[] shown =
+                    secret.equals(SECRET)
+                            ? bytes
+                            : stranger.bytes("/history", "north", null, "must not run");
             stranger.send(shown, 1);
             BackReader.Answer answer = stranger.answer();
             if (answer != null && (answer.status() == 200 || answer.status() >= 500)) {
@@ -192,19 +218,23 @@
     private void leave(Serving node) throws Exception {
         leaving = true;
         try (AjpPeer peer = new AjpPeer(ajp, SECRET)) {
-            Thread notice = new Thread(() -> {
-                try {
-                    node.leave();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Thread notice =
+                    new Thread(
+                            () -> {
+                                try {
+                                    node.leave();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             notice.start();
             Thread.sleep(700); // over the grace, within the time that the door stays open
             int runs = audit.of("runs");
             peer.send(peer.bytes("/history", "north", null, "late"), 1);
             BackReader.Answer answer = peer.answer();
-            if (answer == null || answer.status() != 503 || !answer.headers().containsKey("retry-after")) {
+            if (answer == null
+                    || answer.status() != 503
+                    || !answer.headers().containsKey("retry-after")) {
                 wrongs("after the notice to leave: " + answer);
             }
             notice.join(10_000);
@@ -225,8 +255,10 @@
         }
     }
 
-    private NodeConfig config(Door work, Door index, Door naming, Door... servers) throws NodeConfig.Unusable {
-        String text = """
+    private NodeConfig config(Door work, Door index, Door naming, Door... servers)
+            throws NodeConfig.Unusable {
+        String text =
+                """
                 name mixed
                 listen "127.0.0.1:%d"
                 executor "%s"
@@ -259,8 +291,17 @@
                 server worse { address "%s"; tracks lookup unlock-far }
                 server gone { address "127.0.0.1:9"; tracks lookup unlock-far }
                 route report { path "/report"; track report; customer north }
-                """.formatted(resp, work.address(), index.address(), naming.address(), ajp, SECRET,
-                servers[0].address(), servers[1].address(), servers[2].address());
+                """
+                        .formatted(
+                                resp,
+                                work.address(),
+                                index.address(),
+                                naming.address(),
+                                ajp,
+                                SECRET,
+                                servers[0].address(),
+                                servers[1].address(),
+                                servers[2].address());
         Config config = Reader.read(new TextSource(text), "mixed");
         if (!config.problems().isEmpty()) {
             throw new IllegalStateException(config.problems().all().toString());
