--- a/src/main/java/lupinwood/lab/NodeProcess.java
+++ b/src/main/java/lupinwood/lab/NodeProcess.java
@@ -15,32 +15,59 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** One real node, 'serve' as a process of its own, that can be stopped, continued, killed and started again. */
+/**
+ * One real node, 'serve' as a process of its own, that can be stopped, continued, killed and
+ * started again.
+ */
 final class NodeProcess {
     private static final int KEPT_LINES = 400;
-    private static final List<String> LIMITS = List.of("-XX:-UsePerfData", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-Xms40m", "-Xmx40m", "-Xmn16m", "-Xss256k", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=16m");
+    private static final List<String> LIMITS =
+            List.of(
+                    "-XX:-UsePerfData",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-Xms40m",
+                    "-Xmx40m",
+                    "-Xmn16m",
+                    "-Xss256k",
+                    "-XX:MaxMetaspaceSize=48m",
+                    "-XX:ReservedCodeCacheSize=16m");
 
     private final String name;
     private final Path folder;
     private final Path config;
+
     /** The deploy file's command, for the shell; null for one made up here. */
     private final String run;
+
     private final Consumer<String> hears;
     private final Deque<String> lines = new ArrayDeque<>();
     private volatile Process process;
     private volatile boolean stopped;
     private int starts;
-    /** What is wrong with the process at its next starts, as options of the laboratory's launcher. */
+
+    /**
+     * What is wrong with the process at its next starts, as options of the laboratory's launcher.
+     */
     private volatile List<String> wrong = List.of();
+
     private volatile String options = "";
 
-    /** @param hears hears each line of its log */
-    NodeProcess(String name, Path folder, String config, Consumer<String> hears) throws IOException {
+    /**
+     * @param hears hears each line of its log
+     */
+    NodeProcess(String name, Path folder, String config, Consumer<String> hears)
+            throws IOException {
         this(name, folder, "node.kdl", config, null, hears);
     }
 
-    private NodeProcess(String name, Path folder, String file, String config, String run, Consumer<String> hears)
+    private NodeProcess(
+            String name,
+            Path folder,
+            String file,
+            String config,
+            String run,
+            Consumer<String> hears)
             throws IOException {
         this.name = name;
         this.folder = folder;
@@ -52,13 +79,15 @@
     }
 
     /**
-     * One as the platform starts it: by the shell, in this process's own folder, told of its configuration by the environment.
+     * One as the platform starts it: by the shell, in this process's own folder, told of its
+     * configuration by the environment.
      *
      * @param config the platform's JSON
      * @param run 'run' of the deploy file
      */
-    static NodeProcess deployed(String name, Path folder, String config, String run) throws IOException {
-        return new NodeProcess(name, folder, "node.json", config, run, line -> { });
+    static NodeProcess deployed(String name, Path folder, String config, String run)
+            throws IOException {
+        return new NodeProcess(name, folder, "node.json", config, run, line -> {});
     }
 
     /** From its next start on the JVM has these options too. */
@@ -67,10 +96,13 @@
     }
 
     static List<String> java(List<String> options, String... words) {
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
+        List<String> command =
+                new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java"));
         command.addAll(options);
-        String path = Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
-                .map(part -> Path.of(part).toAbsolutePath().toString()).collect(Collectors.joining(File.pathSeparator));
+        String path =
+                Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
+                        .map(part -> Path.of(part).toAbsolutePath().toString())
+                        .collect(Collectors.joining(File.pathSeparator));
         command.addAll(List.of("-cp", path, "lupinwood.cli.Main"));
         command.addAll(List.of(words));
         return command;
@@ -89,21 +121,22 @@
         process = one;
         // Guards against nodes that outlive the one who plays, should that be ended in the middle.
         Runtime.getRuntime().addShutdownHook(new Thread(one::destroyForcibly));
-        Door.daemon(() -> {
-            try (BufferedReader log = one.errorReader()) {
-                for (String line = log.readLine(); line != null; line = log.readLine()) {
-                    synchronized (lines) {
-                        lines.add(line);
-                        if (lines.size() > KEPT_LINES) {
-                            lines.poll();
+        Door.daemon(
+                () -> {
+                    try (BufferedReader log = one.errorReader()) {
+                        for (String line = log.readLine(); line != null; line = log.readLine()) {
+                            synchronized (lines) {
+                                lines.add(line);
+                                if (lines.size() > KEPT_LINES) {
+                                    lines.poll();
+                                }
+                            }
+                            hears.accept(line);
                         }
+                    } catch (IOException e) {
+                        // It went.
                     }
-                    hears.accept(line);
-                }
-            } catch (IOException e) {
-                // It went.
-            }
-        });
+                });
     }
 
     private ProcessBuilder command() {
@@ -115,9 +148,15 @@
             }
             return shell;
         }
-        List<String> words = new ArrayList<>(List.of(wrong.isEmpty() ? "serve" : "lab-node", "--config", config.toString()));
+        List<String> words =
+                new ArrayList<>(
+                        List.of(
+                                wrong.isEmpty() ? "serve" : "lab-node",
+                                "--config",
+                                config.toString()));
         words.addAll(wrong);
-        return new ProcessBuilder(java(LIMITS, words.toArray(String[]::new))).directory(folder.toFile());
+        return new ProcessBuilder(java(LIMITS, words.toArray(String[]::new)))
+                .directory(folder.toFile());
     }
 
     /** From its next start on it is started so. */
@@ -125,10 +164,15 @@
         wrong = List.copyOf(options);
     }
 
-    /** None of its files may grow past so many bytes from now on, as on a disk that is full; until it is started anew. */
+    /**
+     * None of its files may grow past so many bytes from now on, as on a disk that is full; until
+     * it is started anew.
+     */
     void fillDisk(long bytes) throws IOException, InterruptedException {
         if (isUp()) {
-            new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + bytes).start().waitFor();
+            new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + bytes)
+                    .start()
+                    .waitFor();
         }
     }
 
--- a/src/main/java/lupinwood/lab/PermitsRun.java
+++ b/src/main/java/lupinwood/lab/PermitsRun.java
@@ -18,15 +18,21 @@
 import lupinwood.node.Span;
 
 /**
- * Two operators who ask at once for nodes to go, a supervisor who starts again what went, nodes and voters that are killed,
- * and halts: the auditor counts at the processes who is out, and knows nothing of the book.
+ * Two operators who ask at once for nodes to go, a supervisor who starts again what went, nodes and
+ * voters that are killed, and halts: the auditor counts at the processes who is out, and knows
+ * nothing of the book.
  */
 final class PermitsRun implements Experiment {
     private static final int VOTERS = 3;
     private static final int NODES = 9;
     private static final long LEASE_MILLIS = 2000;
-    /** A node that was let go right before a halt hears of its permit with a beat, and has its drain before it is gone. */
+
+    /**
+     * A node that was let go right before a halt hears of its permit with a beat, and has its drain
+     * before it is gone.
+     */
     private static final long HALT_BOUND_MILLIS = LEASE_MILLIS + 4000;
+
     /** A node that died is noticed within so long. */
     private static final long NOTICED_MILLIS = 2 * LEASE_MILLIS;
 
@@ -53,7 +59,8 @@
     @Override
     public Outcome run() throws Exception {
         Random random = new Random(seed);
-        try (ProcessFleet fleet = new ProcessFleet(VOTERS, NODES, LEASE_MILLIS, 40, true, seed, log::line)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(VOTERS, NODES, LEASE_MILLIS, 40, true, seed, log::line)) {
             fleet.startAll();
             Thread.sleep(4 * LEASE_MILLIS);
             for (int operator = 0; operator < 2; operator++) {
@@ -76,10 +83,21 @@
             if (went == 0) {
                 broken.add("no node ever went by a permit");
             }
-            return new Outcome(String.format(Locale.ROOT, "permits: orders allowed %d, not now %d, unanswered %d, nodes that went"
-                    + " %d, out at most %d of %d allowed, tickets %d, satisfied %d, broken %d", allowed.get(), refused.get(),
-                    unanswered.get(), went, mostOut, ProcessFleet.MOST_OUT, fleet.count("sent"), fleet.count("satisfied"),
-                    broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "permits: orders allowed %d, not now %d, unanswered %d, nodes that went"
+                                    + " %d, out at most %d of %d allowed, tickets %d, satisfied %d, broken %d",
+                            allowed.get(),
+                            refused.get(),
+                            unanswered.get(),
+                            went,
+                            mostOut,
+                            ProcessFleet.MOST_OUT,
+                            fleet.count("sent"),
+                            fleet.count("satisfied"),
+                            broken.size()),
+                    broken);
         }
     }
 
@@ -90,9 +108,15 @@
                 String id = name + "-" + random.nextInt(1 << 30);
                 Council.Answer first = order(fleet, "leave", node, name, id);
                 if (first != null && first.done() && random.nextInt(3) == 0) {
-                    Council.Answer again = order(fleet, "leave", node, name, id); // as after a lost answer
+                    Council.Answer again =
+                            order(fleet, "leave", node, name, id); // as after a lost answer
                     if (again != null && !again.text().equals(first.text())) {
-                        wrong("an order given again came to '" + again.text() + "' after '" + first.text() + "'");
+                        wrong(
+                                "an order given again came to '"
+                                        + again.text()
+                                        + "' after '"
+                                        + first.text()
+                                        + "'");
                     }
                 }
                 (first == null ? unanswered : first.done() ? allowed : refused).incrementAndGet();
@@ -103,9 +127,14 @@
         }
     }
 
-    private Council.Answer order(ProcessFleet fleet, String what, NodeName node, String by, String id)
+    private Council.Answer order(
+            ProcessFleet fleet, String what, NodeName node, String by, String id)
             throws InterruptedException {
-        return Question.order(fleet.voterAddresses(), new Council.Order(id, what, node, by), Span.ofSeconds(3), quiet);
+        return Question.order(
+                fleet.voterAddresses(),
+                new Council.Order(id, what, node, by),
+                Span.ofSeconds(3),
+                quiet);
     }
 
     private synchronized void wrong(String what) {
@@ -120,7 +149,8 @@
         List<ProcessFleet.Member> killed = new ArrayList<>();
         long nextFault = begun + 5000;
         int orders = 0;
-        for (long now = begun; now - begun < seconds * 1000L + 2 * HALT_BOUND_MILLIS;
+        for (long now = begun;
+                now - begun < seconds * 1000L + 2 * HALT_BOUND_MILLIS;
                 now = System.currentTimeMillis()) {
             // Who was let go last still has to go and to come back under the supervisor.
             over = now - begun >= seconds * 1000L;
@@ -149,7 +179,13 @@
                         }
                     }
                     case 1 -> {
-                        Council.Answer answer = order(fleet, "halt", null, "warden", "halt" + seed + "." + orders++);
+                        Council.Answer answer =
+                                order(
+                                        fleet,
+                                        "halt",
+                                        null,
+                                        "warden",
+                                        "halt" + seed + "." + orders++);
                         if (answer != null && answer.done()) {
                             haltedAt = System.currentTimeMillis();
                             halted = true;
@@ -167,8 +203,11 @@
         }
     }
 
-    /** A node went by itself: it had a permit, and with it no more may be out than the files say. */
-    private void gone(ProcessFleet.Member member, Map<ProcessFleet.Member, Long> goneSince, long now) {
+    /**
+     * A node went by itself: it had a permit, and with it no more may be out than the files say.
+     */
+    private void gone(
+            ProcessFleet.Member member, Map<ProcessFleet.Member, Long> goneSince, long now) {
         went++;
         member.heldUp();
         if (member.audit.openTickets() > 0) {
@@ -177,10 +216,22 @@
         int out = 0;
         for (Map.Entry<ProcessFleet.Member, Long> one : goneSince.entrySet()) {
             // One that was killed just now could not be known of when the permit was given.
-            out += one.getKey() == member || now - one.getValue() > NOTICED_MILLIS + HALT_BOUND_MILLIS ? 1 : 0;
+            out +=
+                    one.getKey() == member
+                                    || now - one.getValue() > NOTICED_MILLIS + HALT_BOUND_MILLIS
+                            ? 1
+                            : 0;
         }
-        long byPermit = goneSince.keySet().stream().filter(one -> one.process.lines().stream()
-                .anyMatch(line -> line.contains("leaves under permit"))).count();
+        long byPermit =
+                goneSince.keySet().stream()
+                        .filter(
+                                one ->
+                                        one.process.lines().stream()
+                                                .anyMatch(
+                                                        line ->
+                                                                line.contains(
+                                                                        "leaves under permit")))
+                        .count();
         mostOut = Math.max(mostOut, (int) byPermit);
         if (Math.max(out, byPermit) > ProcessFleet.MOST_OUT) {
             wrong(member.process.name() + " went as number " + Math.max(out, byPermit));
--- a/src/main/java/lupinwood/lab/PlanModel.java
+++ b/src/main/java/lupinwood/lab/PlanModel.java
@@ -14,13 +14,21 @@
 import lupinwood.fleet.Plan;
 
 /**
- * All that can happen to shares of two zones at three places, small enough to be looked through whole: plans that follow each
- * other, words that are lost, late or come twice, leases that run out at any moment, leaders that change. At no moment may
- * what both nodes believe be more at a place than it bears. Each rule is left out in turn, and that has to be found.
+ * All that can happen to shares of two zones at three places, small enough to be looked through
+ * whole: plans that follow each other, words that are lost, late or come twice, leases that run out
+ * at any moment, leaders that change. At no moment may what both nodes believe be more at a place
+ * than it bears. Each rule is left out in turn, and that has to be found.
  */
 final class PlanModel implements Experiment {
     /** A rule that may be left out. */
-    private enum Without { NOTHING, SUM_OVER_LIVE_PLANS, WAIT_FOR_LEASES, WAIT_OF_A_NEW_LEADER, NEVER_BACK, ACKNOWLEDGEMENT_OF_OLDER }
+    private enum Without {
+        NOTHING,
+        SUM_OVER_LIVE_PLANS,
+        WAIT_FOR_LEASES,
+        WAIT_OF_A_NEW_LEADER,
+        NEVER_BACK,
+        ACKNOWLEDGEMENT_OF_OLDER
+    }
 
     private static final int BEARS = 2;
     private static final int MOST_PLANS = 3;
@@ -28,16 +36,19 @@
     private static final int MOST_LEADERS = 2;
     private static final List<String> PLACES = List.of("p0", "p1", "p2");
     private static final List<String> NODES = List.of("a", "b");
-    private static final Map<String, Integer> BOUNDS = Map.of("p0", BEARS, "p1", BEARS, "p2", BEARS);
+    private static final Map<String, Integer> BOUNDS =
+            Map.of("p0", BEARS, "p1", BEARS, "p2", BEARS);
     private static final Map<String, String> ROSTER = Map.of("a", "z0", "b", "z1");
-    private static final List<Map<String, Map<String, Integer>>> TABLES = List.of(
-            Map.of("z0", Map.of("p0", 2), "z1", Map.of("p1", 2)),
-            Map.of(), // what is taken is taken first
-            Map.of("z0", Map.of("p2", 2), "z1", Map.of("p0", 2)));
+    private static final List<Map<String, Map<String, Integer>>> TABLES =
+            List.of(
+                    Map.of("z0", Map.of("p0", 2), "z1", Map.of("p1", 2)),
+                    Map.of(), // what is taken is taken first
+                    Map.of("z0", Map.of("p2", 2), "z1", Map.of("p0", 2)));
 
     /**
-     * A word to a node, as long as its lease may last. Once that has run out it is gone here: who leads may drop it then, and
-     * dropping it later would only allow less; one that comes after that gives nothing.
+     * A word to a node, as long as its lease may last. Once that has run out it is gone here: who
+     * leads may drop it then, and dropping it later would only allow less; one that comes after
+     * that gives nothing.
      *
      * @param old told by a leader before, so that today's knows nothing of it
      */
@@ -53,8 +64,16 @@
      * @param heard the newest plan that a node heard of
      * @param told what today's leader heard a node say of that
      */
-    private record State(List<Integer> tables, int oldest, List<Word> words, int heardA, int heardB, int toldA, int toldB,
-            int leaders, boolean waited) {
+    private record State(
+            List<Integer> tables,
+            int oldest,
+            List<Word> words,
+            int heardA,
+            int heardB,
+            int toldA,
+            int toldB,
+            int leaders,
+            boolean waited) {
         int heard(int node) {
             return node == 0 ? heardA : heardB;
         }
@@ -72,9 +91,16 @@
         StringBuilder line = new StringBuilder("plan-model:");
         for (Without without : Without.values()) {
             Found found = search(without);
-            line.append(String.format(Locale.ROOT, "%s %s %d states%s", without == Without.NOTHING ? "" : ",",
-                    without == Without.NOTHING ? "all rules" : "without " + without, found.states(),
-                    found.broken() == null ? "" : " until broken after " + found.depth() + " steps"));
+            line.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%s %s %d states%s",
+                            without == Without.NOTHING ? "" : ",",
+                            without == Without.NOTHING ? "all rules" : "without " + without,
+                            found.states(),
+                            found.broken() == null
+                                    ? ""
+                                    : " until broken after " + found.depth() + " steps"));
             if (without == Without.NOTHING && found.broken() != null) {
                 broken.add(found.broken());
             } else if (without != Without.NOTHING && found.broken() == null) {
@@ -116,13 +142,24 @@
         for (int node = 0; node < NODES.size(); node++) {
             int heard = state.heard(node);
             int of = node;
-            boolean leased = state.words().stream().anyMatch(word -> word.node() == of && word.plan() == heard && word.came());
+            boolean leased =
+                    state.words().stream()
+                            .anyMatch(
+                                    word ->
+                                            word.node() == of
+                                                    && word.plan() == heard
+                                                    && word.came());
             if (leased) {
-                plan(state, heard).of(new NodeName(NODES.get(node))).forEach((place, may) -> sums.merge(place, may, Integer::sum));
+                plan(state, heard)
+                        .of(new NodeName(NODES.get(node)))
+                        .forEach((place, may) -> sums.merge(place, may, Integer::sum));
             }
         }
-        return PLACES.stream().filter(place -> sums.getOrDefault(place, 0) > BEARS).findFirst()
-                .map(place -> place + " may be sent " + sums.get(place) + " in " + state).orElse(null);
+        return PLACES.stream()
+                .filter(place -> sums.getOrDefault(place, 0) > BEARS)
+                .findFirst()
+                .map(place -> place + " may be sent " + sums.get(place) + " in " + state)
+                .orElse(null);
     }
 
     private static List<State> after(State s, Without without) {
@@ -135,20 +172,52 @@
             }
             int heard = s.heard(node);
             if (heard > s.told(node)) {
-                all.add(new State(s.tables(), s.oldest(), s.words(), s.heardA(), s.heardB(), node == 0 ? heard : s.toldA(),
-                        node == 1 ? heard : s.toldB(), s.leaders(), s.waited()));
+                all.add(
+                        new State(
+                                s.tables(),
+                                s.oldest(),
+                                s.words(),
+                                s.heardA(),
+                                s.heardB(),
+                                node == 0 ? heard : s.toldA(),
+                                node == 1 ? heard : s.toldB(),
+                                s.leaders(),
+                                s.waited()));
             }
         }
         for (int i = 0; i < s.words().size(); i++) {
             word(s, i, without, all);
         }
         if (s.leaders() < MOST_LEADERS) {
-            List<Word> old = s.words().stream().map(word -> new Word(word.node(), word.plan(), word.came(), true)).toList();
-            all.add(new State(s.tables(), s.oldest(), old, s.heardA(), s.heardB(), 0, 0, s.leaders() + 1, false));
+            List<Word> old =
+                    s.words().stream()
+                            .map(word -> new Word(word.node(), word.plan(), word.came(), true))
+                            .toList();
+            all.add(
+                    new State(
+                            s.tables(),
+                            s.oldest(),
+                            old,
+                            s.heardA(),
+                            s.heardB(),
+                            0,
+                            0,
+                            s.leaders() + 1,
+                            false));
         }
         boolean oldOver = s.words().stream().noneMatch(Word::old);
         if (!s.waited() && (oldOver || without == Without.WAIT_OF_A_NEW_LEADER)) {
-            all.add(new State(s.tables(), s.oldest(), s.words(), s.heardA(), s.heardB(), s.toldA(), s.toldB(), s.leaders(), true));
+            all.add(
+                    new State(
+                            s.tables(),
+                            s.oldest(),
+                            s.words(),
+                            s.heardA(),
+                            s.heardB(),
+                            s.toldA(),
+                            s.toldB(),
+                            s.leaders(),
+                            true));
         }
         retire(s, without, all);
         return all;
@@ -158,13 +227,23 @@
         for (int table = 0; table < TABLES.size() && s.tables().size() < MOST_PLANS; table++) {
             List<Integer> tables = new ArrayList<>(s.tables());
             tables.add(table);
-            State after = new State(List.copyOf(tables), s.oldest(), s.words(), s.heardA(), s.heardB(), s.toldA(), s.toldB(),
-                    s.leaders(), s.waited());
+            State after =
+                    new State(
+                            List.copyOf(tables),
+                            s.oldest(),
+                            s.words(),
+                            s.heardA(),
+                            s.heardB(),
+                            s.toldA(),
+                            s.toldB(),
+                            s.leaders(),
+                            s.waited());
             List<Plan> live = new ArrayList<>();
             for (int number = s.oldest(); number <= tables.size(); number++) {
                 live.add(plan(after, number));
             }
-            if (without == Without.SUM_OVER_LIVE_PLANS || Plan.overfull(live, BOUNDS, Map.of()) == null) {
+            if (without == Without.SUM_OVER_LIVE_PLANS
+                    || Plan.overfull(live, BOUNDS, Map.of()) == null) {
                 all.add(after);
             }
         }
@@ -177,33 +256,66 @@
         boolean newer = word.plan() >= heard || without == Without.NEVER_BACK;
         int then = newer ? word.plan() : heard;
         List<Word> came = set(s.words(), i, new Word(word.node(), word.plan(), true, word.old()));
-        all.add(new State(s.tables(), s.oldest(), came, word.node() == 0 ? then : s.heardA(), word.node() == 1 ? then : s.heardB(),
-                s.toldA(), s.toldB(), s.leaders(), s.waited()));
+        all.add(
+                new State(
+                        s.tables(),
+                        s.oldest(),
+                        came,
+                        word.node() == 0 ? then : s.heardA(),
+                        word.node() == 1 ? then : s.heardB(),
+                        s.toldA(),
+                        s.toldB(),
+                        s.leaders(),
+                        s.waited()));
         List<Word> left = new ArrayList<>(s.words());
         left.remove(i);
         all.add(words(s, List.copyOf(left)));
     }
 
-    /** As the steward does it: of what today's leader told, and nothing before it waited for what others told. */
+    /**
+     * As the steward does it: of what today's leader told, and nothing before it waited for what
+     * others told.
+     */
     private static void retire(State s, Without without, List<State> all) {
         if (!s.waited() || s.tables().size() <= s.oldest()) {
             return;
         }
         int oldest = s.tables().size();
         for (Word word : s.words()) {
-            boolean acknowledged = word.plan() < s.told(word.node())
-                    || without == Without.ACKNOWLEDGEMENT_OF_OLDER && s.told(word.node()) > 0;
+            boolean acknowledged =
+                    word.plan() < s.told(word.node())
+                            || without == Without.ACKNOWLEDGEMENT_OF_OLDER
+                                    && s.told(word.node()) > 0;
             if (!word.old() && !acknowledged && without != Without.WAIT_FOR_LEASES) {
                 oldest = Math.min(oldest, word.plan());
             }
         }
         if (oldest > s.oldest()) {
-            all.add(new State(s.tables(), oldest, s.words(), s.heardA(), s.heardB(), s.toldA(), s.toldB(), s.leaders(), s.waited()));
+            all.add(
+                    new State(
+                            s.tables(),
+                            oldest,
+                            s.words(),
+                            s.heardA(),
+                            s.heardB(),
+                            s.toldA(),
+                            s.toldB(),
+                            s.leaders(),
+                            s.waited()));
         }
     }
 
     private static State words(State s, List<Word> words) {
-        return new State(s.tables(), s.oldest(), words, s.heardA(), s.heardB(), s.toldA(), s.toldB(), s.leaders(), s.waited());
+        return new State(
+                s.tables(),
+                s.oldest(),
+                words,
+                s.heardA(),
+                s.heardB(),
+                s.toldA(),
+                s.toldB(),
+                s.leaders(),
+                s.waited());
     }
 
     private static List<Word> with(List<Word> words, Word more) {
--- a/src/main/java/lupinwood/lab/PoolsRun.java
+++ b/src/main/java/lupinwood/lab/PoolsRun.java
@@ -13,8 +13,9 @@
 import lupinwood.pools.Rules;
 
 /**
- * Four servers in made-up time, of which in turn one fails fast, one is ten times slower and one is dead, under a load
- * that the other three could carry: how much is satisfied in time by the pool, by round robin and by least in hand.
+ * Four servers in made-up time, of which in turn one fails fast, one is ten times slower and one is
+ * dead, under a load that the other three could carry: how much is satisfied in time by the pool,
+ * by round robin and by least in hand.
  */
 final class PoolsRun implements Experiment {
     private static final int SERVERS = 4;
@@ -29,9 +30,9 @@
     private interface Chooser {
         int send(Moment now, List<Integer> tried, int[] out);
 
-        default void slow(int server) { }
+        default void slow(int server) {}
 
-        default void ended(int server, Pool.End end, Span took, boolean slow, Moment now) { }
+        default void ended(int server, Pool.End end, Span took, boolean slow, Moment now) {}
 
         default Span target() {
             return Span.ZERO;
@@ -48,16 +49,21 @@
 
     @Override
     public Outcome run() {
-        Result pool = new Play(new OfPool(new Pool(List.of("a", "b", "c", "d"), Rules.USUAL, seed))).play();
+        Result pool =
+                new Play(new OfPool(new Pool(List.of("a", "b", "c", "d"), Rules.USUAL, seed)))
+                        .play();
         int[] turn = {0};
         Result robin = new Play((now, tried, out) -> turn[0]++ % SERVERS).play();
-        Result least = new Play((now, tried, out) -> {
-            int best = 0;
-            for (int i = 1; i < SERVERS; i++) {
-                best = out[i] < out[best] ? i : best;
-            }
-            return best;
-        }).play();
+        Result least =
+                new Play(
+                                (now, tried, out) -> {
+                                    int best = 0;
+                                    for (int i = 1; i < SERVERS; i++) {
+                                        best = out[i] < out[best] ? i : best;
+                                    }
+                                    return best;
+                                })
+                        .play();
         List<String> broken = new ArrayList<>();
         if (pool.worst() < LEAST) {
             broken.add("in one phase only " + percent(pool.worst()) + " were satisfied");
@@ -65,8 +71,18 @@
         if (pool.repeats > pool.firsts * Rules.USUAL.repeatShare() + 11) {
             broken.add(pool.repeats + " repeats are past the budget");
         }
-        return new Outcome("pools: tickets " + pool.firsts + ", pool " + pool + ", round robin " + robin
-                + ", least in hand " + least + ", broken " + broken.size(), broken);
+        return new Outcome(
+                "pools: tickets "
+                        + pool.firsts
+                        + ", pool "
+                        + pool
+                        + ", round robin "
+                        + robin
+                        + ", least in hand "
+                        + least
+                        + ", broken "
+                        + broken.size(),
+                broken);
     }
 
     private static String percent(double share) {
@@ -92,7 +108,9 @@
             StringBuilder text = new StringBuilder();
             String[] names = {"calm", "failing", "slow", "dead"};
             for (int i = 0; i < SERVERS; i++) {
-                text.append(i == 0 ? "" : " ").append(names[i]).append(' ')
+                text.append(i == 0 ? "" : " ")
+                        .append(names[i])
+                        .append(' ')
                         .append(percent((double) satisfied[i] / Math.max(1, came[i])));
             }
             return text + " repeats " + percent((double) repeats / firsts);
@@ -127,10 +145,13 @@
         private final Random random = new Random(seed);
         private final Budget budget = new Budget(Rules.USUAL.repeatShare(), 10);
         private final PriorityQueue<Event> queue =
-                new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::order));
+                new PriorityQueue<>(
+                        Comparator.comparing(Event::at).thenComparingLong(Event::order));
         private final int[] out = new int[SERVERS];
+
         /** When each slot of each server is free again. */
         private final double[][] free = new double[SERVERS][SLOTS];
+
         private final List<Ticket> waiting = new ArrayList<>();
         private final Result result = new Result();
         private double now;
@@ -148,14 +169,18 @@
 
         Result play() {
             double rate = LOAD * (SERVERS - 1) * SLOTS / WORK;
-            for (double at = 0; at < PHASE * SERVERS; at -= Math.log(1 - random.nextDouble()) / rate) {
-                at(at, () -> {
-                    result.firsts++;
-                    budget.first();
-                    Ticket ticket = new Ticket();
-                    result.came[ticket.phase]++;
-                    send(ticket);
-                });
+            for (double at = 0;
+                    at < PHASE * SERVERS;
+                    at -= Math.log(1 - random.nextDouble()) / rate) {
+                at(
+                        at,
+                        () -> {
+                            result.firsts++;
+                            budget.first();
+                            Ticket ticket = new Ticket();
+                            result.came[ticket.phase]++;
+                            send(ticket);
+                        });
             }
             while (!queue.isEmpty()) {
                 Event next = queue.poll();
@@ -195,29 +220,37 @@
             double end = fails ? now + 0.001 : dead ? now + 0.0002 : work(server);
             Span target = chooser.target();
             if (target.isPositive()) {
-                at(now + target.seconds(), () -> {
-                    if (!over[0]) {
-                        slow[0] = true;
-                        chooser.slow(server);
-                    }
-                });
+                at(
+                        now + target.seconds(),
+                        () -> {
+                            if (!over[0]) {
+                                slow[0] = true;
+                                chooser.slow(server);
+                            }
+                        });
             }
-            at(end, () -> {
-                over[0] = true;
-                out[server]--;
-                chooser.ended(server, fails || dead ? Pool.End.FAILED : Pool.End.WELL, Span.ofSeconds(now - begun),
-                        slow[0], moment(now));
-                if (fails || dead) {
-                    if (now - ticket.came < PATIENCE && budget.again()) {
-                        send(ticket);
-                    }
-                } else if (now - ticket.came <= PATIENCE) {
-                    result.satisfied[ticket.phase]++;
-                }
-                if (!waiting.isEmpty()) {
-                    send(waiting.remove(0));
-                }
-            });
+            at(
+                    end,
+                    () -> {
+                        over[0] = true;
+                        out[server]--;
+                        chooser.ended(
+                                server,
+                                fails || dead ? Pool.End.FAILED : Pool.End.WELL,
+                                Span.ofSeconds(now - begun),
+                                slow[0],
+                                moment(now));
+                        if (fails || dead) {
+                            if (now - ticket.came < PATIENCE && budget.again()) {
+                                send(ticket);
+                            }
+                        } else if (now - ticket.came <= PATIENCE) {
+                            result.satisfied[ticket.phase]++;
+                        }
+                        if (!waiting.isEmpty()) {
+                            send(waiting.remove(0));
+                        }
+                    });
         }
 
         private int ticketPhaseNow() {
@@ -230,7 +263,10 @@
             for (int i = 1; i < SLOTS; i++) {
                 first = free[server][i] < free[server][first] ? i : first;
             }
-            double takes = WORK * (0.5 + random.nextDouble()) * (ticketPhaseNow() == 2 && server == 1 ? 10 : 1);
+            double takes =
+                    WORK
+                            * (0.5 + random.nextDouble())
+                            * (ticketPhaseNow() == 2 && server == 1 ? 10 : 1);
             free[server][first] = Math.max(now, free[server][first]) + takes;
             return free[server][first];
         }
--- a/src/main/java/lupinwood/lab/ProcessFleet.java
+++ b/src/main/java/lupinwood/lab/ProcessFleet.java
@@ -25,8 +25,9 @@
 import lupinwood.node.Span;
 
 /**
- * Real nodes as processes on loopback, the first of them voters, each with its executor, a caller who sends it tickets,
- * and links of its own to each voter and to where the keeper reports. All stand-ins live here, in the one who plays.
+ * Real nodes as processes on loopback, the first of them voters, each with its executor, a caller
+ * who sends it tickets, and links of its own to each voter and to where the keeper reports. All
+ * stand-ins live here, in the one who plays.
  */
 final class ProcessFleet implements Closeable {
     private static final int ABANDON_MILLIS = 6000;
@@ -38,7 +39,7 @@
         final List<Link> toVoters = new ArrayList<>();
         final Link toSink;
         final Audit audit = new Audit();
-        private final StandInExecutor executor = new StandInExecutor(workMillis, audit, run -> { });
+        private final StandInExecutor executor = new StandInExecutor(workMillis, audit, run -> {});
         private final Door work = new Door(0, executor::talk);
         private final Door sinkDoor;
         private final int port = freePort();
@@ -61,21 +62,43 @@
             }
             sinkDoor = new Door(0, sink.from(name));
             toSink = new Link(sinkDoor.port());
-            process = new NodeProcess(name, at.resolve(name), config(name, place < voterPorts.size()
-                    ? voterPorts.get(place) : 0), line -> log.accept(name + ": " + line));
+            process =
+                    new NodeProcess(
+                            name,
+                            at.resolve(name),
+                            config(name, place < voterPorts.size() ? voterPorts.get(place) : 0),
+                            line -> log.accept(name + ": " + line));
         }
 
         private String config(String name, int listen) {
-            StringBuilder text = new StringBuilder(NODE.formatted(name, port, work.address(), index.address(),
-                    naming.address(), 1000 + place));
+            StringBuilder text =
+                    new StringBuilder(
+                            NODE.formatted(
+                                    name,
+                                    port,
+                                    work.address(),
+                                    index.address(),
+                                    naming.address(),
+                                    1000 + place));
             if (place >= inFleet) {
                 return text.toString();
             }
-            text.append(FLEET.formatted(leaseMillis, region(place % zones), place % zones, toSink.address(),
-                    listen > 0 ? "; listen \"127.0.0.1:" + listen + "\"; folder council" : ""));
+            text.append(
+                    FLEET.formatted(
+                            leaseMillis,
+                            region(place % zones),
+                            place % zones,
+                            toSink.address(),
+                            listen > 0
+                                    ? "; listen \"127.0.0.1:" + listen + "\"; folder council"
+                                    : ""));
             text.append(more);
             for (int i = 0; i < toVoters.size(); i++) {
-                text.append("voter n").append(i).append(" { address \"").append(toVoters.get(i).address()).append("\" }\n");
+                text.append("voter n")
+                        .append(i)
+                        .append(" { address \"")
+                        .append(toVoters.get(i).address())
+                        .append("\" }\n");
             }
             return text.toString();
         }
@@ -99,7 +122,8 @@
         }
 
         boolean wasHeldUp(long since) {
-            return heldUpFrom <= System.currentTimeMillis() && heldUpUntil >= since || slowUntil >= since;
+            return heldUpFrom <= System.currentTimeMillis() && heldUpUntil >= since
+                    || slowUntil >= since;
         }
 
         private boolean isHeldUp() {
@@ -121,7 +145,10 @@
             goesOn();
         }
 
-        /** Started anew with something wrong, or with nothing: its wall clock is so far off, which its caller shares. */
+        /**
+         * Started anew with something wrong, or with nothing: its wall clock is so far off, which
+         * its caller shares.
+         */
         void startWrong(long shift, List<String> options) throws IOException, InterruptedException {
             kill();
             shiftMillis = shift;
@@ -142,17 +169,29 @@
         double took(double part) {
             synchronized (micros) {
                 List<Long> sorted = micros.stream().sorted().toList();
-                return sorted.isEmpty() ? 0 : sorted.get((int) (part * (sorted.size() - 1))) / 1000.0;
+                return sorted.isEmpty()
+                        ? 0
+                        : sorted.get((int) (part * (sorted.size() - 1))) / 1000.0;
             }
         }
 
-        /** Told to leave while nothing new comes: it goes by itself, and has answered all. What is wrong, or null. */
+        /**
+         * Told to leave while nothing new comes: it goes by itself, and has answered all. What is
+         * wrong, or null.
+         */
         String leaves() throws InterruptedException {
             quiet = true;
             Thread.sleep(50);
-            String wrong = process.leave(8) ? null : process.name() + " did not leave in good order: " + last(process);
+            String wrong =
+                    process.leave(8)
+                            ? null
+                            : process.name() + " did not leave in good order: " + last(process);
             if (wrong == null && audit.openTickets() > 0) {
-                wrong = process.name() + " left with " + audit.openTickets() + " tickets unanswered";
+                wrong =
+                        process.name()
+                                + " left with "
+                                + audit.openTickets()
+                                + " tickets unanswered";
             }
             kill();
             return wrong;
@@ -172,10 +211,19 @@
                 String mark = unlock ? String.format("%016x", chance.nextLong()) : null;
                 String track = unlock ? "unlock" : chance.nextBoolean() ? "quote" : "history";
                 sentAt.put(id, System.nanoTime());
-                caller.send(id, new Audit.Sent(track, track + " " + id, mark, System.currentTimeMillis(), ABANDON_MILLIS),
-                        "north", shiftMillis);
+                caller.send(
+                        id,
+                        new Audit.Sent(
+                                track,
+                                track + " " + id,
+                                mark,
+                                System.currentTimeMillis(),
+                                ABANDON_MILLIS),
+                        "north",
+                        shiftMillis);
             } catch (IOException e) {
-                // Not up yet, or gone: what it had is excused with the process, else it is found as lost.
+                // Not up yet, or gone: what it had is excused with the process, else it is found as
+                // lost.
                 Caller gone = caller;
                 caller = null;
                 close(gone);
@@ -185,9 +233,11 @@
 
     private static final int FIRST_PORT = 10_000;
     private static final int PORTS = 20_000;
-    private static final AtomicInteger NEXT_PORT = new AtomicInteger((int) (ProcessHandle.current().pid() * 131));
+    private static final AtomicInteger NEXT_PORT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 131));
     static final int ZONES = 3;
-    private static final String NODE = """
+    private static final String NODE =
+            """
             name %s
             listen "127.0.0.1:%d"
             executor "%s"
@@ -207,10 +257,12 @@
             track quote { effect pure; agreed-time 2s; abandon-time 6s; calls #true }
             track unlock { effect receipted; agreed-time 2s; abandon-time 6s; window 60s; calls #true }
             """;
-    private static final String FLEET = """
+    private static final String FLEET =
+            """
             fleet { lease %dms; region %s; zone z%d; report "%s"%s }
             out { most 2; share 100%%; zone-most 1; zone-share 100%%; least-in 3 }
             """;
+
     /** What the files say of how much may be out. */
     static final int MOST_OUT = 2;
 
@@ -231,15 +283,34 @@
     private final Log quiet = new Log(new PrintStream(new ByteArrayOutputStream()), Instant::now);
     private volatile boolean over;
 
-    /** @param ticketsEvery milliseconds between two tickets at each node; zero for none */
-    ProcessFleet(int voters, int all, long leaseMillis, int ticketsEvery, boolean refusesLower, long seed,
-            Consumer<String> log) throws IOException {
+    /**
+     * @param ticketsEvery milliseconds between two tickets at each node; zero for none
+     */
+    ProcessFleet(
+            int voters,
+            int all,
+            long leaseMillis,
+            int ticketsEvery,
+            boolean refusesLower,
+            long seed,
+            Consumer<String> log)
+            throws IOException {
         this(voters, all, all, leaseMillis, ticketsEvery, refusesLower, seed, log);
     }
 
-    /** @param inFleet the first so many belong to the fleet, the others stand alone beside it */
-    ProcessFleet(int voters, int inFleet, int all, long leaseMillis, int ticketsEvery, boolean refusesLower, long seed,
-            Consumer<String> log) throws IOException {
+    /**
+     * @param inFleet the first so many belong to the fleet, the others stand alone beside it
+     */
+    ProcessFleet(
+            int voters,
+            int inFleet,
+            int all,
+            long leaseMillis,
+            int ticketsEvery,
+            boolean refusesLower,
+            long seed,
+            Consumer<String> log)
+            throws IOException {
         this(voters, inFleet, all, leaseMillis, ticketsEvery, refusesLower, seed, log, "", 2);
     }
 
@@ -247,14 +318,50 @@
      * @param more entries that each file of the fleet has besides
      * @param workMillis what a run works, each time
      */
-    ProcessFleet(int voters, int inFleet, int all, long leaseMillis, int ticketsEvery, boolean refusesLower, long seed,
-            Consumer<String> log, String more, long workMillis) throws IOException {
-        this(voters, inFleet, all, leaseMillis, ticketsEvery, refusesLower, seed, log, more, workMillis, 1, ZONES);
+    ProcessFleet(
+            int voters,
+            int inFleet,
+            int all,
+            long leaseMillis,
+            int ticketsEvery,
+            boolean refusesLower,
+            long seed,
+            Consumer<String> log,
+            String more,
+            long workMillis)
+            throws IOException {
+        this(
+                voters,
+                inFleet,
+                all,
+                leaseMillis,
+                ticketsEvery,
+                refusesLower,
+                seed,
+                log,
+                more,
+                workMillis,
+                1,
+                ZONES);
     }
 
-    /** @param zones in all; they are parted among the regions */
-    ProcessFleet(int voters, int inFleet, int all, long leaseMillis, int ticketsEvery, boolean refusesLower, long seed,
-            Consumer<String> log, String more, long workMillis, int regions, int zones) throws IOException {
+    /**
+     * @param zones in all; they are parted among the regions
+     */
+    ProcessFleet(
+            int voters,
+            int inFleet,
+            int all,
+            long leaseMillis,
+            int ticketsEvery,
+            boolean refusesLower,
+            long seed,
+            Consumer<String> log,
+            String more,
+            long workMillis,
+            int regions,
+            int zones)
+            throws IOException {
         this.regions = regions;
         this.zones = zones;
         this.more = more;
@@ -264,7 +371,11 @@
         this.leaseMillis = leaseMillis;
         this.log = log;
         at = Files.createTempDirectory("lupinwood-lab");
-        sink = new DutySink(refusesLower, (name, since) -> members.get(Integer.parseInt(name.substring(1))).wasHeldUp(since));
+        sink =
+                new DutySink(
+                        refusesLower,
+                        (name, since) ->
+                                members.get(Integer.parseInt(name.substring(1))).wasHeldUp(since));
         for (int i = 0; i < voters; i++) {
             voterPorts.add(freePort());
         }
@@ -277,8 +388,8 @@
     }
 
     /**
-     * One that no outgoing connection is given by the system: a node binds it some time later, and may be started anew. By
-     * another number in each process, since several labs may run at once.
+     * One that no outgoing connection is given by the system: a node binds it some time later, and
+     * may be started anew. By another number in each process, since several labs may run at once.
      */
     static int freePort() throws IOException {
         for (int tries = 0; tries < PORTS; tries++) {
@@ -331,7 +442,9 @@
     }
 
     Collection<InetSocketAddress> voterAddresses() {
-        return voterPorts.stream().map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).toList();
+        return voterPorts.stream()
+                .map(port -> new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .toList();
     }
 
     /** What the one who leads the council knows; null where nobody does. */
@@ -353,7 +466,11 @@
     String operatorFile() {
         StringBuilder text = new StringBuilder("fleet { lease " + leaseMillis + "ms }\n");
         for (int i = 0; i < voterPorts.size(); i++) {
-            text.append("voter n").append(i).append(" { address \"127.0.0.1:").append(voterPorts.get(i)).append("\" }\n");
+            text.append("voter n")
+                    .append(i)
+                    .append(" { address \"127.0.0.1:")
+                    .append(voterPorts.get(i))
+                    .append("\" }\n");
         }
         return text.toString();
     }
@@ -383,17 +500,22 @@
         }
         List<Thread> leaving = new ArrayList<>();
         for (Member member : members) {
-            Thread one = new Thread(() -> {
-                try {
-                    if (!member.process.leave(8)) {
-                        synchronized (broken) {
-                            broken.add(member.process.name() + " did not leave in good order: " + last(member.process));
-                        }
-                    }
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Thread one =
+                    new Thread(
+                            () -> {
+                                try {
+                                    if (!member.process.leave(8)) {
+                                        synchronized (broken) {
+                                            broken.add(
+                                                    member.process.name()
+                                                            + " did not leave in good order: "
+                                                            + last(member.process));
+                                        }
+                                    }
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             one.start();
             leaving.add(one);
         }
--- a/src/main/java/lupinwood/lab/ReleasePlay.java
+++ b/src/main/java/lupinwood/lab/ReleasePlay.java
@@ -30,17 +30,29 @@
 import lupinwood.release.Picture;
 
 /**
- * One release through a fleet in made-up time, by the real book, steward and conductor. Nodes, their tickets and what is
- * wrong with what is released are made up; what may never be is checked at each step, knowing the truth.
+ * One release through a fleet in made-up time, by the real book, steward and conductor. Nodes,
+ * their tickets and what is wrong with what is released are made up; what may never be is checked
+ * at each step, knowing the truth.
  */
 final class ReleasePlay {
     /** What is released, and what happens meanwhile. The first ones are good. */
     enum Kind {
-        GOOD(true, 0), GOOD_WITH_ZONE_FAULT(true, 0), GOOD_WITH_FAULT_BELOW(true, 0), GOOD_LITTLE_TRAFFIC(true, 0),
-        GOOD_WITH_CRASHES(true, 0), GOOD_CONDUCTOR_DIES(true, 0), GOOD_BY_RESTARTS(true, 0),
-        BAD_AT_ONCE(false, 0.10), BAD_AFTER_A_MINUTE(false, 0.10), BAD_IN_ONE_ZONE(false, 0.15),
-        BAD_FOR_ONE_TRACK(false, 0.35), BAD_ONCE_HALF_HAVE_IT(false, 0.10), SLOWER(false, 0), RESTARTS(false, 0),
-        CRASHES_AT_START(false, 0), REFUSED_BY_ONE(false, 0);
+        GOOD(true, 0),
+        GOOD_WITH_ZONE_FAULT(true, 0),
+        GOOD_WITH_FAULT_BELOW(true, 0),
+        GOOD_LITTLE_TRAFFIC(true, 0),
+        GOOD_WITH_CRASHES(true, 0),
+        GOOD_CONDUCTOR_DIES(true, 0),
+        GOOD_BY_RESTARTS(true, 0),
+        BAD_AT_ONCE(false, 0.10),
+        BAD_AFTER_A_MINUTE(false, 0.10),
+        BAD_IN_ONE_ZONE(false, 0.15),
+        BAD_FOR_ONE_TRACK(false, 0.35),
+        BAD_ONCE_HALF_HAVE_IT(false, 0.10),
+        SLOWER(false, 0),
+        RESTARTS(false, 0),
+        CRASHES_AT_START(false, 0),
+        REFUSED_BY_ONE(false, 0);
 
         final boolean good;
         final double harm;
@@ -56,25 +68,50 @@
     }
 
     /** A safeguard that may be left out, to show that the audit finds it. */
-    enum Without { NOTHING, PERMITS, WATCH, TOKEN, CHECK }
+    enum Without {
+        NOTHING,
+        PERMITS,
+        WATCH,
+        TOKEN,
+        CHECK
+    }
 
     /** How it ended. */
-    enum End { DONE, BACK, HALTED, REFUSED, OPEN }
+    enum End {
+        DONE,
+        BACK,
+        HALTED,
+        REFUSED,
+        OPEN
+    }
 
     /**
      * What it came to.
      *
-     * @param caughtAt seconds after the first wave until it was turned back, halted or refused; below zero where it wasn't
+     * @param caughtAt seconds after the first wave until it was turned back, halted or refused;
+     *     below zero where it wasn't
      * @param hadIt how many nodes had it by then, as a share
      */
-    record Played(End end, double caughtAt, double hadIt, double seconds, String why, List<String> broken) {}
+    record Played(
+            End end,
+            double caughtAt,
+            double hadIt,
+            double seconds,
+            String why,
+            List<String> broken) {}
 
     static final Span LEASE = Span.ofSeconds(3);
     private static final double WATCH = 60;
     private static final double WATCH_MOST = 600;
     private static final double LONGEST = 4 * 3600;
-    private static final Limits BLIND = new Limits(Span.ofSeconds(WATCH), Span.ofSeconds(WATCH_MOST), 100, 1e9, LEASE,
-            Span.ofSeconds(WATCH));
+    private static final Limits BLIND =
+            new Limits(
+                    Span.ofSeconds(WATCH),
+                    Span.ofSeconds(WATCH_MOST),
+                    100,
+                    1e9,
+                    LEASE,
+                    Span.ofSeconds(WATCH));
     private static final double[] WEIGHTS = {0.55, 0.33, 0.12};
     private static final double WARMS_UP = 6;
     private static final double A_MINUTE = 60;
@@ -146,14 +183,22 @@
         void serves() {
             for (int track = 0; track < WEIGHTS.length; track++) {
                 double expected = rate * WEIGHTS[track];
-                long all = Math.max(0, Math.round(expected + Math.sqrt(expected) * random.nextGaussian()));
+                long all =
+                        Math.max(
+                                0,
+                                Math.round(expected + Math.sqrt(expected) * random.nextGaussian()));
                 double share = Math.min(0.95, base + trouble(zone) + harm(track));
-                double wrong = all * share + Math.sqrt(all * share * (1 - share)) * random.nextGaussian();
+                double wrong =
+                        all * share + Math.sqrt(all * share * (1 - share)) * random.nextGaussian();
                 long bad = Math.max(0, Math.min(all, Math.round(wrong)));
                 counts[track][0] += all - bad;
                 counts[track][3] += bad;
                 boolean slow = kind == Kind.SLOWER && runs.equals(NEW);
-                seconds[track] += (all - bad) * mean * (slow ? SLOWNESS : 1) * (1 + 0.1 * random.nextGaussian());
+                seconds[track] +=
+                        (all - bad)
+                                * mean
+                                * (slow ? SLOWNESS : 1)
+                                * (1 + 0.1 * random.nextGaussian());
             }
         }
 
@@ -174,13 +219,39 @@
         Beat beat() {
             List<Tally.Count> told = new ArrayList<>();
             for (int i = 0; i < WEIGHTS.length; i++) {
-                told.add(new Tally.Count("t" + i, counts[i][0], counts[i][1], counts[i][2], counts[i][3], seconds[i]));
+                told.add(
+                        new Tally.Count(
+                                "t" + i,
+                                counts[i][0],
+                                counts[i][1],
+                                counts[i][2],
+                                counts[i][3],
+                                seconds[i]));
             }
             String wanted = book.wanted(name).runs();
-            Report.Checked says = kind.byRestarts() && !wanted.equals(runs) ? new Report.Checked(wanted, true, true, "")
-                    : !checked ? null : new Report.Checked(NEW, !refuses(), kind.byRestarts(), refuses() ? "no" : "");
-            return new Beat(Beat.VERSION, name, new Life(life), site, condition(), ++beats, List.of(), List.of(), List.of(),
-                    List.of(), List.of(), new Report("1", runs, says, List.of(), 0, List.of(), new Tally(told)));
+            Report.Checked says =
+                    kind.byRestarts() && !wanted.equals(runs)
+                            ? new Report.Checked(wanted, true, true, "")
+                            : !checked
+                                    ? null
+                                    : new Report.Checked(
+                                            NEW,
+                                            !refuses(),
+                                            kind.byRestarts(),
+                                            refuses() ? "no" : "");
+            return new Beat(
+                    Beat.VERSION,
+                    name,
+                    new Life(life),
+                    site,
+                    condition(),
+                    ++beats,
+                    List.of(),
+                    List.of(),
+                    List.of(),
+                    List.of(),
+                    List.of(),
+                    new Report("1", runs, says, List.of(), 0, List.of(), new Tally(told)));
         }
 
         private boolean refuses() {
@@ -202,7 +273,8 @@
     private final List<Node> nodes = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final Consumer<String> trace;
-    private final Limits limits = Limits.of(Span.ofSeconds(WATCH), Span.ofSeconds(WATCH_MOST), 0.03, LEASE);
+    private final Limits limits =
+            Limits.of(Span.ofSeconds(WATCH), Span.ofSeconds(WATCH_MOST), 0.03, LEASE);
     private double time;
     private Conductor conductor;
     private Token token;
@@ -215,8 +287,10 @@
     private double dyingShare;
     private Timeline timeline;
     private Without without = Without.NOTHING;
+
     /** Of the conductor before, whose last word is still on its way; null where none is. */
     private Token stalledToken;
+
     private int stepsSeen;
     private double stepAt;
     private double served;
@@ -229,7 +303,10 @@
         return this;
     }
 
-    /** Of what was offered since the beginning, at so much of what all nodes can do, what was done in time; as a share. */
+    /**
+     * Of what was offered since the beginning, at so much of what all nodes can do, what was done
+     * in time; as a share.
+     */
     double servedShare() {
         return served / offered;
     }
@@ -253,20 +330,33 @@
     }
 
     private void account() {
-        double capacity = nodes.stream().filter(node -> node.up).mapToDouble(node -> node.condition() == Condition.WARM ? 1
-                : ReleaseWays.COLD_SPEED).sum();
+        double capacity =
+                nodes.stream()
+                        .filter(node -> node.up)
+                        .mapToDouble(
+                                node ->
+                                        node.condition() == Condition.WARM
+                                                ? 1
+                                                : ReleaseWays.COLD_SPEED)
+                        .sum();
         if (timeline != null) {
             int old = (int) nodes.stream().filter(node -> node.up && node.runs.equals(OLD)).count();
-            int changed = (int) nodes.stream().filter(node -> node.up && node.runs.equals(NEW)).count();
-            int in = (int) nodes.stream().filter(node -> node.up && node.condition() == Condition.WARM).count();
+            int changed =
+                    (int) nodes.stream().filter(node -> node.up && node.runs.equals(NEW)).count();
+            int in =
+                    (int)
+                            nodes.stream()
+                                    .filter(node -> node.up && node.condition() == Condition.WARM)
+                                    .count();
             timeline.add(time - begun, old, changed, nodes.size() - in);
         }
         offered += nodes.size() * ReleaseWays.LOAD;
         served += Math.min(nodes.size() * ReleaseWays.LOAD, capacity);
         if (time - begun >= diesAt) {
             diesAt = Double.MAX_VALUE;
-            nodes.stream().filter(node -> node.up && random.nextDouble() < dyingShare).forEach(node -> node.goes(
-                    ReleaseWays.DEAD_SECONDS));
+            nodes.stream()
+                    .filter(node -> node.up && random.nextDouble() < dyingShare)
+                    .forEach(node -> node.goes(ReleaseWays.DEAD_SECONDS));
         }
     }
 
@@ -291,7 +381,8 @@
     }
 
     private double share(String version) {
-        return (double) nodes.stream().filter(node -> node.runs.equals(version)).count() / nodes.size();
+        return (double) nodes.stream().filter(node -> node.runs.equals(version)).count()
+                / nodes.size();
     }
 
     Played play() {
@@ -312,7 +403,8 @@
             Release release = book.release();
             if (firstWave < 0 && release != null && release.steps() == 1) {
                 firstWave = time;
-                boolean faulty = kind == Kind.GOOD_WITH_ZONE_FAULT || kind == Kind.GOOD_WITH_FAULT_BELOW;
+                boolean faulty =
+                        kind == Kind.GOOD_WITH_ZONE_FAULT || kind == Kind.GOOD_WITH_FAULT_BELOW;
                 faultFrom = faulty ? time + random.nextInt(20) : faultFrom;
                 faultUntil = faultFrom + 100 + random.nextInt(200);
             }
@@ -331,7 +423,13 @@
             }
         }
         whole(end);
-        return new Played(end, end == End.DONE || end == End.OPEN ? -1 : caught, had, time - begun, why, broken);
+        return new Played(
+                end,
+                end == End.DONE || end == End.OPEN ? -1 : caught,
+                had,
+                time - begun,
+                why,
+                broken);
     }
 
     /** All that are there run what was agreed on. */
@@ -380,8 +478,11 @@
     private void faults() {
         double crashes = kind == Kind.GOOD_WITH_CRASHES ? 1.0 / 600 : 1.0 / 50_000;
         for (Node node : nodes) {
-            boolean dies = random.nextDouble() < crashes
-                    || kind == Kind.RESTARTS && node.runs.equals(NEW) && random.nextDouble() < 1.0 / 45;
+            boolean dies =
+                    random.nextDouble() < crashes
+                            || kind == Kind.RESTARTS
+                                    && node.runs.equals(NEW)
+                                    && random.nextDouble() < 1.0 / 45;
             if (node.up && dies) {
                 node.goes(3 + random.nextInt(10));
             }
@@ -389,7 +490,9 @@
         if (kind == Kind.GOOD_CONDUCTOR_DIES && !killed && firstWave > 0 && time - firstWave > 40) {
             killed = true;
             Book.Held held = book.duty(DUTY);
-            nodes.stream().filter(node -> node.up && node.name.equals(held.holder())).forEach(node -> node.goes(10));
+            nodes.stream()
+                    .filter(node -> node.up && node.name.equals(held.holder()))
+                    .forEach(node -> node.goes(10));
         }
     }
 
@@ -397,18 +500,28 @@
     private void follow(Node node) {
         String wanted = book.wanted(node.name).runs();
         String checks = book.wanted(node.name).checks();
-        node.checked = checks.isEmpty() ? node.checked && book.release() != null : node.checked || random.nextInt(3) == 0;
+        node.checked =
+                checks.isEmpty()
+                        ? node.checked && book.release() != null
+                        : node.checked || random.nextInt(3) == 0;
         if (!wanted.equals(node.takes)) {
             node.takes = wanted;
             node.takesAt = time + 1 + random.nextInt(3);
         }
         boolean refuses = node.isRefuser() && node.takes.equals(NEW);
-        if (!kind.byRestarts() && !node.takes.equals(node.runs) && time >= node.takesAt && !refuses) {
+        if (!kind.byRestarts()
+                && !node.takes.equals(node.runs)
+                && time >= node.takesAt
+                && !refuses) {
             node.runs = node.takes;
             node.changedAt = time;
         }
-        boolean permit = book.permits().stream().anyMatch(one -> one.node().equals(node.name)
-                && one.life().equals(new Life(node.life)));
+        boolean permit =
+                book.permits().stream()
+                        .anyMatch(
+                                one ->
+                                        one.node().equals(node.name)
+                                                && one.life().equals(new Life(node.life)));
         if (permit && !node.permitted) {
             node.goes(5 + random.nextInt(10));
         }
@@ -417,7 +530,8 @@
 
     private void conduct() {
         Book.Held held = book.duty(DUTY);
-        if (held.isFree() || nodes.stream().noneMatch(node -> node.up && node.name.equals(held.holder()))) {
+        if (held.isFree()
+                || nodes.stream().noneMatch(node -> node.up && node.name.equals(held.holder()))) {
             return;
         }
         if (!held.token().equals(token)) {
@@ -426,8 +540,15 @@
             conductor = new Conductor(held.holder(), without == Without.WATCH ? BLIND : limits);
             trace.accept(time + " " + held.holder() + " leads under " + token);
         }
-        Picture picture = new Picture(book.release(), book.good(), book.haltedBy(), steward.picture(book, now()), book.permits(),
-                outs.mostOf(nodes.size()), book.past());
+        Picture picture =
+                new Picture(
+                        book.release(),
+                        book.good(),
+                        book.haltedBy(),
+                        steward.picture(book, now()),
+                        book.permits(),
+                        outs.mostOf(nodes.size()),
+                        book.past());
         if (stalledToken != null) {
             lateWord(picture);
         }
@@ -437,8 +558,18 @@
                 boolean fitted = book.apply(write.deed());
                 trace.accept(time + " " + write.deed() + " " + fitted);
             } else if (act instanceof Act.Let let) {
-                OutRules bounds = without == Without.PERMITS ? new OutRules(nodes.size(), 1, nodes.size(), 1, 0) : outs;
-                book.apply(new Deed.Allow(let.order(), let.node(), "release", 0, bounds, steward.seenOut(book, now())));
+                OutRules bounds =
+                        without == Without.PERMITS
+                                ? new OutRules(nodes.size(), 1, nodes.size(), 1, 0)
+                                : outs;
+                book.apply(
+                        new Deed.Allow(
+                                let.order(),
+                                let.node(),
+                                "release",
+                                0,
+                                bounds,
+                                steward.seenOut(book, now())));
             }
         }
         if (!conductor.says().equals(before)) {
@@ -446,15 +577,25 @@
         }
     }
 
-    /** The next wave that the one before had decided on when it was stopped comes late, under its token. */
+    /**
+     * The next wave that the one before had decided on when it was stopped comes late, under its
+     * token.
+     */
     private void lateWord(Picture picture) {
         Release release = picture.release();
         if (release == null || release.steps() == 0 || release.back()) {
             return;
         }
-        List<NodeName> next = nodes.stream().map(node -> node.name).filter(name -> !release.isGiven(name)).limit(3).toList();
+        List<NodeName> next =
+                nodes.stream()
+                        .map(node -> node.name)
+                        .filter(name -> !release.isGiven(name))
+                        .limit(3)
+                        .toList();
         Token shown = without == Without.TOKEN ? token : stalledToken;
-        book.apply(new Deed.Step(shown, release.number(), release.steps() + 1, false, next, "", null, 0));
+        book.apply(
+                new Deed.Step(
+                        shown, release.number(), release.steps() + 1, false, next, "", null, 0));
         stalledToken = null;
     }
 
@@ -476,7 +617,12 @@
         Release release = book.release();
         if (release != null && !release.back() && release.steps() != stepsSeen) {
             if (stepsSeen > 0 && time - stepAt < WATCH) {
-                breaks("step " + release.steps() + " was given " + (time - stepAt) + " s after the one before");
+                breaks(
+                        "step "
+                                + release.steps()
+                                + " was given "
+                                + (time - stepAt)
+                                + " s after the one before");
             }
             stepsSeen = release.steps();
             stepAt = time;
--- a/src/main/java/lupinwood/lab/ReleaseRun.java
+++ b/src/main/java/lupinwood/lab/ReleaseRun.java
@@ -26,27 +26,51 @@
 import lupinwood.node.Span;
 
 /**
- * Releases through real processes under ticket load, good and bad ones by turns, each with a fault in the middle. The
- * auditor reads what processes do and log: who is out, who runs what, and when; a supervisor starts again what went.
+ * Releases through real processes under ticket load, good and bad ones by turns, each with a fault
+ * in the middle. The auditor reads what processes do and log: who is out, who runs what, and when;
+ * a supervisor starts again what went.
  */
 final class ReleaseRun implements Experiment {
     /** What is released. */
-    private enum What { GOOD_TEXT, BAD_TEXT, RESTARTING_TEXT, PROGRAM, BAD_PROGRAM, REFUSED_TEXT }
+    private enum What {
+        GOOD_TEXT,
+        BAD_TEXT,
+        RESTARTING_TEXT,
+        PROGRAM,
+        BAD_PROGRAM,
+        REFUSED_TEXT
+    }
 
     /** What happens once the first nodes have it. */
-    private enum Fault { NOTHING, CONDUCTOR_DIES, CONDUCTOR_STALLS, ZONE_CUT, HALTED_FOR_A_WHILE, ANOTHER_ASKED, NO_MAJORITY, NODE_DIES }
+    private enum Fault {
+        NOTHING,
+        CONDUCTOR_DIES,
+        CONDUCTOR_STALLS,
+        ZONE_CUT,
+        HALTED_FOR_A_WHILE,
+        ANOTHER_ASKED,
+        NO_MAJORITY,
+        NODE_DIES
+    }
 
     private static final int VOTERS = 3;
     private static final long LEASE_MILLIS = 1500;
     private static final int TICKETS_EVERY = 30;
     private static final String RULES = "release { watch 4s; watch-most 30s; harm 8% }\n";
+
     /** A quote works twice as long, which no bad text gives it. */
     private static final long WORK_MILLIS = 15;
+
     private static final long LONGEST_MILLIS = 150_000;
+
     /** A node hears of a halt no later than with a beat, and what it began by then it ends. */
     private static final long HALT_BOUND_MILLIS = 2 * LEASE_MILLIS + 4000;
-    private static final Pattern RUNS = Pattern.compile("^(n\\d+): .*fleet: (?:goes by|starts with) (?:the text (\\w+)|its own)");
-    private static final Pattern GOES = Pattern.compile("^(n\\d+): .*fleet: leaves under permit (\\d+)");
+
+    private static final Pattern RUNS =
+            Pattern.compile(
+                    "^(n\\d+): .*fleet: (?:goes by|starts with) (?:the text (\\w+)|its own)");
+    private static final Pattern GOES =
+            Pattern.compile("^(n\\d+): .*fleet: leaves under permit (\\d+)");
 
     private final long seed;
     private final int nodes;
@@ -72,7 +96,9 @@
     private int mostOut;
     private int went;
 
-    /** @param plot where it is drawn; empty for nowhere */
+    /**
+     * @param plot where it is drawn; empty for nowhere
+     */
     ReleaseRun(long seed, int nodes, int rounds, String plot, Log log) {
         this.plot = plot;
         this.seed = seed;
@@ -84,8 +110,18 @@
 
     @Override
     public Outcome run() throws Exception {
-        try (ProcessFleet all = new ProcessFleet(VOTERS, nodes, nodes, LEASE_MILLIS, TICKETS_EVERY, true, seed, this::hears, RULES,
-                WORK_MILLIS)) {
+        try (ProcessFleet all =
+                new ProcessFleet(
+                        VOTERS,
+                        nodes,
+                        nodes,
+                        LEASE_MILLIS,
+                        TICKETS_EVERY,
+                        true,
+                        seed,
+                        this::hears,
+                        RULES,
+                        WORK_MILLIS)) {
             fleet = all;
             all.startAll();
             all.awaitLeader();
@@ -106,13 +142,29 @@
             }
             Thread.sleep(3 * LEASE_MILLIS);
             if (!plot.isEmpty()) {
-                timeline.draw(Path.of(plot), rounds + " releases among " + nodes + " processes, seed " + seed);
+                timeline.draw(
+                        Path.of(plot),
+                        rounds + " releases among " + nodes + " processes, seed " + seed);
             }
             broken.addAll(all.leaveAll());
-            return new Outcome(String.format(Locale.ROOT, "release: nodes %d, rounds %d, ended %s, went by permit %d, out at most %d"
-                    + " of %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d", nodes, rounds, ends, went,
-                    mostOut, ProcessFleet.MOST_OUT, all.count("sent"), all.count("satisfied"), all.count("bounced"),
-                    all.count("abandoned"), all.count("excused"), broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "release: nodes %d, rounds %d, ended %s, went by permit %d, out at most %d"
+                                    + " of %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d",
+                            nodes,
+                            rounds,
+                            ends,
+                            went,
+                            mostOut,
+                            ProcessFleet.MOST_OUT,
+                            all.count("sent"),
+                            all.count("satisfied"),
+                            all.count("bounced"),
+                            all.count("abandoned"),
+                            all.count("excused"),
+                            broken.size()),
+                    broken);
         }
     }
 
@@ -125,10 +177,23 @@
             String digest = told.group(2) == null ? "" : told.group(2);
             runs.put(told.group(1), digest);
             if (!digest.equals(from) && !digest.equals(to)) {
-                wrong(told.group(1) + " runs " + digest + ", which is neither " + from + " nor " + to);
+                wrong(
+                        told.group(1)
+                                + " runs "
+                                + digest
+                                + ", which is neither "
+                                + from
+                                + " nor "
+                                + to);
             }
-            if (haltedAt > 0 && System.currentTimeMillis() - haltedAt > HALT_BOUND_MILLIS && line.contains("goes by")) {
-                wrong(told.group(1) + " changed " + (System.currentTimeMillis() - haltedAt) + " ms after a halt");
+            if (haltedAt > 0
+                    && System.currentTimeMillis() - haltedAt > HALT_BOUND_MILLIS
+                    && line.contains("goes by")) {
+                wrong(
+                        told.group(1)
+                                + " changed "
+                                + (System.currentTimeMillis() - haltedAt)
+                                + " ms after a halt");
             }
         }
         Matcher goes = GOES.matcher(line);
@@ -138,7 +203,12 @@
             goneByPermit.put(goes.group(1), now);
             mostOut = Math.max(mostOut, goneByPermit.size());
             if (goneByPermit.size() > ProcessFleet.MOST_OUT) {
-                wrong(goes.group(1) + " went as number " + goneByPermit.size() + ": " + goneByPermit.keySet());
+                wrong(
+                        goes.group(1)
+                                + " went as number "
+                                + goneByPermit.size()
+                                + ": "
+                                + goneByPermit.keySet());
             }
             if (haltedAt > 0 && now - haltedAt > HALT_BOUND_MILLIS) {
                 wrong(goes.group(1) + " went " + (now - haltedAt) + " ms after a halt");
@@ -163,10 +233,19 @@
                         member.heldUp();
                     }
                     Thread.sleep(200);
-                    Question.Wanted wanted = Question.wanted(fleet.voterAddresses(), new NodeName(name), Span.ofSeconds(1), quiet);
+                    Question.Wanted wanted =
+                            Question.wanted(
+                                    fleet.voterAddresses(),
+                                    new NodeName(name),
+                                    Span.ofSeconds(1),
+                                    quiet);
                     String program = wanted == null ? "" : wanted.program();
-                    member.process.wrong(program.isEmpty() ? List.of() : program.startsWith("bad")
-                            ? List.of("--program", program, "--fails-at-start") : List.of("--program", program));
+                    member.process.wrong(
+                            program.isEmpty()
+                                    ? List.of()
+                                    : program.startsWith("bad")
+                                            ? List.of("--program", program, "--fails-at-start")
+                                            : List.of("--program", program));
                     runs.remove(name);
                     member.start();
                     Thread.sleep(100);
@@ -186,14 +265,19 @@
     // ---- what operators do ----
 
     private Council.Answer order(String what, Council.Wish wish) throws InterruptedException {
-        return Question.order(fleet.voterAddresses(), new Council.Order("lab" + seed + "." + orders++, what, null, "ann", wish),
-                Span.ofSeconds(5), quiet);
+        return Question.order(
+                fleet.voterAddresses(),
+                new Council.Order("lab" + seed + "." + orders++, what, null, "ann", wish),
+                Span.ofSeconds(5),
+                quiet);
     }
 
     private static String text(What what, int round) {
         return switch (what) {
-            case GOOD_TEXT -> "goal { worst-track " + (20 + round) + "% }\n// round " + round + "\n";
-            case BAD_TEXT -> "track quote { agreed-time " + (1 + round) + "ms; abandon-time 16ms }\n";
+            case GOOD_TEXT ->
+                    "goal { worst-track " + (20 + round) + "% }\n// round " + round + "\n";
+            case BAD_TEXT ->
+                    "track quote { agreed-time " + (1 + round) + "ms; abandon-time 16ms }\n";
             case RESTARTING_TEXT -> "rules { crowd-over " + (3 + round) + "s }\n";
             case REFUSED_TEXT -> "track unlock { effect pure }\n";
             default -> "";
@@ -205,8 +289,18 @@
         boolean program = what == What.PROGRAM || what == What.BAD_PROGRAM;
         Council.Wish wish;
         try {
-            wish = program ? new Council.Wish(Release.Kind.PROGRAM, (what == What.PROGRAM ? "p" : "bad") + round, "", true)
-                    : new Council.Wish(Release.Kind.CONFIGURATION, Common.read(text).digest(), text, true);
+            wish =
+                    program
+                            ? new Council.Wish(
+                                    Release.Kind.PROGRAM,
+                                    (what == What.PROGRAM ? "p" : "bad") + round,
+                                    "",
+                                    true)
+                            : new Council.Wish(
+                                    Release.Kind.CONFIGURATION,
+                                    Common.read(text).digest(),
+                                    text,
+                                    true);
         } catch (NodeConfig.Unusable e) {
             throw new IOException(e);
         }
@@ -242,31 +336,78 @@
     }
 
     private void draw() {
-        List<ProcessFleet.Member> up = fleet.members.stream().filter(member -> member.process.isUp()).toList();
-        int changed = (int) up.stream().filter(member -> !to.equals(from)
-                && to.equals(runs.getOrDefault(member.process.name(), ""))).count();
-        timeline.add((System.currentTimeMillis() - begun) / 1000.0, up.size() - changed, changed, nodes - up.size());
+        List<ProcessFleet.Member> up =
+                fleet.members.stream().filter(member -> member.process.isUp()).toList();
+        int changed =
+                (int)
+                        up.stream()
+                                .filter(
+                                        member ->
+                                                !to.equals(from)
+                                                        && to.equals(
+                                                                runs.getOrDefault(
+                                                                        member.process.name(), "")))
+                                .count();
+        timeline.add(
+                (System.currentTimeMillis() - begun) / 1000.0,
+                up.size() - changed,
+                changed,
+                nodes - up.size());
     }
 
-    private void ended(int round, What what, Fault fault, Council.State state, Council.Wish wish) throws InterruptedException {
-        String last = state == null || state.history().isEmpty() ? "" : state.history().stream().map(one -> one.text())
-                .filter(one -> one.contains(" is done") || one.contains(" has ended")).reduce((a, b) -> b).orElse("");
+    private void ended(int round, What what, Fault fault, Council.State state, Council.Wish wish)
+            throws InterruptedException {
+        String last =
+                state == null || state.history().isEmpty()
+                        ? ""
+                        : state.history().stream()
+                                .map(one -> one.text())
+                                .filter(
+                                        one ->
+                                                one.contains(" is done")
+                                                        || one.contains(" has ended"))
+                                .reduce((a, b) -> b)
+                                .orElse("");
         boolean done = last.contains(" is done");
         boolean open = state == null || state.release() != null;
         ends.merge(what + (open ? " open" : done ? " done" : " back"), 1, Integer::sum);
         log.line("round " + round + " ended: " + last);
-        boolean isGood = what == What.GOOD_TEXT || what == What.RESTARTING_TEXT || what == What.PROGRAM;
+        boolean isGood =
+                what == What.GOOD_TEXT || what == What.RESTARTING_TEXT || what == What.PROGRAM;
         if (open) {
-            wrong("round " + round + ", " + what + " with " + fault + ", did not end: "
-                    + (state == null ? "nobody leads" : state.release() + " step " + state.release().steps() + " " + state.haltedBy()));
+            wrong(
+                    "round "
+                            + round
+                            + ", "
+                            + what
+                            + " with "
+                            + fault
+                            + ", did not end: "
+                            + (state == null
+                                    ? "nobody leads"
+                                    : state.release()
+                                            + " step "
+                                            + state.release().steps()
+                                            + " "
+                                            + state.haltedBy()));
             order("back", null);
             return;
         }
         if (done && !isGood) {
             wrong("round " + round + ", " + what + " with " + fault + ", went through: " + last);
         } else if (!done && isGood) {
-            wrong("round " + round + ", " + what + " with " + fault + ", was stopped: " + state.history().subList(
-                    Math.max(0, state.history().size() - 6), state.history().size()));
+            wrong(
+                    "round "
+                            + round
+                            + ", "
+                            + what
+                            + " with "
+                            + fault
+                            + ", was stopped: "
+                            + state.history()
+                                    .subList(
+                                            Math.max(0, state.history().size() - 6),
+                                            state.history().size()));
         }
         if (done && wish.kind() == Release.Kind.CONFIGURATION) {
             good = wish.to();
@@ -282,9 +423,16 @@
             others.clear();
             Council.State state = fleet.state();
             if (state != null) {
-                state.seen().stream().filter(seen -> seen.report() == null || !seen.report().runs().equals(good))
-                        .forEach(seen -> others.add(seen.name() + " runs " + (seen.report() == null ? "nothing known"
-                                : seen.report().runs())));
+                state.seen().stream()
+                        .filter(seen -> seen.report() == null || !seen.report().runs().equals(good))
+                        .forEach(
+                                seen ->
+                                        others.add(
+                                                seen.name()
+                                                        + " runs "
+                                                        + (seen.report() == null
+                                                                ? "nothing known"
+                                                                : seen.report().runs())));
                 if (others.isEmpty()) {
                     return;
                 }
@@ -301,9 +449,14 @@
     }
 
     private void fault(Fault fault, Council.State state) throws InterruptedException, IOException {
-        NodeName conductor = state.duties().stream().filter(held -> held.duty().text().equals("conductor"))
-                .map(held -> held.holder()).findFirst().orElse(null);
-        ProcessFleet.Member one = conductor == null ? fleet.members.get(nodes - 1) : member(conductor);
+        NodeName conductor =
+                state.duties().stream()
+                        .filter(held -> held.duty().text().equals("conductor"))
+                        .map(held -> held.holder())
+                        .findFirst()
+                        .orElse(null);
+        ProcessFleet.Member one =
+                conductor == null ? fleet.members.get(nodes - 1) : member(conductor);
         switch (fault) {
             case CONDUCTOR_DIES -> one.kill();
             case CONDUCTOR_STALLS -> {
@@ -330,7 +483,10 @@
                 }
             }
             case ANOTHER_ASKED -> {
-                Council.Answer second = order("release", new Council.Wish(Release.Kind.PROGRAM, "other", "", false));
+                Council.Answer second =
+                        order(
+                                "release",
+                                new Council.Wish(Release.Kind.PROGRAM, "other", "", false));
                 if (second != null && second.done()) {
                     wrong("a second release began while one was open");
                 }
@@ -347,7 +503,7 @@
                 heldDown.removeAll(down);
             }
             case NODE_DIES -> fleet.members.get(nodes - 1 - random.nextInt(nodes / 2)).kill();
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/src/main/java/lupinwood/lab/ReleaseWays.java
+++ b/src/main/java/lupinwood/lab/ReleaseWays.java
@@ -8,27 +8,33 @@
 import java.util.Random;
 
 /**
- * A release by restarts in made-up time, side by side with other ways: all at once, one by one or in batches by a script
- * that asks nobody, and none at all; a fifth of the nodes dies meanwhile. Told is how much of what was offered was done in time.
+ * A release by restarts in made-up time, side by side with other ways: all at once, one by one or
+ * in batches by a script that asks nobody, and none at all; a fifth of the nodes dies meanwhile.
+ * Told is how much of what was offered was done in time.
  */
 final class ReleaseWays implements Experiment {
     /** Of what all nodes can do together, that much is offered. */
     static final double LOAD = 0.85;
+
     static final double COLD_SPEED = 0.3;
     static final double DEAD_SECONDS = 30;
     private static final double RESTART = 10;
     private static final double WARMS_UP = 6;
     private static final double DIES_AFTER = 150;
     private static final double DYING = 0.2;
+
     /** As much as the rules allow to be out, by a script that asks nobody who else is out. */
     private static final double BATCH = 0.15;
+
     private static final int ZONES = 6;
 
     private final long seed;
     private final int nodes;
     private final String plot;
 
-    /** @param plot where the agreed one is drawn; empty for nowhere */
+    /**
+     * @param plot where the agreed one is drawn; empty for nowhere
+     */
     ReleaseWays(long seed, int nodes, String plot) {
         this.plot = plot;
         this.seed = seed;
@@ -43,12 +49,19 @@
         double script = nodes * (RESTART + 2);
         double horizon = Math.max(script, 3600);
         Timeline timeline = new Timeline();
-        ReleasePlay play = new ReleasePlay(ReleasePlay.Kind.GOOD_BY_RESTARTS, nodes, ZONES, seed, text -> { })
-                .dying(DIES_AFTER, DYING).drawnBy(timeline);
+        ReleasePlay play =
+                new ReleasePlay(ReleasePlay.Kind.GOOD_BY_RESTARTS, nodes, ZONES, seed, text -> {})
+                        .dying(DIES_AFTER, DYING)
+                        .drawnBy(timeline);
         ReleasePlay.Played played = play.play();
         if (!plot.isEmpty()) {
-            timeline.draw(Path.of(plot), "A release by restarts among " + nodes + " nodes, a fifth of which dies after "
-                    + Math.round(DIES_AFTER) + " s");
+            timeline.draw(
+                    Path.of(plot),
+                    "A release by restarts among "
+                            + nodes
+                            + " nodes, a fifth of which dies after "
+                            + Math.round(DIES_AFTER)
+                            + " s");
         }
         play.playUntil(horizon);
         broken.addAll(played.broken());
@@ -60,10 +73,25 @@
         Told oneByOne = simple(horizon, 1, RESTART + 2);
         Told batches = simple(horizon, (int) (nodes * BATCH), RESTART + 2);
         double agreed = play.servedShare();
-        return new Outcome(String.format(Locale.ROOT, "release-ways: nodes %d, over %.0f s with a fifth dying: not done in time"
-                + " %.4f without a release, %.4f agreed (took %.0f s), %.4f one by one (took %.0f s), %.4f in batches by a script (took %.0f s), %.4f all at once (took %.0f s),"
-                + " broken %d", nodes, horizon, 1 - none.served(), 1 - agreed, played.seconds(), 1 - oneByOne.served(),
-                oneByOne.took(), 1 - batches.served(), batches.took(), 1 - atOnce.served(), atOnce.took(), broken.size()), broken);
+        return new Outcome(
+                String.format(
+                        Locale.ROOT,
+                        "release-ways: nodes %d, over %.0f s with a fifth dying: not done in time"
+                                + " %.4f without a release, %.4f agreed (took %.0f s), %.4f one by one (took %.0f s), %.4f in batches by a script (took %.0f s), %.4f all at once (took %.0f s),"
+                                + " broken %d",
+                        nodes,
+                        horizon,
+                        1 - none.served(),
+                        1 - agreed,
+                        played.seconds(),
+                        1 - oneByOne.served(),
+                        oneByOne.took(),
+                        1 - batches.served(),
+                        batches.took(),
+                        1 - atOnce.served(),
+                        atOnce.took(),
+                        broken.size()),
+                broken);
     }
 
     /** So many at once, the next so long after that, whatever else is out. */
@@ -74,7 +102,10 @@
         double done = 0;
         int next = 0;
         for (double now = 0; now < horizon; now++) {
-            boolean turn = atOnce > 0 && next < nodes && (every == 0 ? now == 0 : now >= next / atOnce * every);
+            boolean turn =
+                    atOnce > 0
+                            && next < nodes
+                            && (every == 0 ? now == 0 : now >= next / atOnce * every);
             for (int i = 0; turn && i < atOnce && next < nodes; i++) {
                 backAt[next++] = now + RESTART;
                 done = now + RESTART + WARMS_UP;
@@ -84,7 +115,10 @@
                 if (now == DIES_AFTER && random.nextDouble() < DYING) {
                     backAt[i] = now + DEAD_SECONDS;
                 }
-                capacity += now < backAt[i] ? 0 : backAt[i] > 0 && now < backAt[i] + WARMS_UP ? COLD_SPEED : 1;
+                capacity +=
+                        now < backAt[i]
+                                ? 0
+                                : backAt[i] > 0 && now < backAt[i] + WARMS_UP ? COLD_SPEED : 1;
             }
             served += Math.min(nodes * LOAD, capacity);
         }
--- a/src/main/java/lupinwood/lab/ReleasesInTime.java
+++ b/src/main/java/lupinwood/lab/ReleasesInTime.java
@@ -11,10 +11,14 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
-/** Many releases in made-up time, good and bad by kinds: which are caught, how fast, and which good ones are stopped in error. */
+/**
+ * Many releases in made-up time, good and bad by kinds: which are caught, how fast, and which good
+ * ones are stopped in error.
+ */
 final class ReleasesInTime implements Experiment {
     /** Good releases that may be stopped in error, and bad ones that may get through, as shares. */
     private static final double MOST_IN_ERROR = 0.05;
+
     private static final int TRIES = 10;
     private static final double MOST_MISSED = 0.10;
 
@@ -24,7 +28,9 @@
     private final int releases;
     private final PrintStream out;
 
-    /** @param releases how many; one is played by its own seed, and told in full */
+    /**
+     * @param releases how many; one is played by its own seed, and told in full
+     */
     ReleasesInTime(long seed, int releases, PrintStream out) {
         this.seed = seed;
         this.releases = releases;
@@ -33,7 +39,11 @@
 
     @Override
     public Outcome run() {
-        List<One> all = IntStream.range(0, releases).parallel().mapToObj(i -> one(releases == 1 ? seed : seed * 1_000_003 + i)).toList();
+        List<One> all =
+                IntStream.range(0, releases)
+                        .parallel()
+                        .mapToObj(i -> one(releases == 1 ? seed : seed * 1_000_003 + i))
+                        .toList();
         List<String> broken = new ArrayList<>();
         Map<ReleasePlay.Kind, List<One>> kinds = new EnumMap<>(ReleasePlay.Kind.class);
         all.forEach(one -> kinds.computeIfAbsent(one.kind(), none -> new ArrayList<>()).add(one));
@@ -44,21 +54,44 @@
         int unsure = 0;
         for (Map.Entry<ReleasePlay.Kind, List<One>> entry : kinds.entrySet()) {
             List<One> plays = entry.getValue();
-            long done = plays.stream().filter(one -> one.played().end() == ReleasePlay.End.DONE).count();
+            long done =
+                    plays.stream()
+                            .filter(one -> one.played().end() == ReleasePlay.End.DONE)
+                            .count();
             long stopped = plays.stream().filter(one -> one.played().caughtAt() >= 0).count();
-            out.println(String.format(Locale.ROOT, "%-22s %3d played, %3d done, %3d stopped, after %4.0f s and at %2.0f%% of the"
-                    + " nodes in the median, took %5.0f s", entry.getKey(), plays.size(), done, stopped,
-                    median(plays, one -> one.played().caughtAt()), 100 * median(plays, one -> one.played().hadIt()),
-                    median(plays, one -> one.played().seconds())));
+            out.println(
+                    String.format(
+                            Locale.ROOT,
+                            "%-22s %3d played, %3d done, %3d stopped, after %4.0f s and at %2.0f%% of the"
+                                    + " nodes in the median, took %5.0f s",
+                            entry.getKey(),
+                            plays.size(),
+                            done,
+                            stopped,
+                            median(plays, one -> one.played().caughtAt()),
+                            100 * median(plays, one -> one.played().hadIt()),
+                            median(plays, one -> one.played().seconds())));
             for (One one : plays) {
                 ReleasePlay.Played played = one.played();
                 played.broken().forEach(what -> broken.add(what + " (seed " + one.seed() + ")"));
-                boolean error = one.kind().good ? played.end() != ReleasePlay.End.DONE : played.caughtAt() < 0;
+                boolean error =
+                        one.kind().good
+                                ? played.end() != ReleasePlay.End.DONE
+                                : played.caughtAt() < 0;
                 if (error) {
-                    out.println("    seed " + one.seed() + ", " + one.nodes() + " nodes: " + played.end() + ", " + played.why());
+                    out.println(
+                            "    seed "
+                                    + one.seed()
+                                    + ", "
+                                    + one.nodes()
+                                    + " nodes: "
+                                    + played.end()
+                                    + ", "
+                                    + played.why());
                 }
                 good += one.kind().good ? 1 : 0;
-                boolean notSure = error && one.kind().good && played.why().contains("it can't be told");
+                boolean notSure =
+                        error && one.kind().good && played.why().contains("it can't be told");
                 unsure += notSure ? 1 : 0;
                 inError += one.kind().good && error && !notSure ? 1 : 0;
                 bad += one.kind().good ? 0 : 1;
@@ -66,7 +99,8 @@
             }
         }
         StringBuilder found = new StringBuilder();
-        for (ReleasePlay.Without without : releases > 1 ? ReleasePlay.Without.values() : new ReleasePlay.Without[0]) {
+        for (ReleasePlay.Without without :
+                releases > 1 ? ReleasePlay.Without.values() : new ReleasePlay.Without[0]) {
             if (without != ReleasePlay.Without.NOTHING) {
                 int tries = firstFound(without);
                 found.append(", without ").append(without).append(" found in play ").append(tries);
@@ -81,26 +115,45 @@
         if (releases > 1 && missed > MOST_MISSED * bad) {
             broken.add(missed + " of " + bad + " bad releases went through");
         }
-        return new Outcome(String.format(Locale.ROOT, "releases-time: good %d, stopped in error %d, halted as not sure %d, bad %d, missed %d%s, broken %d",
-                good, inError, unsure, bad, missed, found, broken.size()), broken);
+        return new Outcome(
+                String.format(
+                        Locale.ROOT,
+                        "releases-time: good %d, stopped in error %d, halted as not sure %d, bad %d, missed %d%s, broken %d",
+                        good,
+                        inError,
+                        unsure,
+                        bad,
+                        missed,
+                        found,
+                        broken.size()),
+                broken);
     }
 
     private static double median(List<One> plays, ToDoubleFunction<One> of) {
-        List<Double> values = new ArrayList<>(plays.stream().filter(one -> of.applyAsDouble(one) >= 0).map(of::applyAsDouble).toList());
+        List<Double> values =
+                new ArrayList<>(
+                        plays.stream()
+                                .filter(one -> of.applyAsDouble(one) >= 0)
+                                .map(of::applyAsDouble)
+                                .toList());
         Collections.sort(values);
         return values.isEmpty() ? 0 : values.get(values.size() / 2);
     }
 
     /** In which play what was left out is found, or below zero; each by a release that shows it. */
     private int firstFound(ReleasePlay.Without without) {
-        ReleasePlay.Kind kind = switch (without) {
-            case PERMITS -> ReleasePlay.Kind.GOOD_BY_RESTARTS;
-            case WATCH -> ReleasePlay.Kind.BAD_AT_ONCE;
-            case TOKEN -> ReleasePlay.Kind.GOOD_CONDUCTOR_DIES;
-            default -> ReleasePlay.Kind.REFUSED_BY_ONE;
-        };
+        ReleasePlay.Kind kind =
+                switch (without) {
+                    case PERMITS -> ReleasePlay.Kind.GOOD_BY_RESTARTS;
+                    case WATCH -> ReleasePlay.Kind.BAD_AT_ONCE;
+                    case TOKEN -> ReleasePlay.Kind.GOOD_CONDUCTOR_DIES;
+                    default -> ReleasePlay.Kind.REFUSED_BY_ONE;
+                };
         for (int i = 0; i < TRIES; i++) {
-            ReleasePlay.Played played = new ReleasePlay(kind, 40, 4, seed * 7_000_003 + i, text -> { }).without(without).play();
+            ReleasePlay.Played played =
+                    new ReleasePlay(kind, 40, 4, seed * 7_000_003 + i, text -> {})
+                            .without(without)
+                            .play();
             if (!played.broken().isEmpty() || !kind.good && played.end() == ReleasePlay.End.DONE) {
                 return i;
             }
@@ -110,10 +163,20 @@
 
     private One one(long ofSeed) {
         Random random = new Random(new Random(ofSeed).nextLong() ^ ofSeed * 0x9E3779B97F4A7C15L);
-        ReleasePlay.Kind kind = ReleasePlay.Kind.values()[random.nextInt(ReleasePlay.Kind.values().length)];
+        ReleasePlay.Kind kind =
+                ReleasePlay.Kind.values()[random.nextInt(ReleasePlay.Kind.values().length)];
         int zones = 2 + random.nextInt(4);
         int nodes = zones * (3 + random.nextInt(random.nextBoolean() ? 5 : 40));
-        return new One(kind, nodes, new ReleasePlay(kind, nodes, zones, random.nextLong(),
-                releases == 1 ? out::println : text -> { }).play(), ofSeed);
+        return new One(
+                kind,
+                nodes,
+                new ReleasePlay(
+                                kind,
+                                nodes,
+                                zones,
+                                random.nextLong(),
+                                releases == 1 ? out::println : text -> {})
+                        .play(),
+                ofSeed);
     }
 }
--- a/src/main/java/lupinwood/lab/ReloadStorm.java
+++ b/src/main/java/lupinwood/lab/ReloadStorm.java
@@ -19,8 +19,9 @@
 import lupinwood.reload.Triggers;
 
 /**
- * One node in this process under a load of all kinds of tickets, while its configuration changes again and again:
- * valid, broken, half-written, in bursts, to executors at other addresses and to one that never says WELCOME.
+ * One node in this process under a load of all kinds of tickets, while its configuration changes
+ * again and again: valid, broken, half-written, in bursts, to executors at other addresses and to
+ * one that never says WELCOME.
  */
 final class ReloadStorm implements Experiment {
     private static final int CALLERS = 4;
@@ -31,11 +32,13 @@
     private final int reloads;
     private final Log log;
     private final Audit audit = new Audit();
-    private final StandInExecutor executor = new StandInExecutor(4, audit, run -> { });
+    private final StandInExecutor executor = new StandInExecutor(4, audit, run -> {});
     private final List<String> wrong = new ArrayList<>();
     private final AtomicBoolean sending = new AtomicBoolean(true);
+
     /** How long the deciding thread was busy with each reload, in microseconds. */
     private final List<Long> steps = new ArrayList<>();
+
     private Door[] executors;
     private Door[] indexes;
     private Door[] namings;
@@ -92,9 +95,19 @@
         broken.addAll(wrong);
         closeAll();
         steps.sort(null);
-        return new Outcome("reload-storm: reloads " + reloads + ", step us median " + steps.get(steps.size() / 2)
-                + " most " + steps.get(steps.size() - 1) + ", links " + executor.links() + ", " + audit.line()
-                + (wrong.isEmpty() ? "" : ", wrong " + wrong.size()), broken);
+        return new Outcome(
+                "reload-storm: reloads "
+                        + reloads
+                        + ", step us median "
+                        + steps.get(steps.size() / 2)
+                        + " most "
+                        + steps.get(steps.size() - 1)
+                        + ", links "
+                        + executor.links()
+                        + ", "
+                        + audit.line()
+                        + (wrong.isEmpty() ? "" : ", wrong " + wrong.size()),
+                broken);
     }
 
     private void closeAll() throws IOException {
@@ -112,23 +125,31 @@
     // ---- load ----
 
     private void call(Random chance) {
-        try (Caller caller = new Caller(listen, audit, (id, words) -> { })) {
+        try (Caller caller = new Caller(listen, audit, (id, words) -> {})) {
             String lastMark = null;
             String lastBody = "";
             while (sending.get()) {
                 String id = String.format("%016x", chance.nextLong());
                 int kind = chance.nextInt(10);
-                String track = kind < 4 ? "history" : kind < 6 ? "quote" : kind < 7 ? "report" : "unlock";
+                String track =
+                        kind < 4 ? "history" : kind < 6 ? "quote" : kind < 7 ? "report" : "unlock";
                 String mark = null;
                 String body = track + " " + id;
                 if (track.equals("unlock")) {
                     boolean repeat = lastMark != null && chance.nextInt(3) == 0;
-                    mark = repeat ? lastMark : String.format("%016x%016x", chance.nextLong(), chance.nextLong());
+                    mark =
+                            repeat
+                                    ? lastMark
+                                    : String.format(
+                                            "%016x%016x", chance.nextLong(), chance.nextLong());
                     body = repeat ? lastBody : body;
                     lastMark = mark;
                     lastBody = body;
                 }
-                caller.send(id, new Audit.Sent(track, body, mark, System.currentTimeMillis(), ABANDON_MILLIS),
+                caller.send(
+                        id,
+                        new Audit.Sent(
+                                track, body, mark, System.currentTimeMillis(), ABANDON_MILLIS),
                         chance.nextBoolean() ? "north" : "south");
                 Thread.sleep(4 + chance.nextInt(8));
             }
@@ -178,7 +199,10 @@
         }
     }
 
-    /** Written in two parts, with the signal in between; the first part is a sound text, and another one. */
+    /**
+     * Written in two parts, with the signal in between; the first part is a sound text, and another
+     * one.
+     */
     private void halfWritten() throws Exception {
         change();
         String text = text(false);
@@ -207,7 +231,9 @@
         settle();
     }
 
-    /** The node goes back to the old executor by itself, and there again once it is configured so. */
+    /**
+     * The node goes back to the old executor by itself, and there again once it is configured so.
+     */
     private void toTheMute() throws Exception {
         replace(text(true));
         reloader.signal();
@@ -223,19 +249,26 @@
     private void settle() throws Exception {
         reloader.signal();
         audit.count("applied");
-        await("the newest configuration", () -> {
-            NodeConfig now = node.goesBy();
-            return now.meaning().value("customer north quota").equals(Integer.toString(quota))
-                    && now.executor().getPort() == executors[place].port()
-                    && now.settings().get("services.2.window_ns").equals(window + "000000");
-        });
+        await(
+                "the newest configuration",
+                () -> {
+                    NodeConfig now = node.goesBy();
+                    return now.meaning()
+                                    .value("customer north quota")
+                                    .equals(Integer.toString(quota))
+                            && now.executor().getPort() == executors[place].port()
+                            && now.settings().get("services.2.window_ns").equals(window + "000000");
+                });
         steps.add(node.latestStep().nanos() / 1000);
         await("the executor there", () -> node.executorAt().getPort() == executors[place].port());
     }
 
     private void replace(String text) throws IOException {
         Path next = Files.writeString(folder.resolve("next.kdl"), text);
-        Files.move(next, folder.resolve("node.kdl"), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                next,
+                folder.resolve("node.kdl"),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -269,9 +302,18 @@
                 track report { effect effectful; agreed-time 2s; abandon-time %dms; calls #true }
                 include "rest.kdl"
                 moves { welcome-within 150ms }
-                """.formatted(listen, toMute ? mute.address() : executors[place].address(),
-                indexes[place].address(), namings[place].address(), quota, ABANDON_MILLIS, ABANDON_MILLIS,
-                ABANDON_MILLIS, window, ABANDON_MILLIS);
+                """
+                .formatted(
+                        listen,
+                        toMute ? mute.address() : executors[place].address(),
+                        indexes[place].address(),
+                        namings[place].address(),
+                        quota,
+                        ABANDON_MILLIS,
+                        ABANDON_MILLIS,
+                        ABANDON_MILLIS,
+                        window,
+                        ABANDON_MILLIS);
     }
 
     private static String rest() {
--- a/src/main/java/lupinwood/lab/RestRun.java
+++ b/src/main/java/lupinwood/lab/RestRun.java
@@ -15,8 +15,9 @@
 import lupinwood.node.Span;
 
 /**
- * Servers below that rest by turns while real nodes send them tickets: once the fleet says that one is empty, nothing may
- * come there until it is taken back, whatever dies, is cut off or starts anew meanwhile. The auditor counts at the servers.
+ * Servers below that rest by turns while real nodes send them tickets: once the fleet says that one
+ * is empty, nothing may come there until it is taken back, whatever dies, is cut off or starts anew
+ * meanwhile. The auditor counts at the servers.
  */
 final class RestRun implements Experiment {
     private static final int VOTERS = 3;
@@ -28,7 +29,12 @@
     private static final long EMPTY_FOR_MILLIS = 5000;
     private static final long BACK_WITHIN_MILLIS = 15_000;
 
-    private enum Fault { NOTHING, NODE_DIES_AND_IS_BACK, LEADER_DIES, NODE_CUT_OFF }
+    private enum Fault {
+        NOTHING,
+        NODE_DIES_AND_IS_BACK,
+        LEADER_DIES,
+        NODE_CUT_OFF
+    }
 
     private final long seed;
     private final int rounds;
@@ -55,10 +61,24 @@
             servers.add(server);
             Door door = new Door(0, server::talk);
             doors.add(door);
-            more.append("server s").append(i).append(" { address \"").append(door.address()).append("\"; tracks history }\n");
+            more.append("server s")
+                    .append(i)
+                    .append(" { address \"")
+                    .append(door.address())
+                    .append("\"; tracks history }\n");
         }
-        try (ProcessFleet fleet = new ProcessFleet(VOTERS, NODES, NODES, LEASE_MILLIS, TICKETS_EVERY, true, seed, log::line,
-                more.toString(), 2)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        VOTERS,
+                        NODES,
+                        NODES,
+                        LEASE_MILLIS,
+                        TICKETS_EVERY,
+                        true,
+                        seed,
+                        log::line,
+                        more.toString(),
+                        2)) {
             fleet.startAll();
             fleet.awaitLeader();
             Thread.sleep(4 * LEASE_MILLIS);
@@ -67,10 +87,22 @@
             }
             broken.addAll(fleet.leaveAll());
             long all = servers.stream().mapToLong(StandInServer::tries).sum();
-            return new Outcome(String.format(Locale.ROOT, "rest: nodes %d, rounds %d, longest until empty %d ms, tickets at servers"
-                    + " %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d", NODES, rounds,
-                    longestToEmpty, all, fleet.count("sent"), fleet.count("satisfied"), fleet.count("bounced"),
-                    fleet.count("abandoned"), fleet.count("excused"), broken.size()), broken);
+            return new Outcome(
+                    String.format(
+                            Locale.ROOT,
+                            "rest: nodes %d, rounds %d, longest until empty %d ms, tickets at servers"
+                                    + " %d, tickets %d, satisfied %d, bounced %d, abandoned %d, excused %d, broken %d",
+                            NODES,
+                            rounds,
+                            longestToEmpty,
+                            all,
+                            fleet.count("sent"),
+                            fleet.count("satisfied"),
+                            fleet.count("bounced"),
+                            fleet.count("abandoned"),
+                            fleet.count("excused"),
+                            broken.size()),
+                    broken);
         } finally {
             for (Door door : doors) {
                 door.close();
@@ -78,12 +110,17 @@
         }
     }
 
-    private Council.Answer order(ProcessFleet fleet, String what, String server) throws InterruptedException {
-        return Question.order(fleet.voterAddresses(), new Council.Order("lab" + seed + "." + orders++, what, null, "ann", null,
-                server), Span.ofSeconds(5), quiet);
+    private Council.Answer order(ProcessFleet fleet, String what, String server)
+            throws InterruptedException {
+        return Question.order(
+                fleet.voterAddresses(),
+                new Council.Order("lab" + seed + "." + orders++, what, null, "ann", null, server),
+                Span.ofSeconds(5),
+                quiet);
     }
 
-    private void round(ProcessFleet fleet, int round, Fault fault, Random random) throws InterruptedException, IOException {
+    private void round(ProcessFleet fleet, int round, Fault fault, Random random)
+            throws InterruptedException, IOException {
         int which = random.nextInt(SERVERS);
         String server = "s" + which;
         StandInServer at = servers.get(which);
@@ -105,7 +142,12 @@
         end(fleet, fault, one);
         Thread.sleep(2 * LEASE_MILLIS);
         if (at.tries() > before) {
-            broken.add((at.tries() - before) + " tickets came to " + server + " after it was told to be empty, with " + fault);
+            broken.add(
+                    (at.tries() - before)
+                            + " tickets came to "
+                            + server
+                            + " after it was told to be empty, with "
+                            + fault);
         }
         awaitEmpty(fleet, server); // all are there again, and say so too
         order(fleet, "unrest", server);
@@ -133,15 +175,18 @@
         }
     }
 
-    private static ProcessFleet.Member member(ProcessFleet fleet, Fault fault, Random random) throws InterruptedException {
+    private static ProcessFleet.Member member(ProcessFleet fleet, Fault fault, Random random)
+            throws InterruptedException {
         if (fault == Fault.LEADER_DIES) {
             Council.State state = fleet.state();
-            return fleet.members.get(state == null ? 0 : Integer.parseInt(state.self().text().substring(1)));
+            return fleet.members.get(
+                    state == null ? 0 : Integer.parseInt(state.self().text().substring(1)));
         }
         return fleet.members.get(VOTERS + random.nextInt(NODES - VOTERS));
     }
 
-    private static void begin(ProcessFleet fleet, Fault fault, ProcessFleet.Member one) throws InterruptedException, IOException {
+    private static void begin(ProcessFleet fleet, Fault fault, ProcessFleet.Member one)
+            throws InterruptedException, IOException {
         switch (fault) {
             case NODE_DIES_AND_IS_BACK -> {
                 one.kill();
@@ -150,11 +195,12 @@
             }
             case LEADER_DIES -> one.kill();
             case NODE_CUT_OFF -> fleet.link(one, Link::cut);
-            default -> { }
+            default -> {}
         }
     }
 
-    private static void end(ProcessFleet fleet, Fault fault, ProcessFleet.Member one) throws IOException {
+    private static void end(ProcessFleet fleet, Fault fault, ProcessFleet.Member one)
+            throws IOException {
         if (fault == Fault.LEADER_DIES) {
             one.start();
         } else if (fault == Fault.NODE_CUT_OFF) {
--- a/src/main/java/lupinwood/lab/StandInExecutor.java
+++ b/src/main/java/lupinwood/lab/StandInExecutor.java
@@ -14,8 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out tickets: some milliseconds of work, a call in between where the track makes one, more work, the result.
- * It may be reached at several addresses; a new link replaces the one before, and notices are kept for it.
+ * Carries out tickets: some milliseconds of work, a call in between where the track makes one, more
+ * work, the result. It may be reached at several addresses; a new link replaces the one before, and
+ * notices are kept for it.
  */
 final class StandInExecutor {
     /** One run. */
@@ -32,11 +33,14 @@
     }
 
     private final long started = System.currentTimeMillis();
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(1, job -> {
-        Thread thread = new Thread(job, "lab executor");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ScheduledExecutorService later =
+            Executors.newScheduledThreadPool(
+                    1,
+                    job -> {
+                        Thread thread = new Thread(job, "lab executor");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final Map<String, Run> runs = new HashMap<>();
     private final List<byte[]> notices = new ArrayList<>();
     private final List<String> kinds = new ArrayList<>();
@@ -93,14 +97,15 @@
         runs.put(id, run);
         audit.ran(id, track, new String(body, StandardCharsets.ISO_8859_1));
         said.accept(id + " of " + track);
-        work(() -> {
-            if (track.equals("history")) {
-                end(id, run);
-            } else {
-                run.waitsForReply = true;
-                notice("CALLOUT", id + " " + body.length, body);
-            }
-        });
+        work(
+                () -> {
+                    if (track.equals("history")) {
+                        end(id, run);
+                    } else {
+                        run.waitsForReply = true;
+                        notice("CALLOUT", id + " " + body.length, body);
+                    }
+                });
     }
 
     private synchronized void reply(String id, byte[] body) {
@@ -113,12 +118,15 @@
 
     private void work(Runnable then) {
         onCores++;
-        later.schedule(() -> {
-            synchronized (this) {
-                onCores--;
-                then.run();
-            }
-        }, workMillis, TimeUnit.MILLISECONDS);
+        later.schedule(
+                () -> {
+                    synchronized (this) {
+                        onCores--;
+                        then.run();
+                    }
+                },
+                workMillis,
+                TimeUnit.MILLISECONDS);
     }
 
     private void end(String id, Run run) {
@@ -131,7 +139,8 @@
 
     /** What a run makes of a body. */
     static byte[] result(byte[] body) {
-        return ("done: " + new String(body, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1);
+        return ("done: " + new String(body, StandardCharsets.ISO_8859_1))
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private void notice(String kind, String rest, byte[] body) {
--- a/src/main/java/lupinwood/lab/StandInServer.java
+++ b/src/main/java/lupinwood/lab/StandInServer.java
@@ -18,9 +18,12 @@
 
     private final Audit audit;
     private final Random random;
+
     /** So many of a hundred tickets meet a fault. */
     private final int faults;
+
     private final AtomicLong tries = new AtomicLong();
+
     /** Null for one that bears all at once and takes no time. */
     private Bearing bearing;
 
@@ -51,7 +54,9 @@
         try {
             for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
                 ByteBuffer bytes = ByteBuffer.wrap(buffer, 0, read);
-                for (FrontReader.Event event = reader.next(bytes); event != null; event = reader.next(bytes)) {
+                for (FrontReader.Event event = reader.next(bytes);
+                        event != null;
+                        event = reader.next(bytes)) {
                     if (!heard(event, out)) {
                         return;
                     }
@@ -80,13 +85,21 @@
         if (fault == 0) {
             return false; // cut before anything ran, which nobody can know
         }
-        audit.ran("server " + System.identityHashCode(this) + " " + tries.incrementAndGet(), track,
+        audit.ran(
+                "server " + System.identityHashCode(this) + " " + tries.incrementAndGet(),
+                track,
                 new String(whole.body(), StandardCharsets.ISO_8859_1));
         if (bearing != null && !bearing.carriesOut()) {
             return false;
         }
-        byte[] answer = Replies.answer(fault == 1 ? 500 : 200, "", Map.of("Content-Type", "text/plain"),
-                StandInExecutor.result(whole.body()), PACKET, fault != 2);
+        byte[] answer =
+                Replies.answer(
+                        fault == 1 ? 500 : 200,
+                        "",
+                        Map.of("Content-Type", "text/plain"),
+                        StandInExecutor.result(whole.body()),
+                        PACKET,
+                        fault != 2);
         switch (fault) {
             case 2 -> out.write(answer); // said that it closes, and does
             case 3 -> {
--- a/src/main/java/lupinwood/lab/StandIns.java
+++ b/src/main/java/lupinwood/lab/StandIns.java
@@ -15,8 +15,9 @@
             String[] words = line.split(" ");
             if (words[0].equals("GET")) {
                 byte[] question = Wire.body(in, words[3]);
-                byte[] reply = ("[" + new String(question, StandardCharsets.ISO_8859_1) + "]")
-                        .getBytes(StandardCharsets.ISO_8859_1);
+                byte[] reply =
+                        ("[" + new String(question, StandardCharsets.ISO_8859_1) + "]")
+                                .getBytes(StandardCharsets.ISO_8859_1);
                 Wire.say(out, words[1] + " HIT " + reply.length, reply);
             }
         }
@@ -26,7 +27,9 @@
     static void naming(InputStream in, OutputStream out) throws IOException {
         for (String line = Wire.line(in); line != null; line = Wire.line(in)) {
             int length = 0;
-            for (String header = Wire.line(in); header != null && !header.isEmpty(); header = Wire.line(in)) {
+            for (String header = Wire.line(in);
+                    header != null && !header.isEmpty();
+                    header = Wire.line(in)) {
                 if (header.startsWith("Content-Length: ")) {
                     length = Integer.parseInt(header.substring(16));
                 }
--- a/src/main/java/lupinwood/lab/TimedFleet.java
+++ b/src/main/java/lupinwood/lab/TimedFleet.java
@@ -13,7 +13,6 @@
 import java.util.function.Predicate;
 import lupinwood.council.Council;
 import lupinwood.council.Loop;
-import lupinwood.fleet.Beat;
 import lupinwood.fleet.Condition;
 import lupinwood.fleet.DutyName;
 import lupinwood.fleet.Life;
@@ -27,12 +26,19 @@
 import lupinwood.node.Span;
 
 /**
- * A fleet in made-up time, with the real council and the real sessions: nodes that stall, die and come back, clocks that
- * run apart, links as {@link MadeUpLinks}. It audits what a node may do against all others, knowing the true time.
+ * A fleet in made-up time, with the real council and the real sessions: nodes that stall, die and
+ * come back, clocks that run apart, links as {@link MadeUpLinks}. It audits what a node may do
+ * against all others, knowing the true time.
  */
 final class TimedFleet {
     /** What a run may leave out, to show that the audit finds it. */
-    enum Without { NOTHING, TOKEN, EARLY_STOP, DRIFT, DURABLE_VOTE }
+    enum Without {
+        NOTHING,
+        TOKEN,
+        EARLY_STOP,
+        DRIFT,
+        DURABLE_VOTE
+    }
 
     private static final double POLL = 0.03;
     private static final double SAMPLE = 0.05;
@@ -62,13 +68,14 @@
             name = new NodeName("n" + place);
             site = new Site("r", "z" + place % zones);
             folder = new MadeUpFolder(without == Without.DURABLE_VOTE);
-            folder.onVote(() -> {
-                if (time.now() < diesVotingUntil) {
-                    // Its vote is on the way; then the process is gone, and back at once.
-                    time.after(0.0001, this::kill);
-                    time.after(0.0002, this::start);
-                }
-            });
+            folder.onVote(
+                    () -> {
+                        if (time.now() < diesVotingUntil) {
+                            // Its vote is on the way; then the process is gone, and back at once.
+                            time.after(0.0001, this::kill);
+                            time.after(0.0002, this::start);
+                        }
+                    });
         }
 
         @Override
@@ -89,16 +96,18 @@
         /** A process that is stopped does it once it goes on, one that went never. */
         private void later(long at, Runnable job) {
             int of = process;
-            time.at(at, () -> {
-                if (!up || of != process) {
-                    return;
-                }
-                if (time.now() < stoppedUntil) {
-                    later(stoppedUntil, job);
-                } else {
-                    job.run();
-                }
-            });
+            time.at(
+                    at,
+                    () -> {
+                        if (!up || of != process) {
+                            return;
+                        }
+                        if (time.now() < stoppedUntil) {
+                            later(stoppedUntil, job);
+                        } else {
+                            job.run();
+                        }
+                    });
         }
 
         boolean runs() {
@@ -117,12 +126,37 @@
             up = true;
             stoppedUntil = 0;
             condition = Condition.COLD;
-            session = new Session(rules, name, new Life(random.nextLong()), site, voterNames, random.nextLong(), now());
+            session =
+                    new Session(
+                            rules,
+                            name,
+                            new Life(random.nextLong()),
+                            site,
+                            voterNames,
+                            random.nextLong(),
+                            now());
             if (votes) {
-                council = new Council(name, name.text(), voterNames.stream().map(NodeName::text).toList(), councilRules,
-                        DUTIES, 1, new Council.Means(this, this::post, folder, folder.restore(),
-                                new Random(random.nextLong()),
-                        text -> trace.accept(time.now() / 1e9 + " " + name + ": " + text)));
+                council =
+                        new Council(
+                                name,
+                                name.text(),
+                                voterNames.stream().map(NodeName::text).toList(),
+                                councilRules,
+                                DUTIES,
+                                1,
+                                new Council.Means(
+                                        this,
+                                        this::post,
+                                        folder,
+                                        folder.restore(),
+                                        new Random(random.nextLong()),
+                                        text ->
+                                                trace.accept(
+                                                        time.now() / 1e9
+                                                                + " "
+                                                                + name
+                                                                + ": "
+                                                                + text)));
                 execute(council::start);
             }
             after(Span.ofSeconds(rules.lease().seconds() / 2), () -> condition = Condition.WARM);
@@ -142,12 +176,13 @@
         /** Its folder takes nothing more: it votes no more until it is started anew. */
         void failFolder() {
             Council at = council;
-            folder.fail(() -> {
-                if (at != null && council == at) {
-                    council = null;
-                    at.stop();
-                }
-            });
+            folder.fail(
+                    () -> {
+                        if (at != null && council == at) {
+                            council = null;
+                            at.stop();
+                        }
+                    });
         }
 
         /** The notice to leave: its duties are handed on, then it goes. */
@@ -156,10 +191,12 @@
                 condition = Condition.LEAVING;
                 session.handOnAll(now());
                 execute(this::say);
-                after(rules.lease(), () -> {
-                    send(session.last(now()));
-                    time.after(0.1, this::kill);
-                });
+                after(
+                        rules.lease(),
+                        () -> {
+                            send(session.last(now()));
+                            time.after(0.1, this::kill);
+                        });
             }
         }
 
@@ -169,12 +206,15 @@
 
         private void post(String to, RaftMessage message) {
             Node other = byName.get(new NodeName(to));
-            links.send(place, other.place, () -> {
-                if (other.up && other.council != null) {
-                    Council at = other.council;
-                    other.execute(() -> at.heard(message));
-                }
-            });
+            links.send(
+                    place,
+                    other.place,
+                    () -> {
+                        if (other.up && other.council != null) {
+                            Council at = other.council;
+                            other.execute(() -> at.heard(message));
+                        }
+                    });
         }
 
         private void say() {
@@ -195,25 +235,40 @@
         private void send(Session.Sent sent) {
             Node voter = byName.get(sent.to());
             Session mine = session;
-            links.send(place, voter.place, () -> {
-                if (!voter.up || voter.council == null) {
-                    return;
-                }
-                Council at = voter.council;
-                voter.execute(() -> at.heard(sent.beat(), reply -> {
-                    weigh(reply);
-                    links.send(voter.place, place, () -> {
-                    if (up && session == mine) {
-                        execute(() -> hears(mine, reply));
-                    }
-                });
-                }));
-            });
+            links.send(
+                    place,
+                    voter.place,
+                    () -> {
+                        if (!voter.up || voter.council == null) {
+                            return;
+                        }
+                        Council at = voter.council;
+                        voter.execute(
+                                () ->
+                                        at.heard(
+                                                sent.beat(),
+                                                reply -> {
+                                                    weigh(reply);
+                                                    links.send(
+                                                            voter.place,
+                                                            place,
+                                                            () -> {
+                                                                if (up && session == mine) {
+                                                                    execute(
+                                                                            () ->
+                                                                                    hears(
+                                                                                            mine,
+                                                                                            reply));
+                                                                }
+                                                            });
+                                                }));
+                    });
         }
 
         private void hears(Session mine, Reply reply) {
             if (without == Without.EARLY_STOP) {
-                mine.holding().asks(reply.number(), now()); // as if a grant counted from when it came
+                mine.holding()
+                        .asks(reply.number(), now()); // as if a grant counted from when it came
             }
             mine.heard(reply, now());
         }
@@ -237,11 +292,13 @@
                         double stop = rules.lease().seconds() * 2 * random.nextDouble();
                         int of = process;
                         stopFor(stop);
-                        time.after(stop + 0.001, () -> {
-                            if (up && of == process) {
-                                links.send(place, SINK, () -> sink(duty, token));
-                            }
-                        });
+                        time.after(
+                                stop + 0.001,
+                                () -> {
+                                    if (up && of == process) {
+                                        links.send(place, SINK, () -> sink(duty, token));
+                                    }
+                                });
                         break;
                     }
                 }
@@ -254,8 +311,19 @@
                 if (other != this && other.runs()) {
                     Token also = other.session.holding().mayAct(duty, other.now());
                     if (also != null) {
-                        breaks("two may do " + duty + " at " + time.now() / 1e9 + ": " + name + " under " + token + ", "
-                                + other.name + " under " + also);
+                        breaks(
+                                "two may do "
+                                        + duty
+                                        + " at "
+                                        + time.now() / 1e9
+                                        + ": "
+                                        + name
+                                        + " under "
+                                        + token
+                                        + ", "
+                                        + other.name
+                                        + " under "
+                                        + also);
                     }
                 }
             }
@@ -288,25 +356,41 @@
     private long diesVotingUntil;
     private final Map<DutyName, Long> unheldSince = new HashMap<>();
     final List<Double> gaps = new ArrayList<>();
+
     /** Hears what councils log. */
-    Consumer<String> trace = text -> { };
+    Consumer<String> trace = text -> {};
+
     long sampled;
     long held;
     long acts;
     long refused;
     long beats;
+
     /** Of beats and replies, where they are weighed. */
     long bytes;
+
     /** When a duty was first held; zero before. */
     long firstHeld;
+
     /** Whether a process may be stopped between asking itself and acting. */
     boolean stalls = true;
+
     /** Each token under which something was done. */
     final Set<Token> handOvers = new HashSet<>();
+
     private Gson weighs;
 
-    /** @param drift how far clocks run apart for certain, as a share */
-    TimedFleet(int voters, int members, int zones, Rules rules, double drift, Without without, long seed) {
+    /**
+     * @param drift how far clocks run apart for certain, as a share
+     */
+    TimedFleet(
+            int voters,
+            int members,
+            int zones,
+            Rules rules,
+            double drift,
+            Without without,
+            long seed) {
         random = new Random(seed);
         this.zones = zones;
         this.without = without;
@@ -371,9 +455,27 @@
     /** Whether a majority of voters runs and can talk both ways, through one of them at least. */
     private boolean couldAgree() {
         List<Node> voters = nodes.stream().filter(node -> node.votes).toList();
-        return voters.stream().anyMatch(one -> one.runs() && voters.stream().filter(other -> other == one
-                || other.runs() && !links.isCut(one.place, other.place) && !links.isCut(other.place, one.place))
-                .count() * 2 > voters.size());
+        return voters.stream()
+                .anyMatch(
+                        one ->
+                                one.runs()
+                                        && voters.stream()
+                                                                .filter(
+                                                                        other ->
+                                                                                other == one
+                                                                                        || other
+                                                                                                        .runs()
+                                                                                                && !links
+                                                                                                        .isCut(
+                                                                                                                one.place,
+                                                                                                                other.place)
+                                                                                                && !links
+                                                                                                        .isCut(
+                                                                                                                other.place,
+                                                                                                                one.place))
+                                                                .count()
+                                                        * 2
+                                                > voters.size());
     }
 
     private void sample() {
--- a/src/main/java/lupinwood/lab/Timeline.java
+++ b/src/main/java/lupinwood/lab/Timeline.java
@@ -22,7 +22,9 @@
 
     private final List<Row> rows = new ArrayList<>();
 
-    /** @param at seconds since the release began */
+    /**
+     * @param at seconds since the release began
+     */
     synchronized void add(double at, int old, int changed, int out) {
         if (rows.size() < MOST) {
             rows.add(new Row(at, old, changed, out));
@@ -31,19 +33,41 @@
 
     /** Writes a PNG. */
     synchronized void draw(Path to, String title) throws IOException {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("seconds since it began")
-                .yAxisTitle("nodes").build();
+        XYChart chart =
+                new XYChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .title(title)
+                        .xAxisTitle("seconds since it began")
+                        .yAxisTitle("nodes")
+                        .build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideS);
         chart.getStyler().setLegendLayout(Styler.LegendLayout.Horizontal);
         chart.getStyler().setChartBackgroundColor(Color.WHITE);
         double[] at = rows.stream().mapToDouble(Row::at).toArray();
-        line(chart, "run what they ran before", at, rows.stream().mapToDouble(Row::old).toArray(), Color.GRAY);
-        line(chart, "run what is released", at, rows.stream().mapToDouble(Row::changed).toArray(), new Color(0x2060A0));
-        line(chart, "out, whatever the reason", at, rows.stream().mapToDouble(Row::out).toArray(), new Color(0xC04020));
+        line(
+                chart,
+                "run what they ran before",
+                at,
+                rows.stream().mapToDouble(Row::old).toArray(),
+                Color.GRAY);
+        line(
+                chart,
+                "run what is released",
+                at,
+                rows.stream().mapToDouble(Row::changed).toArray(),
+                new Color(0x2060A0));
+        line(
+                chart,
+                "out, whatever the reason",
+                at,
+                rows.stream().mapToDouble(Row::out).toArray(),
+                new Color(0xC04020));
         BitmapEncoder.saveBitmap(chart, to.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static void line(XYChart chart, String name, double[] at, double[] values, Color color) {
+    private static void line(
+            XYChart chart, String name, double[] at, double[] values, Color color) {
         XYSeries series = chart.addSeries(name, at, values);
         series.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Step);
         series.setMarker(SeriesMarkers.NONE);
--- a/src/main/java/lupinwood/lab/Tour.java
+++ b/src/main/java/lupinwood/lab/Tour.java
@@ -14,7 +14,8 @@
 
 /** A first look: a node with stand-ins, one ticket of each kind, and what the node says to each. */
 final class Tour implements Experiment {
-    private static final String NODE = """
+    private static final String NODE =
+            """
             name tour
             listen "127.0.0.1:%d"
             executor "%s"
@@ -35,13 +36,20 @@
             track unlock { effect receipted; agreed-time 2s; abandon-time 4s; window 12s; calls #true }
             track report { effect effectful; agreed-time 2s; abandon-time 8s }
             """;
-    private static final String[][] TICKETS = {{"history", "my rides", null, "pure: runs, no call"},
-            {"quote", "a short ride", null, "pure: runs and calls the index"},
-            {"unlock", "scooter 7", "70c7e7", "receipted: runs once"},
-            {"unlock", "scooter 7", "70c7e7", "the same mark again: the first one's result, not run again"},
-            {"unlock", "scooter 8", "70c7e7", "the same mark on another body: abandoned, not run"},
-            {"report", "a flat tyre", null, "effectful: runs, and never twice"},
-            {"flight", "to the moon", null, "no track of this node: abandoned at once"}};
+    private static final String[][] TICKETS = {
+        {"history", "my rides", null, "pure: runs, no call"},
+        {"quote", "a short ride", null, "pure: runs and calls the index"},
+        {"unlock", "scooter 7", "70c7e7", "receipted: runs once"},
+        {
+            "unlock",
+            "scooter 7",
+            "70c7e7",
+            "the same mark again: the first one's result, not run again"
+        },
+        {"unlock", "scooter 8", "70c7e7", "the same mark on another body: abandoned, not run"},
+        {"report", "a flat tyre", null, "effectful: runs, and never twice"},
+        {"flight", "to the moon", null, "no track of this node: abandoned at once"}
+    };
 
     private final long seed;
     private final PrintStream out;
@@ -56,15 +64,26 @@
     @Override
     public Outcome run() throws Exception {
         Audit audit = new Audit();
-        StandInExecutor executor = new StandInExecutor(50, audit, run -> out.println("    the executor runs " + run));
+        StandInExecutor executor =
+                new StandInExecutor(50, audit, run -> out.println("    the executor runs " + run));
         int port;
         try (Door free = new Door(0, StandIns::mute)) {
             port = free.port();
         }
-        try (Door work = new Door(0, executor::talk); Door index = new Door(0, StandIns::index);
+        try (Door work = new Door(0, executor::talk);
+                Door index = new Door(0, StandIns::index);
                 Door naming = new Door(0, StandIns::naming)) {
-            String text = NODE.formatted(port, work.address(), index.address(), naming.address(), seed & 0xFFFFFF);
-            out.println("A node on 127.0.0.1:" + port + ", with stand-ins for its executor, index and name service:\n");
+            String text =
+                    NODE.formatted(
+                            port,
+                            work.address(),
+                            index.address(),
+                            naming.address(),
+                            seed & 0xFFFFFF);
+            out.println(
+                    "A node on 127.0.0.1:"
+                            + port
+                            + ", with stand-ins for its executor, index and name service:\n");
             text.lines().forEach(line -> out.println("    " + line));
             Serving node = new Serving(config(text), Brain::new, log);
             node.start();
@@ -85,15 +104,39 @@
             String[] ticket = TICKETS[i];
             CountDownLatch answered = new CountDownLatch(1);
             String id = String.format("%016x", seed * 1000 + i);
-            out.println("\n" + ticket[0] + " '" + ticket[1] + "'" + (ticket[2] == null ? "" : " with the mark " + ticket[2])
-                    + "  (" + ticket[3] + ")");
-            try (Caller caller = new Caller(port, audit, (tried, words) -> {
-                String said = words.get(1);
-                out.println("    " + (said.equals("ACK") ? "satisfied: " + words.get(3)
-                        : said.equals("NAK") ? "bounced" : "abandoned") + "   [" + words.get(2) + "]");
-                answered.countDown();
-            })) {
-                caller.send(id, new Audit.Sent(ticket[0], ticket[1], ticket[2], System.currentTimeMillis(), 8000), "north");
+            out.println(
+                    "\n"
+                            + ticket[0]
+                            + " '"
+                            + ticket[1]
+                            + "'"
+                            + (ticket[2] == null ? "" : " with the mark " + ticket[2])
+                            + "  ("
+                            + ticket[3]
+                            + ")");
+            try (Caller caller =
+                    new Caller(
+                            port,
+                            audit,
+                            (tried, words) -> {
+                                String said = words.get(1);
+                                out.println(
+                                        "    "
+                                                + (said.equals("ACK")
+                                                        ? "satisfied: " + words.get(3)
+                                                        : said.equals("NAK")
+                                                                ? "bounced"
+                                                                : "abandoned")
+                                                + "   ["
+                                                + words.get(2)
+                                                + "]");
+                                answered.countDown();
+                            })) {
+                caller.send(
+                        id,
+                        new Audit.Sent(
+                                ticket[0], ticket[1], ticket[2], System.currentTimeMillis(), 8000),
+                        "north");
                 if (!answered.await(10, TimeUnit.SECONDS)) {
                     odd.add("no answer to " + ticket[0]);
                 }
--- a/src/main/java/lupinwood/lab/TrialsRun.java
+++ b/src/main/java/lupinwood/lab/TrialsRun.java
@@ -5,14 +5,14 @@
 import java.util.Locale;
 import java.util.Random;
 import lupinwood.node.Moment;
-import lupinwood.node.Span;
 import lupinwood.pools.Pool;
 import lupinwood.pools.Rules;
 import lupinwood.pools.Trials;
 
 /**
- * Many nodes with four servers each in made-up time, of which one dies for a minute: how many tickets are spent on the dead
- * one, and how soon after its return each node sends there again, where each tries for itself and where one tries for all.
+ * Many nodes with four servers each in made-up time, of which one dies for a minute: how many
+ * tickets are spent on the dead one, and how soon after its return each node sends there again,
+ * where each tries for itself and where one tries for all.
  */
 final class TrialsRun implements Experiment {
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
@@ -21,6 +21,7 @@
     private static final double ENDS = 110;
     private static final double EVERY = 0.05;
     private static final double WORK = 0.02;
+
     /** A word of the council may be as old as a beat. */
     private static final double BEAT = 1;
 
@@ -41,8 +42,14 @@
 
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%d on the dead server (%d once all had left it out), back on average after"
-                    + " %.1f s, the last after %.1f s", lost, later, meanBack, lastBack);
+            return String.format(
+                    Locale.ROOT,
+                    "%d on the dead server (%d once all had left it out), back on average after"
+                            + " %.1f s, the last after %.1f s",
+                    lost,
+                    later,
+                    meanBack,
+                    lastBack);
         }
     }
 
@@ -57,8 +64,16 @@
         if (common.back < nodes || alone.back < nodes) {
             broken.add("not all nodes went back to a server that is well again");
         }
-        return new Outcome("trials: nodes " + nodes + ", each for itself: " + alone + "; one for all: " + common
-                + "; broken " + broken.size(), broken);
+        return new Outcome(
+                "trials: nodes "
+                        + nodes
+                        + ", each for itself: "
+                        + alone
+                        + "; one for all: "
+                        + common
+                        + "; broken "
+                        + broken.size(),
+                broken);
     }
 
     /** One way of trying. */
@@ -84,19 +99,20 @@
                 pools.add(pool);
                 int place = i;
                 if (inCommon) {
-                    pool.trialsBy(new Trials() {
-                        @Override
-                        public boolean mayTry(String server) {
-                            return place == 0;
-                        }
-
-                        @Override
-                        public void tried(String server, boolean well) {
-                            if (place == 0) {
-                                tell(server, well);
-                            }
-                        }
-                    });
+                    pool.trialsBy(
+                            new Trials() {
+                                @Override
+                                public boolean mayTry(String server) {
+                                    return place == 0;
+                                }
+
+                                @Override
+                                public void tried(String server, boolean well) {
+                                    if (place == 0) {
+                                        tell(server, well);
+                                    }
+                                }
+                            });
                 }
                 time.after(EVERY * random.nextDouble(), () -> ticket(place));
             }
@@ -138,7 +154,15 @@
             }
             double takes = dead ? 0.001 : WORK * (0.5 + random.nextDouble());
             Moment begun = now();
-            time.after(takes, () -> pool.ended(server, dead ? Pool.End.FAILED : Pool.End.WELL, now().since(begun), false, now()));
+            time.after(
+                    takes,
+                    () ->
+                            pool.ended(
+                                    server,
+                                    dead ? Pool.End.FAILED : Pool.End.WELL,
+                                    now().since(begun),
+                                    false,
+                                    now()));
         }
     }
 }
--- a/src/main/java/lupinwood/load/Common.java
+++ b/src/main/java/lupinwood/load/Common.java
@@ -18,8 +18,8 @@
 import lupinwood.settings.Schema;
 
 /**
- * Entries that all nodes of a fleet have alike, over what each one's own files say. It is known by the digest of what it
- * means: two texts that differ in comments, order or units only are one.
+ * Entries that all nodes of a fleet have alike, over what each one's own files say. It is known by
+ * the digest of what it means: two texts that differ in comments, order or units only are one.
  *
  * @param digest empty for no entries
  */
@@ -34,32 +34,41 @@
         if (text.isEmpty()) {
             return new Common("", new Meaning(Map.of(), Map.of()));
         }
-        Config config = Reader.readPart(new Sources() {
-            @Override
-            public String resolve(String from, String included) throws Unreadable {
-                if (!from.isEmpty()) {
-                    throw new Unreadable("a fleet's text includes no files, since each node would have its own");
-                }
-                return included;
-            }
+        Config config =
+                Reader.readPart(
+                        new Sources() {
+                            @Override
+                            public String resolve(String from, String included) throws Unreadable {
+                                if (!from.isEmpty()) {
+                                    throw new Unreadable(
+                                            "a fleet's text includes no files, since each node would have its own");
+                                }
+                                return included;
+                            }
 
-            @Override
-            public byte[] read(String name, int most) {
-                return text.getBytes(StandardCharsets.UTF_8);
-            }
-        }, NAME);
+                            @Override
+                            public byte[] read(String name, int most) {
+                                return text.getBytes(StandardCharsets.UTF_8);
+                            }
+                        },
+                        NAME);
         if (!config.problems().isEmpty()) {
             Problem first = config.problems().all().get(0);
-            throw new NodeConfig.Unusable(first.place() + ": " + first.text()
-                    + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")"));
+            throw new NodeConfig.Unusable(
+                    first.place()
+                            + ": "
+                            + first.text()
+                            + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")"));
         }
         Meaning part = config.meaning();
         if (!part.items(Schema.VOTER).isEmpty()) {
             throw new NodeConfig.Unusable("voters are named in each node's own file");
         }
         for (String name : part.values().keySet()) {
-            if (A_NODES_OWN.contains(name) || SECTIONS_OF_ITS_OWN.stream().anyMatch(name::startsWith)) {
-                throw new NodeConfig.Unusable(name + " is each node's own, and no fleet's text says it");
+            if (A_NODES_OWN.contains(name)
+                    || SECTIONS_OF_ITS_OWN.stream().anyMatch(name::startsWith)) {
+                throw new NodeConfig.Unusable(
+                        name + " is each node's own, and no fleet's text says it");
             }
         }
         return new Common(digest(part), part);
@@ -68,9 +77,12 @@
     private static String digest(Meaning part) {
         StringBuilder text = new StringBuilder();
         part.lists().forEach((list, items) -> text.append(list).append(items).append('\n'));
-        part.values().forEach((name, value) -> text.append(name).append('=').append(value).append('\n'));
+        part.values()
+                .forEach((name, value) -> text.append(name).append('=').append(value).append('\n'));
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.toString().getBytes(StandardCharsets.UTF_8));
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(text.toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash).substring(0, DIGITS);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/lupinwood/load/FileLooks.java
+++ b/src/main/java/lupinwood/load/FileLooks.java
@@ -22,7 +22,12 @@
                 BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
                 long nanos = now.lastModifiedTime().to(TimeUnit.NANOSECONDS);
                 changed = Math.max(changed, nanos);
-                marks.append(nanos).append(' ').append(now.size()).append(' ').append(now.fileKey()).append('\n');
+                marks.append(nanos)
+                        .append(' ')
+                        .append(now.size())
+                        .append(' ')
+                        .append(now.fileKey())
+                        .append('\n');
             } catch (IOException e) {
                 marks.append(e.getClass().getSimpleName()).append('\n');
             }
--- a/src/main/java/lupinwood/load/FileSources.java
+++ b/src/main/java/lupinwood/load/FileSources.java
@@ -10,8 +10,8 @@
 import lupinwood.config.Sources;
 
 /**
- * Texts from files. What is included must be a file in the folder of the first one or below, by its real path, so
- * that no link leads out of it.
+ * Texts from files. What is included must be a file in the folder of the first one or below, by its
+ * real path, so that no link leads out of it.
  */
 public final class FileSources implements Sources {
     private final List<Path> read = new ArrayList<>();
@@ -32,7 +32,8 @@
                 return path.toString();
             }
             if (path.isAbsolute()) {
-                throw new Unreadable("an included file's path begins at the file that includes it: " + included);
+                throw new Unreadable(
+                        "an included file's path begins at the file that includes it: " + included);
             }
             Path parent = Path.of(from).getParent();
             return (parent == null ? path : parent.resolve(path)).normalize().toString();
@@ -50,7 +51,8 @@
                 throw new Unreadable("there is no file " + name);
             }
             if (!Files.isRegularFile(path)) {
-                throw new Unreadable(name + " is no file" + (Files.isDirectory(path) ? " but a folder" : ""));
+                throw new Unreadable(
+                        name + " is no file" + (Files.isDirectory(path) ? " but a folder" : ""));
             }
             if (read.size() > 1 && !path.toRealPath().startsWith(root)) {
                 throw new Unreadable(name + " leads out of the folder of the first file");
@@ -58,7 +60,8 @@
             try (InputStream in = Files.newInputStream(path)) {
                 byte[] bytes = in.readNBytes(most + 1);
                 if (bytes.length > most) {
-                    throw new Unreadable(name + " is larger than the " + most + " bytes that are left for it");
+                    throw new Unreadable(
+                            name + " is larger than the " + most + " bytes that are left for it");
                 }
                 return bytes;
             }
--- a/src/main/java/lupinwood/load/LanguageLoader.java
+++ b/src/main/java/lupinwood/load/LanguageLoader.java
@@ -33,9 +33,13 @@
             Meaning part = sound(Reader.readPart(beside, operator.toString()));
             Map<String, String> values = new LinkedHashMap<>(config.meaning().values());
             for (Map.Entry<String, String> each : part.values().entrySet()) {
-                if (Meaning.entry(each.getKey()) == null || !Meaning.entry(each.getKey()).key().startsWith("operator.")) {
-                    throw new NodeConfig.Unusable(operator + ": " + each.getKey()
-                            + " is the platform's to say, not the operator's");
+                if (Meaning.entry(each.getKey()) == null
+                        || !Meaning.entry(each.getKey()).key().startsWith("operator.")) {
+                    throw new NodeConfig.Unusable(
+                            operator
+                                    + ": "
+                                    + each.getKey()
+                                    + " is the platform's to say, not the operator's");
                 }
                 values.put(each.getKey(), each.getValue());
             }
@@ -46,7 +50,13 @@
             Meaning both = new Meaning(lists, Meaning.ordered(lists, values));
             List<Fault> faults = Checks.of(both, config.doubts());
             if (!faults.isEmpty()) {
-                throw new NodeConfig.Unusable(operator + ": " + faults.get(0).text() + " (" + faults.get(0).instead() + ")");
+                throw new NodeConfig.Unusable(
+                        operator
+                                + ": "
+                                + faults.get(0).text()
+                                + " ("
+                                + faults.get(0).instead()
+                                + ")");
             }
             config = config.with(both);
             files.addAll(beside.files());
@@ -59,8 +69,12 @@
         if (!config.problems().isEmpty()) {
             List<Problem> all = config.problems().all();
             Problem first = all.get(0);
-            throw new NodeConfig.Unusable(first.place() + ": " + first.text() + (first.instead().isEmpty() ? ""
-                    : " (" + first.instead() + ")") + (all.size() > 1 ? ", and " + (all.size() - 1) + " more" : ""));
+            throw new NodeConfig.Unusable(
+                    first.place()
+                            + ": "
+                            + first.text()
+                            + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")")
+                            + (all.size() > 1 ? ", and " + (all.size() - 1) + " more" : ""));
         }
         return config.meaning();
     }
--- a/src/main/java/lupinwood/load/Loader.java
+++ b/src/main/java/lupinwood/load/Loader.java
@@ -6,7 +6,10 @@
 import lupinwood.net.NodeConfig;
 import lupinwood.reload.Look;
 
-/** Reads a node's configuration from where it stands: the platform's JSON, or the language of the operators. */
+/**
+ * Reads a node's configuration from where it stands: the platform's JSON, or the language of the
+ * operators.
+ */
 public final class Loader {
     /**
      * A configuration that can be used.
@@ -17,10 +20,13 @@
     public record Loaded(NodeConfig config, List<Path> files, boolean provesWhole) {}
 
     private final Path file;
+
     /** The operator's own entries beside the platform's JSON, or null. */
     private final Path operator;
+
     /** What all nodes of a fleet have over their own files; null for nothing. */
     private volatile Common common;
+
     /** As the files alone said it last. */
     private volatile NodeConfig own;
 
@@ -38,7 +44,9 @@
     public Loaded load() throws NodeConfig.Unusable {
         Loaded read = read();
         own = read.config();
-        return common == null ? read : new Loaded(common.onto(read.config()), read.files(), read.provesWhole());
+        return common == null
+                ? read
+                : new Loaded(common.onto(read.config()), read.files(), read.provesWhole());
     }
 
     /** From now on that is laid over the files. */
--- a/src/main/java/lupinwood/load/Reloader.java
+++ b/src/main/java/lupinwood/load/Reloader.java
@@ -14,19 +14,22 @@
 import lupinwood.reload.Triggers;
 
 /**
- * Reads a node's configuration anew when asked to or when its files change, on a thread of its own. What it does
- * next is said by {@link Triggers}; a burst of signals ends in the newest files, since each reading begins after
- * the signal that it answers.
+ * Reads a node's configuration anew when asked to or when its files change, on a thread of its own.
+ * What it does next is said by {@link Triggers}; a burst of signals ends in the newest files, since
+ * each reading begins after the signal that it answers.
  */
 public final class Reloader {
     private final Loader loader;
     private final Serving serving;
     private final Log log;
     private final Triggers triggers;
+
     /** The files of the configuration read last. */
     private List<Path> files;
+
     private boolean signalled;
     private final Deque<Runnable> jobs = new ArrayDeque<>();
+
     /** Whether the triggers are at rest. */
     private boolean idle = true;
 
@@ -34,12 +37,19 @@
      * @param loaded what the node was started with
      * @param looked what its files looked like before they were read
      */
-    public Reloader(Loader loader, Loader.Loaded loaded, Look looked, boolean watches, Serving serving, Log log) {
+    public Reloader(
+            Loader loader,
+            Loader.Loaded loaded,
+            Look looked,
+            boolean watches,
+            Serving serving,
+            Log log) {
         this.loader = loader;
         this.serving = serving;
         this.log = log;
         files = loaded.files();
-        // What the first file includes was not known at that look; it counts as looked at if that file is the same.
+        // What the first file includes was not known at that look; it counts as looked at if that
+        // file is the same.
         // This order: a change between the two then counts as one that was not seen yet.
         Look all = FileLooks.at(files);
         Look atStart = loader.look().equals(looked) ? all : looked;
@@ -127,15 +137,21 @@
         } catch (NodeConfig.Unusable e) {
             trouble = e.getMessage();
         } catch (RuntimeException e) {
-            log.problem("nothing reloaded", e); // a fault of the program must not end all later reloads
+            log.problem(
+                    "nothing reloaded", e); // a fault of the program must not end all later reloads
             trouble = "a fault of the program";
         }
-        Triggers.Reading reading = loaded == null ? Triggers.Reading.UNUSABLE
-                : loaded.provesWhole() ? Triggers.Reading.WHOLE : Triggers.Reading.USABLE;
+        Triggers.Reading reading =
+                loaded == null
+                        ? Triggers.Reading.UNUSABLE
+                        : loaded.provesWhole() ? Triggers.Reading.WHOLE : Triggers.Reading.USABLE;
         switch (triggers.judge(before, FileLooks.at(files), reading, clock())) {
             case APPLY -> serving.reload(loaded.config());
-            case REPORT -> log.line("nothing reloaded: " + (trouble.isEmpty() ? "its files keep changing" : trouble));
-            case READ_AGAIN -> { }
+            case REPORT ->
+                    log.line(
+                            "nothing reloaded: "
+                                    + (trouble.isEmpty() ? "its files keep changing" : trouble));
+            case READ_AGAIN -> {}
             default -> throw new IllegalStateException();
         }
     }
--- a/src/main/java/lupinwood/load/TextAtStart.java
+++ b/src/main/java/lupinwood/load/TextAtStart.java
@@ -8,8 +8,9 @@
 import lupinwood.node.Span;
 
 /**
- * What was agreed while this node was away, asked of the council before the door opens: the text that it is to go by, and
- * the servers to which it is to send nothing. Where nobody answers in time it starts with its files alone, as without a fleet.
+ * What was agreed while this node was away, asked of the council before the door opens: the text
+ * that it is to go by, and the servers to which it is to send nothing. Where nobody answers in time
+ * it starts with its files alone, as without a fleet.
  *
  * @param config what it goes by: its files, with the text over them
  * @param digest of the text; empty for none
@@ -23,8 +24,12 @@
         TextAtStart alone = new TextAtStart(own, "", List.of());
         Question.Wanted wanted = null;
         try {
-            wanted = Question.wanted(settings.voters().values(), settings.name(),
-                    settings.rules().lease().min(MOST), log);
+            wanted =
+                    Question.wanted(
+                            settings.voters().values(),
+                            settings.name(),
+                            settings.rules().lease().min(MOST),
+                            log);
             if (wanted == null) {
                 return alone;
             }
--- a/src/main/java/lupinwood/load/TextHands.java
+++ b/src/main/java/lupinwood/load/TextHands.java
@@ -13,8 +13,8 @@
 import lupinwood.settings.Change;
 
 /**
- * Lays the fleet's text over a node's own files, as far as its own plan allows: wholly while it runs, or wholly with its
- * next start, or not at all. All on the thread that reads configurations.
+ * Lays the fleet's text over a node's own files, as far as its own plan allows: wholly while it
+ * runs, or wholly with its next start, or not at all. All on the thread that reads configurations.
  */
 public final class TextHands implements Hands {
     private final Loader loader;
@@ -23,7 +23,8 @@
     private final TextAtStart atStart;
     private final Log log;
 
-    private TextHands(Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
+    private TextHands(
+            Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
         this.loader = loader;
         this.reloader = reloader;
         this.serving = serving;
@@ -32,12 +33,14 @@
     }
 
     /**
-     * Made once it is asked for, and here: a method of the command whose signature names the interface would have it loaded
-     * in each node, since the command's methods are looked through for options.
+     * Made once it is asked for, and here: a method of the command whose signature names the
+     * interface would have it loaded in each node, since the command's methods are looked through
+     * for options.
      *
      * @param atStart what was agreed before the node started
      */
-    public static Supplier<Hands> of(Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
+    public static Supplier<Hands> of(
+            Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
         return () -> new TextHands(loader, reloader, serving, atStart, log);
     }
 
@@ -60,9 +63,14 @@
         try {
             Plan plan = plan(read(digest, text));
             if (plan.isRefused()) {
-                return new Report.Checked(digest, false, false, plan.steps().stream()
-                        .filter(step -> step.change() == Change.REFUSED).map(step -> step.name() + ": " + step.because())
-                        .collect(Collectors.joining("; ")));
+                return new Report.Checked(
+                        digest,
+                        false,
+                        false,
+                        plan.steps().stream()
+                                .filter(step -> step.change() == Change.REFUSED)
+                                .map(step -> step.name() + ": " + step.because())
+                                .collect(Collectors.joining("; ")));
             }
             return new Report.Checked(digest, true, restarts(plan), "");
         } catch (NodeConfig.Unusable e) {
@@ -76,7 +84,8 @@
     private static Common read(String digest, String text) throws NodeConfig.Unusable {
         Common common = Common.read(text);
         if (!common.digest().equals(digest)) {
-            throw new NodeConfig.Unusable("this build reads the text as " + common.digest() + ", not as " + digest);
+            throw new NodeConfig.Unusable(
+                    "this build reads the text as " + common.digest() + ", not as " + digest);
         }
         return common;
     }
--- a/src/main/java/lupinwood/load/package-info.java
+++ b/src/main/java/lupinwood/load/package-info.java
@@ -1,2 +1,5 @@
-/** Configurations from files: reading them, looking whether they changed, and the thread that reloads. */
+/**
+ * Configurations from files: reading them, looking whether they changed, and the thread that
+ * reloads.
+ */
 package lupinwood.load;
--- a/src/main/java/lupinwood/log/LibraryLog.java
+++ b/src/main/java/lupinwood/log/LibraryLog.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    protected void handleNormalizedLoggingCall(Level level, Marker marker, String text, Object[] arguments,
-            Throwable thrown) {
+    protected void handleNormalizedLoggingCall(
+            Level level, Marker marker, String text, Object[] arguments, Throwable thrown) {
         String line = name + " " + MessageFormatter.basicArrayFormat(text, arguments);
         if (thrown == null) {
             LibraryLogs.log().line(line);
--- a/src/main/java/lupinwood/log/Log.java
+++ b/src/main/java/lupinwood/log/Log.java
@@ -11,8 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Lines to one stream, written by a thread of its own: who logs never waits for who reads. A flood is cut to
- * so many lines of a kind a second, so that it hides nothing else, and the log says how many were left out.
+ * Lines to one stream, written by a thread of its own: who logs never waits for who reads. A flood
+ * is cut to so many lines of a kind a second, so that it hides nothing else, and the log says how
+ * many were left out.
  */
 public final class Log {
     private static final int WAITING = 1024;
@@ -24,8 +25,10 @@
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(WAITING);
     private final PrintStream out;
     private final Supplier<Instant> clock;
+
     /** How many lines came in this second, by kind. */
     private final Map<String, Integer> came = new TreeMap<>();
+
     private long second;
 
     public Log(PrintStream out, Supplier<Instant> clock) {
@@ -46,15 +49,23 @@
         Instant now = clock.get();
         if (now.getEpochSecond() != second) {
             second = now.getEpochSecond();
-            came.forEach((kind, count) -> {
-                if (count > OF_A_KIND_A_SECOND) {
-                    lines.offer(now + " left out " + (count - OF_A_KIND_A_SECOND) + " lines like: " + kind);
-                }
-            });
+            came.forEach(
+                    (kind, count) -> {
+                        if (count > OF_A_KIND_A_SECOND) {
+                            lines.offer(
+                                    now
+                                            + " left out "
+                                            + (count - OF_A_KIND_A_SECOND)
+                                            + " lines like: "
+                                            + kind);
+                        }
+                    });
             came.clear();
         }
-        String cut = (text.length() > MOST_CHARS ? text.substring(0, MOST_CHARS) + "..." : text)
-                .replace('\n', ' ').replace('\r', ' ');
+        String cut =
+                (text.length() > MOST_CHARS ? text.substring(0, MOST_CHARS) + "..." : text)
+                        .replace('\n', ' ')
+                        .replace('\r', ' ');
         String kind = DIGITS.matcher(cut).replaceAll("N");
         boolean known = came.size() < KINDS || came.containsKey(kind);
         if (came.merge(known ? kind : "others", 1, Integer::sum) <= OF_A_KIND_A_SECOND) {
--- a/src/main/java/lupinwood/log/WallClock.java
+++ b/src/main/java/lupinwood/log/WallClock.java
@@ -3,7 +3,10 @@
 import java.time.Instant;
 import java.util.function.Supplier;
 
-/** The machine's wall clock, read in one place, so that the laboratory can have a process's clock go wrong. */
+/**
+ * The machine's wall clock, read in one place, so that the laboratory can have a process's clock go
+ * wrong.
+ */
 public final class WallClock {
     private static volatile Supplier<Instant> source = Instant::now;
 
--- a/src/main/java/lupinwood/net/AjpFront.java
+++ b/src/main/java/lupinwood/net/AjpFront.java
@@ -28,19 +28,25 @@
 import lupinwood.settings.Meaning;
 
 /**
- * Web servers that speak AJP/1.3: each request that a route knows is a ticket, one at a time on a connection. A
- * connection that ends is the caller leaving.
+ * Web servers that speak AJP/1.3: each request that a route knows is a ticket, one at a time on a
+ * connection. A connection that ends is the caller leaving.
  */
 final class AjpFront extends Front<FrontReader.Event> {
     private static final int MOST_BODY = 2048;
+
     /** An answer later than this part of the abandon time came because the time ran out. */
     private static final double NEARLY_ALL = 0.9;
+
     private static final int CALLERS = 1 << 16;
 
     private final Routes routes;
     private final byte[] secret;
     private final int packet;
-    /** Ids of tries, which no two of this node's lives share: it begins at the clock and grows slower than that. */
+
+    /**
+     * Ids of tries, which no two of this node's lives share: it begins at the clock and grows
+     * slower than that.
+     */
     private final AtomicLong ids = new AtomicLong(Decider.clock().nanos());
 
     AjpFront(Meaning meaning, Decider decider, Deadlines deadlines, Log log) {
@@ -69,7 +75,10 @@
         }
     }
 
-    /** AJP has no word for it: the next answer ends its connection, and one at rest after an answer ends now. */
+    /**
+     * AJP has no word for it: the next answer ends its connection, and one at rest after an answer
+     * ends now.
+     */
     @Override
     public void sayNoMore(ConnectionId connection) {
         if (caller(connection) instanceof AjpCaller caller) {
@@ -108,15 +117,20 @@
     /** One web server's connection. */
     private final class AjpCaller extends Caller {
         private final FrontReader reader = new FrontReader(packet, MOST_BODY);
+
         /** A request is open; a second one then is an offence. */
         private boolean open;
+
         /** The answer to what is open ends the connection. */
         private boolean last;
+
         private boolean offended;
         private long answered;
         private long tag;
+
         /** Why what is open is no ticket, as a status; 0 for a ticket. */
         private int refused;
+
         private String why = "";
         private Moment reached;
         private Routes.Match match;
@@ -147,7 +161,8 @@
                 } else if (open) {
                     offended = true;
                     last = true;
-                    log().line("a second request on an AJP connection before the first one's answer");
+                    log().line(
+                                    "a second request on an AJP connection before the first one's answer");
                 } else if (event instanceof FrontReader.More more) {
                     outbox().add(Replies.askBody(more.most()));
                     flushSoon(this);
@@ -172,33 +187,48 @@
                 last = true;
                 return refuse(403, "wrong or missing secret");
             }
-            match = routes.match(new Asked() {
-                @Override
-                public String method() {
-                    return request.method();
-                }
+            match =
+                    routes.match(
+                            new Asked() {
+                                @Override
+                                public String method() {
+                                    return request.method();
+                                }
 
-                @Override
-                public String path() {
-                    int end = request.uri().indexOf('?');
-                    return end < 0 ? request.uri() : request.uri().substring(0, end);
-                }
+                                @Override
+                                public String path() {
+                                    int end = request.uri().indexOf('?');
+                                    return end < 0
+                                            ? request.uri()
+                                            : request.uri().substring(0, end);
+                                }
 
-                @Override
-                public String header(String smallName) {
-                    return request.header(smallName);
-                }
-            });
+                                @Override
+                                public String header(String smallName) {
+                                    return request.header(smallName);
+                                }
+                            });
             if (match.refusal() != null) {
                 return refuse(status(match.refusal()), match.refusal().toString());
             }
             if (whole.body() == null) {
                 return refuse(413, "a body of more than " + MOST_BODY + " bytes");
             }
-            int caller = request.remote() == null ? 0 : Math.floorMod(request.remote().hashCode(), CALLERS);
-            return new Arrival(new TryId(String.format("%016x", ids.incrementAndGet())), match.track(),
-                    Settings.word(match.customer()), new SubjectId(0), new CallerId(caller), reached,
-                    match.memoryKb(), 0.5, match.mark() == null ? null : new ReceiptKey(match.mark()), whole.body());
+            int caller =
+                    request.remote() == null
+                            ? 0
+                            : Math.floorMod(request.remote().hashCode(), CALLERS);
+            return new Arrival(
+                    new TryId(String.format("%016x", ids.incrementAndGet())),
+                    match.track(),
+                    Settings.word(match.customer()),
+                    new SubjectId(0),
+                    new CallerId(caller),
+                    reached,
+                    match.memoryKb(),
+                    0.5,
+                    match.mark() == null ? null : new ReceiptKey(match.mark()),
+                    whole.body());
         }
 
         private Arrival refuse(int status, String text) {
@@ -209,20 +239,25 @@
 
         /** In a time that tells nothing of how much of it is right. */
         private boolean isSecret(String shown) {
-            return MessageDigest.isEqual(secret,
-                    (shown == null ? "" : shown).getBytes(StandardCharsets.ISO_8859_1));
+            return MessageDigest.isEqual(
+                    secret, (shown == null ? "" : shown).getBytes(StandardCharsets.ISO_8859_1));
         }
 
         private void answer(Answer answer) {
-            int status = switch (answer.word()) {
-                case SATISFIED -> 200;
-                case BOUNCED -> 503;
-                default -> refused != 0 ? refused : ranOut() ? 504 : 500;
-            };
+            int status =
+                    switch (answer.word()) {
+                        case SATISFIED -> 200;
+                        case BOUNCED -> 503;
+                        default -> refused != 0 ? refused : ranOut() ? 504 : 500;
+                    };
             Map<String, String> headers = new LinkedHashMap<>();
             if (answer.advice() >= 0 && answer.advice() < Double.MAX_VALUE) {
-                headers.put("X-Advice", BigDecimal.valueOf(answer.advice()).setScale(4, RoundingMode.HALF_UP)
-                        .stripTrailingZeros().toPlainString());
+                headers.put(
+                        "X-Advice",
+                        BigDecimal.valueOf(answer.advice())
+                                .setScale(4, RoundingMode.HALF_UP)
+                                .stripTrailingZeros()
+                                .toPlainString());
             }
             if (answer.comeBackAfter().isPositive()) {
                 long millis = (answer.comeBackAfter().nanos() + 999_999) / 1_000_000;
@@ -237,15 +272,24 @@
             }
             open = false;
             answered++;
-            outbox().add(Replies.answer(status, reason(status), headers, answer.result(), packet, !last));
+            outbox().add(
+                            Replies.answer(
+                                    status,
+                                    reason(status),
+                                    headers,
+                                    answer.result(),
+                                    packet,
+                                    !last));
             if (last) {
                 host().halfClosed(id());
             }
         }
 
         private boolean ranOut() {
-            return match != null && match.refusal() == null && match.abandon().times(NEARLY_ALL)
-                    .compareTo(Decider.clock().since(reached)) <= 0;
+            return match != null
+                    && match.refusal() == null
+                    && match.abandon().times(NEARLY_ALL).compareTo(Decider.clock().since(reached))
+                            <= 0;
         }
     }
 }
