--- a/src/main/java/lupinwood/net/AjpServers.java
+++ b/src/main/java/lupinwood/net/AjpServers.java
@@ -30,23 +30,28 @@
 import lupinwood.settings.Schema;
 
 /**
- * Servers that speak AJP and carry out tickets. Which one gets which, and out of what budget a try is made again, is
- * decided by {@link Pool} and {@link Budget}. A ticket goes to another server only where nothing ran for certain, or
- * where its track is pure. Belongs to the deciding thread.
+ * Servers that speak AJP and carry out tickets. Which one gets which, and out of what budget a try
+ * is made again, is decided by {@link Pool} and {@link Budget}. A ticket goes to another server
+ * only where nothing ran for certain, or where its track is pure. Belongs to the deciding thread.
  */
 final class AjpServers {
     private static final int PACKET = 8192;
     private static final int MOST_RESULT = 64 * 1024;
+
     /** Tickets that no server may have now; past that they end without having run. */
     private static final int MOST_WAITING = 256;
+
     private static final int FARTHEST = 2;
     private static final double SAVED_UP = 10;
+
     /** A connection at rest for longer is asked first whether anybody is there. */
     private static final Span JUST_USED = Span.ofSeconds(0.5);
+
     private static final Span PONG_WAIT = Span.ofSeconds(0.25);
     private static final Span LONGEST_REST = Span.ofSeconds(5);
 
-    private record Server(InetSocketAddress address, String secret, Set<String> tracks, Deque<Line> resting) {}
+    private record Server(
+            InetSocketAddress address, String secret, Set<String> tracks, Deque<Line> resting) {}
 
     /** A ticket that servers are to carry out. */
     private static final class Run {
@@ -70,26 +75,45 @@
     private final Set<String> pure = new HashSet<>();
     private final Map<String, Span> abandon = new HashMap<>();
     private final Pool pool;
+
     /** How long a run whose connection is gone may go on. */
     private final Span linger;
+
     private final Budget budget = new Budget(Rules.USUAL.repeatShare(), SAVED_UP);
     private final Deque<Run> waiting = new ArrayDeque<>();
     private final Set<Line> toFlush = new HashSet<>();
     private Deadlines.Deadline back;
-    /** By servers: tickets that might have gone there, that ended, that failed, and what the others took. */
+
+    /**
+     * By servers: tickets that might have gone there, that ended, that failed, and what the others
+     * took.
+     */
     private final long[] asked;
+
     private final long[] endedThere;
     private final long[] failedThere;
     private final double[] tookThere;
-    /** Connections at once, and those that may hold a descriptor: that connect, stand, or have not ended yet. */
+
+    /**
+     * Connections at once, and those that may hold a descriptor: that connect, stand, or have not
+     * ended yet.
+     */
     private int mostOpen;
+
     private int open;
+
     /** How many may be out at a server, by agreement; null for no such bound. */
     private IntUnaryOperator most;
+
     /** Servers of a lower one are asked first; null where all are alike. */
     private int[] distance;
-    /** What a ticket that tries a server for all nodes carries besides; null where each tries for itself. */
+
+    /**
+     * What a ticket that tries a server for all nodes carries besides; null where each tries for
+     * itself.
+     */
     private Supplier<Map<String, String>> mark;
+
     private Host host;
 
     AjpServers(Meaning meaning, long seed, Means means) {
@@ -97,12 +121,18 @@
         for (String name : meaning.items(Schema.SERVER)) {
             String at = "server " + name + " ";
             Set<String> carried = Set.of(meaning.value(at + "tracks").split(","));
-            servers.add(new Server(NodeConfig.address(meaning.value(at + "address")), meaning.value(at + "secret"),
-                    carried, new ArrayDeque<>()));
+            servers.add(
+                    new Server(
+                            NodeConfig.address(meaning.value(at + "address")),
+                            meaning.value(at + "secret"),
+                            carried,
+                            new ArrayDeque<>()));
             tracks.addAll(carried);
         }
         for (String track : tracks) {
-            abandon.put(track, new Span(Long.parseLong(meaning.value("track " + track + " abandon-time"))));
+            abandon.put(
+                    track,
+                    new Span(Long.parseLong(meaning.value("track " + track + " abandon-time"))));
             if (meaning.value("track " + track + " effect").equals("pure")) {
                 pure.add(track);
             }
@@ -170,28 +200,42 @@
             host.exited(run.id, Ending.NOTHING_STARTED, Span.ZERO, null);
         } else {
             waiting.add(run);
-            means.deadlines().at(run.began.plus(abandon.get(run.track)), () -> {
-                if (waiting.remove(run)) {
-                    host.exited(run.id, Ending.NOTHING_STARTED, Span.ZERO, null);
-                }
-            });
+            means.deadlines()
+                    .at(
+                            run.began.plus(abandon.get(run.track)),
+                            () -> {
+                                if (waiting.remove(run)) {
+                                    host.exited(run.id, Ending.NOTHING_STARTED, Span.ZERO, null);
+                                }
+                            });
             watchForBack();
         }
     }
 
     /** A connection that carries no ticket, or null. */
     private Line resting() {
-        return servers.stream().map(server -> server.resting().peekLast()).filter(Objects::nonNull).findAny().orElse(null);
+        return servers.stream()
+                .map(server -> server.resting().peekLast())
+                .filter(Objects::nonNull)
+                .findAny()
+                .orElse(null);
     }
 
     private int choose(Run run) {
         if (most == null) {
-            return pool.send(host.now(), run.tried, one -> servers.get(one).tracks().contains(run.track));
+            return pool.send(
+                    host.now(), run.tried, one -> servers.get(one).tracks().contains(run.track));
         }
         for (int away = 0; away <= FARTHEST; away++) {
             int of = away;
-            int server = pool.send(host.now(), run.tried, one -> servers.get(one).tracks().contains(run.track)
-                    && distance[one] == of && pool.out(one) < most.applyAsInt(one));
+            int server =
+                    pool.send(
+                            host.now(),
+                            run.tried,
+                            one ->
+                                    servers.get(one).tracks().contains(run.track)
+                                            && distance[one] == of
+                                            && pool.out(one) < most.applyAsInt(one));
             if (server >= 0) {
                 return server;
             }
@@ -232,11 +276,16 @@
         return tookThere[server];
     }
 
-    /** Guards against tickets that wait while nothing ends: a server that may be tried again is reason enough. */
+    /**
+     * Guards against tickets that wait while nothing ends: a server that may be tried again is
+     * reason enough.
+     */
     private void watchForBack() {
         means.deadlines().callOff(back);
-        back = waiting.isEmpty() || pool.nextBack(host.now()).equals(Moment.NEVER) ? null
-                : means.deadlines().at(pool.nextBack(host.now()), this::sendWaiting);
+        back =
+                waiting.isEmpty() || pool.nextBack(host.now()).equals(Moment.NEVER)
+                        ? null
+                        : means.deadlines().at(pool.nextBack(host.now()), this::sendWaiting);
     }
 
     private void sendWaiting() {
@@ -270,8 +319,10 @@
     /** One connection to a server, with one ticket at a time. */
     private final class Line extends Outbound<BackReader.Event> {
         private final int server;
+
         /** The ticket that is out on it, or null. */
         private Run run;
+
         private Moment sentAt = host.now();
         private boolean written;
         private boolean asked;
@@ -283,6 +334,7 @@
         private Deadlines.Deadline target;
         private Deadlines.Deadline cap;
         private boolean over;
+
         /** It holds no descriptor any more. */
         private boolean gone;
 
@@ -310,12 +362,18 @@
             slow = false;
             Span most = pool.target();
             if (most.isPositive()) {
-                target = means.deadlines().at(host.now().plus(most), () -> {
-                    slow = true;
-                    pool.slow(server);
-                });
+                target =
+                        means.deadlines()
+                                .at(
+                                        host.now().plus(most),
+                                        () -> {
+                                            slow = true;
+                                            pool.slow(server);
+                                        });
             }
-            cap = means.deadlines().at(run.began.plus(abandon.get(run.track)), () -> end(Ending.GIVEN_UP));
+            cap =
+                    means.deadlines()
+                            .at(run.began.plus(abandon.get(run.track)), () -> end(Ending.GIVEN_UP));
         }
 
         private void write() {
@@ -326,8 +384,13 @@
             if (mark != null && pool.isOnTrial(server)) {
                 headers.putAll(mark.get());
             }
-            outbox().add(Requests.forward("POST", "/" + run.track, headers, run.body.length,
-                    servers.get(server).secret()));
+            outbox().add(
+                            Requests.forward(
+                                    "POST",
+                                    "/" + run.track,
+                                    headers,
+                                    run.body.length,
+                                    servers.get(server).secret()));
             bodyFrom = 0;
             if (run.body.length > 0) {
                 part(PACKET);
@@ -402,10 +465,13 @@
             tookThere[server] += end == Pool.End.WELL ? took.seconds() : 0;
             if (end == Pool.End.FAILED && written && linger.isPositive()) {
                 // AJP can't stop a run: it may go on there, and counts as out for as long.
-                means.deadlines().at(host.now().plus(linger), () -> {
-                    pool.ended(server, end, took, wasSlow, host.now());
-                    sendWaiting();
-                });
+                means.deadlines()
+                        .at(
+                                host.now().plus(linger),
+                                () -> {
+                                    pool.ended(server, end, took, wasSlow, host.now());
+                                    sendWaiting();
+                                });
             } else {
                 pool.ended(server, end, took, wasSlow, host.now());
             }
@@ -428,8 +494,10 @@
             close();
             if (lost != null) {
                 release(Pool.End.FAILED);
-                Ending ending = wasWritten || why.outcome().provesNeverRan() ? why : Ending.NOT_WRITTEN;
-                means.log().line("a ticket at the server " + pool.name(server) + " ended: " + ending);
+                Ending ending =
+                        wasWritten || why.outcome().provesNeverRan() ? why : Ending.NOT_WRITTEN;
+                means.log()
+                        .line("a ticket at the server " + pool.name(server) + " ended: " + ending);
                 conclude(lost, ending, null);
                 sendWaiting();
                 watchForBack();
@@ -448,10 +516,15 @@
         }
     }
 
-    /** The ticket ends, unless nothing ran, or running it again does no harm, and the budget has a try left. */
+    /**
+     * The ticket ends, unless nothing ran, or running it again does no harm, and the budget has a
+     * try left.
+     */
     private void conclude(Run run, Ending ending, byte[] result) {
-        boolean mayAgain = ending != Ending.WELL && ending != Ending.GIVEN_UP
-                && (ending.outcome().provesNeverRan() || pure.contains(run.track));
+        boolean mayAgain =
+                ending != Ending.WELL
+                        && ending != Ending.GIVEN_UP
+                        && (ending.outcome().provesNeverRan() || pure.contains(run.track));
         if (mayAgain && budget.again()) {
             send(run);
         } else {
--- a/src/main/java/lupinwood/net/Counts.java
+++ b/src/main/java/lupinwood/net/Counts.java
@@ -9,7 +9,10 @@
 import lupinwood.fleet.Tally;
 import lupinwood.node.Span;
 
-/** What this node answered, by track, for the fleet. Belongs to the deciding thread; what it tells is a copy. */
+/**
+ * What this node answered, by track, for the fleet. Belongs to the deciding thread; what it tells
+ * is a copy.
+ */
 final class Counts implements Answers {
     private static final class Row {
         long satisfied;
@@ -23,7 +26,8 @@
 
     @Override
     public void answered(String track, Answer.Word word, Span took, boolean late) {
-        String named = rows.containsKey(track) || rows.size() < Tally.MOST_TRACKS ? track : Tally.OTHERS;
+        String named =
+                rows.containsKey(track) || rows.size() < Tally.MOST_TRACKS ? track : Tally.OTHERS;
         Row row = rows.computeIfAbsent(named, none -> new Row());
         if (word == Answer.Word.SATISFIED) {
             row.satisfied++;
@@ -38,8 +42,16 @@
 
     Tally tally() {
         List<Tally.Count> counts = new ArrayList<>();
-        rows.forEach((track, row) -> counts.add(new Tally.Count(track, row.satisfied, row.late, row.bounced, row.abandoned,
-                row.seconds)));
+        rows.forEach(
+                (track, row) ->
+                        counts.add(
+                                new Tally.Count(
+                                        track,
+                                        row.satisfied,
+                                        row.late,
+                                        row.bounced,
+                                        row.abandoned,
+                                        row.seconds)));
         return new Tally(List.copyOf(counts));
     }
 }
--- a/src/main/java/lupinwood/net/Decider.java
+++ b/src/main/java/lupinwood/net/Decider.java
@@ -19,25 +19,37 @@
 import lupinwood.node.Span;
 
 /**
- * The one deciding thread: it takes in what came, tells the host, settles once, then lets the writes go.
- * Nothing else touches the host, the deadlines or the adapters' own state.
+ * The one deciding thread: it takes in what came, tells the host, settles once, then lets the
+ * writes go. Nothing else touches the host, the deadlines or the adapters' own state.
  */
 final class Decider {
-    /** Where socket threads wait when deciding falls behind, which in turn lets the senders wait. */
+    /**
+     * Where socket threads wait when deciding falls behind, which in turn lets the senders wait.
+     */
     private static final int MOST_NEWS = 1024;
-    /** How much of what was read may wait there. A read of many small messages makes as many objects. */
+
+    /**
+     * How much of what was read may wait there. A read of many small messages makes as many
+     * objects.
+     */
     private static final int MOST_BYTES = 1 << 20;
+
     private static final int MOST_AT_ONCE = 256;
+
     /**
-     * Rounds begin no closer together: what comes at rest is dealt with at once, what follows waits as long.
+     * Rounds begin no closer together: what comes at rest is dealt with at once, what follows waits
+     * as long.
      */
     static final long PACE = TimeUnit.MILLISECONDS.toNanos(1);
+
     private static final long LONGEST_STOP = 50;
     private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
 
     private final BlockingQueue<Runnable> inbox = new ArrayBlockingQueue<>(MOST_NEWS);
+
     /** What this thread tells itself: it must never wait for room in its own inbox. */
     private final Deque<Runnable> own = new ArrayDeque<>();
+
     private final Semaphore room = new Semaphore(MOST_BYTES);
     private final List<Runnable> writers = new ArrayList<>();
     private final Moment begun = clock();
@@ -79,12 +91,14 @@
 
     void start(Host decidesFor) {
         host = decidesFor;
-        // Guards against a node that listens and no longer decides: it is better gone, and started anew.
-        thread.setUncaughtExceptionHandler((dead, cause) -> {
-            log.problem("deciding ended", cause);
-            log.drain();
-            Runtime.getRuntime().halt(1);
-        });
+        // Guards against a node that listens and no longer decides: it is better gone, and started
+        // anew.
+        thread.setUncaughtExceptionHandler(
+                (dead, cause) -> {
+                    log.problem("deciding ended", cause);
+                    log.drain();
+                    Runtime.getRuntime().halt(1);
+                });
         thread.start();
     }
 
@@ -116,15 +130,19 @@
         return MOST_BYTES - room.availablePermits();
     }
 
-    /** All that one read brought: one hand-over, however many messages. Waits for room, and with it the senders. */
+    /**
+     * All that one read brought: one hand-over, however many messages. Waits for room, and with it
+     * the senders.
+     */
     void tell(List<Runnable> news, int bytes) {
         if (!news.isEmpty()) {
             int share = Math.min(bytes, MOST_BYTES);
             room.acquireUninterruptibly(share);
-            tell(() -> {
-                room.release(share);
-                news.forEach(this::guarded);
-            });
+            tell(
+                    () -> {
+                        room.release(share);
+                        news.forEach(this::guarded);
+                    });
         }
     }
 
@@ -142,11 +160,12 @@
     }
 
     /**
-     * Under load news gathers meanwhile, and no socket thread has to wake this one for each piece. A wake-up left over
-     * from the inbox ends a parking at once, so it may take several.
+     * Under load news gathers meanwhile, and no socket thread has to wake this one for each piece.
+     * A wake-up left over from the inbox ends a parking at once, so it may take several.
      */
     private static void rest(long begun) {
-        for (long left = PACE - (System.nanoTime() - begun); left > 0 && !Thread.currentThread().isInterrupted();
+        for (long left = PACE - (System.nanoTime() - begun);
+                left > 0 && !Thread.currentThread().isInterrupted();
                 left = PACE - (System.nanoTime() - begun)) {
             LockSupport.parkNanos(left);
         }
@@ -177,7 +196,9 @@
         return own.isEmpty() ? inbox.poll() : own.poll();
     }
 
-    /** Guards against one piece of news that can't be dealt with: it must not end all the others. */
+    /**
+     * Guards against one piece of news that can't be dealt with: it must not end all the others.
+     */
     private void guarded(Runnable step) {
         try {
             step.run();
--- a/src/main/java/lupinwood/net/DispatcherListener.java
+++ b/src/main/java/lupinwood/net/DispatcherListener.java
@@ -24,14 +24,21 @@
 /** The dispatchers' side: RESP arrays in, answers out. */
 final class DispatcherListener extends Front<List<byte[]>> {
     private static final int MOST_DIGITS = 18;
+
     /** As many signs as any figure written to its last place may take. */
     private static final int MOST_SIGNS = 40;
+
     private static final byte[] NOTHING = {};
-    /** No caller waits and no work takes longer than the longest abandon time that a configuration may name. */
+
+    /**
+     * No caller waits and no work takes longer than the longest abandon time that a configuration
+     * may name.
+     */
     private static final Span LONGEST_TOLD = Span.ofSeconds(86_400);
 
     /** The advice said last, and how; it seldom changes. */
     private double said = -1;
+
     private String signal;
 
     DispatcherListener(Decider decider, Deadlines deadlines, Log log) {
@@ -51,8 +58,12 @@
         if (answer.advice() >= 0 && answer.advice() < Double.MAX_VALUE) {
             if (answer.advice() != said) {
                 said = answer.advice();
-                signal = "signal=" + BigDecimal.valueOf(said).setScale(4, RoundingMode.HALF_UP)
-                        .stripTrailingZeros().toPlainString();
+                signal =
+                        "signal="
+                                + BigDecimal.valueOf(said)
+                                        .setScale(4, RoundingMode.HALF_UP)
+                                        .stripTrailingZeros()
+                                        .toPlainString();
             }
             fields.add(signal);
         }
@@ -62,13 +73,14 @@
         if (answer.askNoOther()) {
             fields.add("nomore=1");
         }
-        String word = switch (answer.word()) {
-            case SATISFIED -> "ACK";
-            case BOUNCED -> "NAK";
-            case ABANDONED -> "FAIL";
-            case GOOD -> "GREEN";
-            case NOT_GOOD -> "RED";
-        };
+        String word =
+                switch (answer.word()) {
+                    case SATISFIED -> "ACK";
+                    case BOUNCED -> "NAK";
+                    case ABANDONED -> "FAIL";
+                    case GOOD -> "GREEN";
+                    case NOT_GOOD -> "RED";
+                };
         send(connection, Long.toString(tag), word, fields.toString(), answer.result());
     }
 
@@ -77,7 +89,8 @@
         send(connection, "0", "FIN", null, NOTHING);
     }
 
-    private void send(ConnectionId connection, String tag, String word, String fields, byte[] result) {
+    private void send(
+            ConnectionId connection, String tag, String word, String fields, byte[] result) {
         Caller caller = caller(connection);
         if (caller == null || caller.isEnded()) {
             return;
@@ -128,7 +141,8 @@
                     Arrival arrival = arrival(items);
                     return () -> {
                         if (!host().arrived(id(), tag, arrival)) {
-                            log().line("closing a dispatcher's connection: a tag that is still open came again");
+                            log().line(
+                                            "closing a dispatcher's connection: a tag that is still open came again");
                             host().malformed(id());
                         }
                     };
@@ -137,7 +151,8 @@
                     return () -> host().aborted(id(), tag);
                 }
                 case "HEALTH" -> {
-                    boolean real = items.size() > 2 && "1".equals(fields(text(items.get(2))).get("real"));
+                    boolean real =
+                            items.size() > 2 && "1".equals(fields(text(items.get(2))).get("real"));
                     return () -> host().checked(id(), tag, real);
                 }
                 default -> throw new Malformed("an unknown verb");
@@ -158,13 +173,18 @@
         try {
             String subject = fields.getOrDefault("subject", "");
             String receipt = fields.getOrDefault("opkey", "");
-            return new Arrival(new TryId(id), text(items.get(2)),
+            return new Arrival(
+                    new TryId(id),
+                    text(items.get(2)),
                     Settings.word(fields.getOrDefault("owner", "")),
                     new SubjectId(subject.isEmpty() ? 0 : Long.parseUnsignedLong(subject, 16)),
                     new CallerId(Math.toIntExact(whole(fields.get("via")))),
-                    millis(fields.get("timeout")), millis(fields.get("ms")), "1".equals(fields.get("resent")),
+                    millis(fields.get("timeout")),
+                    millis(fields.get("ms")),
+                    "1".equals(fields.get("resent")),
                     new Moment(Math.multiplyExact(whole(fields.get("ts")), 1_000_000L)),
-                    decimal(fields.get("need")), decimal(fields.get("level")),
+                    decimal(fields.get("need")),
+                    decimal(fields.get("level")),
                     receipt.isEmpty() ? null : new ReceiptKey(receipt),
                     items.size() > 4 ? items.get(4) : NOTHING);
         } catch (ArithmeticException | NumberFormatException e) {
@@ -193,13 +213,21 @@
         return Double.parseDouble(figure(text, true));
     }
 
-    /** Digits, with one point among them where that may be: less than the language's own readers take. */
+    /**
+     * Digits, with one point among them where that may be: less than the language's own readers
+     * take.
+     */
     private static String figure(String text, boolean mayHavePoint) {
         int points = 0;
         for (int i = 0; text != null && i < text.length(); i++) {
-            points += text.charAt(i) == '.' ? 1 : text.charAt(i) >= '0' && text.charAt(i) <= '9' ? 0 : 2;
-        }
-        if (text == null || text.length() > (mayHavePoint ? MOST_SIGNS : MOST_DIGITS) || points > (mayHavePoint ? 1 : 0)) {
+            points +=
+                    text.charAt(i) == '.'
+                            ? 1
+                            : text.charAt(i) >= '0' && text.charAt(i) <= '9' ? 0 : 2;
+        }
+        if (text == null
+                || text.length() > (mayHavePoint ? MOST_SIGNS : MOST_DIGITS)
+                || points > (mayHavePoint ? 1 : 0)) {
             throw new NumberFormatException("no figure");
         }
         return text;
--- a/src/main/java/lupinwood/net/ExecutorLink.java
+++ b/src/main/java/lupinwood/net/ExecutorLink.java
@@ -13,34 +13,49 @@
 import lupinwood.reload.Move;
 
 /**
- * The link to the executor, kept open; a lost one is replaced, and the notices missed come once each. To move
- * to another address the new link is made first; the old one is asked for gauges, whose coming proves that
- * all before was read, and only then does the new one take its place.
+ * The link to the executor, kept open; a lost one is replaced, and the notices missed come once
+ * each. To move to another address the new link is made first; the old one is asked for gauges,
+ * whose coming proves that all before was read, and only then does the new one take its place.
  */
 final class ExecutorLink implements Executor {
     private static final Span TRY_AGAIN = Span.ofSeconds(0.05);
+
     /** A link that stood for longer is replaced without a pause. */
     private static final Span SETTLED = Span.ofSeconds(0.5);
+
     /** A link that is to be replaced has this long to tell that it has read all. */
     private static final Span HANDOVER = Span.ofSeconds(0.05);
+
     /** An executor that leaves more than this unread is stuck; the link is made anew. */
     private static final long MOST_WAITING = 4 * 1024 * 1024;
 
     private final Means means;
+
     /** Where to connect, and whether a move there is kept. */
     private final Move<InetSocketAddress> move;
+
     /** Hears of the address that the link went back to, or on to. */
     private final Consumer<InetSocketAddress> moved;
+
     private Host host;
+
     /** The number of the last notice read. */
     private long last;
+
     /** The link that commands go to, or null. */
     private Link link;
+
     /** The link made last; it stands in for the other once it has joined. */
     private Link newest;
+
     private Deadlines.Deadline again;
-    /** What the executor last told of its age, and when; and when a link was lost after that, or null. */
+
+    /**
+     * What the executor last told of its age, and when; and when a link was lost after that, or
+     * null.
+     */
     private Span toldAge;
+
     private Moment toldAt;
     private Moment lostAt;
     private boolean failing;
@@ -57,7 +72,10 @@
         connect();
     }
 
-    /** A new configuration names this address; it has so long to say WELCOME, zero for as long as it takes. */
+    /**
+     * A new configuration names this address; it has so long to say WELCOME, zero for as long as it
+     * takes.
+     */
     void moveTo(InetSocketAddress next, Span within) {
         if (move.to(next, within, host.now())) {
             connect();
@@ -67,25 +85,36 @@
 
     private void watch() {
         if (!move.due().equals(Moment.NEVER)) {
-            means.deadlines().at(move.due(), () -> {
-                Move.Next next = move.look(host.now());
-                if (next != Move.Next.NOTHING) {
-                    means.log().line((next == Move.Next.GO_BACK ? "the new executor said no WELCOME in time, back to "
-                            : "the executor before says no WELCOME either, once more to ") + move.current());
-                    leaveNewest();
-                    connect();
-                    watch();
-                }
-            });
+            means.deadlines()
+                    .at(
+                            move.due(),
+                            () -> {
+                                Move.Next next = move.look(host.now());
+                                if (next != Move.Next.NOTHING) {
+                                    means.log()
+                                            .line(
+                                                    (next == Move.Next.GO_BACK
+                                                                    ? "the new executor said no WELCOME in time, back to "
+                                                                    : "the executor before says no WELCOME either, once more to ")
+                                                            + move.current());
+                                    leaveNewest();
+                                    connect();
+                                    watch();
+                                }
+                            });
         }
     }
 
-    /** Guards against two links that both believe to be the next: the one given up must not join any more. */
+    /**
+     * Guards against two links that both believe to be the next: the one given up must not join any
+     * more.
+     */
     private void leaveNewest() {
         Link given = newest;
         newest = null;
         if (given == link) {
-            // It joined and was never welcomed, so nothing was written to it; the one before may still stand.
+            // It joined and was never welcomed, so nothing was written to it; the one before may
+            // still stand.
             link = given.before;
             given.before = null;
         }
@@ -157,17 +186,23 @@
     private final class Link extends Outbound<LineParser.Message> {
         private boolean welcomed;
         private Moment joinedAt;
+
         /** The link that this one replaced. */
         private Link before;
+
         /** The tag whose gauges tell that this one can be replaced, or 0. */
         private long handsOver;
 
         Link() {
-            super(means.decider(), new LineParser(words -> switch (words[0]) {
-                case "EXIT" -> words.length == 6;
-                case "CALLOUT" -> words.length == 4;
-                default -> false;
-            }));
+            super(
+                    means.decider(),
+                    new LineParser(
+                            words ->
+                                    switch (words[0]) {
+                                        case "EXIT" -> words.length == 6;
+                                        case "CALLOUT" -> words.length == 4;
+                                        default -> false;
+                                    }));
         }
 
         @Override
@@ -209,13 +244,18 @@
                     link.handsOver = 0;
                 }
                 boolean settled = welcomed && SETTLED.compareTo(host.now().since(joinedAt)) < 0;
-                again = means.deadlines().at(host.now().plus(settled ? Span.ZERO : TRY_AGAIN),
-                        ExecutorLink.this::connect);
+                again =
+                        means.deadlines()
+                                .at(
+                                        host.now().plus(settled ? Span.ZERO : TRY_AGAIN),
+                                        ExecutorLink.this::connect);
                 failing = true;
             }
         }
 
-        /** Its notices begin anew with each start, and of the runs of the one before none will end. */
+        /**
+         * Its notices begin anew with each start, and of the runs of the one before none will end.
+         */
         private void welcome(boolean cold, Span age) {
             welcomed = true;
             failing = false;
@@ -236,9 +276,10 @@
         }
 
         /**
-         * One that goes on is older by its whole former life than the time without a link, one that started
-         * since is younger than that time: half of that life tells them apart. Its clock and ours may drift
-         * as far, by pauses of one of the machines or by counting in coarse steps.
+         * One that goes on is older by its whole former life than the time without a link, one that
+         * started since is younger than that time: half of that life tells them apart. Its clock
+         * and ours may drift as far, by pauses of one of the machines or by counting in coarse
+         * steps.
          */
         private boolean startedAnew(Span age) {
             Moment away = lostAt == null ? joinedAt : lostAt;
@@ -300,7 +341,8 @@
                 String text = String.join(" ", Arrays.asList(words).subList(2, words.length));
                 return notice(words[1], () -> means.log().line("the executor says: " + text));
             }
-            // A whole line that means nothing here harms nothing; to close the link would cost all runs time.
+            // A whole line that means nothing here harms nothing; to close the link would cost all
+            // runs time.
             return () -> means.log().line("passed over, from the executor: " + words[0]);
         }
 
@@ -310,8 +352,13 @@
             return () -> {
                 if (n > last) {
                     if (n > last + 1) {
-                        means.log().line("notices " + (last + 1) + " to " + (n - 1)
-                                + " of the executor are missing");
+                        means.log()
+                                .line(
+                                        "notices "
+                                                + (last + 1)
+                                                + " to "
+                                                + (n - 1)
+                                                + " of the executor are missing");
                     }
                     last = n;
                     news.run();
--- a/src/main/java/lupinwood/net/FleetPart.java
+++ b/src/main/java/lupinwood/net/FleetPart.java
@@ -12,8 +12,8 @@
 import lupinwood.council.FleetSettings;
 import lupinwood.council.FleetView;
 import lupinwood.council.Hands;
-import lupinwood.fleet.Condition;
 import lupinwood.failover.Place;
+import lupinwood.fleet.Condition;
 import lupinwood.fleet.DutyName;
 import lupinwood.fleet.Report;
 import lupinwood.fleet.Tally;
@@ -26,8 +26,9 @@
 import lupinwood.settings.Meaning;
 
 /**
- * The fleet as the node sees it: what the node is, told to the fleet; what the fleet found, told to the pool of servers.
- * The deciding thread reads a ready picture; it never waits for the fleet, and without one all is as alone.
+ * The fleet as the node sees it: what the node is, told to the fleet; what the fleet found, told to
+ * the pool of servers. The deciding thread reads a ready picture; it never waits for the fleet, and
+ * without one all is as alone.
  */
 final class FleetPart {
     private static final Span LOOK = Span.ofSeconds(0.1);
@@ -49,23 +50,40 @@
     private final Counts counts = new Counts();
     private volatile Tally tally = Tally.NOTHING;
     private List<FleetView.Found> heard = List.of();
+
     /** The token of the try that is under way. */
     private Token tries;
 
     /**
      * @param servers null where none carries out tickets
-     * @param hands checks and takes the fleet's text; asked for when the fleet's part starts; null where nobody does
+     * @param hands checks and takes the fleet's text; asked for when the fleet's part starts; null
+     *     where nobody does
      * @param leave has this node leave as by the notice; returns at once
      */
-    FleetPart(Meaning meaning, AjpServers servers, Deadlines deadlines, Supplier<Hands> hands, Runnable leave, Log log) {
+    FleetPart(
+            Meaning meaning,
+            AjpServers servers,
+            Deadlines deadlines,
+            Supplier<Hands> hands,
+            Runnable leave,
+            Log log) {
         this.deadlines = deadlines;
         this.servers = servers;
         settings = FleetSettings.of(meaning);
         places = FleetSettings.places(meaning);
         warmAfter = new Span(meaning.number("rules warm-after", BigDecimal.ZERO).longValue());
-        fleet = new Fleet(settings, new Fleet.Self(() -> condition, () -> leftOut, () -> emptied, () -> uses, () -> tally,
-                () -> hands.get() == null ? Hands.NONE : hands.get(), leave),
-                log);
+        fleet =
+                new Fleet(
+                        settings,
+                        new Fleet.Self(
+                                () -> condition,
+                                () -> leftOut,
+                                () -> emptied,
+                                () -> uses,
+                                () -> tally,
+                                () -> hands.get() == null ? Hands.NONE : hands.get(),
+                                leave),
+                        log);
     }
 
     void start() {
@@ -81,12 +99,16 @@
         }
         if (servers != null) {
             servers.pool().trialsBy(new InCommon());
-            servers.markTrials(() -> tries == null ? Map.of() : Map.of("X-Duty-Token", tries.toString()));
+            servers.markTrials(
+                    () -> tries == null ? Map.of() : Map.of("X-Duty-Token", tries.toString()));
         }
         look();
     }
 
-    /** What may be out where: by the plan while its lease lasts, else by standing right; all that isn't planned is as without. */
+    /**
+     * What may be out where: by the plan while its lease lasts, else by standing right; all that
+     * isn't planned is as without.
+     */
     private void shareServers() {
         Pool pool = servers.pool();
         Map<String, Place> planned = new TreeMap<>();
@@ -96,23 +118,34 @@
             Place place = planned.get(pool.name(i));
             away[i] = place == null ? 0 : place.distance(settings.site());
         }
-        servers.share(away, server -> {
-            Place place = planned.get(pool.name(server));
-            if (place == null) {
-                return Integer.MAX_VALUE;
-            }
-            FleetView.Share share = fleet.view().share();
-            int alone = place.alone(settings.site());
-            return monotonic().isBefore(share.until()) ? Math.max(alone, share.slots().getOrDefault(place.name(), 0)) : alone;
-        });
+        servers.share(
+                away,
+                server -> {
+                    Place place = planned.get(pool.name(server));
+                    if (place == null) {
+                        return Integer.MAX_VALUE;
+                    }
+                    FleetView.Share share = fleet.view().share();
+                    int alone = place.alone(settings.site());
+                    return monotonic().isBefore(share.until())
+                            ? Math.max(alone, share.slots().getOrDefault(place.name(), 0))
+                            : alone;
+                });
     }
 
     private List<Report.Use> uses() {
         Pool pool = servers.pool();
         List<Report.Use> told = new ArrayList<>();
         for (int i = 0; i < pool.size(); i++) {
-            told.add(new Report.Use(pool.name(i), pool.out(i), servers.asked(i), servers.ended(i), servers.failed(i), servers.took(i),
-                    pool.isLeftOut(i)));
+            told.add(
+                    new Report.Use(
+                            pool.name(i),
+                            pool.out(i),
+                            servers.asked(i),
+                            servers.ended(i),
+                            servers.failed(i),
+                            servers.took(i),
+                            pool.isLeftOut(i)));
         }
         return told;
     }
@@ -143,7 +176,13 @@
             if (found != heard) {
                 heard = found;
                 Moment now = monotonic();
-                found.forEach(one -> pool.told(one.server(), one.well(), host.now().minus(now.since(one.at())), host.now()));
+                found.forEach(
+                        one ->
+                                pool.told(
+                                        one.server(),
+                                        one.well(),
+                                        host.now().minus(now.since(one.at())),
+                                        host.now()));
             }
         }
         deadlines.at(host.now().plus(LOOK), this::look);
@@ -166,7 +205,9 @@
         return fleet.figures();
     }
 
-    /** One tries for all while the council can be heard; without its word each node tries by itself. */
+    /**
+     * One tries for all while the council can be heard; without its word each node tries by itself.
+     */
     private final class InCommon implements Trials {
         @Override
         public boolean mayTry(String server) {
--- a/src/main/java/lupinwood/net/Front.java
+++ b/src/main/java/lupinwood/net/Front.java
@@ -17,22 +17,35 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * What all fronts have in common: connections that tell the host what comes on them, answers that go out once a
- * round, and the bounds on what may wait for who doesn't read. A connection that isn't of this front is passed over.
+ * What all fronts have in common: connections that tell the host what comes on them, answers that
+ * go out once a round, and the bounds on what may wait for who doesn't read. A connection that
+ * isn't of this front is passed over.
  */
 abstract class Front<T> implements Dispatchers {
     /** What may wait for one caller to read: a whole set of the longest answers. */
     private static final long MOST_WAITING = 160 * 1024;
-    /** What may wait for all together; past it whoever has more than a few answers waiting is cut off. */
+
+    /**
+     * What may wait for all together; past it whoever has more than a few answers waiting is cut
+     * off.
+     */
     private static final long MOST_WAITING_ALL = Tables.share(0.3);
+
     private static final long FEW = 16 * 1024;
+
     /**
-     * A message that was begun is whole within so many of these. Each begins when the one before was seen to be over:
-     * after a pause, the rest of it has still to be read here, so a pause counts once.
+     * A message that was begun is whole within so many of these. Each begins when the one before
+     * was seen to be over: after a pause, the rest of it has still to be read here, so a pause
+     * counts once.
      */
     private static final Span SILENCE = Span.ofSeconds(0.25);
+
     private static final int MOST_SILENCES = 6;
-    /** A ticket may cross the wish to close for so long; one that crosses a close for less is sent again. */
+
+    /**
+     * A ticket may cross the wish to close for so long; one that crosses a close for less is sent
+     * again.
+     */
     private static final Span CROSSING = Span.ofSeconds(0.05);
 
     private final Decider decider;
@@ -126,20 +139,32 @@
 
     // ---- in ----
 
-    /** One connection. What is read of it is made whole by the socket thread and told to the deciding one. */
+    /**
+     * One connection. What is read of it is made whole by the socket thread and told to the
+     * deciding one.
+     */
     abstract class Caller implements Peer {
         private Outbox outbox;
         private ConnectionId id;
+
         /** Nothing more is read from it; set by the deciding thread. */
         private volatile boolean over;
+
         /** How many messages came, and whether one is begun, as told by the socket thread. */
         private volatile long messages;
+
         private volatile boolean midway;
         private boolean watched;
-        /** Its output ends with this round, so that all read with what ended it still gets its answer. */
+
+        /**
+         * Its output ends with this round, so that all read with what ended it still gets its
+         * answer.
+         */
         private boolean ends;
+
         /** Nothing more is written to it; and that has gone out. */
         private boolean ended;
+
         private boolean outputOver;
         private boolean inputOver;
 
@@ -164,51 +189,61 @@
         }
 
         /**
-         * Guards against answers that a reset takes with it: the end goes out behind the last of them, then what
-         * still comes is read and passed over until the other side ends too. The host bounds the time for it.
+         * Guards against answers that a reset takes with it: the end goes out behind the last of
+         * them, then what still comes is read and passed over until the other side ends too. The
+         * host bounds the time for it.
          */
         private void end() {
             ended = true;
             over = true;
-            outbox.onceWritten(() -> decider.tell(() -> {
-                outputOver = true;
-                if (inputOver) {
-                    outbox.closeNow();
-                } else {
-                    outbox.endOutput();
-                    host.written(id);
-                }
-            }));
+            outbox.onceWritten(
+                    () ->
+                            decider.tell(
+                                    () -> {
+                                        outputOver = true;
+                                        if (inputOver) {
+                                            outbox.closeNow();
+                                        } else {
+                                            outbox.endOutput();
+                                            host.written(id);
+                                        }
+                                    }));
         }
 
-        /** It was asked to close, and the host turns away what crosses that; if nothing does it goes. */
+        /**
+         * It was asked to close, and the host turns away what crosses that; if nothing does it
+         * goes.
+         */
         private void closeSoon() {
             long before = messages;
-            deadlines.at(host.now().plus(CROSSING), () -> {
-                if (messages == before) {
-                    outbox.closeNow();
-                } else {
-                    ends = true;
-                    flushSoon(this);
-                    deadlines.at(host.now().plus(CROSSING), outbox::closeNow);
-                }
-            });
+            deadlines.at(
+                    host.now().plus(CROSSING),
+                    () -> {
+                        if (messages == before) {
+                            outbox.closeNow();
+                        } else {
+                            ends = true;
+                            flushSoon(this);
+                            deadlines.at(host.now().plus(CROSSING), outbox::closeNow);
+                        }
+                    });
         }
 
         @Override
         public void opened(IoSession session) {
-            decider.tell(() -> {
-                outbox = new Outbox(session);
-                id = host.connected();
-                if (id == null) {
-                    log.line("no room for one more dispatcher's connection");
-                    outbox.closeNow();
-                } else {
-                    callers.put(id, this);
-                    // It may have been told to send no more before it could be found.
-                    host.greet(id);
-                }
-            });
+            decider.tell(
+                    () -> {
+                        outbox = new Outbox(session);
+                        id = host.connected();
+                        if (id == null) {
+                            log.line("no room for one more dispatcher's connection");
+                            outbox.closeNow();
+                        } else {
+                            callers.put(id, this);
+                            // It may have been told to send no more before it could be found.
+                            host.greet(id);
+                        }
+                    });
         }
 
         @Override
@@ -222,11 +257,12 @@
                 for (T message = next(bytes); message != null; message = next(bytes)) {
                     Runnable read = read(message);
                     messages++;
-                    news.add(() -> {
-                        if (id != null) {
-                            read.run();
-                        }
-                    });
+                    news.add(
+                            () -> {
+                                if (id != null) {
+                                    read.run();
+                                }
+                            });
                 }
                 boolean was = midway;
                 midway = isMidway();
@@ -247,52 +283,57 @@
         }
 
         private void awaitEnd(long before, int left) {
-            deadlines.at(host.now().plus(SILENCE), () -> {
-                if (!midway || messages != before || id == null) {
-                    watched = false;
-                    watch();
-                } else if (left > 1) {
-                    awaitEnd(before, left - 1);
-                } else {
-                    watched = false;
-                    host.leftOff(id);
-                    if (!over) {
-                        watch(); // it may be slow
-                    }
-                }
-            });
+            deadlines.at(
+                    host.now().plus(SILENCE),
+                    () -> {
+                        if (!midway || messages != before || id == null) {
+                            watched = false;
+                            watch();
+                        } else if (left > 1) {
+                            awaitEnd(before, left - 1);
+                        } else {
+                            watched = false;
+                            host.leftOff(id);
+                            if (!over) {
+                                watch(); // it may be slow
+                            }
+                        }
+                    });
         }
 
         @Override
         public void inputClosed(IoSession session) {
             session.suspendRead();
-            decider.tell(() -> {
-                inputOver = true;
-                if (outputOver) {
-                    outbox.closeNow();
-                } else if (id != null) {
-                    host.halfClosed(id);
-                }
-            });
+            decider.tell(
+                    () -> {
+                        inputOver = true;
+                        if (outputOver) {
+                            outbox.closeNow();
+                        } else if (id != null) {
+                            host.halfClosed(id);
+                        }
+                    });
         }
 
         @Override
         public void malformed(IoSession session) {
-            decider.tell(() -> {
-                if (id != null) {
-                    host.malformed(id);
-                }
-            });
+            decider.tell(
+                    () -> {
+                        if (id != null) {
+                            host.malformed(id);
+                        }
+                    });
         }
 
         @Override
         public void closed(boolean malformed) {
-            decider.tell(() -> {
-                if (id != null) {
-                    callers.remove(id);
-                    host.disconnected(id);
-                }
-            });
+            decider.tell(
+                    () -> {
+                        if (id != null) {
+                            callers.remove(id);
+                            host.disconnected(id);
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/lupinwood/net/Fronts.java
+++ b/src/main/java/lupinwood/net/Fronts.java
@@ -5,7 +5,10 @@
 import lupinwood.core.Dispatchers;
 import lupinwood.core.Ending;
 
-/** Several fronts as one: each connection is one front's, and the others pass over what is said to it. */
+/**
+ * Several fronts as one: each connection is one front's, and the others pass over what is said to
+ * it.
+ */
 record Fronts(Dispatchers one, Dispatchers other) implements Dispatchers {
     @Override
     public void answer(ConnectionId connection, long tag, Answer answer) {
--- a/src/main/java/lupinwood/net/HalfClose.java
+++ b/src/main/java/lupinwood/net/HalfClose.java
@@ -7,8 +7,9 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * Ends one direction of a connection, which MINA has no word for. A socket closed over bytes that nobody read is
- * reset, and the reset may overtake answers on their way; so output ends first, and what still comes is read.
+ * Ends one direction of a connection, which MINA has no word for. A socket closed over bytes that
+ * nobody read is reset, and the reset may overtake answers on their way; so output ends first, and
+ * what still comes is read.
  */
 final class HalfClose {
     private static final Method CHANNEL = channel();
--- a/src/main/java/lupinwood/net/HttpReplyParser.java
+++ b/src/main/java/lupinwood/net/HttpReplyParser.java
@@ -34,7 +34,9 @@
                 throw new Malformed("a reply with a head of over " + MOST_HEAD + " bytes");
             }
             int length = head.length();
-            if (length >= 4 && head.charAt(length - 1) == '\n' && head.indexOf("\r\n\r\n", length - 4) >= 0) {
+            if (length >= 4
+                    && head.charAt(length - 1) == '\n'
+                    && head.indexOf("\r\n\r\n", length - 4) >= 0) {
                 reply = read(head.toString());
                 head.setLength(0);
             }
@@ -45,7 +47,9 @@
     private Reply read(String text) throws Malformed {
         String[] lines = text.split("\r\n");
         String[] status = lines[0].split(" ");
-        if (status.length < 2 || !status[0].startsWith("HTTP/1.") || !status[1].matches("[1-5][0-9][0-9]")) {
+        if (status.length < 2
+                || !status[0].startsWith("HTTP/1.")
+                || !status[1].matches("[1-5][0-9][0-9]")) {
             throw new Malformed("no status line");
         }
         int code = Integer.parseInt(status[1]);
@@ -62,13 +66,14 @@
                 case "content-length" -> {
                     long length = LineParser.number(value);
                     if (length > MOST_BODY) {
-                        throw new Malformed("a body of " + length + " bytes, " + MOST_BODY + " at most");
+                        throw new Malformed(
+                                "a body of " + length + " bytes, " + MOST_BODY + " at most");
                     }
                     left = lengthTold ? 0 : (int) length;
                     lengthTold = true;
                 }
                 case "connection" -> keeps &= !value.equals("close");
-                default -> { }
+                default -> {}
             }
         }
         // A body whose length isn't told ends with the connection.
--- a/src/main/java/lupinwood/net/IndexLink.java
+++ b/src/main/java/lupinwood/net/IndexLink.java
@@ -18,30 +18,44 @@
 import lupinwood.node.Span;
 
 /**
- * Calls to the shared index: a small pool of connections with one call at a time on each, so that whatever
- * comes in place of a reply costs that call alone. The one used last is used first; the others soon go.
+ * Calls to the shared index: a small pool of connections with one call at a time on each, so that
+ * whatever comes in place of a reply costs that call alone. The one used last is used first; the
+ * others soon go.
  */
 final class IndexLink implements Index {
     /**
-     * An idle connection is used again within this. The other side may forget idle ones without a word, and a
-     * reset then looks like that of a call that ran; one that carried a reply just now is no such risk.
+     * An idle connection is used again within this. The other side may forget idle ones without a
+     * word, and a reset then looks like that of a call that ran; one that carried a reply just now
+     * is no such risk.
      */
     private static final Span JUST_USED = Span.ofSeconds(0.5);
-    /** A connection carries as many calls: their ids are remembered, so that none comes twice on it. */
+
+    /**
+     * A connection carries as many calls: their ids are remembered, so that none comes twice on it.
+     */
     private static final int MOST_CALLS = 64;
 
     private record Call(TryId id, Span cap, byte[] body) {}
 
     private final Means means;
+
     /** Connections at once; calls past that wait for one, within their caps. */
     private final int most;
+
     /** Null where there is nothing below to call. */
     private InetSocketAddress address;
+
     private final Map<TryId, Line> lines = new HashMap<>();
-    /** All that may hold a descriptor: those that connect, stand, or were closed and have not ended yet. */
+
+    /**
+     * All that may hold a descriptor: those that connect, stand, or were closed and have not ended
+     * yet.
+     */
     private int open;
+
     /** Those without a call, the one used last first. */
     private final Deque<Line> idle = new ArrayDeque<>();
+
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Set<Line> toFlush = new HashSet<>();
     private Host host;
@@ -72,11 +86,13 @@
             return;
         }
         // A reply names only the try: a late copy of an earlier one must not pass for this call's.
-        Line line = idle.stream().filter(free -> !free.carried.contains(id)).findFirst().orElse(null);
+        Line line =
+                idle.stream().filter(free -> !free.carried.contains(id)).findFirst().orElse(null);
         if (line == null && open >= most) {
             waiting.add(new Call(id, cap, body));
             if (!idle.isEmpty()) {
-                idle.getLast().close(); // none of the idle ones can carry it; it gets the place of one
+                idle.getLast()
+                        .close(); // none of the idle ones can carry it; it gets the place of one
             }
             return;
         }
@@ -95,7 +111,8 @@
         if (line == null) {
             waiting.removeIf(call -> call.id().equals(id));
         } else {
-            // Closing gives the call up, and a connection that left a call without a reply is of no more use.
+            // Closing gives the call up, and a connection that left a call without a reply is of no
+            // more use.
             line.call = null;
             line.close();
         }
@@ -117,18 +134,25 @@
     private final class Line extends Outbound<LineParser.Message> {
         private final InetSocketAddress to = address;
         private final Set<TryId> carried = new HashSet<>();
+
         /** The call that is out, or null. */
         private Call call;
+
         private Deadlines.Deadline tooOld;
         private Moment idleSince;
+
         /** How long it was idle before the call that is out; null if it is its first. */
         private Span idleFor;
+
         /** It takes no new call. */
         private boolean closing;
+
         private boolean over;
 
         Line() {
-            super(means.decider(), new LineParser(words -> words.length == 3 && words[1].equals("HIT")));
+            super(
+                    means.decider(),
+                    new LineParser(words -> words.length == 3 && words[1].equals("HIT")));
         }
 
         void begin(Call begun) {
@@ -144,8 +168,16 @@
 
         private void write() {
             long millis = Math.max(1, call.cap().nanos() / 1_000_000);
-            outbox().add("GET " + call.id().digits() + " " + millis + " " + call.body().length + "\r\n")
-                    .add(call.body()).add("\r\n");
+            outbox().add(
+                            "GET "
+                                    + call.id().digits()
+                                    + " "
+                                    + millis
+                                    + " "
+                                    + call.body().length
+                                    + "\r\n")
+                    .add(call.body())
+                    .add("\r\n");
             toFlush.add(this);
         }
 
@@ -174,7 +206,8 @@
             }
             TryId id = new TryId(words[0]);
             Ending ending = ending(words[1]);
-            // Guards against a good reply cut short before its length: it must not pass for an empty one.
+            // Guards against a good reply cut short before its length: it must not pass for an
+            // empty one.
             if (words.length != (ending == Ending.WELL ? 3 : 2)) {
                 throw new Malformed("a reply of the index with " + words.length + " words");
             }
@@ -217,8 +250,14 @@
             open--;
             if (id != null) {
                 release();
-                means.log().line("a connection to the index ended with a call out: " + ending
-                        + (idleFor == null ? ", fresh" : ", idle before for ms: " + idleFor.nanos() / 1_000_000));
+                means.log()
+                        .line(
+                                "a connection to the index ended with a call out: "
+                                        + ending
+                                        + (idleFor == null
+                                                ? ", fresh"
+                                                : ", idle before for ms: "
+                                                        + idleFor.nanos() / 1_000_000));
                 host.callEnded(id, ending, null);
             }
             IndexLink.this.next();
--- a/src/main/java/lupinwood/net/LineParser.java
+++ b/src/main/java/lupinwood/net/LineParser.java
@@ -6,7 +6,9 @@
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
 
-/** Reads lines of words and, where the last word is a length, the bytes that follow; however split. */
+/**
+ * Reads lines of words and, where the last word is a length, the bytes that follow; however split.
+ */
 final class LineParser implements Parser<LineParser.Message> {
     /** One message: its words and its bytes, none where the line has no length. */
     record Message(String[] words, byte[] body) {}
--- a/src/main/java/lupinwood/net/NamingReporter.java
+++ b/src/main/java/lupinwood/net/NamingReporter.java
@@ -17,24 +17,35 @@
 final class NamingReporter {
     /** A third of the time after which a silent node is taken off the list. */
     private static final Span EVERY = Span.ofSeconds(1);
-    /** A report that isn't answered by then no longer keeps the node listed; its connection is given up. */
+
+    /**
+     * A report that isn't answered by then no longer keeps the node listed; its connection is given
+     * up.
+     */
     private static final Span PATIENCE = Span.ofSeconds(3);
+
     /**
-     * As many as can be out within the patience: a service that answers none must not silence the reports.
+     * As many as can be out within the patience: a service that answers none must not silence the
+     * reports.
      */
     static final int MOST_AT_ONCE = 4;
+
     private static final int NO_CONTENT = 204;
 
     private InetSocketAddress address;
     private final String path;
     private final Means means;
     private final Deque<Line> free = new ArrayDeque<>();
+
     /** Those with a report under way, the oldest first. */
     private final Set<Line> under = new LinkedHashSet<>();
+
     private boolean failing;
     private boolean leaving;
+
     /** The service took the last report, and no other was under way beside it. */
     private boolean lastTaken;
+
     private Host host;
 
     NamingReporter(InetSocketAddress address, String name, Means means) {
@@ -60,9 +71,10 @@
     }
 
     /**
-     * One last report, so that the list needn't wait for silence. Guards against an earlier one that is still
-     * under way and overtakes it, and against a service that is away: the last is said again once the others have
-     * ended, until the service has taken one with no other under way.
+     * One last report, so that the list needn't wait for silence. Guards against an earlier one
+     * that is still under way and overtakes it, and against a service that is away: the last is
+     * said again once the others have ended, until the service has taken one with no other under
+     * way.
      */
     void leave() {
         leaving = true;
@@ -103,8 +115,11 @@
     private void heard(String trouble) {
         if (failing != (trouble != null)) {
             failing = trouble != null;
-            means.log().line(failing ? "the name service takes no reports: " + trouble
-                    : "the name service takes reports again");
+            means.log()
+                    .line(
+                            failing
+                                    ? "the name service takes no reports: " + trouble
+                                    : "the name service takes reports again");
         }
     }
 
@@ -112,8 +127,10 @@
         private final InetSocketAddress to = address;
         private Deadlines.Deadline deadline;
         private boolean asked = true;
+
         /** What it says last is that the node leaves, and no report was under way beside it. */
         private boolean isLast;
+
         private boolean over;
 
         Line() {
@@ -124,9 +141,16 @@
             asked = true;
             isLast = leaving && under.size() == 1;
             String body = "{\"serving\":\"" + (leaving ? "no" : "yes") + "\"}";
-            outbox().add("PUT " + path + " HTTP/1.1\r\nHost: naming\r\n"
-                    + "Content-Type: application/json\r\n"
-                    + "Content-Length: " + body.length() + "\r\n\r\n" + body).flush();
+            outbox().add(
+                            "PUT "
+                                    + path
+                                    + " HTTP/1.1\r\nHost: naming\r\n"
+                                    + "Content-Type: application/json\r\n"
+                                    + "Content-Length: "
+                                    + body.length()
+                                    + "\r\n\r\n"
+                                    + body)
+                    .flush();
         }
 
         @Override
--- a/src/main/java/lupinwood/net/NodeConfig.java
+++ b/src/main/java/lupinwood/net/NodeConfig.java
@@ -68,7 +68,8 @@
         try (Reader reader = Files.newBufferedReader(file)) {
             read = JsonParser.parseReader(reader);
         } catch (IOException e) {
-            throw new Unusable("can't read the configuration " + file + ": " + e.getClass().getSimpleName());
+            throw new Unusable(
+                    "can't read the configuration " + file + ": " + e.getClass().getSimpleName());
         } catch (JsonParseException e) {
             throw new Unusable("the configuration " + file + " is no JSON");
         }
@@ -89,7 +90,10 @@
         return of(meaning.flat(), meaning, List.of());
     }
 
-    /** This one with other values, where they differ; what is the same keeps the form in which it came. */
+    /**
+     * This one with other values, where they differ; what is the same keeps the form in which it
+     * came.
+     */
     public NodeConfig with(Meaning next) throws Unusable {
         Map<String, String> flat = new TreeMap<>(meaning.flat());
         settings.forEach((key, kept) -> flat.put("settings." + key, kept));
@@ -108,35 +112,51 @@
         return of(flat, next, doubts);
     }
 
-    private static NodeConfig of(Map<String, String> flat, Meaning meaning, List<Fault> faults) throws Unusable {
+    private static NodeConfig of(Map<String, String> flat, Meaning meaning, List<Fault> faults)
+            throws Unusable {
         StringJoiner certain = new StringJoiner("; ");
         faults.stream().filter(Fault::certain).forEach(fault -> certain.add(said(fault)));
         if (certain.length() > 0) {
             throw new Unusable("the configuration can't be used: " + certain);
         }
         Map<String, String> settings = new TreeMap<>();
-        flat.forEach((key, kept) -> {
-            if (key.startsWith(SETTINGS)) {
-                settings.put(key.substring(SETTINGS.length()), kept);
-            }
-        });
+        flat.forEach(
+                (key, kept) -> {
+                    if (key.startsWith(SETTINGS)) {
+                        settings.put(key.substring(SETTINGS.length()), kept);
+                    }
+                });
         settings.put(STEP, Long.toString(step(meaning)));
-        return new NodeConfig(flat.get("name"), address(flat, "listen"), address(flat, "executor"),
-                address(flat, "index"), address(flat, "naming"), Long.parseUnsignedLong(flat.get("seed"), 16),
+        return new NodeConfig(
+                flat.get("name"),
+                address(flat, "listen"),
+                address(flat, "executor"),
+                address(flat, "index"),
+                address(flat, "naming"),
+                Long.parseUnsignedLong(flat.get("seed"), 16),
                 new Span(meaning.number("stop", null).longValue()),
-                meaning.number("limits descriptors", null).min(MOST_SOCKETS).intValue(), settings, meaning, List.copyOf(faults));
+                meaning.number("limits descriptors", null).min(MOST_SOCKETS).intValue(),
+                settings,
+                meaning,
+                List.copyOf(faults));
     }
 
     /**
-     * The step in nanoseconds. Sockets have one of their own, which is fine enough for any ticket: it stands in for
-     * one that isn't told, or that would leave a ticket of this deployment no time.
+     * The step in nanoseconds. Sockets have one of their own, which is fine enough for any ticket:
+     * it stands in for one that isn't told, or that would leave a ticket of this deployment no
+     * time.
      */
     private static long step(Meaning meaning) {
         Entry entry = Schema.named("step");
-        BigDecimal shortest = meaning.tracks().stream().map(track -> meaning.number("track " + track + " abandon-time", null))
-                .min(Comparator.naturalOrder()).orElse(entry.most());
+        BigDecimal shortest =
+                meaning.tracks().stream()
+                        .map(track -> meaning.number("track " + track + " abandon-time", null))
+                        .min(Comparator.naturalOrder())
+                        .orElse(entry.most());
         BigDecimal told = meaning.number("step", BigDecimal.ZERO);
-        boolean fits = told.compareTo(entry.least()) >= 0 && told.multiply(new BigDecimal(4)).compareTo(shortest) <= 0;
+        boolean fits =
+                told.compareTo(entry.least()) >= 0
+                        && told.multiply(new BigDecimal(4)).compareTo(shortest) <= 0;
         return fits ? told.longValue() : Math.min(Decider.PACE, shortest.longValue() / 8);
     }
 
@@ -147,7 +167,9 @@
 
     /** The doubts in one line, or null. */
     public String doubtful() {
-        return doubts.isEmpty() ? null : doubts.stream().map(NodeConfig::said).collect(Collectors.joining("; "));
+        return doubts.isEmpty()
+                ? null
+                : doubts.stream().map(NodeConfig::said).collect(Collectors.joining("; "));
     }
 
     /** Entries that no node reads: a later platform may have more, or a name is misspelled. */
@@ -155,8 +177,12 @@
         List<Fault> unknown = new ArrayList<>();
         for (String key : flat.keySet()) {
             String general = PLACE.matcher(key).replaceFirst(".#.");
-            boolean known = Schema.keyed(key) != null || Schema.keyed(general) != null
-                    || Schema.keyed(key + ".#") != null || key.endsWith(".count") || general.endsWith(".#.name");
+            boolean known =
+                    Schema.keyed(key) != null
+                            || Schema.keyed(general) != null
+                            || Schema.keyed(key + ".#") != null
+                            || key.endsWith(".count")
+                            || general.endsWith(".#.name");
             if (!known && !Schema.isNotNeeded(key)) {
                 unknown.add(new Fault(key, "nothing reads the entry " + key, "", false));
             }
@@ -167,36 +193,46 @@
     /** Of a text that was checked to be one; its host may be unknown. */
     static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    private static InetSocketAddress address(Map<String, String> flat, String name) throws Unusable {
+    private static InetSocketAddress address(Map<String, String> flat, String name)
+            throws Unusable {
         String text = flat.get(name);
         if (text == null) {
             return null; // only of an entry that isn't needed
         }
         InetSocketAddress address = address(text);
         if (address.isUnresolved()) {
-            throw new Unusable("'" + name + "' in the configuration names a host that isn't known: " + text);
+            throw new Unusable(
+                    "'" + name + "' in the configuration names a host that isn't known: " + text);
         }
         return address;
     }
 
     /**
-     * Names joined by dots; plain lists joined by commas; lists of objects numbered, with their count. What is null or
-     * empty is left out, as if it were absent.
+     * Names joined by dots; plain lists joined by commas; lists of objects numbered, with their
+     * count. What is null or empty is left out, as if it were absent.
      */
     private static void flatten(String path, JsonElement value, Map<String, String> into) {
-        if (value.isJsonNull() || value.isJsonArray() && value.getAsJsonArray().isEmpty()
+        if (value.isJsonNull()
+                || value.isJsonArray() && value.getAsJsonArray().isEmpty()
                 || value.isJsonPrimitive() && value.getAsString().isEmpty()) {
             return;
         }
         if (value.isJsonObject()) {
             String prefix = path.isEmpty() ? "" : path + ".";
-            value.getAsJsonObject().entrySet().forEach(e -> flatten(prefix + e.getKey(), e.getValue(), into));
+            value.getAsJsonObject()
+                    .entrySet()
+                    .forEach(e -> flatten(prefix + e.getKey(), e.getValue(), into));
         } else if (!value.isJsonArray()) {
             // The name service knows the node by its name as it stands.
-            into.put(path, path.equals("name") && value.isJsonPrimitive() ? value.getAsString() : plain(value));
+            into.put(
+                    path,
+                    path.equals("name") && value.isJsonPrimitive()
+                            ? value.getAsString()
+                            : plain(value));
         } else if (value.getAsJsonArray().asList().stream().anyMatch(JsonElement::isJsonObject)) {
             into.put(path + ".count", Integer.toString(value.getAsJsonArray().size()));
             for (int i = 0; i < value.getAsJsonArray().size(); i++) {
--- a/src/main/java/lupinwood/net/OpenFiles.java
+++ b/src/main/java/lupinwood/net/OpenFiles.java
@@ -10,7 +10,11 @@
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final File OPEN = new File("/proc/self/fd");
     private static final String SAYS = "Max open files";
-    /** As many as the JVM and the selectors were seen to have, from one jar, where the system doesn't tell. */
+
+    /**
+     * As many as the JVM and the selectors were seen to have, from one jar, where the system
+     * doesn't tell.
+     */
     private static final int USUALLY = 20;
 
     private OpenFiles() {}
@@ -21,7 +25,10 @@
         return open == null ? USUALLY : open.length;
     }
 
-    /** How many may be, as the system has it; the most of an int where it sets no bound or doesn't tell. */
+    /**
+     * How many may be, as the system has it; the most of an int where it sets no bound or doesn't
+     * tell.
+     */
     static int limit() {
         try {
             for (String line : Files.readAllLines(LIMITS)) {
--- a/src/main/java/lupinwood/net/Outbound.java
+++ b/src/main/java/lupinwood/net/Outbound.java
@@ -11,9 +11,11 @@
 abstract class Outbound<T> implements Peer {
     private final Decider decider;
     private final Parser<T> parser;
+
     /** Null until it stands. */
     private Outbox outbox;
-    private Runnable calledOff = () -> { };
+
+    private Runnable calledOff = () -> {};
 
     Outbound(Decider decider, Parser<T> parser) {
         this.decider = decider;
@@ -33,7 +35,10 @@
         calledOff = sockets.connect(address, this, ending -> decider.tell(() -> ended(ending)));
     }
 
-    /** Ends it now. One that does not stand yet is called off, and holds no descriptor until the other side answers. */
+    /**
+     * Ends it now. One that does not stand yet is called off, and holds no descriptor until the
+     * other side answers.
+     */
     final void hangUp() {
         if (outbox == null) {
             calledOff.run();
@@ -48,10 +53,11 @@
 
     @Override
     public final void opened(IoSession session) {
-        decider.tell(() -> {
-            outbox = new Outbox(session);
-            stands();
-        });
+        decider.tell(
+                () -> {
+                    outbox = new Outbox(session);
+                    stands();
+                });
     }
 
     @Override
--- a/src/main/java/lupinwood/net/Outbox.java
+++ b/src/main/java/lupinwood/net/Outbox.java
@@ -10,6 +10,7 @@
 final class Outbox {
     private final IoSession session;
     private final ByteArrayOutputStream gathered = new ByteArrayOutputStream(256);
+
     /** The latest that went to the socket thread; null before the first. */
     private WriteFuture latest;
 
@@ -46,7 +47,9 @@
         session.closeNow();
     }
 
-    /** Once all that was added has gone out, or can't any more; on the socket thread, or at once. */
+    /**
+     * Once all that was added has gone out, or can't any more; on the socket thread, or at once.
+     */
     void onceWritten(Runnable job) {
         flush();
         if (latest == null) {
--- a/src/main/java/lupinwood/net/Processor.java
+++ b/src/main/java/lupinwood/net/Processor.java
@@ -5,13 +5,15 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * Reads and writes all connections, and tells when the descriptor of an accepted one is free. A channel that is closed
- * keeps it until the selector has let go of the channel, with its next selection.
+ * Reads and writes all connections, and tells when the descriptor of an accepted one is free. A
+ * channel that is closed keeps it until the selector has let go of the channel, with its next
+ * selection.
  */
 final class Processor extends NioProcessor {
     private static final String FREED = "freed";
 
     private final AcceptLimit limit;
+
     /** Closed, and not let go of yet; of the thread that reads and writes. */
     private int closed;
 
--- a/src/main/java/lupinwood/net/RespParser.java
+++ b/src/main/java/lupinwood/net/RespParser.java
@@ -4,14 +4,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads RESP arrays of bulk strings, however they are split; lengths are bounded before anything is kept. */
+/**
+ * Reads RESP arrays of bulk strings, however they are split; lengths are bounded before anything is
+ * kept.
+ */
 final class RespParser implements Parser<List<byte[]>> {
     private static final int MOST_ITEMS = 8;
     private static final int MOST_DIGITS = 10;
+
     /** Twice the body that the protocol allows, so that a body too long still gets its answer. */
     private static final int MOST_BYTES = 4096;
 
-    private enum At { ARRAY, BULK, BYTES, END }
+    private enum At {
+        ARRAY,
+        BULK,
+        BYTES,
+        END
+    }
 
     private final List<byte[]> items = new ArrayList<>();
     private final StringBuilder digits = new StringBuilder();
@@ -82,8 +91,11 @@
     private int number(ByteBuffer in, char sign, int most) throws Malformed {
         while (in.hasRemaining()) {
             char c = (char) (in.get() & 0xff);
-            if (digits.isEmpty() ? c != sign : digits.charAt(digits.length() - 1) == '\r' ? c != '\n'
-                    : c == '\r' ? digits.length() < 2 : c < '0' || c > '9') {
+            if (digits.isEmpty()
+                    ? c != sign
+                    : digits.charAt(digits.length() - 1) == '\r'
+                            ? c != '\n'
+                            : c == '\r' ? digits.length() < 2 : c < '0' || c > '9') {
                 throw new Malformed("no " + sign + " and number where one should stand");
             }
             if (c == '\n') {
--- a/src/main/java/lupinwood/net/Sockets.java
+++ b/src/main/java/lupinwood/net/Sockets.java
@@ -42,7 +42,10 @@
         this(log, CONNECT_MS);
     }
 
-    /** With another time, in milliseconds, after which a connection that the other side neither takes nor refuses is given up. */
+    /**
+     * With another time, in milliseconds, after which a connection that the other side neither
+     * takes nor refuses is given up.
+     */
     Sockets(Log log, long connectMs) {
         this.log = log;
         processor = new Processor(threads, limit);
@@ -68,7 +71,10 @@
         config.setMaxReadBufferSize(MOST_READ_BUFFER);
     }
 
-    /** So many accepted connections may hold descriptors at once, through all doors; none before this is told. */
+    /**
+     * So many accepted connections may hold descriptors at once, through all doors; none before
+     * this is told.
+     */
     void allow(int accepted) {
         limit.allow(accepted);
     }
@@ -106,16 +112,23 @@
         threads.shutdown();
     }
 
-    /** Exactly one of the peer's opened and this failure is told. What is returned calls it off, where that still can be. */
+    /**
+     * Exactly one of the peer's opened and this failure is told. What is returned calls it off,
+     * where that still can be.
+     */
     Runnable connect(InetSocketAddress address, Peer peer, Consumer<Ending> failure) {
-        ConnectFuture future = connector.connect(address,
-                (session, connecting) -> session.setAttribute(PEER, peer));
-        future.addListener(done -> {
-            if (!future.isConnected()) {
-                failure.accept(future.getException() instanceof ConnectException
-                        ? Ending.CONNECTION_REFUSED : Ending.NEVER_CONNECTED);
-            }
-        });
+        ConnectFuture future =
+                connector.connect(
+                        address, (session, connecting) -> session.setAttribute(PEER, peer));
+        future.addListener(
+                done -> {
+                    if (!future.isConnected()) {
+                        failure.accept(
+                                future.getException() instanceof ConnectException
+                                        ? Ending.CONNECTION_REFUSED
+                                        : Ending.NEVER_CONNECTED);
+                    }
+                });
         return future::cancel;
     }
 
@@ -146,7 +159,11 @@
             try {
                 peer(session).received(((IoBuffer) message).buf());
             } catch (Malformed e) {
-                log.line("closing the connection with " + session.getRemoteAddress() + ": " + e.getMessage());
+                log.line(
+                        "closing the connection with "
+                                + session.getRemoteAddress()
+                                + ": "
+                                + e.getMessage());
                 session.setAttribute(MALFORMED);
                 peer(session).malformed(session);
             }
--- a/src/main/java/lupinwood/net/WarmUp.java
+++ b/src/main/java/lupinwood/net/WarmUp.java
@@ -22,15 +22,16 @@
 import lupinwood.node.Span;
 
 /**
- * Plays made-up tickets through a host of its own before the door opens, so that the JVM has loaded and
- * compiled most of what the first real ones need. Nothing of it leaves the process or is kept.
+ * Plays made-up tickets through a host of its own before the door opens, so that the JVM has loaded
+ * and compiled most of what the first real ones need. Nothing of it leaves the process or is kept.
  */
 final class WarmUp implements Dispatchers, Executor, Index {
     /**
-     * Twice the 200 calls after which the JVM compiles a method: each that a ticket calls once is compiled by then. More
-     * only holds the door shut.
+     * Twice the 200 calls after which the JVM compiles a method: each that a ticket calls once is
+     * compiled by then. More only holds the door shut.
      */
     static final int TICKETS = 400;
+
     private static final long LONGEST_NANOS = 800_000_000L;
     static final int AT_ONCE = 8;
     private static final byte[] BODY = "warm".getBytes(StandardCharsets.UTF_8);
@@ -57,8 +58,15 @@
         for (int i = 0; i < read.number("customers.count", 0); i++) {
             customers.add(read.text("customers." + i + ".name"));
         }
-        host = new Host(settings, seed, maker, new Host.Ports(this, this, this, line -> { }), deadlines,
-                new Host.Bounds(64, 1024, 1024, 1 << 16), now);
+        host =
+                new Host(
+                        settings,
+                        seed,
+                        maker,
+                        new Host.Ports(this, this, this, line -> {}),
+                        deadlines,
+                        new Host.Bounds(64, 1024, 1024, 1 << 16),
+                        now);
     }
 
     /** Returns how many answers there were. */
@@ -71,7 +79,8 @@
      *
      * @param steady in nanoseconds, never back
      */
-    static int play(Map<String, String> settings, long seed, Host.Maker maker, LongSupplier steady) {
+    static int play(
+            Map<String, String> settings, long seed, Host.Maker maker, LongSupplier steady) {
         WarmUp warmUp = new WarmUp(settings, seed, maker);
         long begun = steady.getAsLong();
         try {
@@ -91,15 +100,21 @@
         host.advance(now);
         for (int i = 0; i < AT_ONCE; i++) {
             int track = ++tag % tracks.size();
-            String owner = customers.isEmpty() ? "" : ",owner=" + customers.get(tag % customers.size());
-            String fields = String.format("req=%016x,ts=%d,via=1%s,need=20.5,level=0.5%s", tag,
-                    now.nanos() / 1_000_000, owner,
-                    receipted.get(track) ? ",opkey=" + Integer.toHexString(tag / 2) : "");
+            String owner =
+                    customers.isEmpty() ? "" : ",owner=" + customers.get(tag % customers.size());
+            String fields =
+                    String.format(
+                            "req=%016x,ts=%d,via=1%s,need=20.5,level=0.5%s",
+                            tag,
+                            now.nanos() / 1_000_000,
+                            owner,
+                            receipted.get(track) ? ",opkey=" + Integer.toHexString(tag / 2) : "");
             String text = "*5\r\n";
             for (String item : List.of("REQ", "" + tag, tracks.get(track), fields, "warm")) {
                 text += "$" + item.getBytes(StandardCharsets.UTF_8).length + "\r\n" + item + "\r\n";
             }
-            List<byte[]> items = arrays.next(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+            List<byte[]> items =
+                    arrays.next(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
             host.arrived(connection, tag, DispatcherListener.arrival(items));
         }
         settle();
@@ -120,8 +135,10 @@
     }
 
     private void exit(TryId id) throws Malformed {
-        lines.next(ByteBuffer.wrap(("EXIT 1 " + id.digits() + " OK 5 4\r\nwarm\r\n").getBytes(
-                StandardCharsets.US_ASCII)));
+        lines.next(
+                ByteBuffer.wrap(
+                        ("EXIT 1 " + id.digits() + " OK 5 4\r\nwarm\r\n")
+                                .getBytes(StandardCharsets.US_ASCII)));
         host.exited(id, Ending.WELL, Span.ofSeconds(0.005), BODY);
     }
 
--- a/src/main/java/lupinwood/net/Works.java
+++ b/src/main/java/lupinwood/net/Works.java
@@ -7,7 +7,9 @@
 record Works(ExecutorLink executor, AjpServers servers) implements Executor {
     @Override
     public boolean run(TryId id, String track, byte[] body) {
-        return servers.carriesOut(track) ? servers.run(id, track, body) : executor.run(id, track, body);
+        return servers.carriesOut(track)
+                ? servers.run(id, track, body)
+                : executor.run(id, track, body);
     }
 
     @Override
--- a/src/main/java/lupinwood/net/package-info.java
+++ b/src/main/java/lupinwood/net/package-info.java
@@ -1,2 +1,5 @@
-/** The sockets: Apache MINA carries bytes, parsers of the project's own read them, adapters tell the core. */
+/**
+ * The sockets: Apache MINA carries bytes, parsers of the project's own read them, adapters tell the
+ * core.
+ */
 package lupinwood.net;
--- a/src/main/java/lupinwood/node/Alarms.java
+++ b/src/main/java/lupinwood/node/Alarms.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Jobs due at moments to come, soonest first and in the order given; one wake-up is asked for at a time. */
+/**
+ * Jobs due at moments to come, soonest first and in the order given; one wake-up is asked for at a
+ * time.
+ */
 public final class Alarms {
     private record Alarm(Moment at, long order, Runnable job) {}
 
@@ -34,8 +37,8 @@
     }
 
     /**
-     * Asks for a wake-up if the soonest alarm is due before the one asked for. What is due already is asked
-     * for at the next moment: no machine hears of a wake-up in the past.
+     * Asks for a wake-up if the soonest alarm is due before the one asked for. What is due already
+     * is asked for at the next moment: no machine hears of a wake-up in the past.
      */
     public void arm() {
         Alarm next = queue.peek();
--- a/src/main/java/lupinwood/node/Gauges.java
+++ b/src/main/java/lupinwood/node/Gauges.java
@@ -6,10 +6,15 @@
 public record Gauges(double coreUse, double wantingCore, double memoryShare, double connections) {
     public static final Gauges UNKNOWN = named(List.of(), new double[0]);
 
-    /** Values in the order of their names, as the settings list them; other names are passed over. */
+    /**
+     * Values in the order of their names, as the settings list them; other names are passed over.
+     */
     public static Gauges named(List<String> names, double[] values) {
-        return new Gauges(value("core_use", names, values), value("on_cores", names, values),
-                value("heap_share", names, values), value("links", names, values));
+        return new Gauges(
+                value("core_use", names, values),
+                value("on_cores", names, values),
+                value("heap_share", names, values),
+                value("links", names, values));
     }
 
     private static double value(String name, List<String> names, double[] values) {
--- a/src/main/java/lupinwood/node/Histogram.java
+++ b/src/main/java/lupinwood/node/Histogram.java
@@ -17,8 +17,10 @@
     private final double[] bins = new double[BINS];
     private final double fullAt;
     private double weight;
+
     /** Asked for far more often than figures come; NaN where it has to be reckoned anew. */
     private double mean = Double.NaN;
+
     private double median = Double.NaN;
 
     public Histogram(double fullAt) {
--- a/src/main/java/lupinwood/node/Server.java
+++ b/src/main/java/lupinwood/node/Server.java
@@ -7,10 +7,15 @@
     /** Start a held ticket, or take up a paused one. */
     void run(TicketId ticket);
 
-    /** Stop running work, keeping what was done if the machine can only pause, losing it otherwise. */
+    /**
+     * Stop running work, keeping what was done if the machine can only pause, losing it otherwise.
+     */
     void stop(TicketId ticket);
 
-    /** Final answer: never ran here; come back after the pause; perhaps don't ask another node either. */
+    /**
+     * Final answer: never ran here; come back after the pause; perhaps don't ask another node
+     * either.
+     */
     void bounce(TicketId ticket, boolean askNoOther, Span comeBackAfter);
 
     /** Final answer: an error, with nothing promised. */
--- a/src/main/java/lupinwood/node/Settings.java
+++ b/src/main/java/lupinwood/node/Settings.java
@@ -6,6 +6,7 @@
 /** A plain map of names to values, read as what they stand for. An absent name is not an error. */
 public final class Settings {
     private final Map<String, String> values;
+
     /** Numbers are asked for often; each is parsed once. */
     private final Map<String, Double> numbers = new HashMap<>();
 
--- a/src/main/java/lupinwood/pools/Budget.java
+++ b/src/main/java/lupinwood/pools/Budget.java
@@ -1,8 +1,9 @@
 package lupinwood.pools;
 
 /**
- * How many tries may be made again: a small share of the first ones, at any size, with a little saved up for quiet
- * times. When all servers fail, repeats stay that share and no storm comes of them.
+ * How many tries may be made again: a small share of the first ones, at any size, with a little
+ * saved up for quiet times. When all servers fail, repeats stay that share and no storm comes of
+ * them.
  */
 public final class Budget {
     private final double share;
--- a/src/main/java/lupinwood/pools/Pool.java
+++ b/src/main/java/lupinwood/pools/Pool.java
@@ -12,11 +12,12 @@
 /**
  * The servers that may carry out a ticket, as one of their clients sees them.
  *
- * <p>A ticket goes where it is expected to be done soonest: by how long a server's latest took, times how many it
- * would then have. A failure counts as long as a slow success, however fast it came, so that a server that fails fast
- * attracts no more work. How many may be out to each follows the design's rule: times 0.9 once for each run past
- * TARGET, flagged in flight, or failed; one more for each fast one while half is used. A server that fails so many
- * times in a row is left out for a time that doubles, and comes back with one ticket at a time until that does well.
+ * <p>A ticket goes where it is expected to be done soonest: by how long a server's latest took,
+ * times how many it would then have. A failure counts as long as a slow success, however fast it
+ * came, so that a server that fails fast attracts no more work. How many may be out to each follows
+ * the design's rule: times 0.9 once for each run past TARGET, flagged in flight, or failed; one
+ * more for each fast one while half is used. A server that fails so many times in a row is left out
+ * for a time that doubles, and comes back with one ticket at a time until that does well.
  */
 public final class Pool {
     /** How a run at a server ended. */
@@ -25,7 +26,10 @@
         WELL,
         /** With an error, or not at all. */
         FAILED,
-        /** Its caller left, or it was given up for another reason than the server's: nothing is learned of it. */
+        /**
+         * Its caller left, or it was given up for another reason than the server's: nothing is
+         * learned of it.
+         */
         UNKNOWN
     }
 
@@ -36,7 +40,8 @@
     private static final double SLOWER = 3; // TARGET is so many calm medians
     private static final double CUT = 0.9;
     private static final double UNTRIED = 0.9;
-    private static final double FORGOTTEN = 5; // seconds after which half of what is known of an idle server is left
+    private static final double FORGOTTEN =
+            5; // seconds after which half of what is known of an idle server is left
     private static final Span ASK_AGAIN = Span.ofSeconds(0.1);
     private static final Span FIRST_GUESS = Span.ofSeconds(0.05);
 
@@ -44,19 +49,29 @@
         final String name;
         int out;
         double limit = START;
+
         /** Seconds, a mean over the latest; below zero before the first. */
         double took = -1;
+
         /** When something was learned of it last. */
         Moment latest;
+
         int failuresInRow;
         int timesLeftOut;
+
         /** Null while it isn't left out. */
         Moment backAt;
+
         Moment leftOutAt;
-        /** Somebody else found it well since it was left out: that is worth one ticket, and no more. */
+
+        /**
+         * Somebody else found it well since it was left out: that is worth one ticket, and no more.
+         */
         boolean vouched;
+
         /** It came back, and has yet to do well. */
         boolean onTrial;
+
         /** Nothing new is sent there, by agreement with others and not for what is seen of it. */
         boolean rests;
 
@@ -79,8 +94,10 @@
     private final List<Book> books = new ArrayList<>();
     private final Rules rules;
     private final Random random;
+
     /** What runs took while a server had less than half of what it may: the pool's own calm. */
     private final Histogram calm = new Histogram(CALM);
+
     private int turn;
     private Trials trials = Trials.ALONE;
 
@@ -96,12 +113,17 @@
     }
 
     /**
-     * What another node's trial found. Well, and since the server was left out here: then it is tried here too, soon, and
-     * not by all nodes at once. It is not trusted over what is seen here; what failed there changes nothing.
+     * What another node's trial found. Well, and since the server was left out here: then it is
+     * tried here too, soon, and not by all nodes at once. It is not trusted over what is seen here;
+     * what failed there changes nothing.
      */
     public void told(String server, boolean well, Moment at, Moment now) {
         for (Book book : books) {
-            if (well && book.name.equals(server) && book.backAt != null && !book.vouched && book.leftOutAt.isBefore(at)) {
+            if (well
+                    && book.name.equals(server)
+                    && book.backAt != null
+                    && !book.vouched
+                    && book.leftOutAt.isBefore(at)) {
                 book.vouched = true;
                 Moment soon = now.plus(rules.leftOutFirst().times(random.nextDouble()));
                 book.backAt = soon.isBefore(book.backAt) ? soon : book.backAt;
@@ -110,8 +132,8 @@
     }
 
     /**
-     * These rest and no others: nothing new is sent there. One that rests no more is eased in: it begins with one ticket
-     * at a time, and is at work once that did well.
+     * These rest and no others: nothing new is sent there. One that rests no more is eased in: it
+     * begins with one ticket at a time, and is at work once that did well.
      */
     public void rest(Collection<String> names) {
         for (Book book : books) {
@@ -127,7 +149,10 @@
 
     /** Those that rest and have nothing of this node any more. */
     public List<String> emptied() {
-        return books.stream().filter(book -> book.rests && book.out == 0).map(book -> book.name).toList();
+        return books.stream()
+                .filter(book -> book.rests && book.out == 0)
+                .map(book -> book.name)
+                .toList();
     }
 
     /** The servers that are left out now. */
@@ -166,7 +191,8 @@
     }
 
     /**
-     * Where a ticket is to go now; it then counts as out there. Below zero where no server may have one more.
+     * Where a ticket is to go now; it then counts as out there. Below zero where no server may have
+     * one more.
      *
      * @param tried servers that it went to before, which get it only if all others may not
      */
@@ -174,7 +200,9 @@
         return send(now, tried, server -> true);
     }
 
-    /** @param may which servers carry out tickets of its kind */
+    /**
+     * @param may which servers carry out tickets of its kind
+     */
     public int send(Moment now, List<Integer> tried, IntPredicate may) {
         int best = best(now, tried, may);
         if (best < 0 && !tried.isEmpty()) {
@@ -199,11 +227,15 @@
             int server = (turn + i) % books.size();
             Book book = books.get(server);
             boolean back = book.backAt == null || mayComeBack(book, now);
-            if (book.rests || !back || book.out >= limit(server) || tried.contains(server)
+            if (book.rests
+                    || !back
+                    || book.out >= limit(server)
+                    || tried.contains(server)
                     || !may.test(server)) {
                 continue;
             }
-            // One that was left out is tried before all others: it costs one ticket, and nothing else shows it well.
+            // One that was left out is tried before all others: it costs one ticket, and nothing
+            // else shows it well.
             double expected = book.backAt != null ? -1 : (book.out + 1) * expected(book, now);
             if (expected < soonest) {
                 soonest = expected;
@@ -214,12 +246,17 @@
     }
 
     /**
-     * One that was never tried is expected to be a little faster than the fastest, so that it is. What is known of one
-     * that gets no work halves again and again: else a server that was slow once would never be seen to be fast.
+     * One that was never tried is expected to be a little faster than the fastest, so that it is.
+     * What is known of one that gets no work halves again and again: else a server that was slow
+     * once would never be seen to be fast.
      */
     private double expected(Book book, Moment now) {
-        double fastest = books.stream().filter(one -> one.took >= 0).mapToDouble(one -> one.took).min()
-                .orElse(FIRST_GUESS.seconds());
+        double fastest =
+                books.stream()
+                        .filter(one -> one.took >= 0)
+                        .mapToDouble(one -> one.took)
+                        .min()
+                        .orElse(FIRST_GUESS.seconds());
         if (book.took < 0) {
             return fastest * UNTRIED;
         }
@@ -275,7 +312,8 @@
         book.timesLeftOut = Math.max(0, book.timesLeftOut - (wasSlow ? 0 : 1));
         boolean odd = calm.weight() >= ENOUGH && took.seconds() > SLOWER * calm.median();
         if (wasCalm && (!odd || random.nextInt(8) == 0)) {
-            calm.add(took.seconds()); // of the odd one in eight, as slowness must not become the calm at once
+            calm.add(took.seconds()); // of the odd one in eight, as slowness must not become the
+            // calm at once
         }
         if (!wasSlow && !odd && halfUsed) {
             book.limit = Math.min(rules.mostOut(), book.limit + 1);
@@ -286,9 +324,13 @@
         return calm.weight() > 0 ? calm.median() : FIRST_GUESS.seconds();
     }
 
-    /** Twice as long each time, and a little more or less, so that many clients don't come back as one. */
+    /**
+     * Twice as long each time, and a little more or less, so that many clients don't come back as
+     * one.
+     */
     private void leaveOut(Book book, Moment now) {
-        double factor = Math.pow(2, Math.min(30, book.timesLeftOut++)) * (0.75 + random.nextDouble() / 2);
+        double factor =
+                Math.pow(2, Math.min(30, book.timesLeftOut++)) * (0.75 + random.nextDouble() / 2);
         Span span = rules.leftOutFirst().times(Math.min(factor, 1e6)).min(rules.leftOutMost());
         book.backAt = now.plus(span);
         book.leftOutAt = now;
@@ -300,8 +342,14 @@
 
     /** When a server that is left out may be tried again, the soonest; never where none is. */
     public Moment nextBack(Moment now) {
-        return books.stream().filter(book -> book.backAt != null && !book.rests)
-                .map(book -> now.isBefore(book.backAt) || mayComeBack(book, now) ? book.backAt : now.plus(ASK_AGAIN))
-                .min(Moment::compareTo).orElse(Moment.NEVER);
+        return books.stream()
+                .filter(book -> book.backAt != null && !book.rests)
+                .map(
+                        book ->
+                                now.isBefore(book.backAt) || mayComeBack(book, now)
+                                        ? book.backAt
+                                        : now.plus(ASK_AGAIN))
+                .min(Moment::compareTo)
+                .orElse(Moment.NEVER);
     }
 }
--- a/src/main/java/lupinwood/pools/Trials.java
+++ b/src/main/java/lupinwood/pools/Trials.java
@@ -3,17 +3,18 @@
 /** Who tries a server that was left out: each node by itself, or one for all. */
 public interface Trials {
     /** Each by itself. */
-    Trials ALONE = new Trials() {
-        @Override
-        public boolean mayTry(String server) {
-            return true;
-        }
+    Trials ALONE =
+            new Trials() {
+                @Override
+                public boolean mayTry(String server) {
+                    return true;
+                }
 
-        @Override
-        public void tried(String server, boolean well) {
-            // Nobody else is to hear of it.
-        }
-    };
+                @Override
+                public void tried(String server, boolean well) {
+                    // Nobody else is to hear of it.
+                }
+            };
 
     /** Whether this node may try it now. */
     boolean mayTry(String server);
--- a/src/main/java/lupinwood/release/Act.java
+++ b/src/main/java/lupinwood/release/Act.java
@@ -11,7 +11,8 @@
     /**
      * A node asks for its permit to go, so that it comes back with what it is to run.
      *
-     * @param order names the asking for one life of the node: again under the same name it is done once
+     * @param order names the asking for one life of the node: again under the same name it is done
+     *     once
      */
     record Let(String order, NodeName node) implements Act {}
 }
--- a/src/main/java/lupinwood/release/Estimate.java
+++ b/src/main/java/lupinwood/release/Estimate.java
@@ -7,9 +7,10 @@
 import lupinwood.fleet.Site;
 
 /**
- * By how much one figure is higher at changed nodes than at unchanged ones of the same zone, with its standard error. A
- * node counts as one observation, since its tickets share its machine; how far nodes lie apart is taken from both sides
- * within their zones, and is never taken for less than chance alone gives with so few tickets.
+ * By how much one figure is higher at changed nodes than at unchanged ones of the same zone, with
+ * its standard error. A node counts as one observation, since its tickets share its machine; how
+ * far nodes lie apart is taken from both sides within their zones, and is never taken for less than
+ * chance alone gives with so few tickets.
  */
 final class Estimate {
     /** A node's figure; the variance is what chance alone does to it. */
@@ -28,8 +29,15 @@
     /** Null where no zone has nodes of both sides. */
     static Estimate of(List<Point> points) {
         Map<String, List<Point>> zones = new TreeMap<>();
-        points.forEach(point -> zones.computeIfAbsent(point.site().toString(), none -> new ArrayList<>()).add(point));
-        zones.values().removeIf(zone -> zone.stream().noneMatch(Point::changed) || zone.stream().allMatch(Point::changed));
+        points.forEach(
+                point ->
+                        zones.computeIfAbsent(point.site().toString(), none -> new ArrayList<>())
+                                .add(point));
+        zones.values()
+                .removeIf(
+                        zone ->
+                                zone.stream().noneMatch(Point::changed)
+                                        || zone.stream().allMatch(Point::changed));
         if (zones.isEmpty()) {
             return null;
         }
@@ -41,7 +49,11 @@
             for (boolean side : new boolean[] {true, false}) {
                 List<Point> of = zone.stream().filter(point -> point.changed() == side).toList();
                 double mean = of.stream().mapToDouble(Point::value).average().orElse(0);
-                squares += of.stream().mapToDouble(point -> (point.value() - mean) * (point.value() - mean)).sum();
+                squares +=
+                        of.stream()
+                                .mapToDouble(
+                                        point -> (point.value() - mean) * (point.value() - mean))
+                                .sum();
                 chance += of.stream().mapToDouble(Point::variance).sum();
                 freedom += of.size() - 1;
                 all += of.size();
@@ -54,8 +66,18 @@
             double changed = zone.stream().filter(Point::changed).count();
             double others = zone.size() - changed;
             double weight = 1 / (1 / changed + 1 / others);
-            double there = zone.stream().filter(Point::changed).mapToDouble(Point::value).average().orElse(0);
-            double beside = zone.stream().filter(point -> !point.changed()).mapToDouble(Point::value).average().orElse(0);
+            double there =
+                    zone.stream()
+                            .filter(Point::changed)
+                            .mapToDouble(Point::value)
+                            .average()
+                            .orElse(0);
+            double beside =
+                    zone.stream()
+                            .filter(point -> !point.changed())
+                            .mapToDouble(Point::value)
+                            .average()
+                            .orElse(0);
             sum += weight * (there - beside);
             weights += weight;
         }
@@ -66,7 +88,10 @@
         return difference;
     }
 
-    /** Surely above, at so many standard errors of a normal one; more are asked for where few nodes tell of the spread. */
+    /**
+     * Surely above, at so many standard errors of a normal one; more are asked for where few nodes
+     * tell of the spread.
+     */
     boolean isAbove(double bound, double errors) {
         return difference - widened(errors) * error > bound;
     }
--- a/src/main/java/lupinwood/release/History.java
+++ b/src/main/java/lupinwood/release/History.java
@@ -10,8 +10,9 @@
 import lupinwood.node.Span;
 
 /**
- * What one node told lately, as far as the one who leads the release heard it. A node's counts begin anew with each life;
- * here they go on over lives, so that a stretch of time has its tickets whatever happened in it.
+ * What one node told lately, as far as the one who leads the release heard it. A node's counts
+ * begin anew with each life; here they go on over lives, so that a stretch of time has its tickets
+ * whatever happened in it.
  */
 final class History {
     /** What is kept of the latest watch, so that memory stays bounded with hundreds of nodes. */
@@ -26,16 +27,25 @@
     private int lives;
     private Tally marked = Tally.NOTHING;
     private int livesMarked;
-    /** What it answered over a watch before the release, on the old; null where that wasn't seen. */
+
+    /**
+     * What it answered over a watch before the release, on the old; null where that wasn't seen.
+     */
     private Tally past;
+
     /** Since when it has been well; null while it isn't. */
     private Moment wellSince;
+
     private Moment lastWell;
+
     /** What it runs, and since when it has been seen to. */
     private String version = "";
+
     private Moment versionSince;
 
-    /** @param every how far apart kept points are at the least */
+    /**
+     * @param every how far apart kept points are at the least
+     */
     void heard(Seen seen, Moment now, Span every) {
         boolean well = seen.standing() == Standing.WARM;
         boolean another = !seen.life().equals(life);
@@ -66,7 +76,9 @@
 
     /** What it answered over the latest watch; null where that isn't known whole. */
     Tally latest(Span watch, Moment now) {
-        boolean whole = !points.isEmpty() && now.since(points.peekFirst().at()).compareTo(watch.times(0.8)) >= 0;
+        boolean whole =
+                !points.isEmpty()
+                        && now.since(points.peekFirst().at()).compareTo(watch.times(0.8)) >= 0;
         return whole ? before.plus(ofLife).since(points.peekFirst().total()) : null;
     }
 
@@ -95,7 +107,9 @@
 
     /** With what it runs now. */
     boolean isWellFor(Span span, Moment now) {
-        return wellSince != null && versionSince != null && now.since(wellSince).compareTo(span) >= 0
+        return wellSince != null
+                && versionSince != null
+                && now.since(wellSince).compareTo(span) >= 0
                 && now.since(versionSince).compareTo(span) >= 0;
     }
 
--- a/src/main/java/lupinwood/release/Limits.java
+++ b/src/main/java/lupinwood/release/Limits.java
@@ -10,10 +10,14 @@
  * @param harm a share of tickets that may not go wrong beside what goes wrong anyway; from 0 to 1
  * @param slower by how much the mean time to answer may not grow, as a share
  * @param well how long a node that got it has to be well before it counts
- * @param rejoin how long a node may take to run what it got, beside the time it waits for its permit
+ * @param rejoin how long a node may take to run what it got, beside the time it waits for its
+ *     permit
  */
-public record Limits(Span watch, Span watchMost, double harm, double slower, Span well, Span rejoin) {
-    /** @param lease the fleet's, which some follow from */
+public record Limits(
+        Span watch, Span watchMost, double harm, double slower, Span well, Span rejoin) {
+    /**
+     * @param lease the fleet's, which some follow from
+     */
     public static Limits of(Span watch, Span watchMost, double harm, Span lease) {
         return new Limits(watch, watchMost, harm, 0.5, lease, lease.times(10).max(watch));
     }
--- a/src/main/java/lupinwood/release/Picture.java
+++ b/src/main/java/lupinwood/release/Picture.java
@@ -17,9 +17,16 @@
  * @param good the digest of the text that all run while no release is open
  * @param haltedBy empty while nothing is halted
  * @param mostOut so many nodes may be out at once
- * @param past what each node answered over a watch before the first wave; null where it wasn't asked for
+ * @param past what each node answered over a watch before the first wave; null where it wasn't
+ *     asked for
  */
-public record Picture(Release release, String good, String haltedBy, List<Seen> seen, Collection<Permit> permits, int mostOut,
+public record Picture(
+        Release release,
+        String good,
+        String haltedBy,
+        List<Seen> seen,
+        Collection<Permit> permits,
+        int mostOut,
         Map<String, Tally> past) {
     Optional<Seen> of(NodeName node) {
         return seen.stream().filter(one -> one.name().equals(node)).findFirst();
--- a/src/main/java/lupinwood/release/Watch.java
+++ b/src/main/java/lupinwood/release/Watch.java
@@ -11,25 +11,38 @@
 import lupinwood.fleet.Tally;
 
 /**
- * Judges nodes that have what is released beside those that haven't, in the same zone and time, each beside its own past
- * where that is known: so what comes over all of a zone by chance is blamed on nothing. No figure is compared with a fixed
- * number but the harm that the operator wouldn't bear.
+ * Judges nodes that have what is released beside those that haven't, in the same zone and time,
+ * each beside its own past where that is known: so what comes over all of a zone by chance is
+ * blamed on nothing. No figure is compared with a fixed number but the harm that the operator
+ * wouldn't bear.
  *
- * <p>All nodes and each zone are looked at, all tracks together and each by itself; the more looks, and they are taken
- * again and again, the surer each has to be.
+ * <p>All nodes and each zone are looked at, all tracks together and each by itself; the more looks,
+ * and they are taken again and again, the surer each has to be.
  */
 public final class Watch {
-    /** In standard errors: to call it worse, which is looked for again and again, and to call it well. */
+    /**
+     * In standard errors: to call it worse, which is looked for again and again, and to call it
+     * well.
+     */
     private static final double SURE_WORSE = 3.2;
+
     private static final double SURE_WORSE_IN_PART = 4.2;
     private static final double SURE_WELL = 1.6;
-    /** A part of a whole may hide this many times the harm from a look at the whole; it is looked at for so much. */
+
+    /**
+     * A part of a whole may hide this many times the harm from a look at the whole; it is looked at
+     * for so much.
+     */
     private static final double PART = 3;
+
     /** How likely so many losses on one side are by chance; below it they aren't. */
     private static final double CHANCE_OF_LOSSES = 0.02;
+
     private static final double CHANCE_OF_RESTARTS = 0.002;
+
     /** Tickets that a node must have had for its figures to count. */
     private static final int ENOUGH = 20;
+
     private static final double MOST_KNOWN = 0.6;
 
     private Watch() {}
@@ -39,7 +52,9 @@
         if (gone != null) {
             return gone;
         }
-        List<String> zones = new ArrayList<>(new TreeSet<>(samples.stream().map(one -> one.site().toString()).toList()));
+        List<String> zones =
+                new ArrayList<>(
+                        new TreeSet<>(samples.stream().map(one -> one.site().toString()).toList()));
         Set<String> tracks = new LinkedHashSet<>();
         samples.forEach(one -> one.after().counts().forEach(count -> tracks.add(count.track())));
         Look whole = new Look(samples, "", limits.harm(), SURE_WORSE);
@@ -57,16 +72,22 @@
             }
         }
         for (String zone : zones) {
-            List<Sample> there = samples.stream().filter(one -> one.site().toString().equals(zone)).toList();
+            List<Sample> there =
+                    samples.stream().filter(one -> one.site().toString().equals(zone)).toList();
             Look look = new Look(there, "", limits.harm(), SURE_WORSE_IN_PART);
             if (look.isWorse()) {
                 return new Verdict(Verdict.Kind.WORSE, "in " + zone + ": " + look.text("worse"));
             }
         }
         if (whole.estimate == null) {
-            boolean beside = samples.stream().anyMatch(one -> !one.changed()) && samples.stream().anyMatch(Sample::changed);
-            return new Verdict(beside ? Verdict.Kind.UNSURE : Verdict.Kind.WELL, beside
-                    ? "too few tickets to tell" : "no unchanged node is left to compare with");
+            boolean beside =
+                    samples.stream().anyMatch(one -> !one.changed())
+                            && samples.stream().anyMatch(Sample::changed);
+            return new Verdict(
+                    beside ? Verdict.Kind.UNSURE : Verdict.Kind.WELL,
+                    beside
+                            ? "too few tickets to tell"
+                            : "no unchanged node is left to compare with");
         }
         if (!whole.isWell()) {
             return new Verdict(Verdict.Kind.UNSURE, whole.text("not sure yet"));
@@ -92,25 +113,54 @@
             return null;
         }
         boolean allOfThem = lostChanged == changed && lost - lostChanged < samples.size() - changed;
-        if (lostChanged > 0 && (allOfThem || atLeast(lostChanged, lost, changed, samples.size()) < CHANCE_OF_LOSSES)) {
-            return new Verdict(Verdict.Kind.WORSE, lostChanged + " of " + changed + " nodes that have it are lost, "
-                    + (lost - lostChanged) + " of the " + (samples.size() - changed) + " others");
+        if (lostChanged > 0
+                && (allOfThem
+                        || atLeast(lostChanged, lost, changed, samples.size())
+                                < CHANCE_OF_LOSSES)) {
+            return new Verdict(
+                    Verdict.Kind.WORSE,
+                    lostChanged
+                            + " of "
+                            + changed
+                            + " nodes that have it are lost, "
+                            + (lost - lostChanged)
+                            + " of the "
+                            + (samples.size() - changed)
+                            + " others");
         }
         int restarts = samples.stream().mapToInt(Sample::restarts).sum();
-        int restartsChanged = samples.stream().filter(Sample::changed).mapToInt(Sample::restarts).sum();
+        int restartsChanged =
+                samples.stream().filter(Sample::changed).mapToInt(Sample::restarts).sum();
         // Each restart falls on a node by chance, so it falls on a changed one by their share.
-        if (restartsChanged > 1 && tail(restartsChanged, restarts, (double) changed / samples.size()) < CHANCE_OF_RESTARTS) {
-            return new Verdict(Verdict.Kind.WORSE, restartsChanged + " restarts at " + changed + " nodes that have it, "
-                    + (restarts - restartsChanged) + " at the " + (samples.size() - changed) + " others");
+        if (restartsChanged > 1
+                && tail(restartsChanged, restarts, (double) changed / samples.size())
+                        < CHANCE_OF_RESTARTS) {
+            return new Verdict(
+                    Verdict.Kind.WORSE,
+                    restartsChanged
+                            + " restarts at "
+                            + changed
+                            + " nodes that have it, "
+                            + (restarts - restartsChanged)
+                            + " at the "
+                            + (samples.size() - changed)
+                            + " others");
         }
         return null;
     }
 
-    /** How likely it is that of so many lost ones at least these are changed, drawn without putting back. */
+    /**
+     * How likely it is that of so many lost ones at least these are changed, drawn without putting
+     * back.
+     */
     private static double atLeast(int lostChanged, int lost, int changed, int all) {
         double sum = 0;
         for (int i = lostChanged; i <= Math.min(lost, changed); i++) {
-            sum += Math.exp(choose(changed, i) + choose(all - changed, lost - i) - choose(all, lost));
+            sum +=
+                    Math.exp(
+                            choose(changed, i)
+                                    + choose(all - changed, lost - i)
+                                    - choose(all, lost));
         }
         return sum;
     }
@@ -118,7 +168,11 @@
     private static double tail(int least, int tries, double share) {
         double sum = 0;
         for (int i = least; i <= tries; i++) {
-            sum += Math.exp(choose(tries, i) + i * Math.log(share) + (tries - i) * Math.log(Math.max(1e-12, 1 - share)));
+            sum +=
+                    Math.exp(
+                            choose(tries, i)
+                                    + i * Math.log(share)
+                                    + (tries - i) * Math.log(Math.max(1e-12, 1 - share)));
         }
         return sum;
     }
@@ -144,10 +198,20 @@
 
         /** What goes wrong, as a share; of a track, or with an empty name of all. */
         Look(List<Sample> samples, String track, double harm, double sure) {
-            this(track.isEmpty() ? "of all tickets" : "of " + track, harm, sure, false, points(samples, track));
+            this(
+                    track.isEmpty() ? "of all tickets" : "of " + track,
+                    harm,
+                    sure,
+                    false,
+                    points(samples, track));
         }
 
-        private Look(String what, double bound, double sure, boolean inTime, List<Estimate.Point> points) {
+        private Look(
+                String what,
+                double bound,
+                double sure,
+                boolean inTime,
+                List<Estimate.Point> points) {
             this.what = what;
             this.bound = bound;
             this.sure = sure;
@@ -158,16 +222,27 @@
         /** The mean time to answer, as a logarithm. */
         static Look ofTime(List<Sample> samples, double bound, double sure) {
             List<Estimate.Point> points = new ArrayList<>();
-            boolean pasts = known(samples, one -> one.before() != null && one.before().all().satisfied() >= ENOUGH);
+            boolean pasts =
+                    known(
+                            samples,
+                            one ->
+                                    one.before() != null
+                                            && one.before().all().satisfied() >= ENOUGH);
             for (Sample one : samples) {
                 if (pasts && (one.before() == null || one.before().all().satisfied() < ENOUGH)) {
                     continue;
                 }
                 Tally.Count after = one.after().all();
-                if (after.satisfied() >= ENOUGH && after.seconds() > 0 && (!pasts || one.before().all().seconds() > 0)) {
+                if (after.satisfied() >= ENOUGH
+                        && after.seconds() > 0
+                        && (!pasts || one.before().all().seconds() > 0)) {
                     double past = pasts ? log(one.before().all()) : 0;
-                    double variance = 1.0 / after.satisfied() + (pasts ? 1.0 / one.before().all().satisfied() : 0);
-                    points.add(new Estimate.Point(one.site(), one.changed(), log(after) - past, variance));
+                    double variance =
+                            1.0 / after.satisfied()
+                                    + (pasts ? 1.0 / one.before().all().satisfied() : 0);
+                    points.add(
+                            new Estimate.Point(
+                                    one.site(), one.changed(), log(after) - past, variance));
                 }
             }
             return new Look("of the time to answer", bound, sure, true, points);
@@ -183,21 +258,34 @@
             List<Estimate.Point> points = new ArrayList<>();
             for (Sample one : samples) {
                 Tally.Count after = of(one.after(), track);
-                if (after != null && after.all() >= ENOUGH && (!pasts || enough(one.before(), track))) {
+                if (after != null
+                        && after.all() >= ENOUGH
+                        && (!pasts || enough(one.before(), track))) {
                     Tally.Count before = pasts ? of(one.before(), track) : null;
                     double past = before == null ? 0 : share.applyAsDouble(before);
                     double variance = variance(after) + (before == null ? 0 : variance(before));
-                    points.add(new Estimate.Point(one.site(), one.changed(), share.applyAsDouble(after) - past, variance));
+                    points.add(
+                            new Estimate.Point(
+                                    one.site(),
+                                    one.changed(),
+                                    share.applyAsDouble(after) - past,
+                                    variance));
                 }
             }
             return points;
         }
 
-        /** Whether most of both sides have a past; the few others are then left aside. Else levels are compared. */
+        /**
+         * Whether most of both sides have a past; the few others are then left aside. Else levels
+         * are compared.
+         */
         private static boolean known(List<Sample> samples, Predicate<Sample> has) {
             for (boolean side : new boolean[] {true, false}) {
                 long all = samples.stream().filter(one -> one.changed() == side).count();
-                long with = samples.stream().filter(one -> one.changed() == side && has.test(one)).count();
+                long with =
+                        samples.stream()
+                                .filter(one -> one.changed() == side && has.test(one))
+                                .count();
                 if (with < all * MOST_KNOWN) {
                     return false;
                 }
@@ -214,7 +302,10 @@
             return track.isEmpty() ? tally.all() : tally.of(track);
         }
 
-        /** Of a share of so many; one and a half more of each end guard against shares of nothing and of all. */
+        /**
+         * Of a share of so many; one and a half more of each end guard against shares of nothing
+         * and of all.
+         */
         private static double variance(Tally.Count count) {
             double share = (count.bad() + 1.5) / (count.all() + 3);
             return share * (1 - share) / count.all();
@@ -222,7 +313,9 @@
 
         /** Worse than what anybody would call noise, and surely more than nothing. */
         boolean isWorse() {
-            return estimate != null && estimate.difference() > bound * 0.5 && estimate.isAbove(bound * 0.1, sure);
+            return estimate != null
+                    && estimate.difference() > bound * 0.5
+                    && estimate.isAbove(bound * 0.1, sure);
         }
 
         boolean isWell() {
@@ -230,10 +323,24 @@
         }
 
         String text(String word) {
-            String more = estimate == null ? "unknown" : inTime
-                    ? String.format(Locale.ROOT, "%+.0f%%", Math.expm1(estimate.difference()) * 100)
-                    : String.format(Locale.ROOT, "%+.1f points", estimate.difference() * 100);
-            return word + ", " + more + (inTime ? " " : " gone wrong ") + what + " beside unchanged nodes";
+            String more =
+                    estimate == null
+                            ? "unknown"
+                            : inTime
+                                    ? String.format(
+                                            Locale.ROOT,
+                                            "%+.0f%%",
+                                            Math.expm1(estimate.difference()) * 100)
+                                    : String.format(
+                                            Locale.ROOT,
+                                            "%+.1f points",
+                                            estimate.difference() * 100);
+            return word
+                    + ", "
+                    + more
+                    + (inTime ? " " : " gone wrong ")
+                    + what
+                    + " beside unchanged nodes";
         }
     }
 }
--- a/src/main/java/lupinwood/reload/Move.java
+++ b/src/main/java/lupinwood/reload/Move.java
@@ -5,23 +5,34 @@
 import lupinwood.node.Span;
 
 /**
- * Whether a move to another executor is kept. The new address has so long to say WELCOME; then the node goes back to
- * the one before, which has as long; then it tries the new one again, and so on, since the newest configuration is
- * what is wanted. Nothing is sent to either until it said WELCOME, so nothing can run twice on the way. No I/O.
+ * Whether a move to another executor is kept. The new address has so long to say WELCOME; then the
+ * node goes back to the one before, which has as long; then it tries the new one again, and so on,
+ * since the newest configuration is what is wanted. Nothing is sent to either until it said
+ * WELCOME, so nothing can run twice on the way. No I/O.
  *
  * @param <A> an address
  */
 public final class Move<A> {
     /** What to do now. */
-    public enum Next { NOTHING, GO_BACK, TRY_AGAIN }
+    public enum Next {
+        NOTHING,
+        GO_BACK,
+        TRY_AGAIN
+    }
 
     /** The address that last said WELCOME, or null. */
     private A good;
+
     private A wanted;
+
     /** Where the node is connecting to, or connected. */
     private A current;
-    /** Until when the current one may say WELCOME; never, where it did, or where there is no other. */
+
+    /**
+     * Until when the current one may say WELCOME; never, where it did, or where there is no other.
+     */
     private Moment until = Moment.NEVER;
+
     private Span patience = Span.ZERO;
 
     public Move(A first) {
--- a/src/main/java/lupinwood/reload/Plan.java
+++ b/src/main/java/lupinwood/reload/Plan.java
@@ -13,12 +13,13 @@
 import lupinwood.settings.Schema;
 
 /**
- * What a configuration changes in a node that runs under another one, entry by entry, and what the node is to go by
- * afterwards. The same plan is shown by {@code config diff}, carried out on SIGHUP and told by the log.
+ * What a configuration changes in a node that runs under another one, entry by entry, and what the
+ * node is to go by afterwards. The same plan is shown by {@code config diff}, carried out on SIGHUP
+ * and told by the log.
  *
  * @param steps what differs, in the order of the schema
- * @param result what the node goes by once the steps that count while it runs are taken; the old meaning where one
- *     of them is refused
+ * @param result what the node goes by once the steps that count while it runs are taken; the old
+ *     meaning where one of them is refused
  */
 public record Plan(List<Step> steps, Meaning result) {
     /**
@@ -72,7 +73,8 @@
             }
         }
         boolean refused = steps.stream().anyMatch(step -> step.change() == Change.REFUSED);
-        Meaning result = refused ? old : new Meaning(old.lists(), Meaning.ordered(old.lists(), values));
+        Meaning result =
+                refused ? old : new Meaning(old.lists(), Meaning.ordered(old.lists(), values));
         return new Plan(List.copyOf(steps), result);
     }
 
@@ -109,7 +111,8 @@
 
     private static Step step(String name, String before, String after) {
         Entry entry = Meaning.entry(name);
-        return entry == null ? new Step(name, before, after, Change.RESTART, "this build knows nothing of it")
+        return entry == null
+                ? new Step(name, before, after, Change.RESTART, "this build knows nothing of it")
                 : new Step(name, before, after, entry.change(), entry.because());
     }
 
--- a/src/main/java/lupinwood/reload/Triggers.java
+++ b/src/main/java/lupinwood/reload/Triggers.java
@@ -4,24 +4,29 @@
 import lupinwood.node.Span;
 
 /**
- * Decides when a configuration is read anew and whether what was read counts. It is told of signals, of looks at
- * the files and of each reading, with the time from outside; it does no I/O and belongs to one thread.
+ * Decides when a configuration is read anew and whether what was read counts. It is told of
+ * signals, of looks at the files and of each reading, with the time from outside; it does no I/O
+ * and belongs to one thread.
  *
- * <p>Two triggers may come for one change: each leads to a reading, but what was read and applied once is not read
- * again until the files look different or a signal asks for it. A file that is being written is never half
- * applied: what changed while it was read doesn't count, what can't be used is read again until the files have
- * been still for {@link #PATIENCE}, and what can't prove by its form that it is whole counts only once they have
- * been still for {@link #QUIET}.
+ * <p>Two triggers may come for one change: each leads to a reading, but what was read and applied
+ * once is not read again until the files look different or a signal asks for it. A file that is
+ * being written is never half applied: what changed while it was read doesn't count, what can't be
+ * used is read again until the files have been still for {@link #PATIENCE}, and what can't prove by
+ * its form that it is whole counts only once they have been still for {@link #QUIET}.
  */
 public final class Triggers {
     /** Files that can't be used may be unfinished until they have been still for as long. */
     public static final Span PATIENCE = Span.ofSeconds(1);
+
     /** Files whose form can't prove that they are whole are taken for finished after as long. */
     public static final Span QUIET = Span.ofSeconds(0.1);
+
     /** How often unfinished files are looked at. */
     public static final Span AGAIN = Span.ofSeconds(0.05);
+
     /** How often files at rest are looked at. */
     public static final Span EVERY = Span.ofSeconds(0.25);
+
     /** A writer that never stops keeps nobody waiting for longer. */
     public static final Span LONGEST = Span.ofSeconds(10);
 
@@ -36,19 +41,29 @@
     }
 
     /** What to do about a reading. */
-    public enum Verdict { APPLY, REPORT, READ_AGAIN }
+    public enum Verdict {
+        APPLY,
+        REPORT,
+        READ_AGAIN
+    }
 
     private final boolean watches;
+
     /** What the files looked like when they were read to an end, for better or worse. */
     private Look settled;
+
     private Look seen;
     private Moment seenAt;
+
     /** A signal came that no reading has answered. */
     private boolean asked;
+
     private Moment askedAt;
     private Moment next;
 
-    /** @param watches whether a changed file is reason enough to read it */
+    /**
+     * @param watches whether a changed file is reason enough to read it
+     */
     public Triggers(boolean watches, Look atStart, Moment now) {
         this.watches = watches;
         settled = atStart;
@@ -114,7 +129,10 @@
         return usable && !changing ? Verdict.APPLY : Verdict.REPORT;
     }
 
-    /** By the files' own word, or by how long they have looked the same where that lies in the future. */
+    /**
+     * By the files' own word, or by how long they have looked the same where that lies in the
+     * future.
+     */
     private Span stillFor(Look look, Moment now) {
         Span watched = now.since(seenAt);
         return look.changed().isBefore(now) ? now.since(look.changed()).max(watched) : watched;
--- a/src/main/java/lupinwood/routes/Routes.java
+++ b/src/main/java/lupinwood/routes/Routes.java
@@ -10,13 +10,18 @@
 import lupinwood.settings.Schema;
 
 /**
- * The routes of a configuration. A request takes the one with the longest path that fits, a whole path before the
- * start of one, a told method before any.
+ * The routes of a configuration. A request takes the one with the longest path that fits, a whole
+ * path before the start of one, a told method before any.
  */
 public final class Routes {
     /** Why a request is no ticket. */
     public enum Refusal {
-        NO_ROUTE, OTHER_METHOD, NO_CUSTOMER, NO_MARK, BAD_MARK, MARK_WHERE_NONE_BELONGS
+        NO_ROUTE,
+        OTHER_METHOD,
+        NO_CUSTOMER,
+        NO_MARK,
+        BAD_MARK,
+        MARK_WHERE_NONE_BELONGS
     }
 
     /**
@@ -26,14 +31,29 @@
      * @param mark null on tracks whose tickets carry none
      * @param abandon the track's abandon time as configured at the start
      */
-    public record Match(Refusal refusal, String track, String customer, String mark, double memoryKb, Span abandon) {
+    public record Match(
+            Refusal refusal,
+            String track,
+            String customer,
+            String mark,
+            double memoryKb,
+            Span abandon) {
         private static Match refused(Refusal why) {
             return new Match(why, null, null, null, 0, Span.ZERO);
         }
     }
 
-    private record Route(String path, boolean start, String method, String track, boolean receipted, String customer,
-            String customerHeader, String markHeader, double memoryKb, Span abandon) {
+    private record Route(
+            String path,
+            boolean start,
+            String method,
+            String track,
+            boolean receipted,
+            String customer,
+            String customerHeader,
+            String markHeader,
+            double memoryKb,
+            Span abandon) {
         boolean fits(String asked) {
             return start ? asked.startsWith(path) : asked.equals(path);
         }
@@ -42,6 +62,7 @@
     private static final Pattern MARK = Pattern.compile("[0-9a-fA-F]{1,64}");
 
     private final List<Route> routes = new ArrayList<>();
+
     /** Where the settings name no customers no request need name one. */
     private final boolean noCustomers;
 
@@ -54,16 +75,27 @@
             String track = meaning.value(at + "track");
             boolean start = path.endsWith("*");
             String memory = meaning.values().getOrDefault(at + "memory", "20000");
-            routes.add(new Route(start ? path.substring(0, path.length() - 1) : path, start,
-                    meaning.value(at + "method"), track,
-                    "receipted".equals(meaning.value("track " + track + " effect")), meaning.value(at + "customer"),
-                    small(meaning.values().getOrDefault(at + "customer-header", "X-Customer")),
-                    small(meaning.values().getOrDefault(at + "mark-header", "X-Mark")),
-                    Double.parseDouble(memory) / 1000,
-                    new Span(Long.parseLong(meaning.value("track " + track + " abandon-time")))));
+            routes.add(
+                    new Route(
+                            start ? path.substring(0, path.length() - 1) : path,
+                            start,
+                            meaning.value(at + "method"),
+                            track,
+                            "receipted".equals(meaning.value("track " + track + " effect")),
+                            meaning.value(at + "customer"),
+                            small(
+                                    meaning.values()
+                                            .getOrDefault(at + "customer-header", "X-Customer")),
+                            small(meaning.values().getOrDefault(at + "mark-header", "X-Mark")),
+                            Double.parseDouble(memory) / 1000,
+                            new Span(
+                                    Long.parseLong(
+                                            meaning.value("track " + track + " abandon-time")))));
         }
-        routes.sort(Comparator.<Route>comparingInt(route -> -route.path().length())
-                .thenComparing(Route::start).thenComparing(route -> route.method() == null));
+        routes.sort(
+                Comparator.<Route>comparingInt(route -> -route.path().length())
+                        .thenComparing(Route::start)
+                        .thenComparing(route -> route.method() == null));
     }
 
     private static String small(String header) {
@@ -84,7 +116,8 @@
     }
 
     private Match ticket(Route route, Asked asked) {
-        String customer = route.customer() != null ? route.customer() : asked.header(route.customerHeader());
+        String customer =
+                route.customer() != null ? route.customer() : asked.header(route.customerHeader());
         String mark = asked.header(route.markHeader());
         if (customer == null || customer.isEmpty()) {
             if (!noCustomers) {
@@ -93,12 +126,18 @@
             customer = "";
         }
         if (route.receipted() != (mark != null && !mark.isEmpty())) {
-            return Match.refused(route.receipted() ? Refusal.NO_MARK : Refusal.MARK_WHERE_NONE_BELONGS);
+            return Match.refused(
+                    route.receipted() ? Refusal.NO_MARK : Refusal.MARK_WHERE_NONE_BELONGS);
         }
         if (route.receipted() && !MARK.matcher(mark).matches()) {
             return Match.refused(Refusal.BAD_MARK);
         }
-        return new Match(null, route.track(), customer, route.receipted() ? mark : null, route.memoryKb(),
+        return new Match(
+                null,
+                route.track(),
+                customer,
+                route.receipted() ? mark : null,
+                route.memoryKb(),
                 route.abandon());
     }
 }
--- a/src/main/java/lupinwood/settings/Change.java
+++ b/src/main/java/lupinwood/settings/Change.java
@@ -10,7 +10,10 @@
     NEW_CONNECTIONS("for new connections"),
     /** After a restart; until then the node keeps the value it has. */
     RESTART("needs a restart"),
-    /** Never in this life: the whole configuration is refused, since even a restart could break a rule. */
+    /**
+     * Never in this life: the whole configuration is refused, since even a restart could break a
+     * rule.
+     */
     REFUSED("refused");
 
     private final String said;
--- a/src/main/java/lupinwood/settings/Checks.java
+++ b/src/main/java/lupinwood/settings/Checks.java
@@ -11,14 +11,20 @@
 
 /** What must hold of a meaning as a whole: bounds, what is needed, and what fits together. */
 public final class Checks {
-    /** Links and the process itself need as many descriptors at the least, with a few left for dispatchers. */
+    /**
+     * Links and the process itself need as many descriptors at the least, with a few left for
+     * dispatchers.
+     */
     private static final int LEAST_DESCRIPTORS = 32;
+
     /** Tables, receipts and the JVM itself, in bytes. */
     private static final long LEAST_MEMORY = 28_000_000;
+
     private static final BigDecimal SHARE_SLACK = new BigDecimal("0.005");
 
     private final Meaning meaning;
     private final List<Fault> faults = new ArrayList<>();
+
     /** Entries that are known to be wrong already: one mistake gives one message. */
     private final Set<String> wrong = new HashSet<>();
 
@@ -70,31 +76,50 @@
     }
 
     private void bounds() {
-        meaning.values().forEach((name, value) -> {
-            Entry entry = Meaning.entry(name);
-            if (entry == null || wrong.contains(name)) {
-                return;
-            }
-            if (entry.kind() == Kind.WORD && !entry.saidAs().contains(value)) {
-                fault(name, value + " is no " + entry.own() + " that is known here", Meaning.wanted(entry),
-                        !entry.bears(Lapse.UNKNOWN_WORD));
-            }
-            if (!entry.kind().isNumber() || entry.least() == null) {
-                return;
-            }
-            BigDecimal number = new BigDecimal(value);
-            String bounds = "write a value from " + Values.said(entry, Values.plain(entry.least())) + " to "
-                    + Values.said(entry, Values.plain(entry.most()));
-            if (number.compareTo(entry.least()) < 0) {
-                fault(name, said(name) + " is too little for " + name, bounds,
-                        !entry.bears(Lapse.TOO_LITTLE) || number.signum() < 0);
-            } else if (number.compareTo(entry.most()) > 0) {
-                fault(name, said(name) + " is too much for " + name, bounds, !entry.bears(Lapse.TOO_MUCH));
-            } else if (entry.kind() == Kind.COUNT && number.stripTrailingZeros().scale() > 0) {
-                fault(name, said(name) + " is no whole number", "write a whole number, as 2",
-                        !entry.bears(Lapse.FRACTION));
-            }
-        });
+        meaning.values()
+                .forEach(
+                        (name, value) -> {
+                            Entry entry = Meaning.entry(name);
+                            if (entry == null || wrong.contains(name)) {
+                                return;
+                            }
+                            if (entry.kind() == Kind.WORD && !entry.saidAs().contains(value)) {
+                                fault(
+                                        name,
+                                        value + " is no " + entry.own() + " that is known here",
+                                        Meaning.wanted(entry),
+                                        !entry.bears(Lapse.UNKNOWN_WORD));
+                            }
+                            if (!entry.kind().isNumber() || entry.least() == null) {
+                                return;
+                            }
+                            BigDecimal number = new BigDecimal(value);
+                            String bounds =
+                                    "write a value from "
+                                            + Values.said(entry, Values.plain(entry.least()))
+                                            + " to "
+                                            + Values.said(entry, Values.plain(entry.most()));
+                            if (number.compareTo(entry.least()) < 0) {
+                                fault(
+                                        name,
+                                        said(name) + " is too little for " + name,
+                                        bounds,
+                                        !entry.bears(Lapse.TOO_LITTLE) || number.signum() < 0);
+                            } else if (number.compareTo(entry.most()) > 0) {
+                                fault(
+                                        name,
+                                        said(name) + " is too much for " + name,
+                                        bounds,
+                                        !entry.bears(Lapse.TOO_MUCH));
+                            } else if (entry.kind() == Kind.COUNT
+                                    && number.stripTrailingZeros().scale() > 0) {
+                                fault(
+                                        name,
+                                        said(name) + " is no whole number",
+                                        "write a whole number, as 2",
+                                        !entry.bears(Lapse.FRACTION));
+                            }
+                        });
     }
 
     private void needed() {
@@ -105,21 +130,36 @@
             if (entry.list().isEmpty()) {
                 need(entry.name(), "");
             } else {
-                meaning.named(entry).forEach(name -> need(name, " of " + name.substring(0, name.lastIndexOf(' '))));
+                meaning.named(entry)
+                        .forEach(
+                                name ->
+                                        need(
+                                                name,
+                                                " of " + name.substring(0, name.lastIndexOf(' '))));
             }
         }
         if (meaning.tracks().isEmpty()) {
-            fault("", "there is no track, so no ticket could be taken", "add a track with its effect, agreed-time"
-                    + " and abandon-time", true);
+            fault(
+                    "",
+                    "there is no track, so no ticket could be taken",
+                    "add a track with its effect, agreed-time" + " and abandon-time",
+                    true);
         }
     }
 
     private void need(String name, String of) {
         if (meaning.value(name) == null) {
             Entry entry = Meaning.entry(name);
-            fault(name, "'" + entry.own() + "'" + of + " is missing", "add " + entry.own() + ": "
-                    + (entry.saidAs().isEmpty() ? entry.kind().wanted() : "one of "
-                    + String.join(", ", entry.saidAs())), !entry.bears(Lapse.ABSENT));
+            fault(
+                    name,
+                    "'" + entry.own() + "'" + of + " is missing",
+                    "add "
+                            + entry.own()
+                            + ": "
+                            + (entry.saidAs().isEmpty()
+                                    ? entry.kind().wanted()
+                                    : "one of " + String.join(", ", entry.saidAs())),
+                    !entry.bears(Lapse.ABSENT));
         }
     }
 
@@ -133,8 +173,11 @@
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                fault(list + " " + name, "there are two entries '" + list + " " + name + "'",
-                        "give each " + list + " a name of its own", certain);
+                fault(
+                        list + " " + name,
+                        "there are two entries '" + list + " " + name + "'",
+                        "give each " + list + " a name of its own",
+                        certain);
             }
         }
     }
@@ -165,8 +208,15 @@
             String last = parts.keySet().stream().reduce((a, b) -> b).orElse("");
             BigDecimal fits = parts.get(last).add(BigDecimal.ONE.subtract(sum));
             String percent = Values.plain(sum.movePointRight(2)) + "%";
-            fault(last, what + " make " + percent + ", not 100%", fits.signum() < 0 ? "lower them until they make 100%"
-                    : "write " + Values.plain(fits.movePointRight(2)) + "% here, or change the others", false);
+            fault(
+                    last,
+                    what + " make " + percent + ", not 100%",
+                    fits.signum() < 0
+                            ? "lower them until they make 100%"
+                            : "write "
+                                    + Values.plain(fits.movePointRight(2))
+                                    + "% here, or change the others",
+                    false);
         }
     }
 
@@ -176,28 +226,68 @@
             String agreed = at + "agreed-time";
             String abandon = at + "abandon-time";
             String window = at + "window";
-            if (isSound(agreed) && isSound(abandon) && number(agreed).compareTo(number(abandon)) > 0) {
-                fault(agreed, "the agreed time " + said(agreed) + " is past the abandon time " + said(abandon)
-                        + " of track " + track, "write a time up to " + said(abandon), false);
+            if (isSound(agreed)
+                    && isSound(abandon)
+                    && number(agreed).compareTo(number(abandon)) > 0) {
+                fault(
+                        agreed,
+                        "the agreed time "
+                                + said(agreed)
+                                + " is past the abandon time "
+                                + said(abandon)
+                                + " of track "
+                                + track,
+                        "write a time up to " + said(abandon),
+                        false);
             }
-            if (isSound(abandon) && isSound("step") && number("step").multiply(new BigDecimal(4))
-                    .compareTo(number(abandon)) > 0) {
-                fault("step", "the step " + said("step") + " leaves no time to answer a ticket of track " + track
-                        + " within " + said(abandon), "write a quarter of the shortest abandon-time or less", false);
+            if (isSound(abandon)
+                    && isSound("step")
+                    && number("step").multiply(new BigDecimal(4)).compareTo(number(abandon)) > 0) {
+                fault(
+                        "step",
+                        "the step "
+                                + said("step")
+                                + " leaves no time to answer a ticket of track "
+                                + track
+                                + " within "
+                                + said(abandon),
+                        "write a quarter of the shortest abandon-time or less",
+                        false);
             }
             boolean receipted = "receipted".equals(meaning.value(at + "effect"));
             if (receipted && meaning.value(window) == null) {
-                fault(window, "the receipted track " + track + " has no window, so a repeat could run twice",
-                        "add window: a time with its unit, no shorter than abandon-time", false);
-            } else if (receipted && isSound(window) && isSound(abandon)
+                fault(
+                        window,
+                        "the receipted track "
+                                + track
+                                + " has no window, so a repeat could run twice",
+                        "add window: a time with its unit, no shorter than abandon-time",
+                        false);
+            } else if (receipted
+                    && isSound(window)
+                    && isSound(abandon)
                     && number(window).compareTo(number(abandon)) < 0) {
-                fault(window, "the window " + said(window) + " is shorter than the abandon time " + said(abandon)
-                        + " of receipted track " + track, "write " + said(abandon) + " or more", false);
+                fault(
+                        window,
+                        "the window "
+                                + said(window)
+                                + " is shorter than the abandon time "
+                                + said(abandon)
+                                + " of receipted track "
+                                + track,
+                        "write " + said(abandon) + " or more",
+                        false);
             }
-            if (calls(track) && "nothing".equals(meaning.values()
-                    .getOrDefault("machine below", "nothing"))) {
-                fault(at + "calls", "tickets of track " + track + " may call, but there is nothing below to call",
-                        "write #false, or say in machine what is below", false);
+            if (calls(track)
+                    && "nothing"
+                            .equals(meaning.values().getOrDefault("machine below", "nothing"))) {
+                fault(
+                        at + "calls",
+                        "tickets of track "
+                                + track
+                                + " may call, but there is nothing below to call",
+                        "write #false, or say in machine what is below",
+                        false);
             }
         }
     }
@@ -210,15 +300,31 @@
         }
         if (meaning.value("index") == null) {
             boolean calls = meaning.tracks().stream().anyMatch(this::calls);
-            fault("index", "'index' is missing, and machine below is " + below, "add index: "
-                    + Meaning.entry("index").kind().wanted(), calls);
+            fault(
+                    "index",
+                    "'index' is missing, and machine below is " + below,
+                    "add index: " + Meaning.entry("index").kind().wanted(),
+                    calls);
         }
         String most = "machine calls-out";
         if (below.equals("one-for-all") && isSound(most) && number(most).signum() == 0) {
-            boolean noneWithout = meaning.tracks().stream().allMatch(track -> calls(track)
-                    && meaning.number("track " + track + " skip-credit", BigDecimal.ZERO).signum() == 0);
-            fault(most, said(most) + " calls out leave none of the one dependency to this node",
-                    "write this node's part of the calls that it survives", noneWithout);
+            boolean noneWithout =
+                    meaning.tracks().stream()
+                            .allMatch(
+                                    track ->
+                                            calls(track)
+                                                    && meaning.number(
+                                                                            "track "
+                                                                                    + track
+                                                                                    + " skip-credit",
+                                                                            BigDecimal.ZERO)
+                                                                    .signum()
+                                                            == 0);
+            fault(
+                    most,
+                    said(most) + " calls out leave none of the one dependency to this node",
+                    "write this node's part of the calls that it survives",
+                    noneWithout);
         }
     }
 
@@ -231,8 +337,11 @@
         for (String name : List.of("listen", "executor", "index", "naming", "ajp listen")) {
             String other = isSound(name) ? first.putIfAbsent(meaning.value(name), name) : null;
             if (other != null) {
-                fault(name, name + " has the address of " + other + ", " + meaning.value(name),
-                        "give each its own address", other.equals("listen"));
+                fault(
+                        name,
+                        name + " has the address of " + other + ", " + meaning.value(name),
+                        "give each its own address",
+                        other.equals("listen"));
             }
         }
     }
@@ -240,18 +349,28 @@
     private void limits() {
         String descriptors = "limits descriptors";
         if (isSound(descriptors) && number(descriptors).intValue() < LEAST_DESCRIPTORS) {
-            fault(descriptors, said(descriptors) + " descriptors leave none for calls and dispatchers",
-                    "write " + LEAST_DESCRIPTORS + " or more", true);
+            fault(
+                    descriptors,
+                    said(descriptors) + " descriptors leave none for calls and dispatchers",
+                    "write " + LEAST_DESCRIPTORS + " or more",
+                    true);
         }
         String memory = "limits memory";
         if (isSound(memory) && number(memory).longValue() < LEAST_MEMORY) {
-            fault(memory, said(memory) + " are too little for the node's own tables", "write 28MB or more", false);
+            fault(
+                    memory,
+                    said(memory) + " are too little for the node's own tables",
+                    "write 28MB or more",
+                    false);
         }
         String held = "machine memory";
         String entry = "machine entry-memory";
         if (isSound(held) && isSound(entry) && number(entry).compareTo(number(held)) > 0) {
-            fault(entry, "one receipt takes " + said(entry) + ", more than the machine's " + said(held),
-                    "write less than " + said(held), false);
+            fault(
+                    entry,
+                    "one receipt takes " + said(entry) + ", more than the machine's " + said(held),
+                    "write less than " + said(held),
+                    false);
         }
     }
 
@@ -263,28 +382,53 @@
             String track = meaning.value(at + "track");
             String customer = meaning.value(at + "customer");
             if (!path.startsWith("/")) {
-                fault(at + "path", "the path " + path + " doesn't begin with /", "write /" + path, true);
+                fault(
+                        at + "path",
+                        "the path " + path + " doesn't begin with /",
+                        "write /" + path,
+                        true);
             }
-            String other = paths.putIfAbsent(meaning.values().getOrDefault(at + "method", "any") + " " + path, route);
+            String other =
+                    paths.putIfAbsent(
+                            meaning.values().getOrDefault(at + "method", "any") + " " + path,
+                            route);
             if (other != null) {
-                fault(at + "path", "route " + other + " has the same path and method", "give each its own", true);
+                fault(
+                        at + "path",
+                        "route " + other + " has the same path and method",
+                        "give each its own",
+                        true);
             }
             if (track != null && !meaning.tracks().contains(track)) {
-                fault(at + "track", "there is no track " + track, "write one of: "
-                        + String.join(", ", meaning.tracks()), true);
+                fault(
+                        at + "track",
+                        "there is no track " + track,
+                        "write one of: " + String.join(", ", meaning.tracks()),
+                        true);
             }
             if (customer != null && !meaning.customers().contains(customer)) {
-                fault(at + "customer", "there is no customer " + customer, "write one of: "
-                        + String.join(", ", meaning.customers()), true);
+                fault(
+                        at + "customer",
+                        "there is no customer " + customer,
+                        "write one of: " + String.join(", ", meaning.customers()),
+                        true);
             }
         }
         String listen = meaning.value("ajp listen");
-        if (listen != null && meaning.value("ajp secret") == null && !listen.matches("(127\\.[0-9.]+|localhost|\\[::1\\]):.*")) {
-            fault("ajp listen", "without a secret AJP listens on loopback only", "add secret, or write \"127.0.0.1:8009\"",
+        if (listen != null
+                && meaning.value("ajp secret") == null
+                && !listen.matches("(127\\.[0-9.]+|localhost|\\[::1\\]):.*")) {
+            fault(
+                    "ajp listen",
+                    "without a secret AJP listens on loopback only",
+                    "add secret, or write \"127.0.0.1:8009\"",
                     true);
         }
         if (listen != null && meaning.items(Schema.ROUTE).isEmpty()) {
-            fault("ajp listen", "no route says which requests are tickets", "add route NAME { path \"/...\"; track ... }",
+            fault(
+                    "ajp listen",
+                    "no route says which requests are tickets",
+                    "add route NAME { path \"/...\"; track ... }",
                     true);
         }
     }
@@ -294,12 +438,20 @@
             String name = "server " + server + " tracks";
             for (String track : meaning.values().getOrDefault(name, "").split(",")) {
                 if (isSound(name) && !meaning.tracks().contains(track)) {
-                    fault(name, "there is no track " + track, "write some of: "
-                            + String.join(", ", meaning.tracks()), true);
+                    fault(
+                            name,
+                            "there is no track " + track,
+                            "write some of: " + String.join(", ", meaning.tracks()),
+                            true);
                 }
                 if (calls(track)) {
-                    fault(name, "tickets of track " + track + " call, and servers that speak AJP can't tell of calls",
-                            "write calls #false in track " + track, true);
+                    fault(
+                            name,
+                            "tickets of track "
+                                    + track
+                                    + " call, and servers that speak AJP can't tell of calls",
+                            "write calls #false in track " + track,
+                            true);
                 }
             }
         }
@@ -307,18 +459,32 @@
 
     private void fleet() {
         List<String> voters = meaning.items(Schema.VOTER);
-        String said = meaning.values().keySet().stream().filter(name -> name.startsWith("fleet ")).findFirst().orElse(null);
+        String said =
+                meaning.values().keySet().stream()
+                        .filter(name -> name.startsWith("fleet "))
+                        .findFirst()
+                        .orElse(null);
         if (voters.isEmpty()) {
             if (said != null) {
-                fault(said, "no voter is named, so there is no fleet", "add voter NAME { address \"...\" }, three or five",
+                fault(
+                        said,
+                        "no voter is named, so there is no fleet",
+                        "add voter NAME { address \"...\" }, three or five",
                         true);
             }
             return;
         }
         if (voters.size() != 3 && voters.size() != 5) {
-            fault("voter " + voters.get(0), "a council of " + voters.size() + " voters"
-                    + (voters.size() % 2 == 0 ? " outlives no more of them than one less would" : " is none that is meant"),
-                    "name three or five voters", true);
+            fault(
+                    "voter " + voters.get(0),
+                    "a council of "
+                            + voters.size()
+                            + " voters"
+                            + (voters.size() % 2 == 0
+                                    ? " outlives no more of them than one less would"
+                                    : " is none that is meant"),
+                    "name three or five voters",
+                    true);
         }
         twice(Schema.VOTER, voters, true);
         Map<String, String> first = new HashMap<>();
@@ -326,12 +492,19 @@
             String name = "voter " + voter + " address";
             String other = isSound(name) ? first.putIfAbsent(meaning.value(name), voter) : null;
             if (other != null) {
-                fault(name, "voter " + voter + " has the address of " + other, "give each its own address", true);
+                fault(
+                        name,
+                        "voter " + voter + " has the address of " + other,
+                        "give each its own address",
+                        true);
             }
         }
         if (voters.contains(meaning.value("name")) && meaning.value("fleet folder") == null) {
-            fault("fleet folder", "a voter without a folder would forget its votes", "add folder: a path on a disk"
-                    + " that outlives the process", true);
+            fault(
+                    "fleet folder",
+                    "a voter without a folder would forget its votes",
+                    "add folder: a path on a disk" + " that outlives the process",
+                    true);
         }
     }
 }
--- a/src/main/java/lupinwood/settings/Entry.java
+++ b/src/main/java/lupinwood/settings/Entry.java
@@ -8,15 +8,16 @@
  * One entry that a node can be told.
  *
  * @param name our name, its words apart by spaces; {@code *} stands for the name of a list's item
- * @param key where the platform's JSON has it, with dots; {@code #} stands for the place of a list's item, at the
- *     end for an item of a list of plain values
+ * @param key where the platform's JSON has it, with dots; {@code #} stands for the place of a
+ *     list's item, at the end for an item of a list of plain values
  * @param least the smallest value allowed, in the unit in which it is kept; null without a bound
  * @param most the greatest value allowed
  * @param words the words allowed, as kept; empty where any will do
  * @param saidAs the same words as we write them
  * @param required whether a node can't do without it
  * @param otherwise what counts where it is absent, in words
- * @param lapses what a node can serve with all the same: the platform's form is then taken, and told in the log
+ * @param lapses what a node can serve with all the same: the platform's form is then taken, and
+ *     told in the log
  * @param instead what counts then, in words; empty where nothing may be amiss
  * @param change when a changed value counts
  * @param because why no sooner
--- a/src/main/java/lupinwood/settings/Meaning.java
+++ b/src/main/java/lupinwood/settings/Meaning.java
@@ -11,16 +11,20 @@
 import java.util.regex.Pattern;
 
 /**
- * What a configuration says, whatever language said it: a value for each entry, by its name with the items' own
- * names in it, as {@code track unlock window}. Two configurations mean the same just when their values are equal.
+ * What a configuration says, whatever language said it: a value for each entry, by its name with
+ * the items' own names in it, as {@code track unlock window}. Two configurations mean the same just
+ * when their values are equal.
  *
  * @param lists the items of each list in their order, which numbers tracks and customers
  * @param values as {@link Values} reads them, in the order of the schema
  */
 public record Meaning(Map<String, List<String>> lists, Map<String, String> values) {
-    private static final Pattern ITEM = Pattern.compile("settings\\.(services|customers)\\.(\\d{1,6})\\.(.+)");
+    private static final Pattern ITEM =
+            Pattern.compile("settings\\.(services|customers)\\.(\\d{1,6})\\.(.+)");
+
     /** What a place in a list can be written with, and more than any deployment has. */
     private static final BigDecimal MOST_ITEMS = new BigDecimal(100_000);
+
     private static final Pattern PLACE = Pattern.compile("\\.\\d{1,6}\\.");
 
     public Meaning {
@@ -54,7 +58,9 @@
         if (entry.list().isEmpty()) {
             return List.of(entry.name());
         }
-        return items(entry.list()).stream().map(item -> entry.list() + " " + item + " " + entry.own()).toList();
+        return items(entry.list()).stream()
+                .map(item -> entry.list() + " " + item + " " + entry.own())
+                .toList();
     }
 
     /** As a number, in the unit that values have; otherwise this. */
@@ -71,7 +77,9 @@
         }
         int first = name.indexOf(' ');
         int last = name.lastIndexOf(' ');
-        return first < last ? Schema.named(name.substring(0, first) + " *" + name.substring(last)) : null;
+        return first < last
+                ? Schema.named(name.substring(0, first) + " *" + name.substring(last))
+                : null;
     }
 
     /** A value as the language writes it. */
@@ -85,30 +93,44 @@
         List<String> tracks = names(flat, "services", faults);
         List<String> customers = names(flat, "customers", faults);
         Map<String, String> found = new TreeMap<>();
-        flat.forEach((key, kept) -> {
-            if (key.startsWith("settings.") && key.endsWith(".count") || isItemsName(key)) {
-                return;
-            }
-            Entry plain = Schema.keyed(key + ".#");
-            if (plain != null) {
-                String[] items = kept.split(",");
-                for (int i = 0; i < items.length && i < tracks.size(); i++) {
-                    put(plain, "track " + tracks.get(i) + " " + plain.own(), items[i], found, faults);
-                }
-                return;
-            }
-            Matcher item = ITEM.matcher(key);
-            Entry entry = Schema.keyed(PLACE.matcher(key).replaceFirst(".#."));
-            List<String> names = !item.matches() || item.group(1).equals("services") ? tracks : customers;
-            int place = item.matches() ? Integer.parseInt(item.group(2)) : 0;
-            if (entry != null && item.matches() && place < names.size()) {
-                put(entry, entry.list() + " " + names.get(place) + " " + entry.own(), kept, found, faults);
-            } else if (entry != null && !item.matches()) {
-                put(entry, entry.name(), kept, found, faults);
-            } else if (key.startsWith("settings.")) {
-                found.put(Schema.EXTRA + " " + key.substring("settings.".length()), kept);
-            }
-        });
+        flat.forEach(
+                (key, kept) -> {
+                    if (key.startsWith("settings.") && key.endsWith(".count") || isItemsName(key)) {
+                        return;
+                    }
+                    Entry plain = Schema.keyed(key + ".#");
+                    if (plain != null) {
+                        String[] items = kept.split(",");
+                        for (int i = 0; i < items.length && i < tracks.size(); i++) {
+                            put(
+                                    plain,
+                                    "track " + tracks.get(i) + " " + plain.own(),
+                                    items[i],
+                                    found,
+                                    faults);
+                        }
+                        return;
+                    }
+                    Matcher item = ITEM.matcher(key);
+                    Entry entry = Schema.keyed(PLACE.matcher(key).replaceFirst(".#."));
+                    List<String> names =
+                            !item.matches() || item.group(1).equals("services")
+                                    ? tracks
+                                    : customers;
+                    int place = item.matches() ? Integer.parseInt(item.group(2)) : 0;
+                    if (entry != null && item.matches() && place < names.size()) {
+                        put(
+                                entry,
+                                entry.list() + " " + names.get(place) + " " + entry.own(),
+                                kept,
+                                found,
+                                faults);
+                    } else if (entry != null && !item.matches()) {
+                        put(entry, entry.name(), kept, found, faults);
+                    } else if (key.startsWith("settings.")) {
+                        found.put(Schema.EXTRA + " " + key.substring("settings.".length()), kept);
+                    }
+                });
         Map<String, List<String>> lists = Map.of(Schema.TRACK, tracks, Schema.CUSTOMER, customers);
         return new Meaning(lists, ordered(lists, found));
     }
@@ -123,7 +145,12 @@
         String told = flat.getOrDefault("settings." + list + ".count", "0");
         BigDecimal count = Values.number(told);
         if (count == null || count.signum() < 0 || count.compareTo(MOST_ITEMS) > 0) {
-            faults.add(new Fault(list + ".count", "this is no number of " + list + ": " + told, "", true));
+            faults.add(
+                    new Fault(
+                            list + ".count",
+                            "this is no number of " + list + ": " + told,
+                            "",
+                            true));
             return names;
         }
         for (int i = 0; i < count.intValue(); i++) {
@@ -133,13 +160,19 @@
     }
 
     /** What is empty counts as absent. */
-    private static void put(Entry entry, String name, String kept, Map<String, String> found, List<Fault> faults) {
+    private static void put(
+            Entry entry, String name, String kept, Map<String, String> found, List<Fault> faults) {
         if (kept.isEmpty()) {
             return;
         }
         String value = Values.read(entry, kept);
         if (value == null) {
-            faults.add(new Fault(name, "this is not what " + name + " takes: " + kept, wanted(entry), true));
+            faults.add(
+                    new Fault(
+                            name,
+                            "this is not what " + name + " takes: " + kept,
+                            wanted(entry),
+                            true));
         } else {
             found.put(name, value);
         }
@@ -147,8 +180,10 @@
 
     /** What to write for an entry. */
     public static String wanted(Entry entry) {
-        return "write " + (entry.saidAs().isEmpty() ? entry.kind().wanted()
-                : "one of: " + String.join(", ", entry.saidAs()));
+        return "write "
+                + (entry.saidAs().isEmpty()
+                        ? entry.kind().wanted()
+                        : "one of: " + String.join(", ", entry.saidAs()));
     }
 
     /** Whether it is a host and a port. */
@@ -157,12 +192,14 @@
     }
 
     /** In the order of the schema, items in their own; entries without a name last. */
-    public static Map<String, String> ordered(Map<String, List<String>> lists, Map<String, String> found) {
+    public static Map<String, String> ordered(
+            Map<String, List<String>> lists, Map<String, String> found) {
         Map<String, String> in = new LinkedHashMap<>();
         Schema.of("").forEach(entry -> take(entry.name(), found, in));
         for (String list : Schema.LISTS) {
             for (String item : lists.getOrDefault(list, List.of())) {
-                Schema.of(list).forEach(entry -> take(list + " " + item + " " + entry.own(), found, in));
+                Schema.of(list)
+                        .forEach(entry -> take(list + " " + item + " " + entry.own(), found, in));
             }
         }
         new TreeMap<>(found).forEach(in::putIfAbsent);
@@ -180,14 +217,15 @@
         Map<String, String> flat = new TreeMap<>();
         count(flat, "services", tracks());
         count(flat, "customers", customers());
-        values.forEach((name, value) -> {
-            Entry entry = entry(name);
-            if (entry == null) {
-                flat.put("settings." + name.substring(Schema.EXTRA.length() + 1), value);
-            } else if (!entry.isInPlainList()) {
-                flat.put(key(name), Values.write(entry, value));
-            }
-        });
+        values.forEach(
+                (name, value) -> {
+                    Entry entry = entry(name);
+                    if (entry == null) {
+                        flat.put("settings." + name.substring(Schema.EXTRA.length() + 1), value);
+                    } else if (!entry.isInPlainList()) {
+                        flat.put(key(name), Values.write(entry, value));
+                    }
+                });
         for (Entry entry : Schema.all()) {
             if (entry.isInPlainList()) {
                 plainList(entry, flat);
@@ -211,7 +249,10 @@
         for (String track : tracks()) {
             String value = values.get("track " + track + " " + entry.own());
             any |= value != null;
-            items.add(value == null ? entry.kind() == Kind.FLAG ? "false" : "0" : Values.write(entry, value));
+            items.add(
+                    value == null
+                            ? entry.kind() == Kind.FLAG ? "false" : "0"
+                            : Values.write(entry, value));
         }
         if (any) {
             flat.put(entry.key().substring(0, entry.key().length() - 2), String.join(",", items));
@@ -225,8 +266,11 @@
             return entry.key();
         }
         String item = name.split(" ")[1];
-        boolean numbered = entry.list().equals(Schema.TRACK) || entry.list().equals(Schema.CUSTOMER);
-        return entry.key().replace("#", numbered ? Integer.toString(items(entry.list()).indexOf(item)) : item);
+        boolean numbered =
+                entry.list().equals(Schema.TRACK) || entry.list().equals(Schema.CUSTOMER);
+        return entry.key()
+                .replace(
+                        "#", numbered ? Integer.toString(items(entry.list()).indexOf(item)) : item);
     }
 
     /** The JSON's text of a value. */
--- a/src/main/java/lupinwood/settings/Values.java
+++ b/src/main/java/lupinwood/settings/Values.java
@@ -6,17 +6,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Between a value as the JSON keeps it and as it is compared here: numbers as plain decimals in nanoseconds, bytes,
- * fractions of one or pieces a second; words and texts as we write them.
+ * Between a value as the JSON keeps it and as it is compared here: numbers as plain decimals in
+ * nanoseconds, bytes, fractions of one or pieces a second; words and texts as we write them.
  */
 final class Values {
     private static final BigDecimal MILLIS = new BigDecimal(1_000_000);
     private static final BigDecimal KILO = new BigDecimal(1000);
     private static final Pattern ADDRESS = Pattern.compile("\\S+:[0-9]{1,5}");
     private static final Pattern HEX = Pattern.compile("[0-9a-fA-F]{1,16}");
+
     /** No number has more; a longer one would take time to read. */
     private static final int MOST_DIGITS = 400;
-    /** No entry needs more, before or behind the point; more would take time and memory to reckon with. */
+
+    /**
+     * No entry needs more, before or behind the point; more would take time and memory to reckon
+     * with.
+     */
     private static final int MOST_POWER = 40;
 
     private Values() {}
@@ -28,8 +33,11 @@
             return number == null ? null : plain(number.multiply(unit(entry.kind())));
         }
         return switch (entry.kind()) {
-            case WORD -> entry.words().contains(kept) || entry.bears(Lapse.UNKNOWN_WORD) && !kept.isEmpty()
-                    ? entry.said(kept) : null;
+            case WORD ->
+                    entry.words().contains(kept)
+                                    || entry.bears(Lapse.UNKNOWN_WORD) && !kept.isEmpty()
+                            ? entry.said(kept)
+                            : null;
             case FLAG -> kept.equals("true") || kept.equals("false") ? kept : null;
             case ADDRESS -> isAddress(kept) ? kept : null;
             case HEX -> HEX.matcher(kept).matches() ? kept : null;
@@ -61,15 +69,20 @@
         };
     }
 
-    /** Null for what is no number, or one too great to mean anything; what is too fine is rounded. */
+    /**
+     * Null for what is no number, or one too great to mean anything; what is too fine is rounded.
+     */
     static BigDecimal number(String text) {
         if (text.length() > MOST_DIGITS) {
             return null;
         }
         try {
             BigDecimal number = new BigDecimal(text);
-            return number.precision() - (long) number.scale() > MOST_POWER ? null
-                    : number.scale() > MOST_POWER ? number.setScale(MOST_POWER, RoundingMode.HALF_EVEN) : number;
+            return number.precision() - (long) number.scale() > MOST_POWER
+                    ? null
+                    : number.scale() > MOST_POWER
+                            ? number.setScale(MOST_POWER, RoundingMode.HALF_EVEN)
+                            : number;
         } catch (NumberFormatException e) {
             return null;
         }
@@ -100,7 +113,8 @@
         BigDecimal[] sizes = {new BigDecimal(1_000_000_000), MILLIS, KILO};
         for (int i = 0; i < units.length; i++) {
             if (nanos.abs().compareTo(sizes[i]) >= 0) {
-                BigDecimal part = nanos.divide(sizes[i], MathContext.UNLIMITED).stripTrailingZeros();
+                BigDecimal part =
+                        nanos.divide(sizes[i], MathContext.UNLIMITED).stripTrailingZeros();
                 if (part.scale() <= 3 || i == units.length - 1) {
                     return plain(part) + units[i];
                 }
@@ -114,7 +128,9 @@
         for (int i = 0; i < units.length; i++) {
             BigDecimal size = BigDecimal.TEN.pow(9 - 3 * i);
             BigDecimal part = bytes.divide(size, 9, RoundingMode.DOWN).stripTrailingZeros();
-            if (bytes.abs().compareTo(size) >= 0 && part.scale() <= 3 && part.multiply(size).compareTo(bytes) == 0) {
+            if (bytes.abs().compareTo(size) >= 0
+                    && part.scale() <= 3
+                    && part.multiply(size).compareTo(bytes) == 0) {
                 return plain(part) + units[i];
             }
         }
--- a/src/main/java/lupinwood/sim/Drill.java
+++ b/src/main/java/lupinwood/sim/Drill.java
@@ -49,6 +49,7 @@
     private final Maker maker;
     private final Map<Integer, Instance> instances = new TreeMap<>();
     private final Reply reply = new Reply();
+
     /** The instances with news in this batch, in the order of their first event. */
     private final Set<Instance> stirred = new LinkedHashSet<>();
 
@@ -70,7 +71,8 @@
             }
             int got = in.readNBytes(frame, 0, (int) length);
             if (got < length) {
-                throw new MalformedFrame("the input ended " + (length - got) + " bytes short of a batch");
+                throw new MalformedFrame(
+                        "the input ended " + (length - got) + " bytes short of a batch");
             }
             ByteBuffer answer = batch(ByteBuffer.wrap(frame, 0, (int) length));
             out.write(answer.array(), 0, answer.limit());
@@ -97,7 +99,8 @@
             int code = bytes.get() & 0xff;
             long length = bytes.getInt() & 0xffffffffL;
             if (length > bytes.remaining()) {
-                throw new MalformedFrame("a record of " + length + " bytes runs past the end of its batch");
+                throw new MalformedFrame(
+                        "a record of " + length + " bytes runs past the end of its batch");
             }
             Fields fields = new Fields(bytes.slice(bytes.position(), (int) length));
             bytes.position(bytes.position() + (int) length);
@@ -197,8 +200,19 @@
         CallerId caller = new CallerId(fields.u16());
         Span waited = new Span(fields.u64());
         long original = fields.u32();
-        return new Ticket(id, track, customer, subject, caller, patience, hinted ? work : Span.ZERO, memoryKb,
-                rank, (marks & 2) != 0, waited, original == 0 ? null : new TicketId(original));
+        return new Ticket(
+                id,
+                track,
+                customer,
+                subject,
+                caller,
+                patience,
+                hinted ? work : Span.ZERO,
+                memoryKb,
+                rank,
+                (marks & 2) != 0,
+                waited,
+                original == 0 ? null : new TicketId(original));
     }
 
     private static Gauges gauges(Fields fields, List<String> names) {
@@ -223,7 +237,10 @@
         };
     }
 
-    /** A node that throws has failed; the simulator is told so instead of whatever it had begun to say. */
+    /**
+     * A node that throws has failed; the simulator is told so instead of whatever it had begun to
+     * say.
+     */
     private void guarded(Instance instance, Runnable step) {
         int position = reply.position();
         int records = reply.records();
@@ -231,8 +248,14 @@
             step.run();
         } catch (RuntimeException e) {
             reply.rewind(position, records);
-            reply.record(CODE_DIE, instance.number, e + " at " + (e.getStackTrace().length > 0
-                    ? e.getStackTrace()[0] : "an unknown place"));
+            reply.record(
+                    CODE_DIE,
+                    instance.number,
+                    e
+                            + " at "
+                            + (e.getStackTrace().length > 0
+                                    ? e.getStackTrace()[0]
+                                    : "an unknown place"));
         }
     }
 }
--- a/src/main/java/lupinwood/sim/Fields.java
+++ b/src/main/java/lupinwood/sim/Fields.java
@@ -34,7 +34,8 @@
     String text() throws MalformedFrame {
         long length = u32();
         if (length > bytes.remaining()) {
-            throw new MalformedFrame("a text of " + length + " bytes, " + bytes.remaining() + " are left");
+            throw new MalformedFrame(
+                    "a text of " + length + " bytes, " + bytes.remaining() + " are left");
         }
         byte[] text = new byte[(int) length];
         bytes.get(text);
--- a/src/main/java/lupinwood/sim/Instance.java
+++ b/src/main/java/lupinwood/sim/Instance.java
@@ -10,7 +10,10 @@
 import lupinwood.node.Span;
 import lupinwood.node.TicketId;
 
-/** One life of one instance: its node, the handles still in use, and the machine as that node sees it. */
+/**
+ * One life of one instance: its node, the handles still in use, and the machine as that node sees
+ * it.
+ */
 final class Instance implements Server {
     private static final int CODE_SKIP = 80;
     private static final int CODE_TIMER = 81;
@@ -29,8 +32,10 @@
 
     final int number;
     final Map<Long, Handle> handles = new HashMap<>();
+
     /** The names of the gauges, in the order in which they come. */
     final List<String> gauges;
+
     Node node;
     Moment now;
     private final Reply reply;
@@ -97,7 +102,9 @@
 
     @Override
     public void health(boolean good, boolean fromStore) {
-        reply.record(CODE_HEALTH, number, 2).put((byte) (good ? 1 : 0)).put((byte) (fromStore ? 1 : 0));
+        reply.record(CODE_HEALTH, number, 2)
+                .put((byte) (good ? 1 : 0))
+                .put((byte) (fromStore ? 1 : 0));
     }
 
     @Override
--- a/src/main/java/lupinwood/sim/Reply.java
+++ b/src/main/java/lupinwood/sim/Reply.java
@@ -50,7 +50,8 @@
 
     private void reserve(int size) {
         if (bytes.remaining() < size) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(bytes.capacity() * 2, bytes.position() + size));
+            ByteBuffer larger =
+                    ByteBuffer.allocate(Math.max(bytes.capacity() * 2, bytes.position() + size));
             bytes = larger.put(bytes.flip());
         }
     }
