--- a/src/test/java/lupinwood/AnyConfigTest.java
+++ b/src/test/java/lupinwood/AnyConfigTest.java
@@ -22,19 +22,35 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Random sound settings, with whatever may be left out left out: each is read, starts a node, and on an idle node a
- * ticket of each track is run, makes its call and ends.
+ * Random sound settings, with whatever may be left out left out: each is read, starts a node, and
+ * on an idle node a ticket of each track is run, makes its call and ends.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class AnyConfigTest {
     private static final int DEPLOYMENTS = 400;
-    private static final String[] NAMES = {"look", "a b", "a,b c", "*", "7", "REQ", "EXEC", "calls", "\u0439\u0446", "\"'", "a.b:c/d",
-        "\ud83d\ude00", "window", "x=y", "#", "null"};
-    private static final String ADDRESSES = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"executor\":\"127.0.0.1:2\",\"index\":"
-            + "\"127.0.0.1:3\",\"naming\":\"127.0.0.1:4\",\"seed\":\"f\",\"stop_ms\":3000,\"limits\":{\"sockets\":1024}}";
+    private static final String[] NAMES = {
+        "look",
+        "a b",
+        "a,b c",
+        "*",
+        "7",
+        "REQ",
+        "EXEC",
+        "calls",
+        "\u0439\u0446",
+        "\"'",
+        "a.b:c/d",
+        "\ud83d\ude00",
+        "window",
+        "x=y",
+        "#",
+        "null"
+    };
+    private static final String ADDRESSES =
+            "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"executor\":\"127.0.0.1:2\",\"index\":"
+                    + "\"127.0.0.1:3\",\"naming\":\"127.0.0.1:4\",\"seed\":\"f\",\"stop_ms\":3000,\"limits\":{\"sockets\":1024}}";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Random chance;
 
     @Test
@@ -45,7 +61,11 @@
             JsonObject all = JsonParser.parseString(ADDRESSES).getAsJsonObject();
             all.add("settings", settings());
             try {
-                String wrong = play(NodeConfig.read(Files.writeString(folder.resolve("config.json"), all.toString())));
+                String wrong =
+                        play(
+                                NodeConfig.read(
+                                        Files.writeString(
+                                                folder.resolve("config.json"), all.toString())));
                 if (wrong != null) {
                     failed.add(seed + ": " + wrong + ", by " + all.get("settings"));
                 }
@@ -68,17 +88,36 @@
         for (int i = 0; i < 3 * tracks.size(); i++) {
             machine.trace.clear();
             machine.patience = Span.ofSeconds(i % 2 * (0.3 + chance.nextInt(60)));
-            long id = machine.arrive(i % tracks.size(), 0, 1 + chance.nextInt(20), customers == 0 ? 0 : chance.nextInt(customers));
-            boolean calls = below && "true".equals(config.meaning().value("track " + tracks.get(i % tracks.size()) + " calls"));
+            long id =
+                    machine.arrive(
+                            i % tracks.size(),
+                            0,
+                            1 + chance.nextInt(20),
+                            customers == 0 ? 0 : chance.nextInt(customers));
+            boolean calls =
+                    below
+                            && "true"
+                                    .equals(
+                                            config.meaning()
+                                                    .value(
+                                                            "track "
+                                                                    + tracks.get(i % tracks.size())
+                                                                    + " calls"));
             if (calls) {
                 machine.call(id, 5, Outcome.OK);
             }
             machine.pass(5);
             machine.end(id);
             machine.pass(500);
-            List<String> said = machine.trace.stream().map(line -> line.substring(line.indexOf(' ') + 1)).toList();
-            if (!said.contains("run " + id) || calls && !said.contains("call " + id)
-                    || said.stream().anyMatch(line -> line.startsWith("bounce") || line.startsWith("fail"))) {
+            List<String> said =
+                    machine.trace.stream()
+                            .map(line -> line.substring(line.indexOf(' ') + 1))
+                            .toList();
+            if (!said.contains("run " + id)
+                    || calls && !said.contains("call " + id)
+                    || said.stream()
+                            .anyMatch(
+                                    line -> line.startsWith("bounce") || line.startsWith("fail"))) {
                 return "ticket " + id + " of track " + i % tracks.size() + " isn't served: " + said;
             }
         }
@@ -121,9 +160,14 @@
         maybe(goal, "worst_class", 0, 1);
         put(settings, "goal", goal);
         if (chance.nextBoolean()) {
-            settings.add("reporting", JsonParser.parseString("{\"how\":\"inline\",\"columns\":[\"pending\",\"busy_reqs\"]}"));
+            settings.add(
+                    "reporting",
+                    JsonParser.parseString(
+                            "{\"how\":\"inline\",\"columns\":[\"pending\",\"busy_reqs\"]}"));
             settings.add("azs", JsonParser.parseString("[\"a\",\"b\"]"));
-            settings.add("later", JsonParser.parseString("{\"than\":[{\"this\":1},{\"build\":[null]}]}"));
+            settings.add(
+                    "later",
+                    JsonParser.parseString("{\"than\":[{\"this\":1},{\"build\":[null]}]}"));
         }
         return settings;
     }
@@ -133,8 +177,16 @@
         track.addProperty("name", NAMES[chance.nextInt(NAMES.length)] + place);
         double abandon = between(3e8, 6e10);
         track.add("give_up_ns", number(abandon));
-        track.add("aim_ns", number(chance.nextInt(8) == 0 ? abandon * 2 : Math.max(1e8, abandon * chance.nextDouble())));
-        put(track, "effect", JsonParser.parseString(oneOf("\"pure\"", "\"token\"", "\"side_effect\"")));
+        track.add(
+                "aim_ns",
+                number(
+                        chance.nextInt(8) == 0
+                                ? abandon * 2
+                                : Math.max(1e8, abandon * chance.nextDouble())));
+        put(
+                track,
+                "effect",
+                JsonParser.parseString(oneOf("\"pure\"", "\"token\"", "\"side_effect\"")));
         maybe(track, "window_ns", 2e8, 6e11);
         maybe(track, "worth", 0, 100);
         maybe(track, "late_value", 0, 1);
@@ -155,10 +207,24 @@
     }
 
     private void domain(JsonObject domain, int tracks) {
-        put(domain, "below", JsonParser.parseString(oneOf("\"off\"", "\"tier\"", "\"one_for_all\"", "\"one_for_all\"")));
-        put(domain, "advert", JsonParser.parseString(oneOf("\"off\"", "\"floor\"", "\"allowance\"", "\"weight\"")));
-        put(domain, "stop_mode", JsonParser.parseString(oneOf("\"off\"", "\"discard\"", "\"freeze\"")));
-        put(domain, "gauges", JsonParser.parseString(oneOf("[]", "[\"on_cores\"]", "[\"links\",\"svc_ms\"]")));
+        put(
+                domain,
+                "below",
+                JsonParser.parseString(
+                        oneOf("\"off\"", "\"tier\"", "\"one_for_all\"", "\"one_for_all\"")));
+        put(
+                domain,
+                "advert",
+                JsonParser.parseString(
+                        oneOf("\"off\"", "\"floor\"", "\"allowance\"", "\"weight\"")));
+        put(
+                domain,
+                "stop_mode",
+                JsonParser.parseString(oneOf("\"off\"", "\"discard\"", "\"freeze\"")));
+        put(
+                domain,
+                "gauges",
+                JsonParser.parseString(oneOf("[]", "[\"on_cores\"]", "[\"links\",\"svc_ms\"]")));
         JsonArray calls = new JsonArray();
         JsonArray skips = new JsonArray();
         for (int i = 0; i < tracks; i++) {
@@ -177,7 +243,10 @@
         maybe(domain, "keepalive_max_ns", 0, 6e10);
         maybe(domain, "heeded_ns", 0, 1e10);
         put(domain, "cpus", number(1 + chance.nextInt(chance.nextBoolean() ? 2 : 64)));
-        for (String flag : new String[] {"cold", "tells_gone", "passes_deadline", "real_checks", "registry_follows"}) {
+        for (String flag :
+                new String[] {
+                    "cold", "tells_gone", "passes_deadline", "real_checks", "registry_follows"
+                }) {
             put(domain, flag, JsonParser.parseString(oneOf("true", "false")));
         }
     }
@@ -204,15 +273,20 @@
     private double between(double least, double most) {
         int end = chance.nextInt(10);
         double low = Math.max(least, most / 1e6);
-        return end == 0 ? least : end == 1 ? most : Math.max(least, low * Math.pow(most / low, chance.nextDouble()));
+        return end == 0
+                ? least
+                : end == 1
+                        ? most
+                        : Math.max(least, low * Math.pow(most / low, chance.nextDouble()));
     }
 
     /** In one of the forms that JSON has. */
     private JsonElement number(double value) {
-        return JsonParser.parseString(switch (chance.nextInt(3)) {
-            case 0 -> Double.toString(value);
-            case 1 -> String.format(Locale.ROOT, "%.12e", value);
-            default -> new BigDecimal(value).toPlainString();
-        });
+        return JsonParser.parseString(
+                switch (chance.nextInt(3)) {
+                    case 0 -> Double.toString(value);
+                    case 1 -> String.format(Locale.ROOT, "%.12e", value);
+                    default -> new BigDecimal(value).toPlainString();
+                });
     }
 }
--- a/src/test/java/lupinwood/BrainTest.java
+++ b/src/test/java/lupinwood/BrainTest.java
@@ -19,7 +19,9 @@
         long waits = machine.arrive(Machine.RECEIPTED);
         machine.tell(waits, Handle::needsCall);
         machine.pass(6000);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 run 2
                 0 call 2
@@ -43,7 +45,9 @@
         long broken = machine.arrive(Machine.RECEIPTED);
         machine.tell(broken, handle -> handle.ended(Outcome.ERROR, Span.ZERO));
         machine.arrive(Machine.RECEIPTED, broken, 10, 0);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 remember 1
                 0 run 1
                 0 reuse for 2
@@ -54,7 +58,10 @@
                 """);
     }
 
-    /** Seen on a day of deploy/sites/many: the caller of the original was gone, so nothing was owed at the last call. */
+    /**
+     * Seen on a day of deploy/sites/many: the caller of the original was gone, so nothing was owed
+     * at the last call.
+     */
     @Test
     void aRepeatAfterTheLastCallIsAnsweredAtOnceAndDoesNotWaitForItsOriginal() {
         Machine machine = new Machine().start();
@@ -65,7 +72,9 @@
         machine.trace.clear();
         machine.arrive(Machine.RECEIPTED, original, 10, 0);
         machine.pass(20);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 2900 reuse for 2
                 2900 fail 2
                 """);
@@ -81,7 +90,9 @@
         machine.pass(800);
         machine.arrive(Machine.LOCAL);
         machine.pass(2000);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 health bad
                 400 run 2
@@ -98,7 +109,9 @@
         machine.arrive(Machine.LOCAL, 0, 20, 0);
         machine.arrive(Machine.LOCAL, 0, 4, 0);
         machine.arrive(Machine.RECEIPTED, 0, 3, 0);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 log bounce 3: memory full
                 0 bounce 3, come back later
@@ -107,13 +120,19 @@
 
     @Test
     void aColdMachineRunsFewerButStillTriesOnAFreeCore() {
-        for (String cold : new String[] {"0.2 rules.fall_multiple=1.1", "0.01 rules.fall_multiple=9"}) {
-            Machine one = new Machine().set("domain.cold=true rules.ramp_time_ns=10000000000")
-                    .set("rules.cold_share=" + cold).start();
+        for (String cold :
+                new String[] {"0.2 rules.fall_multiple=1.1", "0.01 rules.fall_multiple=9"}) {
+            Machine one =
+                    new Machine()
+                            .set("domain.cold=true rules.ramp_time_ns=10000000000")
+                            .set("rules.cold_share=" + cold)
+                            .start();
             for (int i = 0; i < 3; i++) {
                 one.arrive(Machine.LOCAL);
             }
-            assertThat(one.printed()).isEqualTo("""
+            assertThat(one.printed())
+                    .isEqualTo(
+                            """
                     0 run 1
                     0 log bounce 3: would wait in vain
                     0 bounce 3, come back later
@@ -130,7 +149,9 @@
         machine.trace.clear();
         machine.arrive(Machine.EFFECTFUL);
         machine.arrive(Machine.LOCAL);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 log bounce 21: count at limit
                 0 bounce 21, come back later
                 """);
@@ -150,7 +171,9 @@
         machine.arrive(Machine.PURE);
         machine.tell(early, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
         machine.arrive(Machine.PURE);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 900 run 17
                 900 call 9
                 900 log bounce 29: count at limit
@@ -163,7 +186,9 @@
         patient().start();
         long slow = machine.arrive(Machine.PURE);
         machine.call(slow, 15000, Outcome.OK);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 call 1
                 """);
@@ -175,7 +200,9 @@
         machine.calm(100);
         long slow = machine.arrive(Machine.PURE);
         machine.call(slow, 12000, Outcome.BROKEN);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 800 run 9
                 800 call 9
                 10800 log limit cut to 18.0
@@ -196,7 +223,10 @@
         }
         machine.calm(50);
         machine.pass(700);
-        assertThat(machine.printed()).as("too few").isEqualTo("""
+        assertThat(machine.printed())
+                .as("too few")
+                .isEqualTo(
+                        """
                 2600 log limit cut to 18.0
                 2600 log limit cut to 16.2
                 """);
@@ -205,7 +235,9 @@
         machine.pass(1200);
         machine.tell(17, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.5)));
         machine.end(17);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 3600 call 17
                 3600 fail 18
                 """);
@@ -219,7 +251,9 @@
         machine.call(within, 12000, Outcome.OK);
         long past = machine.arrive(Machine.PURE);
         machine.call(past, 18000, Outcome.OK);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 40000 run 9
                 40000 call 9
                 52000 run 10
@@ -237,7 +271,9 @@
         machine.tell(second, Handle::needsCall);
         machine.tell(first, handle -> handle.callEnded(Outcome.TIMED_OUT, Span.ofSeconds(1)));
         machine.pass(250);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 run 2
                 0 call 1
@@ -255,7 +291,9 @@
         machine.call(first, 100, Outcome.OK);
         machine.tell(second, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
         machine.pass(1000);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 run 2
                 0 call 2
@@ -265,12 +303,16 @@
 
     @Test
     void aCallHasTimeToComeBackAlsoWhereLingeringAloneTakesAllOfASmallShare() {
-        machine.set("domain.calls_out=0.05 domain.calls_over_ns=5000000000 domain.linger_ns=200000000").start();
+        machine.set(
+                        "domain.calls_out=0.05 domain.calls_over_ns=5000000000 domain.linger_ns=200000000")
+                .start();
         machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
         assertThat(machine.caps.get(1L)).isEqualTo(Span.ofSeconds(0.0625));
         machine = new Machine().set("domain.calls_out=0.05").start();
         machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
-        assertThat(machine.caps.get(1L)).as("over no time that is told").isEqualTo(Span.ofSeconds(2));
+        assertThat(machine.caps.get(1L))
+                .as("over no time that is told")
+                .isEqualTo(Span.ofSeconds(2));
     }
 
     @Test
@@ -279,7 +321,9 @@
         machine.calm(100);
         machine.call(machine.arrive(Machine.PURE), 2000, Outcome.OK);
         machine.call(machine.arrive(Machine.PURE), 2000, Outcome.OK);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 800 run 9
                 800 call 9
                 2800 run 10
@@ -293,7 +337,9 @@
         long ticket = machine.arrive(Machine.PURE);
         machine.call(ticket, 1000, Outcome.TIMED_OUT);
         machine.end(ticket);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 call 1
                 1000 skip the call of 1
@@ -307,7 +353,9 @@
         machine.call(ticket, 10, Outcome.UNREACHABLE);
         machine.pass(500);
         machine.tell(ticket, handle -> handle.callEnded(Outcome.BROKEN, Span.ofSeconds(0.5)));
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 run 1
                 0 call 1
                 210 call 1
@@ -318,23 +366,30 @@
     @Test
     void oneCustomersBurstGivesWayToTheOthers() {
         machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
-                .set("over_share_worth=0.05").start();
+                .set("over_share_worth=0.05")
+                .start();
         for (int i = 0; i < 22; i++) {
             machine.arrive(Machine.PURE, 0, 1, 0);
         }
         machine.trace.clear();
         machine.arrive(Machine.PURE, 0, 1, 1);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 log bounce 15: would wait in vain
                 0 bounce 15, ask no other
                 """);
     }
 
-    /** Seen on a join day: a client sent 200 copies and withdrew them, and its customer was over its share. */
+    /**
+     * Seen on a join day: a client sent 200 copies and withdrew them, and its customer was over its
+     * share.
+     */
     @Test
     void ticketsWithdrawnBeforeTheyRanTakeNothingOfTheirCustomersShare() {
         machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
-                .set("over_share_worth=0.05 domain.cpus=1").start();
+                .set("over_share_worth=0.05 domain.cpus=1")
+                .start();
         machine.arrive(Machine.PURE, 0, 1, 0);
         for (int i = 0; i < 30; i++) {
             machine.tell(machine.arrive(Machine.LOCAL, 0, 1, 0), Handle::left);
@@ -351,7 +406,8 @@
 
     @Test
     void whereTicketsWaitLongOnlyAMachineThatIsNotSlowAsksForNoOther() {
-        patient().set("rules.cold_share=0.5 rules.ramp_time_ns=100000000000 rules.fall_multiple=20");
+        patient()
+                .set("rules.cold_share=0.5 rules.ramp_time_ns=100000000000 rules.fall_multiple=20");
         for (String cold : new String[] {"false", "true"}) {
             machine.set("domain.cpus=8 domain.cold=" + cold).start();
             for (int i = 0; i < 20; i++) {
@@ -359,8 +415,11 @@
             }
             machine.pass(3000);
             machine.arrive(Machine.PURE);
-            assertThat(machine.trace.get(machine.trace.size() - 1)).isEqualTo(cold.equals("true")
-                    ? "6000 bounce 42, come back later" : "3000 bounce 21, come back later, ask no other");
+            assertThat(machine.trace.get(machine.trace.size() - 1))
+                    .isEqualTo(
+                            cold.equals("true")
+                                    ? "6000 bounce 42, come back later"
+                                    : "3000 bounce 21, come back later, ask no other");
         }
     }
 
@@ -379,7 +438,9 @@
         machine.start();
         machine.patience = Span.ofSeconds(0.001);
         machine.arrive(Machine.LOCAL);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 0 log bounce 1: would wait in vain
                 0 bounce 1, come back later, ask no other
                 """);
@@ -390,7 +451,9 @@
         machine.set("domain.keepalive_max_ns=10000000000").start();
         machine.gauges = new Gauges(0, 0, 0, 500);
         machine.pass(300);
-        assertThat(machine.printed()).isEqualTo("""
+        assertThat(machine.printed())
+                .isEqualTo(
+                        """
                 100 close idle after 9.00
                 200 close idle after 8.10
                 300 close idle after 7.29
@@ -414,12 +477,14 @@
 
     @Test
     void aColdNodeMakesOneCallAtATimeUntilItKnowsWhatIsCalm() {
-        machine.set("domain.calls_out=10 domain.cpus=8 domain.cold=true rules.cold_share=0.9").start();
+        machine.set("domain.calls_out=10 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
+                .start();
         assertThat(callsOfFour()).as("a newcomer can't tell crowded from calm").isEqualTo(1);
         for (long ticket = 1; ticket <= 4; ticket++) {
             machine.trace.clear();
             machine.tell(ticket, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.5)));
-            assertThat(machine.printed().strip()).isEqualTo(ticket < 4 ? "0 call " + (ticket + 1) : "");
+            assertThat(machine.printed().strip())
+                    .isEqualTo(ticket < 4 ? "0 call " + (ticket + 1) : "");
         }
         machine.calm(100);
         assertThat(callsOfFour()).as("it knows, and all is calm").isEqualTo(4);
@@ -427,17 +492,26 @@
         assertThat(callsOfFour()).as("one that is warm from the start").isEqualTo(4);
     }
 
-    /** Seen on quarry-scans: those that waited for their turn filled the count, so no call was calm, for a whole life. */
+    /**
+     * Seen on quarry-scans: those that waited for their turn filled the count, so no call was calm,
+     * for a whole life.
+     */
     @Test
     void aColdNodeLearnsWhatIsCalmAlsoWhileManyWaitForTheirTurnToCall() {
-        patient().set("domain.calls_out=10 domain.cpus=16 domain.cold=true rules.cold_share=0.9").start();
+        patient()
+                .set("domain.calls_out=10 domain.cpus=16 domain.cold=true rules.cold_share=0.9")
+                .start();
         for (int i = 0; i < 15; i++) {
             machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
         }
         long calls = 0;
         for (int i = 0; i < 7; i++) {
             assertThat(machine.caps).as("calls made, one at a time").hasSize(i + 1);
-            long calling = machine.caps.keySet().stream().filter(id -> !machine.handles.get(id).isOver()).findAny().orElseThrow();
+            long calling =
+                    machine.caps.keySet().stream()
+                            .filter(id -> !machine.handles.get(id).isOver())
+                            .findAny()
+                            .orElseThrow();
             machine.tell(calling, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
             machine.end(calling);
             machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
@@ -446,28 +520,42 @@
         assertThat(calls).as("calls out once six were seen in calm").isGreaterThan(1);
     }
 
-    /** Seen on a throng day of oslo-till-offers: calls came back together, and four and more ran on two cores. */
+    /**
+     * Seen on a throng day of oslo-till-offers: calls came back together, and four and more ran on
+     * two cores.
+     */
     @Test
     void ticketsThatCallAreNoMoreThanTheCoresSurviveShouldAllComeBackAtOnce() {
         patient().set("domain.calls_out=20 rules.fall_multiple=2").start();
         for (int i = 0; i < 12; i++) {
             machine.arrive(Machine.PURE);
-            machine.handles.forEach((id, handle) -> {
-                if (machine.printed().contains("run " + id + "\n") && !machine.caps.containsKey(id)) {
-                    machine.tell(id, Handle::needsCall);
-                }
-            });
+            machine.handles.forEach(
+                    (id, handle) -> {
+                        if (machine.printed().contains("run " + id + "\n")
+                                && !machine.caps.containsKey(id)) {
+                            machine.tell(id, Handle::needsCall);
+                        }
+                    });
         }
-        assertThat(machine.caps).as("calls out on two cores that survive four tickets").hasSizeLessThanOrEqualTo(4);
-        List.copyOf(machine.caps.keySet()).forEach(id ->
-                machine.tell(id, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(1))));
-        long running = machine.printed().lines().filter(line -> line.matches("\\d+ run \\d+")).count();
+        assertThat(machine.caps)
+                .as("calls out on two cores that survive four tickets")
+                .hasSizeLessThanOrEqualTo(4);
+        List.copyOf(machine.caps.keySet())
+                .forEach(
+                        id ->
+                                machine.tell(
+                                        id,
+                                        handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(1))));
+        long running =
+                machine.printed().lines().filter(line -> line.matches("\\d+ run \\d+")).count();
         assertThat(running).as("all that ran, none of which ended").isBetween(3L, 4L);
     }
 
     @Test
     void aColdNodeAboveATierIsToldNoShareSoItsCallsAreBoundByTheLimitAlone() {
-        machine.set("domain.below=tier domain.calls_out=0 domain.cpus=8 domain.cold=true rules.cold_share=0.9").start();
+        machine.set(
+                        "domain.below=tier domain.calls_out=0 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
+                .start();
         assertThat(callsOfFour()).isEqualTo(4);
     }
 
--- a/src/test/java/lupinwood/DrillTest.java
+++ b/src/test/java/lupinwood/DrillTest.java
@@ -11,10 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 final class DrillTest {
-    private static final String SETTINGS = "domain.cpus=1\nservices.count=1\nservices.0.effect=pure\n"
-            + "services.0.aim_ns=1000000000\nservices.0.give_up_ns=2000000000\n"
-            + "bounds.max_retry_after_ns=1000000000\nrules.fall_ns=2000000000\n"
-            + "something.unknown=1\nno value at all";
+    private static final String SETTINGS =
+            "domain.cpus=1\nservices.count=1\nservices.0.effect=pure\n"
+                    + "services.0.aim_ns=1000000000\nservices.0.give_up_ns=2000000000\n"
+                    + "bounds.max_retry_after_ns=1000000000\nrules.fall_ns=2000000000\n"
+                    + "something.unknown=1\nno value at all";
+
     /** Code 17: instance, ticket, track, customer; all after that left off. */
     private static final String TICKET = "11 0000000b %04x %08x 00 00000000";
 
@@ -25,7 +27,9 @@
 
     @Test
     void aTicketWithItsLastFieldsLeftOffIsRunAndUnknownEventsAreSkipped() throws IOException {
-        assertThat(play(start(3), "63 00000002 ffff " + String.format(TICKET, 3, 7))).isEqualTo("""
+        assertThat(play(start(3), "63 00000002 ffff " + String.format(TICKET, 3, 7)))
+                .isEqualTo(
+                        """
                 00000020 00000002 5e 00000004 0003 01 01 51 0000000e 0003 000000000bebc200 00000000
                 0000000f 00000001 56 00000006 0003 00000007
                 """);
@@ -34,9 +38,13 @@
     @Test
     void aNodeKilledAndStartedAnewInOneBatchKnowsNothingOfItsFormerLife() throws IOException {
         String ended = "12 00000010 0003 00000007 0000 0000000000000000";
-        String played = play(start(3) + String.format(TICKET, 3, 7), "18 00000002 0003 " + start(3) + ended);
-        assertThat(played.split("\n")[1]).isEqualTo(
-                "00000020 00000002 5e 00000004 0003 01 01 51 0000000e 0003 000000000cdfe600 00000000");
+        String played =
+                play(
+                        start(3) + String.format(TICKET, 3, 7),
+                        "18 00000002 0003 " + start(3) + ended);
+        assertThat(played.split("\n")[1])
+                .isEqualTo(
+                        "00000020 00000002 5e 00000004 0003 01 01 51 0000000e 0003 000000000cdfe600 00000000");
     }
 
     @Test
@@ -48,19 +56,27 @@
 
     @Test
     void whatCannotBeAFrameEndsThePlayWithAPlainMessage() {
-        assertThatThrownBy(() -> play("11 000000ff 0003")).isInstanceOf(MalformedFrame.class)
+        assertThatThrownBy(() -> play("11 000000ff 0003"))
+                .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a record of 255 bytes runs past the end of its batch");
-        assertThatThrownBy(() -> play("11 00")).isInstanceOf(MalformedFrame.class)
+        assertThatThrownBy(() -> play("11 00"))
+                .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a record's header runs past the end of its batch");
-        assertThatThrownBy(() -> raw("00000020 00000000")).isInstanceOf(MalformedFrame.class)
+        assertThatThrownBy(() -> raw("00000020 00000000"))
+                .isInstanceOf(MalformedFrame.class)
                 .hasMessage("the input ended 28 bytes short of a batch");
-        assertThatThrownBy(() -> raw("00000002 0000")).isInstanceOf(MalformedFrame.class)
+        assertThatThrownBy(() -> raw("00000002 0000"))
+                .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a batch cannot be 2 bytes long");
     }
 
     private static String start(int instance) {
-        return String.format("10 %08x %04x 0000000000000001 %08x %s ", 14 + SETTINGS.length(), instance,
-                SETTINGS.length(), HexFormat.of().formatHex(SETTINGS.getBytes()));
+        return String.format(
+                "10 %08x %04x 0000000000000001 %08x %s ",
+                14 + SETTINGS.length(),
+                instance,
+                SETTINGS.length(),
+                HexFormat.of().formatHex(SETTINGS.getBytes()));
     }
 
     /** Plays batches a sixtieth of a second apart; a reply a line, its records' fields apart. */
@@ -76,8 +92,10 @@
 
     private static String raw(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(Brain::new).play(
-                new ByteArrayInputStream(HexFormat.of().parseHex(input.replace(" ", ""))), out);
+        new Drill(Brain::new)
+                .play(
+                        new ByteArrayInputStream(HexFormat.of().parseHex(input.replace(" ", ""))),
+                        out);
         ByteBuffer replies = ByteBuffer.wrap(out.toByteArray());
         StringBuilder text = new StringBuilder();
         while (replies.hasRemaining()) {
@@ -96,12 +114,14 @@
         int code = replies.get();
         int length = replies.getInt();
         int instance = replies.getShort();
-        StringBuilder text = new StringBuilder(String.format(" %02x %08x %04x", code, length, instance));
-        int[] sizes = switch (code) {
-            case 0x51 -> new int[] {8, 4};
-            case 0x5e -> new int[] {1, 1};
-            default -> new int[] {length - 2};
-        };
+        StringBuilder text =
+                new StringBuilder(String.format(" %02x %08x %04x", code, length, instance));
+        int[] sizes =
+                switch (code) {
+                    case 0x51 -> new int[] {8, 4};
+                    case 0x5e -> new int[] {1, 1};
+                    default -> new int[] {length - 2};
+                };
         for (int size : sizes) {
             byte[] field = new byte[size];
             replies.get(field);
--- a/src/test/java/lupinwood/FleetCallsTest.java
+++ b/src/test/java/lupinwood/FleetCallsTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many nodes, each a Brain of its own that hears of no other, above one made-up dependency on one clock. It
- * shares its slots among the calls in its hands, keeps what was given up for a while, and refuses while down.
- * What all nodes hold in its hands together is reckoned apart from Brain, over each window of the settings.
+ * Many nodes, each a Brain of its own that hears of no other, above one made-up dependency on one
+ * clock. It shares its slots among the calls in its hands, keeps what was given up for a while, and
+ * refuses while down. What all nodes hold in its hands together is reckoned apart from Brain, over
+ * each window of the settings.
  */
 final class FleetCallsTest {
     private static final int WINDOW = 5000; // domain.calls_over_ns, here and below in milliseconds
@@ -20,7 +21,12 @@
     private static final int END = 10_000;
     private static final int LENGTH = 18_000;
 
-    private enum Trouble { COLD_START, DOWN, SLOW, REPLACED }
+    private enum Trouble {
+        COLD_START,
+        DOWN,
+        SLOW,
+        REPLACED
+    }
 
     /** A call in the hands of the dependency, given up or not. */
     private final class Call {
@@ -56,13 +62,24 @@
     private final class Node {
         final Machine machine;
         final Map<Long, Integer> callsLeft = new HashMap<>();
-        final TreeMap<Integer, List<Long>> works = new TreeMap<>(); // which tickets leave the cores when
+        final TreeMap<Integer, List<Long>> works =
+                new TreeMap<>(); // which tickets leave the cores when
         final List<Long> failed = new ArrayList<>();
 
         Node(double share, boolean cold) {
-            machine = new Machine().set("domain.cpus=4 domain.calls_out=" + share
-                    + " domain.calls_over_ns=" + WINDOW + "000000 domain.linger_ns=" + LINGER + "000000"
-                    + " domain.cold=" + cold + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000");
+            machine =
+                    new Machine()
+                            .set(
+                                    "domain.cpus=4 domain.calls_out="
+                                            + share
+                                            + " domain.calls_over_ns="
+                                            + WINDOW
+                                            + "000000 domain.linger_ns="
+                                            + LINGER
+                                            + "000000"
+                                            + " domain.cold="
+                                            + cold
+                                            + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000");
             machine.listener = this::heard;
             machine.start();
             machine.pass(now);
@@ -78,26 +95,33 @@
                     giveUp(call -> call.node == this && call.ticket == ticket);
                     made.add(new Call(this, ticket));
                 }
-                default -> { }
+                default -> {}
             }
         }
 
         void work(long ticket) {
-            works.computeIfAbsent(now + 20 + chance.nextInt(40), at -> new ArrayList<>()).add(ticket);
+            works.computeIfAbsent(now + 20 + chance.nextInt(40), at -> new ArrayList<>())
+                    .add(ticket);
         }
 
         void step(double ticketsEach) {
             if (chance.nextDouble() < ticketsEach) {
-                long ticket = machine.arrive(chance.nextInt(5) == 0 ? Machine.EFFECTFUL : Machine.PURE);
+                long ticket =
+                        machine.arrive(chance.nextInt(5) == 0 ? Machine.EFFECTFUL : Machine.PURE);
                 callsLeft.put(ticket, 1 + chance.nextInt(2));
             }
             machine.pass(1);
-            List<Long> due = works.isEmpty() || works.firstKey() > now ? List.of()
-                    : works.pollFirstEntry().getValue();
+            List<Long> due =
+                    works.isEmpty() || works.firstKey() > now
+                            ? List.of()
+                            : works.pollFirstEntry().getValue();
             for (long ticket : due) {
                 if (!machine.handles.get(ticket).isOver()) {
-                    machine.tell(ticket, callsLeft.merge(ticket, -1, Integer::sum) >= 0 ? Handle::needsCall
-                            : handle -> handle.ended(Outcome.OK, Span.ZERO));
+                    machine.tell(
+                            ticket,
+                            callsLeft.merge(ticket, -1, Integer::sum) >= 0
+                                    ? Handle::needsCall
+                                    : handle -> handle.ended(Outcome.OK, Span.ZERO));
                 }
             }
             for (long ticket : failed) {
@@ -120,7 +144,8 @@
     private int ended;
 
     private boolean giveUp(Predicate<Call> which) {
-        List<Call> calls = inHand.stream().filter(call -> call.goneAt > now + LINGER).filter(which).toList();
+        List<Call> calls =
+                inHand.stream().filter(call -> call.goneAt > now + LINGER).filter(which).toList();
         calls.forEach(Call::giveUp);
         return !calls.isEmpty();
     }
@@ -185,8 +210,9 @@
     }
 
     /**
-     * From a share of one on, the shares bound the sum at each moment. Below one they bound its mean: one
-     * window may end within a call more of each node, and that takes at most half of what the share lets through.
+     * From a share of one on, the shares bound the sum at each moment. Below one they bound its
+     * mean: one window may end within a call more of each node, and that takes at most half of what
+     * the share lets through.
      */
     @ParameterizedTest
     @CsvSource({"20, 0.25", "30, 0.25", "30, 0.6", "20, 1.6", "30, 3.3"})
@@ -195,11 +221,22 @@
         for (Trouble trouble : Trouble.values()) {
             for (double load : new double[] {0.8, 3}) {
                 play(count, share, trouble, load);
-                String what = String.format(Locale.ROOT, "%s at load %.1f: %d nodes, a sum of %.1f,"
-                        + " %.2f over a window, %d at once, %d calls served",
-                        trouble, load, count, sum, mostOverWindow, mostAtOnce, ended);
+                String what =
+                        String.format(
+                                Locale.ROOT,
+                                "%s at load %.1f: %d nodes, a sum of %.1f,"
+                                        + " %.2f over a window, %d at once, %d calls served",
+                                trouble,
+                                load,
+                                count,
+                                sum,
+                                mostOverWindow,
+                                mostAtOnce,
+                                ended);
                 assertThat(ended).as(what).isGreaterThan((int) (sum * 3));
-                assertThat(mostOverWindow).as(what).isLessThan(sum + 2 * Math.sqrt(sum) + 2)
+                assertThat(mostOverWindow)
+                        .as(what)
+                        .isLessThan(sum + 2 * Math.sqrt(sum) + 2)
                         .isLessThanOrEqualTo(sum * Math.max(1, 1.5 - share / 2));
                 assertThat(share < 1 ? 0 : mostAtOnce).as(what).isLessThanOrEqualTo((int) sum);
             }
--- a/src/test/java/lupinwood/Machine.java
+++ b/src/test/java/lupinwood/Machine.java
@@ -14,36 +14,55 @@
     public final Map<String, String> settings = new TreeMap<>();
     final List<String> trace = new ArrayList<>();
     final Map<Long, Handle> handles = new HashMap<>();
+
     /** Who listens to each decision, to check it by another reckoning. */
     Consumer<String> listener = line -> {};
+
     final TreeMap<Long, Integer> wakes = new TreeMap<>();
     private long nanos = 1_000_000_000L;
     private long nextId = 1;
     Gauges gauges = Gauges.UNKNOWN;
     Span patience = Span.ZERO;
+
     /** How long each ticket's latest call may take. */
     final Map<Long, Span> caps = new HashMap<>();
+
     Brain brain;
 
-    /** Two cores, four tracks (pure, receipted and effectful that call, and one that never does). */
+    /**
+     * Two cores, four tracks (pure, receipted and effectful that call, and one that never does).
+     */
     public Machine() {
-        set("domain.cpus=2 domain.memory_kb=100000 domain.run_mem_factor=4 domain.entry_kb=1"
-                + " domain.below=one_for_all domain.calls_out=2"
-                + " domain.class_calls=true,true,true,false domain.linger_ns=200000000"
-                + " domain.stop_mode=off domain.advert=off step_ns=1000000 rules.fall_multiple=5"
-                + " rules.fall_ns=2000000000 rules.drain_grace_ns=1000000000 services.count=4"
-                + " bounds.max_retry_after_ns=1000000000");
+        set(
+                "domain.cpus=2 domain.memory_kb=100000 domain.run_mem_factor=4 domain.entry_kb=1"
+                        + " domain.below=one_for_all domain.calls_out=2"
+                        + " domain.class_calls=true,true,true,false domain.linger_ns=200000000"
+                        + " domain.stop_mode=off domain.advert=off step_ns=1000000 rules.fall_multiple=5"
+                        + " rules.fall_ns=2000000000 rules.drain_grace_ns=1000000000 services.count=4"
+                        + " bounds.max_retry_after_ns=1000000000");
         String[] effects = {"pure", "token", "side_effect", "pure"};
         for (int i = 0; i < effects.length; i++) {
             String at = " services." + i + ".";
-            set((at + "effect=" + effects[i] + at + "aim_ns=2000000000" + at + "give_up_ns=5000000000"
-                    + at + "window_ns=8000000000" + at + "worth=1").strip());
+            set(
+                    (at
+                                    + "effect="
+                                    + effects[i]
+                                    + at
+                                    + "aim_ns=2000000000"
+                                    + at
+                                    + "give_up_ns=5000000000"
+                                    + at
+                                    + "window_ns=8000000000"
+                                    + at
+                                    + "worth=1")
+                            .strip());
         }
     }
 
     public Machine set(String pairs) {
         for (String pair : pairs.split(" ")) {
-            settings.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
+            settings.put(
+                    pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
         return this;
     }
@@ -62,8 +81,22 @@
     long arrive(int track, long original, double memoryKb, int customer) {
         long id = nextId++;
         TicketId repeats = original == 0 ? null : new TicketId(original);
-        handles.put(id, brain.take(new Ticket(new TicketId(id), new TrackId(track), new CustomerId(customer),
-                new SubjectId(0), new CallerId(1), patience, Span.ZERO, memoryKb, 0.5, false, Span.ZERO, repeats)));
+        handles.put(
+                id,
+                brain.take(
+                        new Ticket(
+                                new TicketId(id),
+                                new TrackId(track),
+                                new CustomerId(customer),
+                                new SubjectId(0),
+                                new CallerId(1),
+                                patience,
+                                Span.ZERO,
+                                memoryKb,
+                                0.5,
+                                false,
+                                Span.ZERO,
+                                repeats)));
         brain.settle();
         return id;
     }
@@ -129,8 +162,11 @@
 
     @Override
     public void bounce(TicketId ticket, boolean askNoOther, Span comeBackAfter) {
-        say("bounce " + ticket.number() + (comeBackAfter.isPositive() ? ", come back later" : "")
-                + (askNoOther ? ", ask no other" : ""));
+        say(
+                "bounce "
+                        + ticket.number()
+                        + (comeBackAfter.isPositive() ? ", come back later" : "")
+                        + (askNoOther ? ", ask no other" : ""));
     }
 
     @Override
--- a/src/test/java/lupinwood/StrainTest.java
+++ b/src/test/java/lupinwood/StrainTest.java
@@ -22,6 +22,7 @@
         boolean gone;
         boolean reuses;
         boolean kept;
+
         /** held, running, needs, calling, or over. */
         String place = "held";
     }
@@ -44,10 +45,22 @@
         chance = new Random(day);
         all.clear();
         leftAt = Long.MAX_VALUE / 2;
-        machine = new Machine().set("domain.memory_kb=" + (int) MEMORY + " domain.calls_out=3")
-                .set("domain.cold=" + (day % 2 == 0) + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000")
-                .set("domain.stop_mode=" + (day % 3 == 0 ? "freeze" : day % 3 == 1 ? "discard" : "off"))
-                .set("domain.class_skip_worth=" + (day % 4 == 0 ? "0.3,0,0.2,0" : "0,0,0,0")).start();
+        machine =
+                new Machine()
+                        .set("domain.memory_kb=" + (int) MEMORY + " domain.calls_out=3")
+                        .set(
+                                "domain.cold="
+                                        + (day % 2 == 0)
+                                        + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000")
+                        .set(
+                                "domain.stop_mode="
+                                        + (day % 3 == 0
+                                                ? "freeze"
+                                                : day % 3 == 1 ? "discard" : "off"))
+                        .set(
+                                "domain.class_skip_worth="
+                                        + (day % 4 == 0 ? "0.3,0,0.2,0" : "0,0,0,0"))
+                        .start();
         machine.listener = this::heard;
         boolean leaves = day % 5 == 0;
         long stop = Long.MAX_VALUE / 2;
@@ -94,12 +107,19 @@
             }
             long id = entry.getKey();
             if (known.place.equals("running")) {
-                if (known.track != Machine.LOCAL && !known.answered && !known.gone && chance.nextBoolean()) {
+                if (known.track != Machine.LOCAL
+                        && !known.answered
+                        && !known.gone
+                        && chance.nextBoolean()) {
                     known.place = "needs";
                     machine.tell(id, Handle::needsCall);
                 } else {
-                    end(id, known, known.answered || known.gone ? Outcome.CANCELLED
-                            : chance.nextInt(8) == 0 ? Outcome.ERROR : Outcome.OK);
+                    end(
+                            id,
+                            known,
+                            known.answered || known.gone
+                                    ? Outcome.CANCELLED
+                                    : chance.nextInt(8) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
             } else if (known.place.equals("calling")) {
                 Outcome outcome = Outcome.values()[chance.nextInt(6)];
@@ -137,7 +157,9 @@
                 known.place = "running";
                 expect(known.runs == 1, line + " twice");
                 expect(!known.answered && !known.gone, line + " after its answer");
-                expect(known.original == 0 || all.get(known.original).runs == 0, line + " though a try ran");
+                expect(
+                        known.original == 0 || all.get(known.original).runs == 0,
+                        line + " though a try ran");
                 expect(known.reached - 1_000_000_000L <= leftAt, line + " past the grace");
             }
             case "bounce", "fail" -> {
@@ -154,7 +176,7 @@
                 known.kept = false;
                 expect(known.runs == 0, line + " though it ran");
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/test/java/lupinwood/Watched.java
+++ b/src/test/java/lupinwood/Watched.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import lupinwood.node.*;
 
-/** A node with somebody beside it: told of each ticket before it, and of the end of each round after it. */
+/**
+ * A node with somebody beside it: told of each ticket before it, and of the end of each round after
+ * it.
+ */
 public record Watched(Node node, Consumer<Ticket> taken, Runnable settled) implements Node {
     @Override
     public Handle take(Ticket ticket) {
--- a/src/test/java/lupinwood/cli/ServeProcessTest.java
+++ b/src/test/java/lupinwood/cli/ServeProcessTest.java
@@ -26,16 +26,20 @@
 /** The program as a process of its own, told to reload by signals and by files. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class ServeProcessTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Process process;
     private BufferedReader log;
     private final List<String> lines = new ArrayList<>();
 
     private void start(String prelude, String... options) throws IOException {
-        launch(prelude + "exec '" + System.getProperty("java.home") + "/bin/java' -Xshare:auto -cp '"
-                + System.getProperty("java.class.path") + "' lupinwood.cli.Main serve --config config.json "
-                + String.join(" ", options));
+        launch(
+                prelude
+                        + "exec '"
+                        + System.getProperty("java.home")
+                        + "/bin/java' -Xshare:auto -cp '"
+                        + System.getProperty("java.class.path")
+                        + "' lupinwood.cli.Main serve --config config.json "
+                        + String.join(" ", options));
     }
 
     private void launch(String command) throws IOException {
@@ -57,17 +61,23 @@
     private int port;
 
     private void write(String name, int executorPort, int port) throws IOException {
-        Files.writeString(folder.resolve(name), """
+        Files.writeString(
+                folder.resolve(name),
+                """
                 {"name": "n1", "listen": "127.0.0.1:%d", "executor": "127.0.0.1:%d", "index": "127.0.0.1:1",
                  "naming": "127.0.0.1:1", "seed": "1", "stop_ms": 1500, "limits": {"sockets": 256},
                  "settings": {"step_ns": 4000000, "rules": {"fall_ns": 2000000000, "drain_grace_ns": 1800000000},
                  "customers": [{"name": "north", "share": 1.0, "quota_rps": 10.0}], "services": [{"name": "look", "effect": "pure", "worth": 1.0,
-                 "aim_ns": 2000000000, "give_up_ns": 8000000000}]}}""".formatted(port, executorPort));
+                 "aim_ns": 2000000000, "give_up_ns": 8000000000}]}}"""
+                        .formatted(port, executorPort));
     }
 
     private void replace(int executorPort) throws IOException {
         write("next.json", executorPort, port);
-        Files.move(folder.resolve("next.json"), folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                folder.resolve("next.json"),
+                folder.resolve("config.json"),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -83,14 +93,19 @@
 
     /** 0 unless the process is gone. */
     private int signal(String name) throws Exception {
-        return new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
+        return new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid())
+                .start()
+                .waitFor();
     }
 
     private void hangUp() throws Exception {
         assertThat(signal("HUP")).isZero();
     }
 
-    /** Whichever comes first, the door or the notice: nothing is lost and the process ends as it was asked to. */
+    /**
+     * Whichever comes first, the door or the notice: nothing is lost and the process ends as it was
+     * asked to.
+     */
     @Test
     void aNoticeAtAnyMomentOfTheStartEndsItInGoodOrder() throws Exception {
         ready = false;
@@ -103,17 +118,31 @@
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             lines.add(line);
         }
-        assertThat(lines.get(lines.size() - 1)).endsWith(lines.stream().anyMatch(line -> line.contains("listens on"))
-                ? " left" : "left before the door opened");
+        assertThat(lines.get(lines.size() - 1))
+                .endsWith(
+                        lines.stream().anyMatch(line -> line.contains("listens on"))
+                                ? " left"
+                                : "left before the door opened");
     }
 
     @Test
     void anAddressInUseEndsTheProcessWithOneAndSaysSo() throws Exception {
         start("");
-        Process second = new ProcessBuilder(System.getProperty("java.home") + "/bin/java", "-Xshare:auto", "-cp",
-                System.getProperty("java.class.path"), "lupinwood.cli.Main", "serve", "--config", "config.json")
-                .directory(folder.toFile()).redirectErrorStream(true).start();
-        assertThat(new String(second.getInputStream().readAllBytes())).containsPattern("can't listen on .*:" + port);
+        Process second =
+                new ProcessBuilder(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-Xshare:auto",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "lupinwood.cli.Main",
+                                "serve",
+                                "--config",
+                                "config.json")
+                        .directory(folder.toFile())
+                        .redirectErrorStream(true)
+                        .start();
+        assertThat(new String(second.getInputStream().readAllBytes()))
+                .containsPattern("can't listen on .*:" + port);
         assertThat(second.waitFor()).isEqualTo(1);
     }
 
@@ -131,7 +160,8 @@
     @Test
     void aNodeStartedWithSighupIgnoredSaysSoAndReloadsByTheFileAlone() throws Exception {
         start("trap '' HUP; ");
-        assertThat(lines.get(lines.size() - 1)).contains("can't hear SIGHUP", "when its configuration's files change");
+        assertThat(lines.get(lines.size() - 1))
+                .contains("can't hear SIGHUP", "when its configuration's files change");
         hangUp();
         replace(2);
         assertThat(awaitLine("reloaded: ")).contains("127.0.0.1:2");
@@ -148,8 +178,17 @@
         hangUp();
         awaitLine("reloaded: ");
         String loaded = Files.readString(folder.resolve("classes.txt"));
-        assertThat(loaded).contains("lupinwood.net.Serving ").doesNotContain("lupinwood.config.", "lupinwood.lab.",
-                "org.antlr.", "lupinwood.council.", "lupinwood.fleet.", "lupinwood.net.FleetPart", "io.microraft.", "org.h2.");
+        assertThat(loaded)
+                .contains("lupinwood.net.Serving ")
+                .doesNotContain(
+                        "lupinwood.config.",
+                        "lupinwood.lab.",
+                        "org.antlr.",
+                        "lupinwood.council.",
+                        "lupinwood.fleet.",
+                        "lupinwood.net.FleetPart",
+                        "io.microraft.",
+                        "org.h2.");
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         List<String> named = new ArrayList<>();
         Matcher quoted = Pattern.compile("\"(src/main/java/[^\"]*)\"").matcher(deploy);
@@ -159,7 +198,10 @@
         Matcher own = Pattern.compile(" (lupinwood\\.[\\w.$]+) source:").matcher(loaded);
         List<String> left = new ArrayList<>();
         while (own.find()) {
-            String file = "src/main/java/" + own.group(1).replace('.', '/').replaceFirst("\\$.*", "") + ".java";
+            String file =
+                    "src/main/java/"
+                            + own.group(1).replace('.', '/').replaceFirst("\\$.*", "")
+                            + ".java";
             if (named.stream().noneMatch(file::startsWith)) {
                 left.add(file);
             }
@@ -168,14 +210,21 @@
         assertThat(left).as("loaded, and not named in deploy/balancer.toml").isEmpty();
     }
 
-    /** The build's archive of classes saves time; without it, or with one that can't be used, a node starts the same. */
+    /**
+     * The build's archive of classes saves time; without it, or with one that can't be used, a node
+     * starts the same.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "this is no archive", "of another JVM"})
     void theDeployedCommandStartsWithoutItsArchiveOfClassesToo(String archive) throws Exception {
-        Matcher run = Pattern.compile("(?m)^run = \"([^\"]*)\"").matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        Matcher run =
+                Pattern.compile("(?m)^run = \"([^\"]*)\"")
+                        .matcher(Files.readString(Path.of("deploy/balancer.toml")));
         assertThat(run.find()).isTrue();
         String jar = " -jar target/lupinwood.jar ";
-        assertThat(run.group(1)).contains(jar, "target/lupinwood.jsa", "exec env").doesNotContain("$(", "`");
+        assertThat(run.group(1))
+                .contains(jar, "target/lupinwood.jsa", "exec env")
+                .doesNotContain("$(", "`");
         Files.createDirectory(folder.resolve("target"));
         if (!archive.isEmpty()) {
             byte[] bytes = archive.getBytes(StandardCharsets.UTF_8);
@@ -188,8 +237,14 @@
             }
             Files.write(folder.resolve("target/lupinwood.jsa"), bytes);
         }
-        launch(run.group(1).replace(jar, " -cp '" + System.getProperty("java.class.path") + "' lupinwood.cli.Main ")
-                + " --config config.json");
+        launch(
+                run.group(1)
+                                .replace(
+                                        jar,
+                                        " -cp '"
+                                                + System.getProperty("java.class.path")
+                                                + "' lupinwood.cli.Main ")
+                        + " --config config.json");
     }
 
     @Test
@@ -205,6 +260,8 @@
         awaitLine("reloaded: .*127.0.0.1:12");
         replace(31);
         awaitLine("reloaded: .*127.0.0.1:31");
-        assertThat(lines).filteredOn(line -> line.matches(".*reloaded: .*127.0.0.1:2\\b.*")).hasSize(1);
+        assertThat(lines)
+                .filteredOn(line -> line.matches(".*reloaded: .*127.0.0.1:2\\b.*"))
+                .hasSize(1);
     }
 }
--- a/src/test/java/lupinwood/config/CorpusTest.java
+++ b/src/test/java/lupinwood/config/CorpusTest.java
@@ -11,7 +11,10 @@
 import lupinwood.load.FileSources;
 import org.junit.jupiter.api.Test;
 
-/** Each file of the corpus has one mistake, and gets the one message that stands for it in expected.txt. */
+/**
+ * Each file of the corpus has one mistake, and gets the one message that stands for it in
+ * expected.txt.
+ */
 final class CorpusTest {
     private static final Path CORPUS = Path.of("src/test/resources/corpus");
 
@@ -24,13 +27,20 @@
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
                 Problems problems = Reader.read(new FileSources(), file.toString()).problems();
                 for (Problem problem : problems.all()) {
-                    got.add((file.getFileName() + " | " + problem.place() + ": error: " + Report.visible(problem.text()))
-                            .replace(folder, "").replace(CORPUS + "/", "../"));
+                    got.add(
+                            (file.getFileName()
+                                            + " | "
+                                            + problem.place()
+                                            + ": error: "
+                                            + Report.visible(problem.text()))
+                                    .replace(folder, "")
+                                    .replace(CORPUS + "/", "../"));
                 }
             }
         }
         assertThat(got).containsExactlyElementsOf(expected);
         assertThat(got).hasSizeGreaterThanOrEqualTo(120);
-        assertThat(got.stream().map(line -> line.substring(0, line.indexOf(' '))).distinct()).hasSize(got.size());
+        assertThat(got.stream().map(line -> line.substring(0, line.indexOf(' '))).distinct())
+                .hasSize(got.size());
     }
 }
--- a/src/test/java/lupinwood/config/LanguagePropertiesTest.java
+++ b/src/test/java/lupinwood/config/LanguagePropertiesTest.java
@@ -11,12 +11,58 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Whatever comes in, nothing throws or hangs; formatting twice is formatting once, and it changes no meaning. */
+/**
+ * Whatever comes in, nothing throws or hangs; formatting twice is formatting once, and it changes
+ * no meaning.
+ */
 final class LanguagePropertiesTest {
-    private static final List<String> PIECES = List.of("name", "stop", " ", " ", "\n", "\n", ";", "{", "}", "(", ")", "=",
-            "/-", "/*", "*/", "//", "\"", "\"\"\"", "#\"", "\"#", "#true", "3s", "13,020ms", "(ms)250", "30/s", "\\",
-            "\\\n", "track look {", "agreed-time", "$x", "let x 3s", "\u201C", "\u00A0", "\r\n", "\uFEFF", "\0",
-            "\uD83D\uDEB2", "limits {", "descriptors 256", "include \"a\"", "include \"b\"", "(override)", "\t", "'", ",");
+    private static final List<String> PIECES =
+            List.of(
+                    "name",
+                    "stop",
+                    " ",
+                    " ",
+                    "\n",
+                    "\n",
+                    ";",
+                    "{",
+                    "}",
+                    "(",
+                    ")",
+                    "=",
+                    "/-",
+                    "/*",
+                    "*/",
+                    "//",
+                    "\"",
+                    "\"\"\"",
+                    "#\"",
+                    "\"#",
+                    "#true",
+                    "3s",
+                    "13,020ms",
+                    "(ms)250",
+                    "30/s",
+                    "\\",
+                    "\\\n",
+                    "track look {",
+                    "agreed-time",
+                    "$x",
+                    "let x 3s",
+                    "\u201C",
+                    "\u00A0",
+                    "\r\n",
+                    "\uFEFF",
+                    "\0",
+                    "\uD83D\uDEB2",
+                    "limits {",
+                    "descriptors 256",
+                    "include \"a\"",
+                    "include \"b\"",
+                    "(override)",
+                    "\t",
+                    "'",
+                    ",");
 
     @Provide
     Arbitrary<String> soups() {
@@ -27,9 +73,14 @@
     @Provide
     Arbitrary<String> slips() {
         Arbitrary<Integer> places = Arbitraries.integers().between(0, ReaderTest.NODE.length());
-        return Combinators.combine(places, Arbitraries.integers().between(0, 6), Arbitraries.of(PIECES))
-                .as((place, cut, piece) -> ReaderTest.NODE.substring(0, place) + piece
-                        + ReaderTest.NODE.substring(Math.min(ReaderTest.NODE.length(), place + cut)));
+        return Combinators.combine(
+                        places, Arbitraries.integers().between(0, 6), Arbitraries.of(PIECES))
+                .as(
+                        (place, cut, piece) ->
+                                ReaderTest.NODE.substring(0, place)
+                                        + piece
+                                        + ReaderTest.NODE.substring(
+                                                Math.min(ReaderTest.NODE.length(), place + cut)));
     }
 
     @Property(tries = 1500, seed = "42")
@@ -51,10 +102,14 @@
         String once = Formatter.format(new Source("a", text), problems);
         assertThat(once == null).isEqualTo(!problems.isEmpty());
         if (once != null) {
-            assertThat(Formatter.format(new Source("a", once), new Problems())).as(text).isEqualTo(once);
+            assertThat(Formatter.format(new Source("a", once), new Problems()))
+                    .as(text)
+                    .isEqualTo(once);
             Config formatted = MemorySources.read(once);
             assertThat(formatted.meaning().values()).as(text).isEqualTo(config.meaning().values());
-            assertThat(formatted.problems().isEmpty()).as(text).isEqualTo(config.problems().isEmpty());
+            assertThat(formatted.problems().isEmpty())
+                    .as(text)
+                    .isEqualTo(config.problems().isEmpty());
             if (config.problems().isEmpty()) {
                 assertThat(Plan.between(config.meaning(), formatted.meaning()).isEmpty()).isTrue();
             }
--- a/src/test/java/lupinwood/config/MemorySources.java
+++ b/src/test/java/lupinwood/config/MemorySources.java
@@ -21,7 +21,8 @@
         }
         byte[] bytes = texts.get(name).getBytes(StandardCharsets.UTF_8);
         if (bytes.length > most) {
-            throw new Unreadable(name + " is larger than the " + most + " bytes that are left for it");
+            throw new Unreadable(
+                    name + " is larger than the " + most + " bytes that are left for it");
         }
         return bytes;
     }
--- a/src/test/java/lupinwood/config/ReaderTest.java
+++ b/src/test/java/lupinwood/config/ReaderTest.java
@@ -22,7 +22,8 @@
 /** What sound texts mean, and that no text costs more than its bounds. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class ReaderTest {
-    static final String NODE = """
+    static final String NODE =
+            """
             name n1
             listen "127.0.0.1:5050"; executor "127.0.0.1:4400"
             index "127.0.0.1:8900"
@@ -62,26 +63,41 @@
                 .containsEntry("settings.domain.class_calls", "false,true")
                 .containsEntry("settings.domain.gauges", "core_use,on_cores")
                 .containsEntry("settings.domain.below", "one_for_all")
-                .containsEntry("limits.memory_mb", "192").containsEntry("stop_ms", "3000");
+                .containsEntry("limits.memory_mb", "192")
+                .containsEntry("stop_ms", "3000");
     }
 
     @Test
     void whatIsSeenAsBlankIsBlankAndRemarksMeanNothing() {
-        String same = "\uFEFF" + NODE.replace("\n", "\r\n").replace("stop 3s", "stop\u00A03s")
-                .replace("step 4ms", "step \\ // goes on\r\n  4_000us /* a /* b */ c */")
-                .replace("seed \"1d2c3b4a\"", "seed #\"1d2c3b4a\"# /- \"no\"\r\n/- stop 9s\r\n/-track x { a 1 }\r\n")
-                .replace("name n1", "name \"\"\"\r\n    n1\r\n    \"\"\"");
+        String same =
+                "\uFEFF"
+                        + NODE.replace("\n", "\r\n")
+                                .replace("stop 3s", "stop\u00A03s")
+                                .replace(
+                                        "step 4ms",
+                                        "step \\ // goes on\r\n  4_000us /* a /* b */ c */")
+                                .replace(
+                                        "seed \"1d2c3b4a\"",
+                                        "seed #\"1d2c3b4a\"# /- \"no\"\r\n/- stop 9s\r\n/-track x { a 1 }\r\n")
+                                .replace("name n1", "name \"\"\"\r\n    n1\r\n    \"\"\"");
         assertThat(sound(same)).isEqualTo(sound(NODE));
     }
 
     @Test
     void anOverrideSaysSoAndComesAfterWhatItOverrides() {
-        Map<String, String> texts = Map.of("a", "include \"base\"\n(override)track look { agreed-time 3s; credit 2 }\n"
-                + "(override)stop 5s\n", "base", NODE);
+        Map<String, String> texts =
+                Map.of(
+                        "a",
+                        "include \"base\"\n(override)track look { agreed-time 3s; credit 2 }\n"
+                                + "(override)stop 5s\n",
+                        "base",
+                        NODE);
         Config config = Reader.read(new MemorySources(texts), "a");
         assertThat(messages(config)).isEmpty();
-        assertThat(config.meaning().flat()).containsEntry("settings.services.0.aim_ns", "3000000000")
-                .containsEntry("settings.services.0.worth", "2").containsEntry("stop_ms", "5000");
+        assertThat(config.meaning().flat())
+                .containsEntry("settings.services.0.aim_ns", "3000000000")
+                .containsEntry("settings.services.0.worth", "2")
+                .containsEntry("stop_ms", "5000");
         assertThat(config.places().get("track look agreed-time")).hasToString("a:2:36");
         assertThat(config.places().get("track look abandon-time").file()).isEqualTo("base");
     }
@@ -95,29 +111,42 @@
         Map<String, String> told = NodeConfig.read(Path.of("examples/config.json")).settings();
         Map<String, String> same = NodeConfig.of(language).settings();
         assertThat(same.keySet()).isEqualTo(told.keySet());
-        told.forEach((key, value) -> {
-            boolean number = value.matches("-?[0-9]+(\\.[0-9]+)?");
-            if (number) {
-                assertThat(Double.parseDouble(same.get(key))).as(key).isEqualTo(Double.parseDouble(value));
-            } else if (value.matches("[0-9.,]+")) {
-                assertThat(same.get(key).split(",")).as(key).hasSameSizeAs(value.split(","));
-            } else {
-                assertThat(same.get(key)).as(key).isEqualTo(value);
-            }
-        });
+        told.forEach(
+                (key, value) -> {
+                    boolean number = value.matches("-?[0-9]+(\\.[0-9]+)?");
+                    if (number) {
+                        assertThat(Double.parseDouble(same.get(key)))
+                                .as(key)
+                                .isEqualTo(Double.parseDouble(value));
+                    } else if (value.matches("[0-9.,]+")) {
+                        assertThat(same.get(key).split(","))
+                                .as(key)
+                                .hasSameSizeAs(value.split(","));
+                    } else {
+                        assertThat(same.get(key)).as(key).isEqualTo(value);
+                    }
+                });
     }
 
     @Test
     void entriesWithoutANameInThisBuildReachTheNodeAsTheyAre() {
         assertThat(sound(NODE + "extra { azs \"a_b,c\"; \"domain.new\" \"7\" }\n").flat())
-                .containsEntry("settings.azs", "a_b,c").containsEntry("settings.domain.new", "7");
+                .containsEntry("settings.azs", "a_b,c")
+                .containsEntry("settings.domain.new", "7");
     }
 
     @Test
     void severalMistakesAreAllTold() {
-        String text = NODE.replace("stop 3s", "stop 3").replace("share 60%", "share 0.6")
-                .replace("effect pure", "effect \u201Cpure\u201D").replace("$quick", "$quik") + "nonsense 1\n";
-        assertThat(messages(MemorySources.read(text)).lines().filter(line -> line.contains("error:")))
+        String text =
+                NODE.replace("stop 3s", "stop 3")
+                                .replace("share 60%", "share 0.6")
+                                .replace("effect pure", "effect \u201Cpure\u201D")
+                                .replace("$quick", "$quik")
+                        + "nonsense 1\n";
+        assertThat(
+                        messages(MemorySources.read(text))
+                                .lines()
+                                .filter(line -> line.contains("error:")))
                 .hasSize(5);
     }
 
@@ -126,9 +155,12 @@
         Path inside = Files.createDirectories(folder.resolve("in"));
         Files.writeString(folder.resolve("secret.kdl"), "group-size 2\n");
         Files.createSymbolicLink(inside.resolve("link.kdl"), folder.resolve("secret.kdl"));
-        Files.createSymbolicLink(inside.resolve("kept.kdl"), Files.writeString(inside.resolve("real.kdl"), "group-size 3\n"));
+        Files.createSymbolicLink(
+                inside.resolve("kept.kdl"),
+                Files.writeString(inside.resolve("real.kdl"), "group-size 3\n"));
         for (String out : List.of("link.kdl", "../secret.kdl")) {
-            Path first = Files.writeString(inside.resolve("a.kdl"), NODE + "include \"" + out + "\"\n");
+            Path first =
+                    Files.writeString(inside.resolve("a.kdl"), NODE + "include \"" + out + "\"\n");
             assertThat(messages(Reader.read(new FileSources(), first.toString())))
                     .contains("leads out of the folder of the first file");
         }
@@ -140,7 +172,14 @@
     void aBombOfIncludesEndsAtItsBounds() {
         Map<String, String> texts = new HashMap<>();
         for (int i = 0; i < 600; i++) {
-            texts.put("f" + i, "include \"f" + (2 * i + 1) + "\"\ninclude \"f" + (2 * i + 2) + "\"\n" + "// x".repeat(9000));
+            texts.put(
+                    "f" + i,
+                    "include \"f"
+                            + (2 * i + 1)
+                            + "\"\ninclude \"f"
+                            + (2 * i + 2)
+                            + "\"\n"
+                            + "// x".repeat(9000));
         }
         Config config = Reader.read(new MemorySources(texts), "f0");
         assertThat(messages(config)).contains("more than 8 deep").hasLineCount(2);
@@ -150,25 +189,42 @@
             texts.put("f" + i, "// x");
         }
         texts.put("f0", all.toString());
-        assertThat(messages(Reader.read(new MemorySources(texts), "f0"))).contains("more than 64 files").hasLineCount(2);
+        assertThat(messages(Reader.read(new MemorySources(texts), "f0")))
+                .contains("more than 64 files")
+                .hasLineCount(2);
         texts.replaceAll((name, text) -> name.equals("f0") ? text : "// y".repeat(50_000));
-        assertThat(messages(Reader.read(new MemorySources(texts), "f0"))).contains("bytes that are left for it")
+        assertThat(messages(Reader.read(new MemorySources(texts), "f0")))
+                .contains("bytes that are left for it")
                 .hasLineCount(1);
     }
 
     @Test
     void depthAndSizeCostNoMoreThanTheirBounds(@TempDir Path folder) throws Exception {
-        for (String deep : List.of("a {\n", "a (", "/* ", "/- ", "a { /-", "(((", "}}}", "\"\"\"\n", "#\"", "a=")) {
-            assertThat(MemorySources.read(deep.repeat(100_000 / deep.length())).problems().all()).isNotEmpty()
+        for (String deep :
+                List.of(
+                        "a {\n",
+                        "a (",
+                        "/* ",
+                        "/- ",
+                        "a { /-",
+                        "(((",
+                        "}}}",
+                        "\"\"\"\n",
+                        "#\"",
+                        "a=")) {
+            assertThat(MemorySources.read(deep.repeat(100_000 / deep.length())).problems().all())
+                    .isNotEmpty()
                     .hasSizeLessThanOrEqualTo(200);
         }
-        assertThat(messages(MemorySources.read("a {\n".repeat(100_000)))).contains("nested more than 32 deep")
+        assertThat(messages(MemorySources.read("a {\n".repeat(100_000))))
+                .contains("nested more than 32 deep")
                 .hasLineCount(1);
         Path large = folder.resolve("large.kdl");
         try (RandomAccessFile file = new RandomAccessFile(large.toFile(), "rw")) {
             file.setLength(100_000_000);
         }
-        assertThat(messages(Reader.read(new FileSources(), large.toString()))).contains("is larger than");
+        assertThat(messages(Reader.read(new FileSources(), large.toString())))
+                .contains("is larger than");
     }
 
     @Test
@@ -176,7 +232,8 @@
         List<String> lines = new ArrayList<>(NODE.lines().toList());
         for (int seed = 0; seed < 20; seed++) {
             Collections.shuffle(lines, new Random(seed));
-            assertThat(Plan.between(sound(NODE), sound(String.join("\n", lines))).steps()).isEmpty();
+            assertThat(Plan.between(sound(NODE), sound(String.join("\n", lines))).steps())
+                    .isEmpty();
         }
     }
 }
--- a/src/test/java/lupinwood/config/ReferenceTest.java
+++ b/src/test/java/lupinwood/config/ReferenceTest.java
@@ -20,40 +20,61 @@
 final class ReferenceTest {
     @Test
     void theReferencePageIsTheSchemas() throws Exception {
-        assertThat(Files.readString(Path.of("docs/config-reference.md"))).endsWith(Reference.table());
+        assertThat(Files.readString(Path.of("docs/config-reference.md")))
+                .endsWith(Reference.table());
     }
 
     @Test
     void theExamplesSayTheSameInBothFormsAndAreInTheirForm() throws Exception {
         Config config = Reader.read(new FileSources(), "examples/node.kdl");
         assertThat(config.problems().all()).isEmpty();
-        assertThat(Plan.between(NodeConfig.read(Path.of("examples/config.json")).meaning(), config.meaning()).steps())
+        assertThat(
+                        Plan.between(
+                                        NodeConfig.read(Path.of("examples/config.json")).meaning(),
+                                        config.meaning())
+                                .steps())
                 .isEmpty();
-        for (String file : new String[] {"examples/node.kdl", "examples/fleet.kdl", "deploy/operator.kdl"}) {
+        for (String file :
+                new String[] {"examples/node.kdl", "examples/fleet.kdl", "deploy/operator.kdl"}) {
             String text = Files.readString(Path.of(file));
-            assertThat(Formatter.format(new Source(file, text), new Problems())).as(file).isEqualTo(text);
+            assertThat(Formatter.format(new Source(file, text), new Problems()))
+                    .as(file)
+                    .isEqualTo(text);
         }
-        assertThat(Reader.readPart(new FileSources(), "deploy/operator.kdl").problems().all()).isEmpty();
+        assertThat(Reader.readPart(new FileSources(), "deploy/operator.kdl").problems().all())
+                .isEmpty();
     }
 
     @Test
-    void thePageOfSettingsAndWireHasEachEntryOfThePlatformAndNamesTestsThatThereAre() throws Exception {
+    void thePageOfSettingsAndWireHasEachEntryOfThePlatformAndNamesTestsThatThereAre()
+            throws Exception {
         String page = Files.readString(Path.of("docs/design/settings-and-wire.md"));
         for (Entry entry : Schema.all()) {
             String own = entry.key().replaceFirst("\\.#$", "").replaceFirst(".*\\.", "");
-            assertThat(entry.key().startsWith("operator.") || Pattern.compile("`([a-z.]*|services\\[\\]\\.|customers\\[\\]\\.)" + own + "`")
-                    .matcher(page).find()).as(entry.key()).isTrue();
+            assertThat(
+                            entry.key().startsWith("operator.")
+                                    || Pattern.compile(
+                                                    "`([a-z.]*|services\\[\\]\\.|customers\\[\\]\\.)"
+                                                            + own
+                                                            + "`")
+                                            .matcher(page)
+                                            .find())
+                    .as(entry.key())
+                    .isTrue();
         }
         Matcher named = Pattern.compile("`([A-Z]\\w*Test)(\\.(\\w+))?`").matcher(page);
         Map<String, String> tests = new HashMap<>();
         try (Stream<Path> files = Files.walk(Path.of("src/test/java"))) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
-                tests.put(file.getFileName().toString().replace(".java", ""), Files.readString(file));
+                tests.put(
+                        file.getFileName().toString().replace(".java", ""), Files.readString(file));
             }
         }
         while (named.find()) {
             assertThat(tests).containsKey(named.group(1));
-            assertThat(tests.get(named.group(1))).as(named.group()).contains(named.group(3) == null ? "" : "void " + named.group(3) + "(");
+            assertThat(tests.get(named.group(1)))
+                    .as(named.group())
+                    .contains(named.group(3) == null ? "" : "void " + named.group(3) + "(");
         }
     }
 }
--- a/src/test/java/lupinwood/core/AnySettingsTest.java
+++ b/src/test/java/lupinwood/core/AnySettingsTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Settings by chance, with entries left out by chance, under a light load in made-up time: each request gets one final
- * answer within its caller's time, a mark runs once within its window, and where all below is well each is satisfied,
- * whatever the settings leave out.
+ * Settings by chance, with entries left out by chance, under a light load in made-up time: each
+ * request gets one final answer within its caller's time, a mark runs once within its window, and
+ * where all below is well each is satisfied, whatever the settings leave out.
  */
 final class AnySettingsTest implements Dispatchers, Executor, Index {
     private static final byte[] BODY = {'b'};
@@ -140,8 +140,15 @@
     private void play(int seed) {
         chance = new Random(seed);
         draw();
-        host = new Host(settings, seed, Brain::new, new Host.Ports(this, this, this, log::add), deadlines,
-                new Host.Bounds(64, 1024, 1024, 1 << 20), now);
+        host =
+                new Host(
+                        settings,
+                        seed,
+                        Brain::new,
+                        new Host.Ports(this, this, this, log::add),
+                        deadlines,
+                        new Host.Bounds(64, 1024, 1024, 1 << 20),
+                        now);
         host.welcomed(false, Span.ZERO);
         host.settle();
         ConnectionId line = host.connected();
@@ -156,7 +163,9 @@
         assertThat(unanswered).as("seed %d left unanswered", seed).isEmpty();
         assertThat(host.isAnswered()).isTrue();
         if (!troubles) {
-            assertThat(satisfied).as("seed %d satisfied; the log: %s; settings %s", seed, log, settings).isEqualTo(sent);
+            assertThat(satisfied)
+                    .as("seed %d satisfied; the log: %s; settings %s", seed, log, settings)
+                    .isEqualTo(sent);
         }
     }
 
@@ -164,23 +173,44 @@
         int track = chance.nextInt(count("services"));
         String at = "services." + track + ".";
         int customers = count("customers");
-        String customer = customers > 0 ? settings.get("customers." + chance.nextInt(customers) + ".name")
-                : oneOf("", "anyone");
+        String customer =
+                customers > 0
+                        ? settings.get("customers." + chance.nextInt(customers) + ".name")
+                        : oneOf("", "anyone");
         double giveUp = Double.parseDouble(settings.get(at + "give_up_ns")) / 1e9;
         Span patience = maybe() ? Span.ZERO : Span.ofSeconds(giveUp * oneOf(0.7, 0.9, 1.2));
         Span hint = maybe() ? Span.ZERO : work.times(oneOf(0.5, 1.0, 2.0));
         boolean keyed = settings.get(at + "effect").equals("token");
-        // The mark names its track, as a dispatcher's would: no two requests of different tracks are one.
+        // The mark names its track, as a dispatcher's would: no two requests of different tracks
+        // are one.
         String key = keyed ? track + "f" + chance.nextInt(6) : null;
         Moment reached = now.minus(work.times(oneOf(0.0, 0.5)));
-        Span waits = patience.isPositive() ? patience.min(Span.ofSeconds(giveUp)) : Span.ofSeconds(giveUp);
+        Span waits =
+                patience.isPositive()
+                        ? patience.min(Span.ofSeconds(giveUp))
+                        : Span.ofSeconds(giveUp);
         tag++;
         TryId id = new TryId(String.format("%016x", tag));
         unanswered.put(tag, new Sent(reached.plus(waits), troubles));
         keys.put(tag, key == null ? "" : key);
         reachedOf.put(id.digits(), reached);
-        host.arrived(line, tag, new Arrival(id, settings.get(at + "name"), customer, new SubjectId(0), new CallerId(1),
-                patience, hint, maybe(), reached, 10, 0.5, key == null ? null : new ReceiptKey(key), BODY));
+        host.arrived(
+                line,
+                tag,
+                new Arrival(
+                        id,
+                        settings.get(at + "name"),
+                        customer,
+                        new SubjectId(0),
+                        new CallerId(1),
+                        patience,
+                        hint,
+                        maybe(),
+                        reached,
+                        10,
+                        0.5,
+                        key == null ? null : new ReceiptKey(key),
+                        BODY));
         host.settle();
     }
 
@@ -200,11 +230,20 @@
     public void answer(ConnectionId connection, long to, Answer answer) {
         Sent sent = unanswered.remove(to);
         assertThat(sent).as("a second answer to %d", to).isNotNull();
-        assertThat(now.isBefore(sent.due)).as("%d answered %s in time, due %s s before; the log: %s; settings %s", to,
-                answer.word(), now.since(sent.due).seconds(), log, settings).isTrue();
+        assertThat(now.isBefore(sent.due))
+                .as(
+                        "%d answered %s in time, due %s s before; the log: %s; settings %s",
+                        to, answer.word(), now.since(sent.due).seconds(), log, settings)
+                .isTrue();
         satisfied += answer.word() == Answer.Word.SATISFIED ? 1 : 0;
         if (answer.word() != Answer.Word.SATISFIED) {
-            log.add(to + " " + answer.word() + " " + sent.due().since(now).seconds() + " s before it was due");
+            log.add(
+                    to
+                            + " "
+                            + answer.word()
+                            + " "
+                            + sent.due().since(now).seconds()
+                            + " s before it was due");
         }
     }
 
@@ -238,25 +277,31 @@
             Moment reached = reachedOf.get(id.digits());
             Span window = new Span(Long.parseLong(settings.get("services." + at + ".window_ns")));
             Moment before = ranFrom.put(key, reached);
-            assertThat(before == null || !reached.isBefore(before.plus(window))).as("%s runs twice", key).isTrue();
+            assertThat(before == null || !reached.isBefore(before.plus(window)))
+                    .as("%s runs twice", key)
+                    .isTrue();
         }
         assertThat(running.add(id)).isTrue();
         int place = Integer.parseInt(track.replaceAll(".*(\\d)$", "$1"));
         boolean below = settings.getOrDefault("domain.below", "off").matches("one_for_all|tier");
         String[] calls = settings.getOrDefault("domain.class_calls", "").split(",");
         boolean called = below && place < calls.length && calls[place].equals("true") && maybe();
-        later(work.times(0.5), () -> {
-            if (called) {
-                host.calledOut(id, BODY);
-            } else {
-                rest(id);
-            }
-        });
+        later(
+                work.times(0.5),
+                () -> {
+                    if (called) {
+                        host.calledOut(id, BODY);
+                    } else {
+                        rest(id);
+                    }
+                });
         return true;
     }
 
     private void rest(TryId id) {
-        later(work.times(0.5), () -> exit(id, troubles && chance.nextInt(8) == 0 ? Ending.FAILED : Ending.WELL));
+        later(
+                work.times(0.5),
+                () -> exit(id, troubles && chance.nextInt(8) == 0 ? Ending.FAILED : Ending.WELL));
     }
 
     private void exit(TryId id, Ending ending) {
@@ -273,8 +318,12 @@
 
     @Override
     public boolean stop(TryId id) {
-        assertThat(settings.getOrDefault("domain.stop_mode", "off")).as("a way to stop is named").isNotEqualTo("off");
-        later(Span.ofSeconds(0.001), refuses ? () -> host.notCarriedOut("KILL", id) : () -> exit(id, Ending.STOPPED));
+        assertThat(settings.getOrDefault("domain.stop_mode", "off"))
+                .as("a way to stop is named")
+                .isNotEqualTo("off");
+        later(
+                Span.ofSeconds(0.001),
+                refuses ? () -> host.notCarriedOut("KILL", id) : () -> exit(id, Ending.STOPPED));
         return true;
     }
 
@@ -291,7 +340,9 @@
     @Override
     public void askGauges(long asked) {
         if (settings.containsKey("domain.gauges")) {
-            later(Span.ofSeconds(0.0005), () -> host.gaugesRead(asked, new double[] {0.5, running.size(), 0.1, 1}));
+            later(
+                    Span.ofSeconds(0.0005),
+                    () -> host.gaugesRead(asked, new double[] {0.5, running.size(), 0.1, 1}));
         }
     }
 
@@ -302,9 +353,18 @@
 
     @Override
     public void call(TryId id, Span cap, byte[] body) {
-        Ending ending = troubles ? oneOf(Ending.WELL, Ending.SHED, Ending.SLOW_BELOW, Ending.FAILED_BELOW,
-                Ending.CONNECTION_REFUSED) : Ending.WELL;
-        later(work.times(0.2), () -> host.callEnded(id, ending, ending == Ending.WELL ? BODY : null));
+        Ending ending =
+                troubles
+                        ? oneOf(
+                                Ending.WELL,
+                                Ending.SHED,
+                                Ending.SLOW_BELOW,
+                                Ending.FAILED_BELOW,
+                                Ending.CONNECTION_REFUSED)
+                        : Ending.WELL;
+        later(
+                work.times(0.2),
+                () -> host.callEnded(id, ending, ending == Ending.WELL ? BODY : null));
     }
 
     @Override
--- a/src/test/java/lupinwood/core/HostTest.java
+++ b/src/test/java/lupinwood/core/HostTest.java
@@ -27,10 +27,11 @@
     private long tag;
 
     HostTest() {
-        machine.set("customers.count=1 customers.0.name=acme"
-                + " domain.gauges=core_use,on_cores,heap_share,links domain.keepalive_max_ns=3000000000"
-                + " services.0.name=pure services.1.name=token"
-                + " services.2.name=side_effect");
+        machine.set(
+                "customers.count=1 customers.0.name=acme"
+                        + " domain.gauges=core_use,on_cores,heap_share,links domain.keepalive_max_ns=3000000000"
+                        + " services.0.name=pure services.1.name=token"
+                        + " services.2.name=side_effect");
     }
 
     private void start() {
@@ -52,8 +53,15 @@
     }
 
     private void make(int connections, long receiptBytes) {
-        host = new Host(machine.settings, 7, Brain::new, new Host.Ports(this, this, this, this::log),
-                deadlines, new Host.Bounds(connections, 40, 64, receiptBytes), now);
+        host =
+                new Host(
+                        machine.settings,
+                        7,
+                        Brain::new,
+                        new Host.Ports(this, this, this, this::log),
+                        deadlines,
+                        new Host.Bounds(connections, 40, 64, receiptBytes),
+                        now);
         line = host.connected();
     }
 
@@ -68,19 +76,49 @@
     }
 
     private Arrival arrival(long number, String track, String receipt, String body) {
-        return new Arrival(id(number), track, "acme", new SubjectId(0), new CallerId(1), now, 10, 0.5,
-                receipt == null ? null : new ReceiptKey(receipt), body.getBytes(StandardCharsets.UTF_8));
+        return new Arrival(
+                id(number),
+                track,
+                "acme",
+                new SubjectId(0),
+                new CallerId(1),
+                now,
+                10,
+                0.5,
+                receipt == null ? null : new ReceiptKey(receipt),
+                body.getBytes(StandardCharsets.UTF_8));
     }
 
     private Arrival arrival(String customer, Moment reached, double memoryKb, double rank) {
-        return new Arrival(id(tag + 1), "pure", customer, new SubjectId(0), new CallerId(1), reached, memoryKb,
-                rank, null, NOTHING);
+        return new Arrival(
+                id(tag + 1),
+                "pure",
+                customer,
+                new SubjectId(0),
+                new CallerId(1),
+                reached,
+                memoryKb,
+                rank,
+                null,
+                NOTHING);
     }
 
     /** One with what only some deployments' tickets carry. */
     private Arrival arrival(String customer, Span patience, Span work, boolean repeat) {
-        return new Arrival(id(tag), "pure", customer, new SubjectId(0), new CallerId(1), patience, work, repeat, now,
-                10, 0.5, null, NOTHING);
+        return new Arrival(
+                id(tag),
+                "pure",
+                customer,
+                new SubjectId(0),
+                new CallerId(1),
+                patience,
+                work,
+                repeat,
+                now,
+                10,
+                0.5,
+                null,
+                NOTHING);
     }
 
     private void tell(Runnable news) {
@@ -89,7 +127,13 @@
     }
 
     private void exit(long number, Ending ending, String result) {
-        tell(() -> host.exited(id(number), ending, Span.ZERO, result.getBytes(StandardCharsets.UTF_8)));
+        tell(
+                () ->
+                        host.exited(
+                                id(number),
+                                ending,
+                                Span.ZERO,
+                                result.getBytes(StandardCharsets.UTF_8)));
     }
 
     private void callOut(long number) {
@@ -109,7 +153,10 @@
     }
 
     private void say(String text) {
-        trace.append((now.nanos() - 1_000_000_000_000L) / 1_000_000).append(' ').append(text).append('\n');
+        trace.append((now.nanos() - 1_000_000_000_000L) / 1_000_000)
+                .append(' ')
+                .append(text)
+                .append('\n');
     }
 
     private String printed() {
@@ -118,7 +165,11 @@
 
     @Override
     public void answer(ConnectionId connection, long to, Answer answer) {
-        say(to + " " + answer.word() + (answer.result().length > 0 ? " " + text(answer.result()) : ""));
+        say(
+                to
+                        + " "
+                        + answer.word()
+                        + (answer.result().length > 0 ? " " + text(answer.result()) : ""));
     }
 
     @Override
@@ -209,7 +260,9 @@
         tell(() -> host.callEnded(id(one), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
         exit(one, Ending.WELL, "result");
         exit(one, Ending.WELL, "late news");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 call for 1 q
                 30 reply for 1 r
@@ -234,7 +287,9 @@
         pass(100);
         assertThat(host.isAnswered()).isTrue();
         assertThat(host.figures()).startsWith("connections 1, open 0, tickets 0, receipts 0");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 run 2 b
                 0 run 3 c
@@ -255,7 +310,9 @@
         arrive("token", "k", "a");
         pass(2000);
         arrive("token", "k", "a");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 log abandoned a ticket with the mark of another
                 0 3 ABANDONED
@@ -282,7 +339,9 @@
         tell(() -> host.aborted(line, held));
         exit(full, Ending.WELL, "x");
         arrive("token", "l", "d");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 1 ABANDONED
                 0 2 ABANDONED
@@ -296,8 +355,9 @@
 
     @Test
     void aReceiptKeepsItsWindowWhenThatShrinksAndOutlivesAnAbandonTimeThatGrew() {
-        machine.set("services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
-                + " domain.keepalive_max_ns=60000000000");
+        machine.set(
+                "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
+                        + " domain.keepalive_max_ns=60000000000");
         start();
         long first = arrive("token", "k", "a");
         exit(first, Ending.WELL, "paid");
@@ -310,10 +370,27 @@
         arrive("token", "k", "a");
         Moment inWindow = now;
         pass(7500); // the old abandon time after the window's end has passed; the new one has not
-        tell(() -> host.arrived(line, ++tag, new Arrival(id(tag), "token", "acme", new SubjectId(0),
-                new CallerId(1), inWindow, 10, 0.5, new ReceiptKey("k"), "a".getBytes(StandardCharsets.UTF_8))));
-        // Past the old bounds the decisions know nothing of it any more; it has the result all the same, and never runs.
-        assertThat(printed()).isEqualTo("""
+        tell(
+                () ->
+                        host.arrived(
+                                line,
+                                ++tag,
+                                new Arrival(
+                                        id(tag),
+                                        "token",
+                                        "acme",
+                                        new SubjectId(0),
+                                        new CallerId(1),
+                                        inWindow,
+                                        10,
+                                        0.5,
+                                        new ReceiptKey("k"),
+                                        "a".getBytes(StandardCharsets.UTF_8))));
+        // Past the old bounds the decisions know nothing of it any more; it has the result all the
+        // same, and never runs.
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 1 SATISFIED paid
                 7000 2 SATISFIED paid
@@ -333,7 +410,9 @@
         host.retune(new Host.Tuning(next));
         arrive("pure", null, "b");
         pass(30_000);
-        assertThat(printed()).containsPattern("(?m)^49\\d\\d 1 ABANDONED$").containsPattern("(?m)^199\\d\\d 2 ABANDONED$");
+        assertThat(printed())
+                .containsPattern("(?m)^49\\d\\d 1 ABANDONED$")
+                .containsPattern("(?m)^199\\d\\d 2 ABANDONED$");
         host.leave(Span.ofSeconds(3));
         assertThat(host.retune(new Host.Tuning(machine.settings))).isFalse();
     }
@@ -347,7 +426,9 @@
         exit(arrive("token", "l", "b"), Ending.WELL, "12345678");
         arrive("token", "k", "a");
         arrive("token", "l", "b");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 1 SATISFIED 12345678
                 0 run 2 b
@@ -365,12 +446,28 @@
         pass(1500);
         for (int i = 0; i < 2; i++) {
             Moment reached = stamped.plus(Span.ofSeconds(i * 0.5));
-            tell(() -> host.arrived(line, ++tag, new Arrival(id(tag), "token", "acme", new SubjectId(0), new CallerId(1),
-                    reached, 10, 0.5, new ReceiptKey("k"), NOTHING)));
+            tell(
+                    () ->
+                            host.arrived(
+                                    line,
+                                    ++tag,
+                                    new Arrival(
+                                            id(tag),
+                                            "token",
+                                            "acme",
+                                            new SubjectId(0),
+                                            new CallerId(1),
+                                            reached,
+                                            10,
+                                            0.5,
+                                            new ReceiptKey("k"),
+                                            NOTHING)));
             pass(100);
         }
         exit(1, Ending.WELL, "x");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 1500 run 1\s
                 1700 1 SATISFIED x
                 1700 2 SATISFIED x
@@ -389,7 +486,9 @@
         exit(first, Ending.WELL, "one");
         exit(next, Ending.WELL, "two");
         arrive("token", "k", "a");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 1000 run 3 a
                 1000 1 SATISFIED one
@@ -414,7 +513,9 @@
         exit(runs, Ending.WELL, "1234");
         arrive("token", "c", "");
         arrive("token", "a", "body");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 5 ABANDONED
                 0 6 SATISFIED 12345678
                 0 7 SATISFIED 12345678
@@ -434,7 +535,9 @@
         arrive("token", "one more", "");
         arrive("token", "m0", "");
         arrive("pure", null, "p");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 log bounced a ticket whose mark there is no room to remember
                 0 65 BOUNCED
                 0 66 SATISFIED r
@@ -458,7 +561,9 @@
         arrive("token", "l", "c");
         linked = true;
         tell(() -> host.welcomed(false, Span.ZERO));
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 run 2 b
                 0 run 1 a
@@ -479,7 +584,10 @@
         onCores = 0;
         pass(20);
         callOut(receipted);
-        tell(() -> host.callEnded(id(receipted), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
+        tell(
+                () ->
+                        host.callEnded(
+                                id(receipted), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
         onCores = 1;
         tell(() -> host.welcomed(false, Span.ZERO));
         pass(20);
@@ -489,7 +597,9 @@
         pass(20);
         tell(() -> host.welcomed(false, Span.ZERO));
         exit(receipted, Ending.WELL, "result");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 24 log commands lost with a link, given again: 1
                 24 run 1 a
@@ -518,7 +628,9 @@
             tell(() -> host.aborted(line, withdrawn));
             exit(withdrawn, Ending.NOTHING_STARTED, "");
         }
-        assertThat(printed().replaceAll("[0-9]+ run [0-9]+ c\n", "")).isEqualTo("""
+        assertThat(printed().replaceAll("[0-9]+ run [0-9]+ c\n", ""))
+                .isEqualTo(
+                        """
                 0 log abandoned a ticket of no known track
                 0 1 ABANDONED
                 0 close 1 UNSOUND
@@ -543,7 +655,9 @@
         long unknown = arrive("token", "k", "a");
         tell(() -> host.notCarriedOut("EXEC", id(unknown)));
         arrive("token", "k", "b");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 log the executor did not carry out EXEC 0000000000000001
                 0 1 ABANDONED
@@ -569,7 +683,9 @@
         host.disconnected(last);
         host.connected();
         pass(1600);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 100 1 GOOD
                 100 run 1 a
                 110 close 2 MADE_ROOM
@@ -588,7 +704,9 @@
                 """);
     }
 
-    /** Of sixteen places fourteen are many. Who came just now is no sooner closed than who rests. */
+    /**
+     * Of sixteen places fourteen are many. Who came just now is no sooner closed than who rests.
+     */
     @Test
     void beforeTheTableIsFullThoseThatRestAreAskedToCloseAndWhoHasAnOpenTicketNever() {
         make(16, 8192);
@@ -608,8 +726,12 @@
         }
         pass(600);
         host.connected();
-        assertThat(printed().replaceAll("(?m)^.*GOOD\n", "").replaceAll("(?s).*150 no more", "150 no more"))
-                .isEqualTo("""
+        assertThat(
+                        printed()
+                                .replaceAll("(?m)^.*GOOD\n", "")
+                                .replaceAll("(?s).*150 no more", "150 no more"))
+                .isEqualTo(
+                        """
                 150 no more
                 150 so many: 16
                 160 close 1 MADE_ROOM
@@ -647,7 +769,9 @@
         host.leftOff(line);
         pass(1);
         host.leftOff(line);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 1 GOOD
                 0 close 1 SAID_NOTHING
                 500 close 1 SLOW_READER
@@ -670,7 +794,9 @@
         callOut(slow);
         pass(2500);
         tell(() -> host.callEnded(id(slow), Ending.WELL, NOTHING));
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 call for 1 q
                 200 call for 1 q
@@ -688,7 +814,9 @@
         long one = arrive("pure", null, "a");
         tell(() -> host.notCarriedOut("EXEC", id(one)));
         tell(() -> host.notCarriedOut("RETURN", id(one)));
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 log the executor did not carry out EXEC 0000000000000001
                 0 1 ABANDONED
@@ -711,9 +839,16 @@
         arrive("token", null, "a");
         arrive("pure", "k", "a");
         tell(() -> host.arrived(line, ++tag, arrival("nobody", now, 10, 0.5)));
-        tell(() -> host.arrived(line, ++tag, arrival("acme", now.plus(Span.ofSeconds(9)), 10, 0.5)));
+        tell(
+                () ->
+                        host.arrived(
+                                line,
+                                ++tag,
+                                arrival("acme", now.plus(Span.ofSeconds(9)), 10, 0.5)));
         tell(() -> host.arrived(line, ++tag, arrival("acme", new Moment(0), 10, 0.5)));
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 log abandoned a ticket of no known track
                 0 2 ABANDONED
                 0 log abandoned a ticket that can't be read
@@ -734,10 +869,14 @@
                 0 log abandoned a ticket past its abandon time
                 0 11 ABANDONED
                 """);
-        for (double[] figures : new double[][] {{0, 0.5}, {2000, 0.5}, {Double.NaN, 0.5}, {10, 1}, {10, Double.NaN}}) {
+        for (double[] figures :
+                new double[][] {
+                    {0, 0.5}, {2000, 0.5}, {Double.NaN, 0.5}, {10, 1}, {10, Double.NaN}
+                }) {
             gainStanding();
             tell(() -> host.arrived(line, ++tag, arrival("acme", now, figures[0], figures[1])));
-            assertThat(printed()).isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " ABANDONED\n");
+            assertThat(printed())
+                    .isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " ABANDONED\n");
         }
     }
 
@@ -757,9 +896,16 @@
     void theCallersOwnTimeBoundsTheAnswerAndAHintOrAMarkReachesTheDecisions() {
         start();
         List<Ticket> told = new ArrayList<>();
-        host = new Host(machine.settings, 7,
-                (server, seed, map) -> new Watched(new Brain(server, seed, map), told::add, () -> { }),
-                new Host.Ports(this, this, this, this::log), deadlines, new Host.Bounds(4, 40, 64, 8192), now);
+        host =
+                new Host(
+                        machine.settings,
+                        7,
+                        (server, seed, map) ->
+                                new Watched(new Brain(server, seed, map), told::add, () -> {}),
+                        new Host.Ports(this, this, this, this::log),
+                        deadlines,
+                        new Host.Bounds(4, 40, 64, 8192),
+                        now);
         line = host.connected();
         host.welcomed(false, Span.ZERO);
         trace.setLength(0);
@@ -767,15 +913,29 @@
         tell(() -> host.arrived(line, ++tag, arrival("acme", patience, Span.ofSeconds(0.2), true)));
         now = now.plus(Span.ofSeconds(0.5));
         host.advance(now);
-        tell(() -> host.arrived(line, ++tag, arrival("acme", patience, Span.ZERO, false)
-                .reachedAt(now.minus(Span.ofSeconds(0.4)))));
-        tell(() -> host.arrived(line, ++tag, arrival("acme", patience, Span.ZERO, false)
-                .reachedAt(now.minus(Span.ofSeconds(1.6)))));
+        tell(
+                () ->
+                        host.arrived(
+                                line,
+                                ++tag,
+                                arrival("acme", patience, Span.ZERO, false)
+                                        .reachedAt(now.minus(Span.ofSeconds(0.4)))));
+        tell(
+                () ->
+                        host.arrived(
+                                line,
+                                ++tag,
+                                arrival("acme", patience, Span.ZERO, false)
+                                        .reachedAt(now.minus(Span.ofSeconds(1.6)))));
         pass(2000);
-        assertThat(told).extracting(Ticket::patience, Ticket::work, Ticket::repeat).containsExactly(
-                org.assertj.core.groups.Tuple.tuple(patience, Span.ofSeconds(0.2), true),
-                org.assertj.core.groups.Tuple.tuple(Span.ofSeconds(1.1), Span.ZERO, false));
-        assertThat(printed()).isEqualTo("""
+        assertThat(told)
+                .extracting(Ticket::patience, Ticket::work, Ticket::repeat)
+                .containsExactly(
+                        org.assertj.core.groups.Tuple.tuple(patience, Span.ofSeconds(0.2), true),
+                        org.assertj.core.groups.Tuple.tuple(Span.ofSeconds(1.1), Span.ZERO, false));
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1\s
                 500 run 2\s
                 500 log abandoned a ticket past its abandon time
@@ -799,7 +959,9 @@
             assertThat(printed()).contains(" " + tag + " ABANDONED\n");
         }
         assertThat(tag - before).isEqualTo(16);
-        assertThat(printed()).endsWith("close 1 UNSOUND\n").doesNotContain("0 " + other + " ABANDONED");
+        assertThat(printed())
+                .endsWith("close 1 UNSOUND\n")
+                .doesNotContain("0 " + other + " ABANDONED");
     }
 
     @Test
@@ -816,7 +978,9 @@
         long third = arrive("pure", null, "c");
         tell(() -> host.aborted(line, third));
         exit(third, Ending.WELL, "unwanted");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 stop 1
                 0 run 2 b
@@ -849,7 +1013,9 @@
         long three = arrive("pure", null, "c");
         callOut(three);
         tell(() -> host.callEnded(id(three), Ending.SLOW_BELOW, null));
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 call for 1 q
                 0 no call for 1
@@ -866,7 +1032,10 @@
                 """);
     }
 
-    /** Seen on prairie-scans and sicilia-est: "BAD - -" to each call to be left out; its run stood there for good. */
+    /**
+     * Seen on prairie-scans and sicilia-est: "BAD - -" to each call to be left out; its run stood
+     * there for good.
+     */
     @Test
     void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorTicket() {
         machine.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
@@ -881,7 +1050,9 @@
         tell(() -> host.callEnded(id(one), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
         tell(() -> host.notCarriedOut("-", new TryId("-")));
         exit(one, Ending.WELL, "whole");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 call for 1 q
                 0 no call for 1
@@ -906,7 +1077,9 @@
         }
         exit(7, Ending.WELL, "x");
         arrive("pure", null, "a");
-        assertThat(printed()).endsWith("""
+        assertThat(printed())
+                .endsWith(
+                        """
                 0 run 32 a
                 0 log bounced a ticket that came beyond what may be open
                 0 33 BOUNCED
@@ -918,12 +1091,24 @@
     @Test
     void allIsAnsweredBeforeTheAbandonTimeReckonedFromWhenItCame() {
         start();
-        Arrival late = new Arrival(id(1), "pure", "acme", new SubjectId(0), new CallerId(1),
-                now.minus(Span.ofSeconds(1)), 10, 0.5, null, "late".getBytes(StandardCharsets.UTF_8));
+        Arrival late =
+                new Arrival(
+                        id(1),
+                        "pure",
+                        "acme",
+                        new SubjectId(0),
+                        new CallerId(1),
+                        now.minus(Span.ofSeconds(1)),
+                        10,
+                        0.5,
+                        null,
+                        "late".getBytes(StandardCharsets.UTF_8));
         tell(() -> host.arrived(line, ++tag, late));
         arrive("side_effect", null, "a");
         pass(6000);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 late
                 0 run 2 a
                 3998 1 ABANDONED
@@ -939,7 +1124,9 @@
         now = now.plus(Span.ofSeconds(20));
         tell(() -> host.advance(now));
         pass(0);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 run 2 b
                 20000 1 ABANDONED
@@ -956,7 +1143,9 @@
         tell(host::executorStartedAnew);
         arrive("token", "k", "b");
         arrive("pure", null, "d");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 0 run 2 b
                 0 log the executor was started anew, its runs are lost
@@ -978,7 +1167,9 @@
         ConnectionId idle = host.connected();
         tell(() -> host.checked(idle, 5, false));
         pass(9000);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 4000 1 SATISFIED result
                 4000 close 0 CLOSED_BY_PEER
@@ -1000,7 +1191,9 @@
         pass(1000);
         host.written(line);
         pass(60_000);
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 log abandoned a ticket of no known track
                 0 1 ABANDONED
                 0 log abandoned a ticket of no known track
@@ -1026,7 +1219,9 @@
         assertThat(host.isAnswered()).isTrue();
         tell(() -> host.checked(line, 9, true));
         host.closeConnections();
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 700 2 BOUNCED
                 2850 1 ABANDONED
@@ -1043,11 +1238,14 @@
         tell(() -> host.leave(Span.ofSeconds(1)));
         deadlines.at(now.plus(Span.ofSeconds(0.96)), () -> host.closeConnections());
         now = now.plus(Span.ofSeconds(1)); // a stall, past both
-        tell(() -> {
-            host.advance(now);
-            deadlines.ring(now);
-        });
-        assertThat(printed()).isEqualTo("""
+        tell(
+                () -> {
+                    host.advance(now);
+                    deadlines.ring(now);
+                });
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 run 1 a
                 1000 1 ABANDONED
                 1000 no more
@@ -1060,7 +1258,9 @@
         tell(() -> host.leave(Span.ofSeconds(3)));
         tell(() -> host.welcomed(false, Span.ZERO));
         arrive("pure", null, "a");
-        assertThat(printed()).isEqualTo("""
+        assertThat(printed())
+                .isEqualTo(
+                        """
                 0 log bounced a ticket that came before the executor was up
                 0 1 BOUNCED
                 """);
@@ -1083,10 +1283,12 @@
     @Test
     void deadlinesRingInOrderAndWhatTheyAddWaits() {
         deadlines.at(new Moment(2), () -> say("second"));
-        deadlines.at(new Moment(1), () -> {
-            say("first");
-            deadlines.at(new Moment(1), () -> say("added"));
-        });
+        deadlines.at(
+                new Moment(1),
+                () -> {
+                    say("first");
+                    deadlines.at(new Moment(1), () -> say("added"));
+                });
         Deadlines.Deadline off = deadlines.at(new Moment(1), () -> say("called off"));
         deadlines.callOff(off);
         deadlines.ring(new Moment(3));
@@ -1097,8 +1299,17 @@
 
     @Test
     void onlyWhatWasNeverSentOrSeenProvesThatNothingRan() {
-        assertThat(Arrays.stream(Ending.values()).filter(ending -> ending.outcome().provesNeverRan()))
-                .containsExactly(Ending.NOT_CARRIED_OUT, Ending.NOTHING_STARTED, Ending.SHED, Ending.NOBODY_WAITS,
-                        Ending.CONNECTION_REFUSED, Ending.NEVER_CONNECTED, Ending.NOT_WRITTEN, Ending.NO_PONG);
+        assertThat(
+                        Arrays.stream(Ending.values())
+                                .filter(ending -> ending.outcome().provesNeverRan()))
+                .containsExactly(
+                        Ending.NOT_CARRIED_OUT,
+                        Ending.NOTHING_STARTED,
+                        Ending.SHED,
+                        Ending.NOBODY_WAITS,
+                        Ending.CONNECTION_REFUSED,
+                        Ending.NEVER_CONNECTED,
+                        Ending.NOT_WRITTEN,
+                        Ending.NO_PONG);
     }
 }
--- a/src/test/java/lupinwood/failover/PlannerTest.java
+++ b/src/test/java/lupinwood/failover/PlannerTest.java
@@ -20,10 +20,15 @@
 import lupinwood.node.Span;
 import org.junit.jupiter.api.Test;
 
-/** Three zones in two regions, two nodes and one place each, by the real book; each word is heard at once. */
+/**
+ * Three zones in two regions, two nodes and one place each, by the real book; each word is heard at
+ * once.
+ */
 final class PlannerTest {
     private static final Span LEASE = Span.ofSeconds(2);
-    private static final Site[] SITES = {new Site("r0", "z0"), new Site("r0", "z1"), new Site("r1", "z2")};
+    private static final Site[] SITES = {
+        new Site("r0", "z0"), new Site("r0", "z1"), new Site("r1", "z2")
+    };
     private final List<Place> places = new ArrayList<>();
     private final Book book = new Book(100);
     private Planner planner = new Planner(LEASE);
@@ -45,7 +50,10 @@
         token = book.duty(DutyName.PLANNER).token();
     }
 
-    /** Each second each node asks for 40 tickets of 0.1 s; where it leaves a place out, it sends nothing there. */
+    /**
+     * Each second each node asks for 40 tickets of 0.1 s; where it leaves a place out, it sends
+     * nothing there.
+     */
     private void play(int seconds) {
         for (int second = 0; second < seconds; second++) {
             now++;
@@ -55,14 +63,42 @@
                 List<Report.Use> uses = new ArrayList<>();
                 for (int place = 0; place < 3; place++) {
                     counts[i][place][0] += leftOut[i][place] || place != i % 3 ? 0 : 40;
-                    uses.add(new Report.Use("p" + place, 0, asked[i], counts[i][place][0], counts[i][place][1],
-                            counts[i][place][0] * 0.1, leftOut[i][place]));
+                    uses.add(
+                            new Report.Use(
+                                    "p" + place,
+                                    0,
+                                    asked[i],
+                                    counts[i][place][0],
+                                    counts[i][place][1],
+                                    counts[i][place][0] * 0.1,
+                                    leftOut[i][place]));
                 }
-                seen.add(new Seen(new NodeName("n" + i), new Life(i), SITES[i % 3], Standing.WARM, Span.ZERO,
-                        new Report("1", "", null, List.of(), book.lastPlan(), uses, Tally.NOTHING)));
+                seen.add(
+                        new Seen(
+                                new NodeName("n" + i),
+                                new Life(i),
+                                SITES[i % 3],
+                                Standing.WARM,
+                                Span.ZERO,
+                                new Report(
+                                        "1",
+                                        "",
+                                        null,
+                                        List.of(),
+                                        book.lastPlan(),
+                                        uses,
+                                        Tally.NOTHING)));
             }
-            Deed.SetPlan plan = planner.decide(new Planner.View(places, book.members(), seen, book.livePlans(), book.lastPlan()),
-                    token, new Moment(Math.round(now * 1e9)));
+            Deed.SetPlan plan =
+                    planner.decide(
+                            new Planner.View(
+                                    places,
+                                    book.members(),
+                                    seen,
+                                    book.livePlans(),
+                                    book.lastPlan()),
+                            token,
+                            new Moment(Math.round(now * 1e9)));
             if (plan != null) {
                 assertThat(book.apply(plan)).as("it fits").isTrue();
             }
@@ -77,7 +113,10 @@
     }
 
     private int slots(int zone, int place) {
-        return book.plan().slots().getOrDefault(SITES[zone].toString(), Map.of()).getOrDefault("p" + place, 0);
+        return book.plan()
+                .slots()
+                .getOrDefault(SITES[zone].toString(), Map.of())
+                .getOrDefault("p" + place, 0);
     }
 
     @Test
@@ -100,7 +139,8 @@
         assertThat(slots(0, 0)).as("its standing right").isEqualTo(4);
         assertThat(slots(0, 1)).as("p1 in the region").isGreaterThan(slots(0, 2));
         assertThat(slots(0, 1) + slots(0, 2)).isGreaterThanOrEqualTo(8);
-        assertThat(book.history().get(book.history().size() - 1).text()).contains("p0 is trusted with 0%");
+        assertThat(book.history().get(book.history().size() - 1).text())
+                .contains("p0 is trusted with 0%");
         sick(0, false);
         play(4);
         assertThat(slots(0, 0)).as("a quarter of its trust at a time").isLessThan(14);
--- a/src/test/java/lupinwood/fleet/PermitTest.java
+++ b/src/test/java/lupinwood/fleet/PermitTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 final class PermitTest {
-    private static final Site[] ZONES = {new Site("r", "a"), new Site("r", "b"), new Site("r", "c")};
+    private static final Site[] ZONES = {
+        new Site("r", "a"), new Site("r", "b"), new Site("r", "c")
+    };
     private static final OutRules RULES = new OutRules(3, 0.5, 2, 1, 4);
     private final Book book = new Book(100);
 
@@ -34,22 +36,26 @@
         assertThat(allow("o1", 0)).isTrue();
         assertThat(allow("o2", 3)).isTrue();
         assertThat(allow("o3", 6)).as("the third of zone a").isFalse();
-        assertThat(book.against(node(6), RULES, List.of())).isEqualTo("of 3 nodes in r/a 2 are out, and no more than 2 may be");
+        assertThat(book.against(node(6), RULES, List.of()))
+                .isEqualTo("of 3 nodes in r/a 2 are out, and no more than 2 may be");
         assertThat(allow("o4", 1, node(4))).as("one is unknown, so four would be out").isFalse();
-        assertThat(book.against(node(1), RULES, List.of(node(4)))).contains("of 9 nodes 3 are out, and no more than 3");
+        assertThat(book.against(node(1), RULES, List.of(node(4))))
+                .contains("of 9 nodes 3 are out, and no more than 3");
         assertThat(allow("o4", 4, node(4))).as("who isn't known to be well").isFalse();
         assertThat(allow("o5", 1)).isTrue();
         assertThat(allow("o6", 1)).as("it has one").isFalse();
         book.apply(new Deed.Back(1, "well again", 6));
         assertThat(allow("o7", 2)).isTrue();
-        assertThat(book.history()).extracting(Book.Entry::text).contains("ann let n0 go under permit 1",
-                "permit 1 of n0 ended: well again");
+        assertThat(book.history())
+                .extracting(Book.Entry::text)
+                .contains("ann let n0 go under permit 1", "permit 1 of n0 ended: well again");
         Book small = new Book(100);
         for (int i = 0; i < 5; i++) {
             small.apply(new Deed.Join(node(i), new Life(i), ZONES[i % 3]));
         }
         small.apply(new Deed.Allow("x", node(0), "ann", 1, RULES, List.of()));
-        assertThat(small.against(node(1), RULES, List.of())).isEqualTo("fewer than 4 nodes would stay in");
+        assertThat(small.against(node(1), RULES, List.of()))
+                .isEqualTo("fewer than 4 nodes would stay in");
     }
 
     @Test
@@ -59,9 +65,11 @@
         assertThat(book.apply(new Deed.Allow("o1", node(0), "ann", 1, rules, List.of()))).isTrue();
         assertThat(book.apply(new Deed.Allow("o2", node(4), "ann", 1, rules, List.of()))).isTrue();
         assertThat(book.apply(new Deed.Allow("o3", node(1), "ann", 1, rules, List.of()))).isFalse();
-        assertThat(book.against(node(1), rules, List.of())).isEqualTo("of 3 voters 1 are out, and a majority has to stay");
+        assertThat(book.against(node(1), rules, List.of()))
+                .isEqualTo("of 3 voters 1 are out, and a majority has to stay");
         book.apply(new Deed.Back(1, "well again", 2));
-        assertThat(book.against(node(1), rules, List.of(node(2)))).contains("a majority has to stay");
+        assertThat(book.against(node(1), rules, List.of(node(2))))
+                .contains("a majority has to stay");
         assertThat(book.against(node(1), rules, List.of())).isEmpty();
     }
 
@@ -89,8 +97,13 @@
             Random random = new Random(seed);
             Book one = new Book(100);
             int nodes = 4 + random.nextInt(20);
-            OutRules rules = new OutRules(1 + random.nextInt(6), random.nextDouble(), 1 + random.nextInt(3),
-                    random.nextDouble(), random.nextInt(5));
+            OutRules rules =
+                    new OutRules(
+                            1 + random.nextInt(6),
+                            random.nextDouble(),
+                            1 + random.nextInt(3),
+                            random.nextDouble(),
+                            random.nextInt(5));
             Set<NodeName> unseen = new HashSet<>();
             for (int i = 0; i < nodes; i++) {
                 one.apply(new Deed.Join(node(i), new Life(i), ZONES[i % 3]));
@@ -99,18 +112,37 @@
                 NodeName node = node(random.nextInt(nodes));
                 int before = one.permits().size();
                 switch (random.nextInt(6)) {
-                    case 0 -> new ArrayList<>(one.permits()).stream().findFirst()
-                            .ifPresent(permit -> one.apply(new Deed.Back(permit.number(), "back", 0)));
+                    case 0 ->
+                            new ArrayList<>(one.permits())
+                                    .stream()
+                                            .findFirst()
+                                            .ifPresent(
+                                                    permit ->
+                                                            one.apply(
+                                                                    new Deed.Back(
+                                                                            permit.number(),
+                                                                            "back",
+                                                                            0)));
                     case 1 -> unseen.add(node);
                     case 2 -> unseen.remove(node);
                     case 3 -> one.apply(new Deed.Halt("h" + step, random.nextBoolean(), "x", 0));
-                    default -> one.apply(new Deed.Allow("o" + random.nextInt(400), node, "x", 0, rules, List.copyOf(unseen)));
+                    default ->
+                            one.apply(
+                                    new Deed.Allow(
+                                            "o" + random.nextInt(400),
+                                            node,
+                                            "x",
+                                            0,
+                                            rules,
+                                            List.copyOf(unseen)));
                 }
                 if (one.permits().size() > before) {
                     Set<NodeName> out = new HashSet<>(unseen);
                     one.permits().forEach(permit -> out.add(permit.node()));
                     assertThat(one.haltedBy()).isEmpty();
-                    assertThat(out.size()).as("seed " + seed).isLessThanOrEqualTo(rules.mostOf(nodes));
+                    assertThat(out.size())
+                            .as("seed " + seed)
+                            .isLessThanOrEqualTo(rules.mostOf(nodes));
                     assertThat(nodes - out.size()).isGreaterThanOrEqualTo(rules.leastIn());
                 }
             }
--- a/src/test/java/lupinwood/fleet/PlanBookTest.java
+++ b/src/test/java/lupinwood/fleet/PlanBookTest.java
@@ -42,14 +42,34 @@
     }
 
     private boolean plan(int z0, int z1, Map<String, Map<String, Integer>> alone) {
-        return book.apply(new Deed.SetPlan(token, book.lastPlan(), Map.of("p", 10), alone,
-                Map.of("r/z0", Map.of("p", z0), "r/z1", Map.of("p", z1)), "", 0));
+        return book.apply(
+                new Deed.SetPlan(
+                        token,
+                        book.lastPlan(),
+                        Map.of("p", 10),
+                        alone,
+                        Map.of("r/z0", Map.of("p", z0), "r/z1", Map.of("p", z1)),
+                        "",
+                        0));
     }
 
     private Reply say(int node, long plan, double seconds) {
-        Beat beat = new Beat(Beat.VERSION, node(node), new Life(node), site(node), Condition.WARM, ++number, List.of(), List.of(),
-                List.of(), List.of(), List.of(), new Report("1", "", null, List.of(), plan, List.of(), Tally.NOTHING));
-        return steward.replyTo(beat, steward.heard(beat, book, at(seconds)), book, node(0), at(seconds));
+        Beat beat =
+                new Beat(
+                        Beat.VERSION,
+                        node(node),
+                        new Life(node),
+                        site(node),
+                        Condition.WARM,
+                        ++number,
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        new Report("1", "", null, List.of(), plan, List.of(), Tally.NOTHING));
+        return steward.replyTo(
+                beat, steward.heard(beat, book, at(seconds)), book, node(0), at(seconds));
     }
 
     private void decide(double seconds) {
@@ -68,7 +88,9 @@
         say(1, 2, 4.1);
         say(3, 2, 4.1);
         decide(4.2);
-        assertThat(book.livePlans()).as("n0 was told of the first, and hasn't said that it dropped it").hasSize(2);
+        assertThat(book.livePlans())
+                .as("n0 was told of the first, and hasn't said that it dropped it")
+                .hasSize(2);
         assertThat(plan(2, 8, Map.of())).isFalse();
         assertThat(say(0, 1, 4.5).share().slots()).isEqualTo(Map.of("p", 1));
         say(0, 2, 4.6);
@@ -129,15 +151,30 @@
                 if (random.nextInt(4) == 0) {
                     one.apply(new Deed.Retire(1 + random.nextInt((int) one.lastPlan() + 1)));
                 } else {
-                    one.apply(new Deed.SetPlan(under, one.lastPlan(), Map.of("p", 12), Map.of(), Map.of("r/z0", Map.of("p",
-                            random.nextInt(13)), "r/z1", Map.of("p", random.nextInt(13))), "", 0));
+                    one.apply(
+                            new Deed.SetPlan(
+                                    under,
+                                    one.lastPlan(),
+                                    Map.of("p", 12),
+                                    Map.of(),
+                                    Map.of(
+                                            "r/z0",
+                                            Map.of("p", random.nextInt(13)),
+                                            "r/z1",
+                                            Map.of("p", random.nextInt(13))),
+                                    "",
+                                    0));
                 }
                 Map<Integer, Integer> believed = new HashMap<>();
                 List<Plan> live = new ArrayList<>(one.livePlans());
                 for (int i = 0; i < nodes && !live.isEmpty(); i++) {
-                    believed.put(i, live.get(random.nextInt(live.size())).of(node(i)).getOrDefault("p", 0));
+                    believed.put(
+                            i,
+                            live.get(random.nextInt(live.size())).of(node(i)).getOrDefault("p", 0));
                 }
-                assertThat(believed.values().stream().mapToInt(may -> may).sum()).as("seed " + seed).isLessThanOrEqualTo(12);
+                assertThat(believed.values().stream().mapToInt(may -> may).sum())
+                        .as("seed " + seed)
+                        .isLessThanOrEqualTo(12);
             }
         }
     }
--- a/src/test/java/lupinwood/fleet/ReleaseBookTest.java
+++ b/src/test/java/lupinwood/fleet/ReleaseBookTest.java
@@ -22,11 +22,15 @@
     }
 
     private boolean begin(String order, String to) {
-        return book.apply(new Deed.Begin(order, "ann", Release.Kind.CONFIGURATION, to, "text of " + to, false, 1));
+        return book.apply(
+                new Deed.Begin(
+                        order, "ann", Release.Kind.CONFIGURATION, to, "text of " + to, false, 1));
     }
 
     private boolean step(int number, boolean back, NodeName... nodes) {
-        return book.apply(new Deed.Step(token, 1, number, back, List.of(nodes), "", Map.of("a", Tally.NOTHING), 1));
+        return book.apply(
+                new Deed.Step(
+                        token, 1, number, back, List.of(nodes), "", Map.of("a", Tally.NOTHING), 1));
     }
 
     @Test
@@ -35,7 +39,8 @@
         assertThat(begin("o1", "x")).isTrue();
         assertThat(begin("o1", "x")).as("told again").isTrue();
         assertThat(begin("o2", "y")).isFalse();
-        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "y", "")).isEqualTo("release 1 by ann is open; it has to end first");
+        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "y", ""))
+                .isEqualTo("release 1 by ann is open; it has to end first");
         assertThat(book.wanted(A)).isEqualTo(new Reply.Wanted("", "x", true, List.of()));
         assertThat(step(2, false, A)).isFalse();
         assertThat(step(1, false, A)).isTrue();
@@ -55,7 +60,9 @@
         step(1, false, A);
         book.apply(new Deed.Halt("h", true, "bob", 2));
         assertThat(step(2, false, new NodeName("b"))).isFalse();
-        assertThat(book.apply(new Deed.Finish(token, 1, false, "", 3))).as("one has it still").isFalse();
+        assertThat(book.apply(new Deed.Finish(token, 1, false, "", 3)))
+                .as("one has it still")
+                .isFalse();
         assertThat(book.apply(new Deed.Turn("t", 1, "ann", 3))).isTrue();
         assertThat(book.haltedBy()).isEmpty();
         assertThat(step(2, false, new NodeName("b"))).as("there is no way on").isFalse();
@@ -70,8 +77,10 @@
     @Test
     void aTextThatMeansTheSameOrIsTooLongDoesNotBegin() {
         found();
-        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "", "// only a comment")).contains("means the same");
-        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "x", "x".repeat(40_000))).contains("32768 is the most");
+        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "", "// only a comment"))
+                .contains("means the same");
+        assertThat(book.againstRelease(Release.Kind.CONFIGURATION, "x", "x".repeat(40_000)))
+                .contains("32768 is the most");
     }
 
     @Test
@@ -83,7 +92,9 @@
         assertThat(begin("o1", "x")).isFalse();
         assertThat(book.wanted(A).rests()).containsExactly("s1");
         assertThat(book.apply(new Deed.EndRest("r3", "s1", "ann", 2))).isTrue();
-        assertThat(book.apply(new Deed.LetRest("r1", "s1", "ann", 1, 3))).as("an old order told again").isTrue();
+        assertThat(book.apply(new Deed.LetRest("r1", "s1", "ann", 1, 3)))
+                .as("an old order told again")
+                .isTrue();
         assertThat(book.rests()).isEmpty();
         assertThat(begin("o1", "x")).isTrue();
         assertThat(book.againstRest("s1", 1)).contains("release 1 by ann is open");
--- a/src/test/java/lupinwood/fleet/StewardTest.java
+++ b/src/test/java/lupinwood/fleet/StewardTest.java
@@ -19,9 +19,21 @@
         return new Moment(Math.round(seconds * 1e9));
     }
 
-    private Beat beat(String name, int life, Condition condition, List<Grant> handsOn, List<Grant> failsAt) {
-        return new Beat(Beat.VERSION, new NodeName(name), new Life(life), new Site("r", "z"), condition, ++number, List.of(),
-                handsOn, failsAt, List.of(), List.of(), null);
+    private Beat beat(
+            String name, int life, Condition condition, List<Grant> handsOn, List<Grant> failsAt) {
+        return new Beat(
+                Beat.VERSION,
+                new NodeName(name),
+                new Life(life),
+                new Site("r", "z"),
+                condition,
+                ++number,
+                List.of(),
+                handsOn,
+                failsAt,
+                List.of(),
+                List.of(),
+                null);
     }
 
     private Reply say(Beat beat, double seconds) {
@@ -62,7 +74,8 @@
             assertThat(done(now)).isEmpty();
         }
         warm("b", 5.05);
-        assertThat(done(5.07)).containsExactly(new Deed.Free(DutyName.TRIAL, new Token(101), Deed.Why.LAPSED));
+        assertThat(done(5.07))
+                .containsExactly(new Deed.Free(DutyName.TRIAL, new Token(101), Deed.Why.LAPSED));
         assertThat(done(5.08)).hasSize(1);
         assertThat(book.duty(DutyName.TRIAL).holder()).isEqualTo(new NodeName("b"));
         assertThat(book.duty(DutyName.TRIAL).token().number()).isEqualTo(102);
@@ -93,12 +106,14 @@
         Grant grant = warm("a", 2).grants().get(0);
         warm("b", 2.1);
         say(beat("a", 1, Condition.WARM, List.of(), List.of(grant)), 2.2);
-        assertThat(done(2.2)).containsExactly(new Deed.Free(DutyName.TRIAL, grant.token(), Deed.Why.FAILED));
+        assertThat(done(2.2))
+                .containsExactly(new Deed.Free(DutyName.TRIAL, grant.token(), Deed.Why.FAILED));
         done(2.2);
         assertThat(book.duty(DutyName.TRIAL).holder()).isEqualTo(new NodeName("b"));
         Grant next = warm("b", 2.3).grants().get(0);
         say(beat("b", 1, Condition.LEAVING, List.of(next), List.of()), 2.4);
-        assertThat(done(2.4)).containsExactly(new Deed.Free(DutyName.TRIAL, next.token(), Deed.Why.HANDED_ON));
+        assertThat(done(2.4))
+                .containsExactly(new Deed.Free(DutyName.TRIAL, next.token(), Deed.Why.HANDED_ON));
         warm("a", 2.5);
         assertThat(done(2.5)).as("a is shunned, b leaves").isEmpty();
         warm("a", 8.5);
@@ -107,7 +122,8 @@
 
     @Test
     void aSecondProcessUnderOneNameStandsOutsideUntilTheFirstIsSilent() {
-        assertThat(say(beat("a", 2, Condition.WARM, List.of(), List.of()), 1.5).trouble()).contains("in use");
+        assertThat(say(beat("a", 2, Condition.WARM, List.of(), List.of()), 1.5).trouble())
+                .contains("in use");
         assertThat(warm("a", 1.6).grants()).hasSize(1);
         assertThat(say(beat("a", 2, Condition.WARM, List.of(), List.of()), 6).trouble()).isEmpty();
     }
@@ -115,7 +131,8 @@
     @Test
     void silenceMakesANodeUnknownItsOwnWordOutAndAFullBookOrAnotherFormTellsSo() {
         warm("b", 5);
-        assertThat(steward.picture(book, at(5))).extracting(Seen::standing)
+        assertThat(steward.picture(book, at(5)))
+                .extracting(Seen::standing)
                 .containsExactly(Standing.UNKNOWN, Standing.WARM);
         say(beat("b", 1, Condition.GONE, List.of(), List.of()), 5.1);
         done(5.1);
@@ -125,8 +142,20 @@
             done(5.3);
         }
         assertThat(warm("e", 5.4).trouble()).contains("no more than 3");
-        Beat newer = new Beat(9, new NodeName("f"), new Life(1), new Site("r", "z"), Condition.WARM, 1, List.of(), List.of(),
-                List.of(), List.of(), List.of(), null);
+        Beat newer =
+                new Beat(
+                        9,
+                        new NodeName("f"),
+                        new Life(1),
+                        new Site("r", "z"),
+                        Condition.WARM,
+                        1,
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        List.of(),
+                        null);
         assertThat(steward.heard(newer, book, at(5.5))).contains("form 9");
     }
 
@@ -134,14 +163,42 @@
     void aHolderCountsFromBeforeItAskedAndStopsBeforeTheCouncilMayGiveOn() {
         Holding holding = new Holding(RULES);
         holding.asks(1, at(10));
-        Reply reply = new Reply(1, true, SELF, "", RULES.lease(), List.of(new Grant(DutyName.TRIAL, new Token(7))),
-                List.of(), 0, null, null, 1);
+        Reply reply =
+                new Reply(
+                        1,
+                        true,
+                        SELF,
+                        "",
+                        RULES.lease(),
+                        List.of(new Grant(DutyName.TRIAL, new Token(7))),
+                        List.of(),
+                        0,
+                        null,
+                        null,
+                        1);
         holding.told(reply, at(11.5));
         assertThat(holding.mayAct(DutyName.TRIAL, at(12.93))).isEqualTo(new Token(7));
-        assertThat(holding.mayAct(DutyName.TRIAL, at(12.95))).as("3 s less the drift, from 10 s on").isNull();
+        assertThat(holding.mayAct(DutyName.TRIAL, at(12.95)))
+                .as("3 s less the drift, from 10 s on")
+                .isNull();
         holding.asks(2, at(13));
         assertThat(holding.giveUp(DutyName.TRIAL).token().number()).isEqualTo(7);
-        holding.told(new Reply(2, true, SELF, "", RULES.lease(), reply.grants(), List.of(), 0, null, null, 1), at(13.1));
-        assertThat(holding.mayAct(DutyName.TRIAL, at(13.2))).as("given up for good under this token").isNull();
+        holding.told(
+                new Reply(
+                        2,
+                        true,
+                        SELF,
+                        "",
+                        RULES.lease(),
+                        reply.grants(),
+                        List.of(),
+                        0,
+                        null,
+                        null,
+                        1),
+                at(13.1));
+        assertThat(holding.mayAct(DutyName.TRIAL, at(13.2)))
+                .as("given up for good under this token")
+                .isNull();
     }
 }
--- a/src/test/java/lupinwood/lab/LabTest.java
+++ b/src/test/java/lupinwood/lab/LabTest.java
@@ -41,7 +41,8 @@
         rerun.ran("b", "unlock", "scooter");
         rerun.answer("a", "NAK", "", 1500);
         rerun.answer("b", "ACK", "done: scooter", 1500);
-        assertThat(rerun.close()).containsExactly("the unlock 'scooter' ran twice", "a was bounced and ran");
+        assertThat(rerun.close())
+                .containsExactly("the unlock 'scooter' ran twice", "a was bounced and ran");
         Audit stray = new Audit();
         stray.answer("x", "ACK", "", 1);
         assertThat(stray.close()).hasSize(1);
@@ -52,28 +53,32 @@
         Experiment.Outcome outcome =
                 Experiments.named("tour", 1, 0, 0, "", new PrintStream(printed, true), log).run();
         assertThat(outcome.broken()).isEmpty();
-        assertThat(outcome.line()).isEqualTo("tour: abandoned 2, runs 4, satisfied 5, sent 7, broken 0");
+        assertThat(outcome.line())
+                .isEqualTo("tour: abandoned 2, runs 4, satisfied 5, sent 7, broken 0");
         assertThat(printed.toString()).contains("satisfied: done: scooter 7");
     }
 
     @Test
     void bothFrontsAnswerEachTicketOnceAndAnUnlockThatComesOverBothRunsOnce() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("mixed-fronts", 3, 60, 0, "", new PrintStream(printed, true), log).run();
+                Experiments.named("mixed-fronts", 3, 60, 0, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
         assertThat(outcome.line()).contains("ajp cut", "ajp refused");
     }
 
     @Test
     void aPoolOutlivesOneServerInFour() throws Exception {
-        Experiment.Outcome outcome = Experiments.named("pools", 1, 0, 0, "", new PrintStream(printed, true), log).run();
+        Experiment.Outcome outcome =
+                Experiments.named("pools", 1, 0, 0, "", new PrintStream(printed, true), log).run();
         assertThat(outcome.broken()).isEmpty();
     }
 
     @Test
     void aStormOfReloadsLosesNothingAndRunsNothingTwice() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("reload-storm", 5, 25, 0, "", new PrintStream(printed, true), log).run();
+                Experiments.named("reload-storm", 5, 25, 0, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
         assertThat(outcome.line()).contains("reloads 25", "mute", "half-written", "refused");
     }
@@ -81,22 +86,45 @@
     @Test
     void noTwoDoOneDutyInMadeUpTimeAndEachSafeguardLeftOutIsFound() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("duties-time", 1, 100, 0, "", new PrintStream(printed, true), log).run();
+                Experiments.named("duties-time", 1, 100, 0, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
-        assertThat(outcome.line()).contains("schedules 100", "without TOKEN found", "without EARLY_STOP found",
-                "without DRIFT found", "without DURABLE_VOTE found");
+        assertThat(outcome.line())
+                .contains(
+                        "schedules 100",
+                        "without TOKEN found",
+                        "without EARLY_STOP found",
+                        "without DRIFT found",
+                        "without DURABLE_VOTE found");
     }
 
     @Test
     void oneOfManyTriesWhatAllHaveLeftOutAndAFleetsTalkGrowsWithItsSizeOnly() throws Exception {
-        assertThat(Experiments.named("trials", 1, 40, 0, "", new PrintStream(printed, true), log).run().broken()).isEmpty();
-        assertThat(Experiments.named("fleet-cost", 1, 0, 20, "", new PrintStream(printed, true), log).run().broken()).isEmpty();
+        assertThat(
+                        Experiments.named(
+                                        "trials", 1, 40, 0, "", new PrintStream(printed, true), log)
+                                .run()
+                                .broken())
+                .isEmpty();
+        assertThat(
+                        Experiments.named(
+                                        "fleet-cost",
+                                        1,
+                                        0,
+                                        20,
+                                        "",
+                                        new PrintStream(printed, true),
+                                        log)
+                                .run()
+                                .broken())
+                .isEmpty();
     }
 
     @Test
     void realProcessesNeverActUnderTwoTokens() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("duties", 2, 5, 12, "", new PrintStream(printed, true), log).run();
+                Experiments.named("duties", 2, 5, 12, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
     }
 
@@ -106,7 +134,11 @@
         assertThat(careless.act("a", 1, 1000)).isTrue();
         assertThat(careless.act("b", 2, 5000)).isTrue();
         assertThat(careless.act("a", 1, 5100)).isTrue();
-        assertThat(careless.broken()).hasSize(1).first().asString().contains("was taken after one under 2");
+        assertThat(careless.broken())
+                .hasSize(1)
+                .first()
+                .asString()
+                .contains("was taken after one under 2");
         DutySink careful = new DutySink(true, (node, since) -> node.equals("held up"));
         careful.act("a", 1, 1000);
         careful.act("b", 2, 5000);
@@ -121,38 +153,59 @@
     @Test
     void badReleasesAreCaughtAndGoodOnesGoThroughInMadeUpTime() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("releases-time", 3, 48, 0, "", new PrintStream(printed, true), log).run();
+                Experiments.named(
+                                "releases-time", 3, 48, 0, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
     }
 
     @Test
     void aReleaseGoesThroughRealProcessesAndABadOneComesBack() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("release", 6, 6, 120, "", new PrintStream(printed, true), log).run();
+                Experiments.named("release", 6, 6, 120, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
         assertThat(outcome.line()).contains("GOOD_TEXT done=1", "REFUSED_TEXT back=1");
     }
 
     @Test
     void noPlaceIsSentMoreThanItBearsAndThePlanLiesNearTheTruth() throws Exception {
-        assertThat(Experiments.named("failover-time", 1, 24, 0, "", new PrintStream(printed, true), log).run().broken()).isEmpty();
+        assertThat(
+                        Experiments.named(
+                                        "failover-time",
+                                        1,
+                                        24,
+                                        0,
+                                        "",
+                                        new PrintStream(printed, true),
+                                        log)
+                                .run()
+                                .broken())
+                .isEmpty();
     }
 
     @Test
     void realProcessesSharePlacesWithoutBreakingOne() throws Exception {
-        Experiment.Outcome outcome = Experiments.named("failover", 2, 6, 21, "", new PrintStream(printed, true), log).run();
+        Experiment.Outcome outcome =
+                Experiments.named("failover", 2, 6, 21, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
     }
 
     @Test
     void aServerThatIsToldToBeEmptyGetsNothing() throws Exception {
-        assertThat(Experiments.named("rest", 1, 1, 0, "", new PrintStream(printed, true), log).run().broken()).isEmpty();
+        assertThat(
+                        Experiments.named("rest", 1, 1, 0, "", new PrintStream(printed, true), log)
+                                .run()
+                                .broken())
+                .isEmpty();
     }
 
     @Test
     void noMoreNodesGoAtOnceThanTheFilesSay() throws Exception {
         Experiment.Outcome outcome =
-                Experiments.named("permits", 2, 0, 15, "", new PrintStream(printed, true), log).run();
+                Experiments.named("permits", 2, 0, 15, "", new PrintStream(printed, true), log)
+                        .run();
         assertThat(outcome.broken()).isEmpty();
     }
 }
--- a/src/test/java/lupinwood/net/AnyOperatorTest.java
+++ b/src/test/java/lupinwood/net/AnyOperatorTest.java
@@ -9,11 +9,20 @@
 import lupinwood.node.Span;
 import org.junit.jupiter.api.Test;
 
-/** What a node owes on its sockets at operators whose settings and requests differ from each other's. */
+/**
+ * What a node owes on its sockets at operators whose settings and requests differ from each
+ * other's.
+ */
 final class AnyOperatorTest extends SocketTest {
     private static String request(int tag, String more) {
-        return array("REQ", "" + tag, "look", String.format("req=%016x,ts=%d,via=1,need=20.5,level=0.5%s", tag,
-                System.currentTimeMillis(), more), "b");
+        return array(
+                "REQ",
+                "" + tag,
+                "look",
+                String.format(
+                        "req=%016x,ts=%d,via=1,need=20.5,level=0.5%s",
+                        tag, System.currentTimeMillis(), more),
+                "b");
     }
 
     @Test
@@ -23,7 +32,9 @@
         untilLogged("warmed up by ");
         assertThat(logged.toString()).doesNotContain("warmed up by 0 ");
         End caller = dispatcher();
-        caller.say(request(101, ",level=0.30000000000000004,need=20.499999999999999991") + request(102, ",owner=anyone"));
+        caller.say(
+                request(101, ",level=0.30000000000000004,need=20.499999999999999991")
+                        + request(102, ",owner=anyone"));
         expectRun(101, "look", "b");
         expectRun(102, "look", "b");
         exit(1, 101, "one");
@@ -60,15 +71,20 @@
 
     @Test
     void whatARequestCarriesIsReadWithItsMeaning() throws Exception {
-        ByteBuffer bytes = ByteBuffer.wrap(ticket(7, "look", "b", ",timeout=9086,ms=217.87,resent=1")
-                .getBytes(StandardCharsets.ISO_8859_1));
+        ByteBuffer bytes =
+                ByteBuffer.wrap(
+                        ticket(7, "look", "b", ",timeout=9086,ms=217.87,resent=1")
+                                .getBytes(StandardCharsets.ISO_8859_1));
         Arrival arrival = DispatcherListener.arrival(new RespParser().next(bytes));
         assertThat(arrival.patience()).isEqualTo(Span.ofSeconds(9.086));
         assertThat(arrival.work()).isEqualTo(Span.ofSeconds(0.21787));
         assertThat(arrival.repeat()).isTrue();
-        bytes = ByteBuffer.wrap(ticket(7, "look", "b", ",resent=0").getBytes(StandardCharsets.ISO_8859_1));
+        bytes =
+                ByteBuffer.wrap(
+                        ticket(7, "look", "b", ",resent=0").getBytes(StandardCharsets.ISO_8859_1));
         arrival = DispatcherListener.arrival(new RespParser().next(bytes));
-        assertThat(arrival).extracting(Arrival::patience, Arrival::work, Arrival::repeat)
+        assertThat(arrival)
+                .extracting(Arrival::patience, Arrival::work, Arrival::repeat)
                 .containsExactly(Span.ZERO, Span.ZERO, false);
     }
 
@@ -79,8 +95,20 @@
         caller.say(ticket(101, "look", "a"));
         expectRun(101, "look", "a");
         int tag = 200;
-        for (String none : List.of("timeout=0", "timeout=-5", "timeout=86400001", "timeout=999999999999999999999",
-                "timeout=soon", "timeout=", "ms=0", "ms=-1", "ms=1e9", "ms=99999999999", "ms=NaN", "ms=")) {
+        for (String none :
+                List.of(
+                        "timeout=0",
+                        "timeout=-5",
+                        "timeout=86400001",
+                        "timeout=999999999999999999999",
+                        "timeout=soon",
+                        "timeout=",
+                        "ms=0",
+                        "ms=-1",
+                        "ms=1e9",
+                        "ms=99999999999",
+                        "ms=NaN",
+                        "ms=")) {
             caller.say(ticket(++tag, "look", "b", "," + none));
             assertThat(caller.answer()).as(none).isEqualTo(tag + " FAIL +");
         }
@@ -93,7 +121,8 @@
     }
 
     @Test
-    void aRunWhoseCallerLeftIsStoppedWhereTheSettingsNameAWayUntilTheExecutorRefuses() throws Exception {
+    void aRunWhoseCallerLeftIsStoppedWhereTheSettingsNameAWayUntilTheExecutorRefuses()
+            throws Exception {
         settings = SETTINGS.replace("\"stop_mode\": \"off\"", "\"stop_mode\": \"discard\"");
         start();
         End caller = callerWithRun();
@@ -118,7 +147,9 @@
 
     @Test
     void aCallThatFailedIsLeftOutWhereThatIsPaidForUntilTheExecutorRefuses() throws Exception {
-        settings = SETTINGS.replace("\"class_calls\"", "\"class_skip_worth\": [0.6, 0.6], \"class_calls\"");
+        settings =
+                SETTINGS.replace(
+                        "\"class_calls\"", "\"class_skip_worth\": [0.6, 0.6], \"class_calls\"");
         start();
         End caller = callerWithRun();
         for (int tag = 101; tag <= 103; tag++) {
--- a/src/test/java/lupinwood/net/CrossingsTest.java
+++ b/src/test/java/lupinwood/net/CrossingsTest.java
@@ -45,15 +45,20 @@
         WallClock.readFrom(() -> Instant.now().plus(beside));
     }
 
-    /** Keeps the deciding thread until the latch that is returned is down; it is kept once this returns. */
+    /**
+     * Keeps the deciding thread until the latch that is returned is down; it is kept once this
+     * returns.
+     */
     private CountDownLatch hold() throws InterruptedException {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch here = new CountDownLatch(1);
         held.add(go);
-        serving.decider().tell(() -> {
-            here.countDown();
-            await(go);
-        });
+        serving.decider()
+                .tell(
+                        () -> {
+                            here.countDown();
+                            await(go);
+                        });
         await(here);
         return go;
     }
@@ -79,7 +84,12 @@
     @Test
     void aTicketThatCrossesTheCloseOfItsSilentConnectionDoesNotRun() throws Exception {
         AtomicLong rounds = new AtomicLong();
-        maker = (server, seed, told) -> new Watched(new Brain(server, seed, told), ticket -> { }, rounds::incrementAndGet);
+        maker =
+                (server, seed, told) ->
+                        new Watched(
+                                new Brain(server, seed, told),
+                                ticket -> {},
+                                rounds::incrementAndGet);
         start();
         End other = dispatcher();
         End silent = connect();
@@ -87,14 +97,16 @@
         for (int i = 0; i < 5; i++) {
             skip(0.26); // all but the last of the times for which it may be silent
             long before = rounds.get();
-            until(() -> {
-                serving.decider().tell(() -> { });
-                return rounds.get() > before + 2; // a whole round, its timers among it, began after
-            });
+            until(
+                    () -> {
+                        serving.decider().tell(() -> {});
+                        return rounds.get()
+                                > before + 2; // a whole round, its timers among it, began after
+                    });
         }
         CountDownLatch go = hold();
         for (int i = 0; i < A_ROUND; i++) {
-            serving.decider().tell(() -> { });
+            serving.decider().tell(() -> {});
         }
         silent.say(ticket(101, "look", "crossing"));
         until(() -> serving.decider().waiting() > A_ROUND);
@@ -103,11 +115,16 @@
         untilLogged("SAID_NOTHING");
         other.say(ticket(102, "look", "next"));
         expectRun(102, "look", "next");
-        assertThat(silent.answer()).as("never run: refused, or the end alone").isIn("101 NAK +", null);
+        assertThat(silent.answer())
+                .as("never run: refused, or the end alone")
+                .isIn("101 NAK +", null);
         assertThat(silent.isOver()).isTrue();
     }
 
-    /** After a pause, or where reading is behind, what was said in time has still to be read when the timers ring. */
+    /**
+     * After a pause, or where reading is behind, what was said in time has still to be read when
+     * the timers ring.
+     */
     @Test
     void whatWasSaidDuringAPauseIsReadBeforeAnyoneIsHeldToBeSilent() throws Exception {
         start();
@@ -121,13 +138,19 @@
         dispatcher();
         CountDownLatch go = hold();
         for (int i = 0; i < 4 * A_ROUND; i++) {
-            serving.decider().tell(() -> { });
+            serving.decider().tell(() -> {});
         }
         // The thread that reads stands still with this one, and reads nothing of the others.
         blocks.say(array("HEALTH", "77"));
-        until(() -> Thread.getAllStackTraces().entrySet().stream().anyMatch(thread ->
-                thread.getKey().getName().startsWith("Processor-") && List.of(thread.getValue()).toString()
-                        .contains("Decider.tell")));
+        until(
+                () ->
+                        Thread.getAllStackTraces().entrySet().stream()
+                                .anyMatch(
+                                        thread ->
+                                                thread.getKey().getName().startsWith("Processor-")
+                                                        && List.of(thread.getValue())
+                                                                .toString()
+                                                                .contains("Decider.tell")));
         silent.say(ticket(101, "look", "said in the pause"));
         half.say(halved.substring(60));
         skipOnly(5);
@@ -137,8 +160,10 @@
             runs.add(executor.command());
             executor.line();
         }
-        assertThat(runs).containsExactlyInAnyOrder(String.format("EXEC %016x look 17", 101),
-                String.format("EXEC %016x look 6", 102));
+        assertThat(runs)
+                .containsExactlyInAnyOrder(
+                        String.format("EXEC %016x look 17", 101),
+                        String.format("EXEC %016x look 6", 102));
     }
 
     @Test
@@ -155,10 +180,14 @@
     }
 
     @Test
-    void whatCannotBeReadEndsItsConnectionOnceTheAnswersOwedWentOutAndIsNamedOnceWithoutItsBytes() throws Exception {
+    void whatCannotBeReadEndsItsConnectionOnceTheAnswersOwedWentOutAndIsNamedOnceWithoutItsBytes()
+            throws Exception {
         start();
         End caller = callerWithRun();
-        caller.say(ticket(102, "look", "b") + array("ABORT", "secret-word") + ticket(103, "look", "never read"));
+        caller.say(
+                ticket(102, "look", "b")
+                        + array("ABORT", "secret-word")
+                        + ticket(103, "look", "never read"));
         expectRun(102, "look", "b");
         exit(1, 102, "two");
         exit(2, 101, "one");
@@ -166,27 +195,39 @@
         assertThat(caller.answer()).isEqualTo("101 ACK + one");
         assertThat(caller.isOver()).isTrue();
         log.drain();
-        assertThat(logged.toString()).containsOnlyOnce("closing the connection with").doesNotContain("secret-word");
+        assertThat(logged.toString())
+                .containsOnlyOnce("closing the connection with")
+                .doesNotContain("secret-word");
     }
 
-    /** A socket that is closed over unread bytes is reset, and the reset takes with it what is still on its way. */
+    /**
+     * A socket that is closed over unread bytes is reset, and the reset takes with it what is still
+     * on its way.
+     */
     @Test
     void answersBeforeACloseOutliveWhatTheCallerStillSends() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch ending = new CountDownLatch(1);
         held.add(go);
         // The round in which the last ticket is found unsound stands still before it writes.
-        maker = (server, seed, told) -> new Watched(new Brain(server, seed, told), ticket -> { }, () -> {
-            log.drain();
-            if (logged.toString().contains("of no known customer")) {
-                ending.countDown();
-                await(go);
-            }
-        });
+        maker =
+                (server, seed, told) ->
+                        new Watched(
+                                new Brain(server, seed, told),
+                                ticket -> {},
+                                () -> {
+                                    log.drain();
+                                    if (logged.toString().contains("of no known customer")) {
+                                        ending.countDown();
+                                        await(go);
+                                    }
+                                });
         start();
         dispatcher();
         try (SocketChannel caller = SocketChannel.open()) {
-            caller.setOption(StandardSocketOptions.SO_RCVBUF, 2048); // most of the answers wait on the node's side
+            caller.setOption(
+                    StandardSocketOptions.SO_RCVBUF,
+                    2048); // most of the answers wait on the node's side
             caller.connect(listen);
             StringBuilder tickets = new StringBuilder();
             for (int i = 0; i < 2; i++) {
@@ -206,7 +247,11 @@
             }
             await(ending);
             caller.configureBlocking(false);
-            ByteBuffer more = ByteBuffer.wrap(array("ABORT", "999").repeat(100).getBytes(StandardCharsets.ISO_8859_1));
+            ByteBuffer more =
+                    ByteBuffer.wrap(
+                            array("ABORT", "999")
+                                    .repeat(100)
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             for (int i = 0; i < 256; i++) {
                 caller.write(more.rewind());
             }
@@ -236,7 +281,8 @@
         open();
         serving.leave();
         assertThat(serving.start()).isFalse();
-        assertThatThrownBy(() -> new Socket(listen.getAddress(), listen.getPort())).isInstanceOf(ConnectException.class);
+        assertThatThrownBy(() -> new Socket(listen.getAddress(), listen.getPort()))
+                .isInstanceOf(ConnectException.class);
     }
 
     @Test
@@ -246,16 +292,18 @@
         IoProcessor<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, 1);
         AcceptLimit limit = new AcceptLimit();
         limit.allow(4);
-        Acceptor acceptor = new Acceptor(processor, limit) {
-            @Override
-            protected NioSession accept(IoProcessor<NioSession> by, java.nio.channels.ServerSocketChannel from)
-                    throws Exception {
-                NioSession session = super.accept(by, from);
-                first.countDown();
-                await(go);
-                return session;
-            }
-        };
+        Acceptor acceptor =
+                new Acceptor(processor, limit) {
+                    @Override
+                    protected NioSession accept(
+                            IoProcessor<NioSession> by, java.nio.channels.ServerSocketChannel from)
+                            throws Exception {
+                        NioSession session = super.accept(by, from);
+                        first.countDown();
+                        await(go);
+                        return session;
+                    }
+                };
         acceptor.setCloseOnDeactivation(false);
         InetSocketAddress at = hears(acceptor);
         List<End> callers = new ArrayList<>();
@@ -266,7 +314,12 @@
         await(first);
         Thread closing = new Thread(acceptor::unbind);
         closing.start();
-        until(() -> closing.getState() == Thread.State.TIMED_WAITING); // for the thread that accepts, which is held
+        until(
+                () ->
+                        closing.getState()
+                                == Thread.State
+                                        .TIMED_WAITING); // for the thread that accepts, which is
+        // held
         go.countDown();
         closing.join(PATIENCE_MS);
         for (End caller : callers) {
@@ -302,16 +355,18 @@
     }
 
     @Test
-    void whoRestsUntilTheNodeEndsItIsNotResetByWhatItSendsThenAndNothingOfItRuns() throws Exception {
+    void whoRestsUntilTheNodeEndsItIsNotResetByWhatItSendsThenAndNothingOfItRuns()
+            throws Exception {
         standsStill = true;
         start();
         End resting = dispatcher();
         Thread leaving = leave();
         untilLogged("told to leave");
-        until(() -> {
-            resting.say(array("HEALTH", "9"));
-            return resting.answer().startsWith("9 RED");
-        });
+        until(
+                () -> {
+                    resting.say(array("HEALTH", "9"));
+                    return resting.answer().startsWith("9 RED");
+                });
         skip(1.1);
         assertThat(resting.answer()).isEqualTo("0 FIN");
         resting.say(ticket(101, "look", "after the wish to close"));
@@ -362,13 +417,15 @@
         until(() -> serving.decider().waiting() > 0);
         Place before = indexPlace;
         indexPlace = new Place();
-        CompletableFuture<Void> reloaded = CompletableFuture.runAsync(() -> {
-            try {
-                serving.reload(config());
-            } catch (Exception e) {
-                throw new AssertionError(e);
-            }
-        });
+        CompletableFuture<Void> reloaded =
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                serving.reload(config());
+                            } catch (Exception e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         until(() -> serving.decider().waiting() > 1);
         go.countDown();
         reloaded.get();
@@ -450,7 +507,8 @@
     }
 
     @Test
-    void aReplyBrokenOffInTheMiddleIsAskedForAgainOnlyWhereNothingCanHappenTwice() throws Exception {
+    void aReplyBrokenOffInTheMiddleIsAskedForAgainOnlyWhereNothingCanHappenTwice()
+            throws Exception {
         start();
         End caller = dispatcher();
         caller.say(ticket(101, "look", "a"));
@@ -496,14 +554,16 @@
         slow.say("HTTP/1.1 204 No Content\r\n\r\n");
         CompletableFuture<String> again = new CompletableFuture<>();
         for (End line : List.of(slow, last)) {
-            Thread reads = new Thread(() -> {
-                try {
-                    again.complete(report(line));
-                    line.say("HTTP/1.1 204 No Content\r\n\r\n");
-                } catch (IOException | AssertionError e) {
-                    // The other line has it.
-                }
-            });
+            Thread reads =
+                    new Thread(
+                            () -> {
+                                try {
+                                    again.complete(report(line));
+                                    line.say("HTTP/1.1 204 No Content\r\n\r\n");
+                                } catch (IOException | AssertionError e) {
+                                    // The other line has it.
+                                }
+                            });
             reads.start();
         }
         assertThat(again.get(PATIENCE_MS, TimeUnit.MILLISECONDS)).contains("no");
@@ -514,7 +574,8 @@
     void aNameThatIsNoPathIsWrittenAsOne() throws Exception {
         name = "n 1/\u00e9?";
         start();
-        assertThat(namingPlace.accept().line()).isEqualTo("PUT /ns/hosts/n%201%2F%C3%A9%3F HTTP/1.1");
+        assertThat(namingPlace.accept().line())
+                .isEqualTo("PUT /ns/hosts/n%201%2F%C3%A9%3F HTTP/1.1");
     }
 
     @Test
@@ -547,8 +608,15 @@
         exit(1, 101, "in time");
         assertThat(caller.answer()).isEqualTo("101 ACK + in time");
         setWallClock(Duration.ofHours(-1));
-        caller.say(array("REQ", "102", "look", String.format("req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5", 102,
-                WallClock.now().toEpochMilli()), "b"));
+        caller.say(
+                array(
+                        "REQ",
+                        "102",
+                        "look",
+                        String.format(
+                                "req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5",
+                                102, WallClock.now().toEpochMilli()),
+                        "b"));
         expectRun(102, "look", "b");
         skip(10);
         assertThat(caller.answer()).isEqualTo("102 FAIL +");
@@ -562,7 +630,8 @@
         expectRun(101, "pay", "p");
         exit(1, 101, "paid");
         assertThat(caller.answer()).isEqualTo("101 ACK + paid");
-        // Set back by 30 s, more than window and abandon time: by its stamp the next try is within the window.
+        // Set back by 30 s, more than window and abandon time: by its stamp the next try is within
+        // the window.
         setWallClock(Duration.ofSeconds(-30));
         skip(25);
         caller = dispatcher();
@@ -575,13 +644,22 @@
     }
 
     private static String stamped(int tag, Instant when) {
-        return array("REQ", "" + tag, "pay", String.format(
-                "req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5,opkey=ab12", tag, when.toEpochMilli()), "p");
+        return array(
+                "REQ",
+                "" + tag,
+                "pay",
+                String.format(
+                        "req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5,opkey=ab12",
+                        tag, when.toEpochMilli()),
+                "p");
     }
 
     // ---- floods ----
 
-    /** What is read and not yet decided is bounded in bytes: many small messages make far more objects than bytes. */
+    /**
+     * What is read and not yet decided is bounded in bytes: many small messages make far more
+     * objects than bytes.
+     */
     @Test
     void aFloodOfSmallMessagesWaitsAtItsSendersAndCostsNobodyAnAnswer() throws Exception {
         start();
@@ -593,8 +671,10 @@
         }
         until(() -> serving.figures().startsWith("connections 9,"));
         CountDownLatch go = hold();
-        ByteBuffer many = ByteBuffer.wrap((array("ABORT", "7").repeat(300) + array("HEALTH", "8"))
-                .getBytes(StandardCharsets.ISO_8859_1));
+        ByteBuffer many =
+                ByteBuffer.wrap(
+                        (array("ABORT", "7").repeat(300) + array("HEALTH", "8"))
+                                .getBytes(StandardCharsets.ISO_8859_1));
         long written = 0;
         for (int idle = 0; idle < 20_000 && written < 512L << 20; idle++) {
             for (SocketChannel one : flood) {
@@ -629,17 +709,21 @@
                 assertThat(parts.dispatchers()).as("of %d", all).isGreaterThan(all / 2);
                 assertThat(parts.closing()).isPositive();
                 assertThat(parts.calls()).isBetween(Math.min(2, needed), needed);
-                assertThat(parts.dispatchers() + parts.closing() + parts.calls() + 24).as("of %d", all).isEqualTo(all);
+                assertThat(parts.dispatchers() + parts.closing() + parts.calls() + 24)
+                        .as("of %d", all)
+                        .isEqualTo(all);
             }
         }
-        // More calls where the settings let more be out, and never at the cost of the half that dispatchers may take.
+        // More calls where the settings let more be out, and never at the cost of the half that
+        // dispatchers may take.
         assertThat(Serving.Descriptors.of(1024, 24, 300, 0).calls()).isGreaterThan(200);
         for (int all = 64; all < 5000; all++) {
             Serving.Descriptors parts = Serving.Descriptors.of(all, 24, 64, 10 * 32);
             assertThat(parts.dispatchers()).as("of %d", all).isGreaterThan(all / 2);
             assertThat(parts.calls()).isBetween(2, 64);
             assertThat(parts.runs()).isBetween(2, 320);
-            assertThat(parts.dispatchers() + parts.closing() + parts.calls() + parts.runs() + 24).isEqualTo(all);
+            assertThat(parts.dispatchers() + parts.closing() + parts.calls() + parts.runs() + 24)
+                    .isEqualTo(all);
         }
     }
 
@@ -647,7 +731,8 @@
     void whatIsKeptGrowsWithTheMemoryAndNeverTakesMoreThanItsPartOfIt() {
         long small = 40L << 20;
         assertThat(Tables.of(small)).isEqualTo(new Tables(8192, 16384, 8 << 20));
-        assertThat(Tables.of(50 * small)).isEqualTo(new Tables(50 * 8192, 50 * 16384, 50L * (8 << 20)));
+        assertThat(Tables.of(50 * small))
+                .isEqualTo(new Tables(50 * 8192, 50 * 16384, 50L * (8 << 20)));
         for (long memory = 1; memory < 1L << 45; memory *= 3) {
             Tables tables = Tables.of(memory);
             assertThat(tables.tickets()).isBetween(1, 1 << 20);
@@ -658,7 +743,9 @@
 
     @Test
     void namesWithBlanksAndCommasAreFoundAgain() throws Exception {
-        settings = SETTINGS.replace("\"look\"", "\"look, see.v2\"").replace("\"acme\"", "\"acme & sons\"");
+        settings =
+                SETTINGS.replace("\"look\"", "\"look, see.v2\"")
+                        .replace("\"acme\"", "\"acme & sons\"");
         start();
         End caller = dispatcher();
         caller.say(ticket(101, "look, see.v2", "b", ",owner=acme & sons"));
@@ -669,8 +756,10 @@
 
     @Test
     void aNodeWithNothingBelowNeedsNoIndex() throws Exception {
-        settings = SETTINGS.replace("one_for_all", "off").replace("\"calls_out\": 2.0", "\"calls_out\": 0.0")
-                .replace("[true, true]", "[false, false]");
+        settings =
+                SETTINGS.replace("one_for_all", "off")
+                        .replace("\"calls_out\": 2.0", "\"calls_out\": 0.0")
+                        .replace("[true, true]", "[false, false]");
         withoutIndex = true;
         start();
         End caller = callerWithRun();
--- a/src/test/java/lupinwood/net/DescriptorsTest.java
+++ b/src/test/java/lupinwood/net/DescriptorsTest.java
@@ -11,7 +11,6 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -31,7 +30,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node as a process of its own under a real limit of descriptors; the test plays all others by hand. */
+/**
+ * A node as a process of its own under a real limit of descriptors; the test plays all others by
+ * hand.
+ */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class DescriptorsTest extends SocketTest {
     /** As the configuration has it. */
@@ -46,26 +48,45 @@
         indexPlace = new Place();
         namingPlace = new Place();
         try (Place free = new Place()) {
-            listen = new InetSocketAddress(free.socket.getInetAddress(), free.socket.getLocalPort());
+            listen =
+                    new InetSocketAddress(free.socket.getInetAddress(), free.socket.getLocalPort());
         }
         // However busy the machine is, it is not the time that turns a ticket away here.
-        settings = SETTINGS.replace("\"aim_ns\": 3000000000, \"give_up_ns\": 9000000000",
-                "\"aim_ns\": 30000000000, \"give_up_ns\": 60000000000");
+        settings =
+                SETTINGS.replace(
+                        "\"aim_ns\": 3000000000, \"give_up_ns\": 9000000000",
+                        "\"aim_ns\": 30000000000, \"give_up_ns\": 60000000000");
         Files.writeString(folder.resolve("config.json"), text());
-        String path = Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
-                .map(part -> Path.of(part).toAbsolutePath().toString()).collect(Collectors.joining(File.pathSeparator));
-        process = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + limit + "; exec '"
-                + System.getProperty("java.home") + "/bin/java' -Xshare:auto -Xmx64m -cp '" + path
-                + "' lupinwood.cli.Main serve --config config.json").directory(folder.toFile()).start();
-        Thread reader = new Thread(() -> {
-            try (BufferedReader log = process.errorReader()) {
-                for (String line = log.readLine(); line != null; line = log.readLine()) {
-                    lines.add(line);
-                }
-            } catch (IOException e) {
-                // It went.
-            }
-        });
+        String path =
+                Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
+                        .map(part -> Path.of(part).toAbsolutePath().toString())
+                        .collect(Collectors.joining(File.pathSeparator));
+        process =
+                new ProcessBuilder(
+                                "/bin/sh",
+                                "-c",
+                                "ulimit -n "
+                                        + limit
+                                        + "; exec '"
+                                        + System.getProperty("java.home")
+                                        + "/bin/java' -Xshare:auto -Xmx64m -cp '"
+                                        + path
+                                        + "' lupinwood.cli.Main serve --config config.json")
+                        .directory(folder.toFile())
+                        .start();
+        Thread reader =
+                new Thread(
+                        () -> {
+                            try (BufferedReader log = process.errorReader()) {
+                                for (String line = log.readLine();
+                                        line != null;
+                                        line = log.readLine()) {
+                                    lines.add(line);
+                                }
+                            } catch (IOException e) {
+                                // It went.
+                            }
+                        });
         reader.setDaemon(true);
         reader.start();
         executor = executorPlace.accept();
@@ -86,7 +107,9 @@
     }
 
     private void signal(String name) throws Exception {
-        new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
+        new ProcessBuilder("/bin/sh", "-c", "kill -" + name + " " + process.pid())
+                .start()
+                .waitFor();
     }
 
     private End connect() throws IOException {
@@ -101,11 +124,13 @@
     private AtomicInteger mostOpen() {
         AtomicInteger most = new AtomicInteger();
         File open = new File("/proc/" + process.pid() + "/fd");
-        Thread looks = new Thread(() -> {
-            for (String[] now = open.list(); now != null; now = open.list()) {
-                most.accumulateAndGet(now.length, Math::max);
-            }
-        });
+        Thread looks =
+                new Thread(
+                        () -> {
+                            for (String[] now = open.list(); now != null; now = open.list()) {
+                                most.accumulateAndGet(now.length, Math::max);
+                            }
+                        });
         looks.setDaemon(true);
         looks.start();
         return most;
@@ -114,22 +139,27 @@
     /** The name service closes each connection; tells how many it had. */
     private AtomicInteger refuseReports() {
         AtomicInteger had = new AtomicInteger();
-        Thread service = new Thread(() -> {
-            try {
-                while (true) {
-                    namingPlace.socket.accept().close();
-                    had.incrementAndGet();
-                }
-            } catch (IOException e) {
-                // The test is over.
-            }
-        });
+        Thread service =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    namingPlace.socket.accept().close();
+                                    had.incrementAndGet();
+                                }
+                            } catch (IOException e) {
+                                // The test is over.
+                            }
+                        });
         service.setDaemon(true);
         service.start();
         return had;
     }
 
-    /** A door with two places: who comes third waits outside, and comes in once a descriptor is free. */
+    /**
+     * A door with two places: who comes third waits outside, and comes in once a descriptor is
+     * free.
+     */
     @Test
     void aDoorTakesNoMoreThanItHasPlacesForAndEachComesInOnceOneIsFree() throws Exception {
         AcceptLimit limit = new AcceptLimit();
@@ -155,7 +185,10 @@
         threads.shutdown();
     }
 
-    /** The other side neither takes nor refuses: what is called off holds no descriptor until that times out. */
+    /**
+     * The other side neither takes nor refuses: what is called off holds no descriptor until that
+     * times out.
+     */
     @Test
     void aConnectionThatIsCalledOffWhileItConnectsEndsAtOnce() throws Exception {
         Sockets sockets = new Sockets(log, 10 * PATIENCE_MS);
@@ -172,35 +205,41 @@
                 }
             }
             CompletableFuture<Ending> failed = new CompletableFuture<>();
-            Runnable callOff = sockets.connect((InetSocketAddress) full.getLocalSocketAddress(), new Peer() {
-                @Override
-                public void opened(IoSession session) {
-                    failed.completeExceptionally(new AssertionError("it came about"));
-                }
+            Runnable callOff =
+                    sockets.connect(
+                            (InetSocketAddress) full.getLocalSocketAddress(),
+                            new Peer() {
+                                @Override
+                                public void opened(IoSession session) {
+                                    failed.completeExceptionally(
+                                            new AssertionError("it came about"));
+                                }
 
-                @Override
-                public void received(ByteBuffer bytes) {
-                    throw new AssertionError("nothing comes on it");
-                }
+                                @Override
+                                public void received(ByteBuffer bytes) {
+                                    throw new AssertionError("nothing comes on it");
+                                }
 
-                @Override
-                public void inputClosed(IoSession session) {
-                    session.closeNow();
-                }
+                                @Override
+                                public void inputClosed(IoSession session) {
+                                    session.closeNow();
+                                }
 
-                @Override
-                public void malformed(IoSession session) {
-                    session.closeNow();
-                }
+                                @Override
+                                public void malformed(IoSession session) {
+                                    session.closeNow();
+                                }
 
-                @Override
-                public void closed(boolean malformed) {
-                    failed.completeExceptionally(new AssertionError("it stood"));
-                }
-            }, failed::complete);
+                                @Override
+                                public void closed(boolean malformed) {
+                                    failed.completeExceptionally(new AssertionError("it stood"));
+                                }
+                            },
+                            failed::complete);
             until(() -> connecting(full.getLocalPort()) == 1);
             callOff.run();
-            assertThat(failed.get(PATIENCE_MS, TimeUnit.MILLISECONDS)).isEqualTo(Ending.NEVER_CONNECTED);
+            assertThat(failed.get(PATIENCE_MS, TimeUnit.MILLISECONDS))
+                    .isEqualTo(Ending.NEVER_CONNECTED);
             until(() -> connecting(full.getLocalPort()) == 0);
         } finally {
             for (Socket one : filling) {
@@ -215,17 +254,21 @@
         String to = String.format("0100007F:%04X 02 ", port);
         long count = 0;
         for (String table : List.of("/proc/self/net/tcp", "/proc/self/net/tcp6")) {
-            count += Files.readAllLines(Path.of(table)).stream().filter(line -> line.contains(to)).count();
+            count +=
+                    Files.readAllLines(Path.of(table)).stream()
+                            .filter(line -> line.contains(to))
+                            .count();
         }
         return count;
     }
 
     /**
-     * While the node stands still, more clients come than it may have descriptors, and its link to the executor is
-     * lost; as it goes on, all of that is there at once.
+     * While the node stands still, more clients come than it may have descriptors, and its link to
+     * the executor is lost; as it goes on, all of that is there at once.
      */
     @Test
-    void aCrowdOfIdleClientsLeavesDescriptorsForTheExecutorTheIndexTheNameServiceAndOneMore() throws Exception {
+    void aCrowdOfIdleClientsLeavesDescriptorsForTheExecutorTheIndexTheNameServiceAndOneMore()
+            throws Exception {
         startUnder(LIMIT);
         AtomicInteger reports = refuseReports();
         End caller = callerWithRun();
@@ -262,8 +305,10 @@
             assertThat(commands.get(i)).as("%s", lines).doesNotStartWith("METER");
             executor.line();
         }
-        assertThat(commands).containsExactlyInAnyOrder(String.format("RETURN %016x 4", 101),
-                String.format("EXEC %016x look 4", 102));
+        assertThat(commands)
+                .containsExactlyInAnyOrder(
+                        String.format("RETURN %016x 4", 101),
+                        String.format("EXEC %016x look 4", 102));
         exit(2, 101, "done");
         exit(3, 102, "served");
         assertThat(caller.answer()).as("open all the time").isEqualTo("101 ACK + done");
