--- a/src/test/java/lupinwood/net/ParserTest.java
+++ b/src/test/java/lupinwood/net/ParserTest.java
@@ -28,7 +28,9 @@
         LineParser parser = new LineParser(words -> words[0].equals("BODY"));
         return in -> {
             LineParser.Message message = parser.next(in);
-            return message == null ? null : String.join("|", message.words()) + ":" + text(message.body());
+            return message == null
+                    ? null
+                    : String.join("|", message.words()) + ":" + text(message.body());
         };
     }
 
@@ -56,14 +58,17 @@
     private static void readsHoweverSplit(Supplier<Parse> parser, String bytes, String expected)
             throws Malformed {
         for (int part = 1; part <= bytes.length(); part++) {
-            assertThat(read(parser.get(), bytes, part)).as("in parts of " + part).isEqualTo(expected);
+            assertThat(read(parser.get(), bytes, part))
+                    .as("in parts of " + part)
+                    .isEqualTo(expected);
         }
     }
 
     private static void refuses(Supplier<Parse> parser, String... all) {
         for (String bytes : all) {
             for (int part : new int[] {1, 99999}) {
-                assertThatThrownBy(() -> read(parser.get(), bytes, part)).as(bytes)
+                assertThatThrownBy(() -> read(parser.get(), bytes, part))
+                        .as(bytes)
                         .isInstanceOf(Malformed.class);
             }
         }
@@ -71,36 +76,62 @@
 
     @Test
     void respArraysAreReadHoweverTheyAreSplitAndPipelined() throws Malformed {
-        readsHoweverSplit(ParserTest::resp,
+        readsHoweverSplit(
+                ParserTest::resp,
                 "*3\r\n$3\r\nREQ\r\n$1\r\n7\r\n$4\r\n\r\n\0\u00ff\r\n*1\r\n$0\r\n\r\n",
                 "[REQ, 7, \r\n\0\u00ff]\n[]");
     }
 
     @Test
     void respThatCannotBeIsRefusedBeforeAnythingIsSetAside() {
-        refuses(ParserTest::resp, "REQ 7\r\n", "*x\r\n", "*\r\n", "*0\r\n", "*-1\r\n", "*9\r\n", "*1\n",
-                "*1\r$", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*1\r\n$4097\r\n",
+        refuses(
+                ParserTest::resp,
+                "REQ 7\r\n",
+                "*x\r\n",
+                "*\r\n",
+                "*0\r\n",
+                "*-1\r\n",
+                "*9\r\n",
+                "*1\n",
+                "*1\r$",
+                "*1\r\n:1\r\n",
+                "*1\r\n$-1\r\n",
+                "*1\r\n$4097\r\n",
                 "*1\r\n$99999999999999999999\r\n",
-                "*1\r\n$1\r\nab\r\n", "*1\r\n$1\r\na\n");
+                "*1\r\n$1\r\nab\r\n",
+                "*1\r\n$1\r\na\n");
     }
 
     @Test
     void linesAndTheirBodiesAreReadHoweverTheyAreSplit() throws Malformed {
-        readsHoweverSplit(ParserTest::lines, "ONE two\r\nBODY 4\r\n\r\nxy\r\nBODY 0\r\n\r\nEND\r\n",
+        readsHoweverSplit(
+                ParserTest::lines,
+                "ONE two\r\nBODY 4\r\n\r\nxy\r\nBODY 0\r\n\r\nEND\r\n",
                 "ONE|two:\nBODY|4:\r\nxy\nBODY|0:\nEND:");
     }
 
     @Test
     void linesThatCannotBeAreRefused() {
-        refuses(ParserTest::lines, "a\nb", "a\rb", "BODY x\r\n", "BODY -1\r\n", "BODY 65537\r\n",
-                "BODY 1\r\nab\r\n", "BODY 1\r\na\n", "x".repeat(5000));
+        refuses(
+                ParserTest::lines,
+                "a\nb",
+                "a\rb",
+                "BODY x\r\n",
+                "BODY -1\r\n",
+                "BODY 65537\r\n",
+                "BODY 1\r\nab\r\n",
+                "BODY 1\r\na\n",
+                "x".repeat(5000));
     }
 
     @Test
     void httpRepliesAreReadHoweverTheyAreSplit() throws Malformed {
-        readsHoweverSplit(ParserTest::http, "HTTP/1.1 204 No Content\r\nX: y\r\n\r\n"
-                + "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 204 N\r\nConnection: close\r\n\r\n"
-                + "HTTP/1.1 404 N\r\n\r\n", """
+        readsHoweverSplit(
+                ParserTest::http,
+                "HTTP/1.1 204 No Content\r\nX: y\r\n\r\n"
+                        + "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nabcHTTP/1.1 204 N\r\nConnection: close\r\n\r\n"
+                        + "HTTP/1.1 404 N\r\n\r\n",
+                """
                 Reply[status=204, keepsOpen=true]
                 Reply[status=500, keepsOpen=true]
                 Reply[status=204, keepsOpen=false]
@@ -109,8 +140,14 @@
 
     @Test
     void httpThatCannotBeIsRefused() {
-        refuses(ParserTest::http, "HTTP/2 204\r\n\r\n", "junk\r\n\r\n", "HTTP/1.1 999 x\r\n\r\n",
-                "HTTP/1.1 200 x\r\nno header\r\n\r\n", "HTTP/1.1 200 x\r\nContent-Length: 70000\r\n\r\n",
-                "HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n", "x".repeat(9000));
+        refuses(
+                ParserTest::http,
+                "HTTP/2 204\r\n\r\n",
+                "junk\r\n\r\n",
+                "HTTP/1.1 999 x\r\n\r\n",
+                "HTTP/1.1 200 x\r\nno header\r\n\r\n",
+                "HTTP/1.1 200 x\r\nContent-Length: 70000\r\n\r\n",
+                "HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n",
+                "x".repeat(9000));
     }
 }
--- a/src/test/java/lupinwood/net/ServingTest.java
+++ b/src/test/java/lupinwood/net/ServingTest.java
@@ -42,8 +42,12 @@
     @Test
     void malformedInputEndsItsConnectionAlone() throws Exception {
         End caller = callerWithRun();
-        for (String junk : List.of("GET / HTTP/1.1\r\n", array("NOVERB", "200"), array("REQ"),
-                array("ABORT", "0"))) {
+        for (String junk :
+                List.of(
+                        "GET / HTTP/1.1\r\n",
+                        array("NOVERB", "200"),
+                        array("REQ"),
+                        array("ABORT", "0"))) {
             End other = dispatcher();
             other.say(junk);
             assertThat(other.isOver()).as(junk).isTrue();
@@ -60,8 +64,21 @@
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         caller.say(array("REQ", "102", "look", "req=zz"));
         assertThat(caller.answer()).isEqualTo("102 FAIL +");
-        for (String unsound : List.of("need=1e1", "need=NaN", "need=-1", "need=", "level=0.5d", "ts=1.5", "ts=-1",
-                "via=x", "via=99999999999", "owner=nobody", "opkey=" + "a".repeat(65), "req=zz", "subject=g")) {
+        for (String unsound :
+                List.of(
+                        "need=1e1",
+                        "need=NaN",
+                        "need=-1",
+                        "need=",
+                        "level=0.5d",
+                        "ts=1.5",
+                        "ts=-1",
+                        "via=x",
+                        "via=99999999999",
+                        "owner=nobody",
+                        "opkey=" + "a".repeat(65),
+                        "req=zz",
+                        "subject=g")) {
             End other = dispatcher();
             other.say(ticket(300, "look", "b", "," + unsound));
             assertThat(other.answer()).as(unsound).isEqualTo("300 FAIL +");
@@ -82,11 +99,13 @@
         assertThat(half.isOver()).isTrue();
         End deaf = dispatcher();
         String many = array("HEALTH", "5").repeat(2000);
-        assertThatThrownBy(() -> {
-            for (int i = 0; i < 2000; i++) {
-                deaf.say(many);
-            }
-        }).isInstanceOf(IOException.class);
+        assertThatThrownBy(
+                        () -> {
+                            for (int i = 0; i < 2000; i++) {
+                                deaf.say(many);
+                            }
+                        })
+                .isInstanceOf(IOException.class);
         dispatcher();
     }
 
@@ -172,11 +191,13 @@
         expectCall(indexPlace.accept(), 101);
         assertThat(namingPlace.accept().line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
         log.drain();
-        assertThat(logged.toString()).contains("reloaded: ").doesNotContain("can't change", "is lost");
+        assertThat(logged.toString())
+                .contains("reloaded: ")
+                .doesNotContain("can't change", "is lost");
         serving.reload(read(text().replace("15000", "9000").replace("256", "300")));
         log.drain();
-        assertThat(logged.toString()).contains("reload: stop 15s -> 9s, at once",
-                "stays as it was: limits descriptors");
+        assertThat(logged.toString())
+                .contains("reload: stop 15s -> 9s, at once", "stays as it was: limits descriptors");
         assertThat(serving.goesBy().stop()).isEqualTo(Span.ofSeconds(9));
         assertThat(serving.goesBy().sockets()).isEqualTo(256);
     }
@@ -214,8 +235,17 @@
         callOut(1, 101);
         End good = indexPlace.accept();
         expectCall(good, 101);
-        List<String> spoilt = List.of("HIT 3000000000\r\n", "HIT\r\n", "HIT 1 2\r\n", "SHED 0\r\n", "HIT -1\r\n",
-                "HIT 1\r\nab\r\n", "WHAT\r\n", "x".repeat(5000), "HIT 4\n");
+        List<String> spoilt =
+                List.of(
+                        "HIT 3000000000\r\n",
+                        "HIT\r\n",
+                        "HIT 1 2\r\n",
+                        "SHED 0\r\n",
+                        "HIT -1\r\n",
+                        "HIT 1\r\nab\r\n",
+                        "WHAT\r\n",
+                        "x".repeat(5000),
+                        "HIT 4\n");
         for (int i = 0; i < spoilt.size(); i++) {
             int tag = 102 + i / 3;
             if (i % 3 == 0) {
@@ -262,7 +292,9 @@
 
     @Test
     void theNameServiceHearsAgainAndAgainAlsoWhenItIsSlowOrWasDown() throws Exception {
-        assertThat(namingPlace.accept().line()).as("never answered").isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
+        assertThat(namingPlace.accept().line())
+                .as("never answered")
+                .isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
         End naming = namingPlace.accept();
         assertThat(naming.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
         naming.socket.close();
@@ -285,7 +317,8 @@
         do {
             late.say(array("HEALTH", "9"));
         } while (!late.answer().startsWith("9 RED"));
-        // Tickets tell when they came in whole milliseconds: one of this same one might have come before the notice.
+        // Tickets tell when they came in whole milliseconds: one of this same one might have come
+        // before the notice.
         for (long red = System.currentTimeMillis(); System.currentTimeMillis() <= red; ) {
             Thread.onSpinWait();
         }
@@ -306,33 +339,51 @@
     void anAddressInUseAndConfigurationsThatCannotBeUsedAreToldPlainly() throws Exception {
         Serving second = new Serving(config(), Brain::new, log);
         assertThatThrownBy(second::start).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> NodeConfig.read(folder.resolve("none"))).hasMessageContaining("can't read");
+        assertThatThrownBy(() -> NodeConfig.read(folder.resolve("none")))
+                .hasMessageContaining("can't read");
         assertThatThrownBy(() -> read("{")).hasMessageContaining("no JSON");
         assertThatThrownBy(() -> read("[]")).hasMessageContaining("no JSON object");
-        assertThatThrownBy(() -> read("{\"settings\":{}}")).hasMessageContaining("there is no track");
+        assertThatThrownBy(() -> read("{\"settings\":{}}"))
+                .hasMessageContaining("there is no track");
         assertThatThrownBy(() -> read("{\"settings\":" + SETTINGS + "}"))
                 .hasMessageContaining("'name' is missing");
-        assertThatThrownBy(() -> read("{\"name\":\"n\",\"listen\":\"here\",\"settings\":" + SETTINGS + "}"))
+        assertThatThrownBy(
+                        () ->
+                                read(
+                                        "{\"name\":\"n\",\"listen\":\"here\",\"settings\":"
+                                                + SETTINGS
+                                                + "}"))
                 .hasMessageContaining("not what listen takes: here");
-        assertThat(config().settings()).containsEntry("azs", "a_b,c")
+        assertThat(config().settings())
+                .containsEntry("azs", "a_b,c")
                 .containsEntry("domain.class_calls", "true,true")
-                .containsEntry("services.count", "2").containsEntry("services.1.name", "pay")
-                .containsEntry("customers.0.quota_rps", "54.0").containsEntry("step_ns", "4000000");
+                .containsEntry("services.count", "2")
+                .containsEntry("services.1.name", "pay")
+                .containsEntry("customers.0.quota_rps", "54.0")
+                .containsEntry("step_ns", "4000000");
     }
 
     @Test
     void theTimeGoesOnWithinARoundAndRoundsAreAMillisecondApart() throws Exception {
         Deadlines deadlines = new Deadlines();
         Decider decider = new Decider(deadlines, System::nanoTime, log);
-        Host host = new Host(config().settings(), 1, Brain::new, new Host.Ports(null, null, null, log::line),
-                deadlines, new Host.Bounds(1, 1, 1, 1), decider.time());
+        Host host =
+                new Host(
+                        config().settings(),
+                        1,
+                        Brain::new,
+                        new Host.Ports(null, null, null, log::line),
+                        deadlines,
+                        new Host.Bounds(1, 1, 1, 1),
+                        decider.time());
         CompletableFuture<Span> behind = new CompletableFuture<>();
         Moment begun = decider.time();
-        decider.tell(() -> {
-            while (decider.time().since(begun).seconds() < 0.5) {
-                // a long piece of news
-            }
-        });
+        decider.tell(
+                () -> {
+                    while (decider.time().since(begun).seconds() < 0.5) {
+                        // a long piece of news
+                    }
+                });
         decider.tell(() -> behind.complete(decider.time().since(host.now())));
         AtomicInteger rounds = new AtomicInteger();
         decider.addWriter(rounds::incrementAndGet);
@@ -361,11 +412,19 @@
 
     @Test
     void theWarmUpEndsByItsWorkAndOnASlowMachineByTheClock() throws Exception {
-        assertThat(WarmUp.play(config().settings(), 1, Brain::new, () -> 0)).as("on a machine that takes no time")
-                .isBetween(WarmUp.TICKETS / 2, WarmUp.TICKETS + WarmUp.AT_ONCE).isLessThan(500);
+        assertThat(WarmUp.play(config().settings(), 1, Brain::new, () -> 0))
+                .as("on a machine that takes no time")
+                .isBetween(WarmUp.TICKETS / 2, WarmUp.TICKETS + WarmUp.AT_ONCE)
+                .isLessThan(500);
         AtomicLong clock = new AtomicLong();
-        assertThat(WarmUp.play(config().settings(), 1, Brain::new, () -> clock.addAndGet(300_000_000)))
-                .as("two rounds of 0.3 s fit").isLessThanOrEqualTo(2 * WarmUp.AT_ONCE);
+        assertThat(
+                        WarmUp.play(
+                                config().settings(),
+                                1,
+                                Brain::new,
+                                () -> clock.addAndGet(300_000_000)))
+                .as("two rounds of 0.3 s fit")
+                .isLessThanOrEqualTo(2 * WarmUp.AT_ONCE);
     }
 
     @Test
@@ -376,8 +435,10 @@
         }
         calm.line("the rare one\nin two");
         calm.drain();
-        assertThat(logged.toString().lines().filter(line -> line.startsWith("1970"))).hasSize(6)
-                .last().isEqualTo("1970-01-01T00:00:07Z the rare one in two");
+        assertThat(logged.toString().lines().filter(line -> line.startsWith("1970")))
+                .hasSize(6)
+                .last()
+                .isEqualTo("1970-01-01T00:00:07Z the rare one in two");
     }
 
     @Test
@@ -387,23 +448,36 @@
             port = free.socket.getLocalPort();
         }
         AtomicReference<Socket> first = new AtomicReference<>();
-        // Each line of the log asks the time: at the first after the door is open, somebody is there.
-        Log early = new Log(new PrintStream(logged, true), () -> {
-            if (first.get() == null) {
-                try {
-                    Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                    socket.getOutputStream().write(array("HEALTH", "1").getBytes(StandardCharsets.ISO_8859_1));
-                    first.set(socket);
-                    Thread.sleep(100); // time for a node to go wrong that isn't ready
-                } catch (IOException e) {
-                    // Not open yet.
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }
-            return Instant.now();
-        });
-        Serving other = new Serving(read(text().replace(":" + listen.getPort(), ":" + port)), Brain::new, early);
+        // Each line of the log asks the time: at the first after the door is open, somebody is
+        // there.
+        Log early =
+                new Log(
+                        new PrintStream(logged, true),
+                        () -> {
+                            if (first.get() == null) {
+                                try {
+                                    Socket socket =
+                                            new Socket(InetAddress.getLoopbackAddress(), port);
+                                    socket.getOutputStream()
+                                            .write(
+                                                    array("HEALTH", "1")
+                                                            .getBytes(StandardCharsets.ISO_8859_1));
+                                    first.set(socket);
+                                    Thread.sleep(
+                                            100); // time for a node to go wrong that isn't ready
+                                } catch (IOException e) {
+                                    // Not open yet.
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            }
+                            return Instant.now();
+                        });
+        Serving other =
+                new Serving(
+                        read(text().replace(":" + listen.getPort(), ":" + port)),
+                        Brain::new,
+                        early);
         other.start();
         assertThat(new End(first.get()).answer()).startsWith("1 RED");
         other.leave();
--- a/src/test/java/lupinwood/net/SocketTest.java
+++ b/src/test/java/lupinwood/net/SocketTest.java
@@ -24,7 +24,8 @@
 /** A node on loopback sockets; the test plays all others by hand. */
 abstract class SocketTest {
     static final int PATIENCE_MS = 20_000;
-    static final String SETTINGS = """
+    static final String SETTINGS =
+            """
             {"domain": {"cpus": 2, "memory_kb": 100000.0, "run_mem_factor": 4.0, "entry_kb": 1.0,
               "calls_out": 2.0, "below": "one_for_all", "class_calls": [true, true],
               "advert": "allowance", "upstreams": 1,
@@ -100,7 +101,9 @@
             return String.join(" ", words).replaceAll("signal=[0-9.]+", "+");
         }
 
-        /** Whether the other side ended it, and said nothing before but the wish that this one does. */
+        /**
+         * Whether the other side ended it, and said nothing before but the wish that this one does.
+         */
         boolean isOverOnceAsked() {
             try {
                 String last = answer();
@@ -142,8 +145,7 @@
         }
     }
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     final Log log = new Log(new PrintStream(logged, true), Instant::now);
     final List<Socket> opened = new ArrayList<>();
@@ -156,10 +158,14 @@
 
     /** How the node's own clock runs, how it decides, and what it is told. */
     private final AtomicLong skipped = new AtomicLong();
+
     private final long begun = System.nanoTime();
+
     /** Its time goes on by {@link #skip} alone. */
     boolean standsStill;
-    private final LongSupplier steady = () -> (standsStill ? begun : System.nanoTime()) + skipped.get();
+
+    private final LongSupplier steady =
+            () -> (standsStill ? begun : System.nanoTime()) + skipped.get();
     Host.Maker maker = Brain::new;
     String settings = SETTINGS;
     int stopMs = 15_000;
@@ -171,7 +177,9 @@
         indexPlace = new Place();
         namingPlace = new Place();
         try (Place free = new Place()) {
-            listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.socket.getLocalPort());
+            listen =
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), free.socket.getLocalPort());
         }
         serving = new Serving(config(), maker, log, steady);
     }
@@ -209,18 +217,20 @@
     /** The node's own clock goes on at once by so much; what is due then is done. */
     void skip(double seconds) {
         skipOnly(seconds);
-        serving.decider().tell(() -> { });
+        serving.decider().tell(() -> {});
     }
 
     /** The notice to leave, on a thread of its own. */
     Thread leave() {
-        Thread leaving = new Thread(() -> {
-            try {
-                serving.leave();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread leaving =
+                new Thread(
+                        () -> {
+                            try {
+                                serving.leave();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         leaving.start();
         return leaving;
     }
@@ -230,11 +240,23 @@
     }
 
     String text() {
-        return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + listen.getPort()
-                + "\",\"executor\":\"127.0.0.1:" + executorPlace.socket.getLocalPort()
-                + (withoutIndex ? "" : "\",\"index\":\"127.0.0.1:" + indexPlace.socket.getLocalPort()) + "\",\"naming\":\"127.0.0.1:"
-                + namingPlace.socket.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":" + stopMs + ","
-                + "\"limits\":{\"sockets\":256},\"settings\":" + settings + "}";
+        return "{\"name\":\""
+                + name
+                + "\",\"listen\":\"127.0.0.1:"
+                + listen.getPort()
+                + "\",\"executor\":\"127.0.0.1:"
+                + executorPlace.socket.getLocalPort()
+                + (withoutIndex
+                        ? ""
+                        : "\",\"index\":\"127.0.0.1:" + indexPlace.socket.getLocalPort())
+                + "\",\"naming\":\"127.0.0.1:"
+                + namingPlace.socket.getLocalPort()
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":"
+                + stopMs
+                + ","
+                + "\"limits\":{\"sockets\":256},\"settings\":"
+                + settings
+                + "}";
     }
 
     NodeConfig read(String json) throws Exception {
@@ -254,12 +276,13 @@
 
     /** Listens, and says of whatever comes that it was heard. */
     static InetSocketAddress hears(Acceptor acceptor) throws IOException {
-        acceptor.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                session.write(IoBuffer.wrap("heard\n".getBytes(StandardCharsets.US_ASCII)));
-            }
-        });
+        acceptor.setHandler(
+                new IoHandlerAdapter() {
+                    @Override
+                    public void messageReceived(IoSession session, Object message) {
+                        session.write(IoBuffer.wrap("heard\n".getBytes(StandardCharsets.US_ASCII)));
+                    }
+                });
         acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return acceptor.getLocalAddress();
     }
@@ -278,13 +301,17 @@
 
     /** With more fields, which count where they are there twice. */
     static String ticket(int tag, String track, String body, String more) {
-        String fields = String.format("req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5%s", tag,
-                System.currentTimeMillis(), more);
+        String fields =
+                String.format(
+                        "req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5%s",
+                        tag, System.currentTimeMillis(), more);
         return array("REQ", "" + tag, track, fields, body);
     }
 
     void exit(int notice, int tag, String result) throws IOException {
-        executor.say(String.format("EXIT %d %016x OK 5 %d\r\n%s\r\n", notice, tag, result.length(), result));
+        executor.say(
+                String.format(
+                        "EXIT %d %016x OK 5 %d\r\n%s\r\n", notice, tag, result.length(), result));
     }
 
     void expectRun(int tag, String track, String body) throws IOException {
@@ -312,7 +339,8 @@
     }
 
     void expectReply(int tag, String reply) throws IOException {
-        assertThat(executor.command()).isEqualTo(String.format("RETURN %016x %d", tag, reply.length()));
+        assertThat(executor.command())
+                .isEqualTo(String.format("RETURN %016x %d", tag, reply.length()));
         assertThat(executor.bytes(reply.length() + 2)).isEqualTo(reply + "\r\n");
     }
 
@@ -330,9 +358,10 @@
     }
 
     void untilLogged(String text) throws Exception {
-        until(() -> {
-            log.drain();
-            return logged.toString().contains(text);
-        });
+        until(
+                () -> {
+                    log.drain();
+                    return logged.toString().contains(text);
+                });
     }
 }
--- a/src/test/java/lupinwood/pools/PoolTest.java
+++ b/src/test/java/lupinwood/pools/PoolTest.java
@@ -28,7 +28,12 @@
             }
             got[server]++;
             pass(0.001);
-            pool.ended(server, server == 0 ? endOfA : Pool.End.WELL, server == 0 ? tookA : FAST, false, now);
+            pool.ended(
+                    server,
+                    server == 0 ? endOfA : Pool.End.WELL,
+                    server == 0 ? tookA : FAST,
+                    false,
+                    now);
         }
         return got;
     }
--- a/src/test/java/lupinwood/release/ConductorTest.java
+++ b/src/test/java/lupinwood/release/ConductorTest.java
@@ -23,7 +23,8 @@
 
 /** A release of nine nodes in three zones, by the real book. */
 final class ConductorTest {
-    private static final Limits LIMITS = Limits.of(Span.ofSeconds(20), Span.ofSeconds(100), 0.05, Span.ofSeconds(3));
+    private static final Limits LIMITS =
+            Limits.of(Span.ofSeconds(20), Span.ofSeconds(100), 0.05, Span.ofSeconds(3));
     private final Book book = new Book(100);
     private final String[] runs = {"", "", "", "", "", "", "", "", ""};
     private final boolean[] there = {true, true, true, true, true, true, true, true, true};
@@ -45,18 +46,46 @@
         }
         book.apply(new Deed.Give(DutyName.CONDUCTOR, name(0), new Life(0), new Token(0)));
         token = book.duty(DutyName.CONDUCTOR).token();
-        assertThat(book.apply(new Deed.Begin("o", "ann", Release.Kind.CONFIGURATION, "new", "text", backsOnHalt, 1))).isTrue();
+        assertThat(
+                        book.apply(
+                                new Deed.Begin(
+                                        "o",
+                                        "ann",
+                                        Release.Kind.CONFIGURATION,
+                                        "new",
+                                        "text",
+                                        backsOnHalt,
+                                        1)))
+                .isTrue();
     }
 
     private Picture picture() {
         List<Seen> seen = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            Report.Checked checked = new Report.Checked("new", !refuses[i], false, refuses[i] ? "no such track" : "");
-            Tally tally = new Tally(List.of(new Tally.Count("look", counts[i][0], 0, 0, counts[i][1], counts[i][0] * 0.05)));
-            seen.add(new Seen(name(i), new Life(i), new Site("r", "z" + i % 3), there[i] ? Standing.WARM : Standing.UNKNOWN,
-                    Span.ZERO, new Report("1", runs[i], checked, List.of(), 0, List.of(), tally)));
+            Report.Checked checked =
+                    new Report.Checked(
+                            "new", !refuses[i], false, refuses[i] ? "no such track" : "");
+            Tally tally =
+                    new Tally(
+                            List.of(
+                                    new Tally.Count(
+                                            "look",
+                                            counts[i][0],
+                                            0,
+                                            0,
+                                            counts[i][1],
+                                            counts[i][0] * 0.05)));
+            seen.add(
+                    new Seen(
+                            name(i),
+                            new Life(i),
+                            new Site("r", "z" + i % 3),
+                            there[i] ? Standing.WARM : Standing.UNKNOWN,
+                            Span.ZERO,
+                            new Report("1", runs[i], checked, List.of(), 0, List.of(), tally)));
         }
-        return new Picture(book.release(), book.good(), book.haltedBy(), seen, book.permits(), 3, book.past());
+        return new Picture(
+                book.release(), book.good(), book.haltedBy(), seen, book.permits(), 3, book.past());
     }
 
     /** Seconds go by, and nodes do as they are told. */
@@ -69,8 +98,9 @@
                     runs[node] = book.wanted(name(node)).runs();
                 }
             }
-            conductor.decide(picture(), token, new Moment(Math.round(now * 1e9))).forEach(
-                    act -> book.apply(((Act.Write) act).deed()));
+            conductor
+                    .decide(picture(), token, new Moment(Math.round(now * 1e9)))
+                    .forEach(act -> book.apply(((Act.Write) act).deed()));
         }
     }
 
@@ -80,7 +110,9 @@
         play(19);
         assertThat(book.release().steps()).as("it looks at the fleet before").isZero();
         play(3);
-        assertThat(book.release().given()).extracting(NodeName::text).containsExactlyInAnyOrder("n1", "n2", "n3");
+        assertThat(book.release().given())
+                .extracting(NodeName::text)
+                .containsExactlyInAnyOrder("n1", "n2", "n3");
         play(15);
         assertThat(book.release().steps()).as("a watch is 20 s").isEqualTo(1);
         play(15);
@@ -97,7 +129,8 @@
         play(5);
         assertThat(book.release()).isNull();
         assertThat(book.wanted(name(1)).runs()).isEmpty();
-        assertThat(book.history().get(book.history().size() - 1).text()).contains("n4 would not take it: no such track");
+        assertThat(book.history().get(book.history().size() - 1).text())
+                .contains("n4 would not take it: no such track");
     }
 
     @Test
@@ -140,7 +173,9 @@
         Token old = token;
         book.apply(new Deed.Give(DutyName.CONDUCTOR, name(1), new Life(1), token));
         token = book.duty(DutyName.CONDUCTOR).token();
-        assertThat(book.apply(new Deed.Step(old, 1, 2, false, List.of(name(8)), "", null, 1))).as("the old one's word").isFalse();
+        assertThat(book.apply(new Deed.Step(old, 1, 2, false, List.of(name(8)), "", null, 1)))
+                .as("the old one's word")
+                .isFalse();
         conductor = new Conductor(name(1), LIMITS);
         play(1);
         assertThat(conductor.wantsPast()).as("it was told").isFalse();
@@ -160,6 +195,8 @@
             there[i] = book.release().isGiven(name(i)) || i > 3;
         }
         play(40);
-        assertThat(book.haltedBy()).contains("its way back: ").contains("is not well with what it ran before");
+        assertThat(book.haltedBy())
+                .contains("its way back: ")
+                .contains("is not well with what it ran before");
     }
 }
--- a/src/test/java/lupinwood/release/WatchTest.java
+++ b/src/test/java/lupinwood/release/WatchTest.java
@@ -13,7 +13,8 @@
 
 /** What a watch blames on a release, and what it doesn't. */
 final class WatchTest {
-    private static final Limits LIMITS = Limits.of(Span.ofSeconds(60), Span.ofSeconds(600), 0.03, Span.ofSeconds(3));
+    private static final Limits LIMITS =
+            Limits.of(Span.ofSeconds(60), Span.ofSeconds(600), 0.03, Span.ofSeconds(3));
 
     private interface Bad {
         double share(int node, boolean changed, boolean after, String track);
@@ -30,9 +31,20 @@
         for (String track : List.of("look", "unlock")) {
             long all = track.equals("look") ? tickets * 3L / 4 : tickets / 4;
             double share = bad.share(node, changed, after, track);
-            long wrong = Math.max(0, Math.min(all, Math.round(all * share
-                    + Math.sqrt(all * share * (1 - share)) * random.nextGaussian())));
-            double seconds = (all - wrong) * 0.05 * (changed && after ? slower : 1) * (1 + 0.05 * random.nextGaussian());
+            long wrong =
+                    Math.max(
+                            0,
+                            Math.min(
+                                    all,
+                                    Math.round(
+                                            all * share
+                                                    + Math.sqrt(all * share * (1 - share))
+                                                            * random.nextGaussian())));
+            double seconds =
+                    (all - wrong)
+                            * 0.05
+                            * (changed && after ? slower : 1)
+                            * (1 + 0.05 * random.nextGaussian());
             counts.add(new Tally.Count(track, all - wrong, 0, 0, wrong, seconds));
         }
         return new Tally(counts);
@@ -44,21 +56,35 @@
         for (int node = 0; node < 24; node++) {
             boolean changed = node < 4;
             boolean lost = changed ? node < lostChanged : node - 4 < lostOthers;
-            samples.add(new Sample(new NodeName("n" + node), new Site("r", "z" + node % 4), changed,
-                    tally(node, changed, false, tickets, bad), tally(node, changed, true, tickets, bad),
-                    changed ? restartsOfChanged : 0, lost));
+            samples.add(
+                    new Sample(
+                            new NodeName("n" + node),
+                            new Site("r", "z" + node % 4),
+                            changed,
+                            tally(node, changed, false, tickets, bad),
+                            tally(node, changed, true, tickets, bad),
+                            changed ? restartsOfChanged : 0,
+                            lost));
         }
         return Watch.judge(samples, LIMITS);
     }
 
     @Test
     void whatDoesAsWellIsWellAndWhatDoesWorseIsFound() {
-        assertThat(judge(1000, (node, changed, after, track) -> 0.02).kind()).isEqualTo(Verdict.Kind.WELL);
+        assertThat(judge(1000, (node, changed, after, track) -> 0.02).kind())
+                .isEqualTo(Verdict.Kind.WELL);
         Verdict worse = judge(1000, (node, changed, after, track) -> changed && after ? 0.1 : 0.02);
         assertThat(worse.kind()).isEqualTo(Verdict.Kind.WORSE);
         assertThat(worse.text()).contains("points gone wrong of all tickets");
-        assertThat(judge(1000, (node, changed, after, track) -> changed && after && track.equals("unlock") ? 0.3 : 0.02)
-                .kind()).isEqualTo(Verdict.Kind.WORSE);
+        assertThat(
+                        judge(
+                                        1000,
+                                        (node, changed, after, track) ->
+                                                changed && after && track.equals("unlock")
+                                                        ? 0.3
+                                                        : 0.02)
+                                .kind())
+                .isEqualTo(Verdict.Kind.WORSE);
         slower = 2;
         assertThat(judge(1000, (node, changed, after, track) -> 0.02).text()).contains("slower");
     }
@@ -70,22 +96,29 @@
         Bad everywhere = (node, changed, after, track) -> after ? 0.3 : 0.02;
         assertThat(judge(1000, everywhere).kind()).isNotEqualTo(Verdict.Kind.WORSE);
         Bad badBefore = (node, changed, after, track) -> changed ? 0.2 : 0.02;
-        assertThat(judge(1000, badBefore).kind()).as("they were as bad before").isEqualTo(Verdict.Kind.WELL);
+        assertThat(judge(1000, badBefore).kind())
+                .as("they were as bad before")
+                .isEqualTo(Verdict.Kind.WELL);
     }
 
     @Test
     void littleTrafficIsNoProof() {
-        assertThat(judge(10, (node, changed, after, track) -> 0.02).kind()).isEqualTo(Verdict.Kind.UNSURE);
-        assertThat(judge(40, (node, changed, after, track) -> 0.1).kind()).isEqualTo(Verdict.Kind.UNSURE);
+        assertThat(judge(10, (node, changed, after, track) -> 0.02).kind())
+                .isEqualTo(Verdict.Kind.UNSURE);
+        assertThat(judge(40, (node, changed, after, track) -> 0.1).kind())
+                .isEqualTo(Verdict.Kind.UNSURE);
     }
 
     @Test
     void nodesThatGoMissingOrStartAnewAreFoundUnlessOthersDoTheSame() {
         Bad fine = (node, changed, after, track) -> 0.02;
         lostChanged = 3;
-        assertThat(judge(1000, fine).text()).contains("3 of 4 nodes that have it are lost, 0 of the 20 others");
+        assertThat(judge(1000, fine).text())
+                .contains("3 of 4 nodes that have it are lost, 0 of the 20 others");
         lostOthers = 15;
-        assertThat(judge(1000, fine).kind()).as("most of all are lost").isEqualTo(Verdict.Kind.WELL);
+        assertThat(judge(1000, fine).kind())
+                .as("most of all are lost")
+                .isEqualTo(Verdict.Kind.WELL);
         lostChanged = 0;
         lostOthers = 0;
         restartsOfChanged = 2;
--- a/src/test/java/lupinwood/reload/MoveTest.java
+++ b/src/test/java/lupinwood/reload/MoveTest.java
@@ -53,7 +53,8 @@
     void whereNeitherAnswersBothAreTriedInTurn() {
         move.welcomed();
         move.to("new", SECOND, now);
-        assertThat(pass(4)).containsExactly("GO_BACK old", "TRY_AGAIN new", "GO_BACK old", "TRY_AGAIN new");
+        assertThat(pass(4))
+                .containsExactly("GO_BACK old", "TRY_AGAIN new", "GO_BACK old", "TRY_AGAIN new");
         move.welcomed();
         assertThat(pass(5)).isEmpty();
     }
--- a/src/test/java/lupinwood/reload/PlanTest.java
+++ b/src/test/java/lupinwood/reload/PlanTest.java
@@ -14,14 +14,23 @@
 
 /** What a plan says of changes, and what a node goes by after them. */
 final class PlanTest {
-    private static final Map<String, String> FLAT = Map.ofEntries(Map.entry("name", "n1"),
-            Map.entry("executor", "127.0.0.1:1"), Map.entry("stop_ms", "3000"),
-            Map.entry("settings.services.count", "2"), Map.entry("settings.services.0.name", "look"),
-            Map.entry("settings.services.0.effect", "pure"), Map.entry("settings.services.0.aim_ns", "2000000000"),
-            Map.entry("settings.services.1.name", "unlock"), Map.entry("settings.services.1.effect", "token"),
-            Map.entry("settings.services.1.window_ns", "13020000000"), Map.entry("settings.customers.count", "1"),
-            Map.entry("settings.customers.0.name", "north"), Map.entry("settings.customers.0.quota_rps", "30.0"),
-            Map.entry("settings.domain.class_calls", "false,true"), Map.entry("settings.azs", "a,b"));
+    private static final Map<String, String> FLAT =
+            Map.ofEntries(
+                    Map.entry("name", "n1"),
+                    Map.entry("executor", "127.0.0.1:1"),
+                    Map.entry("stop_ms", "3000"),
+                    Map.entry("settings.services.count", "2"),
+                    Map.entry("settings.services.0.name", "look"),
+                    Map.entry("settings.services.0.effect", "pure"),
+                    Map.entry("settings.services.0.aim_ns", "2000000000"),
+                    Map.entry("settings.services.1.name", "unlock"),
+                    Map.entry("settings.services.1.effect", "token"),
+                    Map.entry("settings.services.1.window_ns", "13020000000"),
+                    Map.entry("settings.customers.count", "1"),
+                    Map.entry("settings.customers.0.name", "north"),
+                    Map.entry("settings.customers.0.quota_rps", "30.0"),
+                    Map.entry("settings.domain.class_calls", "false,true"),
+                    Map.entry("settings.azs", "a,b"));
 
     private static Meaning with(Object... changes) {
         Map<String, String> flat = new LinkedHashMap<>(FLAT);
@@ -44,25 +53,49 @@
 
     @Test
     void eachChangeSaysWhenItCounts() {
-        Plan plan = Plan.between(with(), with("name", "n2", "executor", "127.0.0.1:2", "stop_ms", "4000",
-                "settings.services.1.window_ns", "15000000000", "settings.customers.0.quota_rps", "20",
-                "settings.domain.class_calls", "true,true", "settings.azs", "a", "settings.domain.keepalive_max_ns",
-                "5000000000"));
-        assertThat(said(plan)).containsExactly("name n1 -> n2, needs a restart",
-                "executor 127.0.0.1:1 -> 127.0.0.1:2, at once", "stop 3s -> 4s, at once",
-                "added machine idle-connections 5s, for new connections",
-                "customer north quota 30/s -> 20/s, at once", "track look calls #false -> #true, needs a restart",
-                "track unlock window 13.02s -> 15s, for new tickets", "extra azs a,b -> a, needs a restart");
+        Plan plan =
+                Plan.between(
+                        with(),
+                        with(
+                                "name",
+                                "n2",
+                                "executor",
+                                "127.0.0.1:2",
+                                "stop_ms",
+                                "4000",
+                                "settings.services.1.window_ns",
+                                "15000000000",
+                                "settings.customers.0.quota_rps",
+                                "20",
+                                "settings.domain.class_calls",
+                                "true,true",
+                                "settings.azs",
+                                "a",
+                                "settings.domain.keepalive_max_ns",
+                                "5000000000"));
+        assertThat(said(plan))
+                .containsExactly(
+                        "name n1 -> n2, needs a restart",
+                        "executor 127.0.0.1:1 -> 127.0.0.1:2, at once",
+                        "stop 3s -> 4s, at once",
+                        "added machine idle-connections 5s, for new connections",
+                        "customer north quota 30/s -> 20/s, at once",
+                        "track look calls #false -> #true, needs a restart",
+                        "track unlock window 13.02s -> 15s, for new tickets",
+                        "extra azs a,b -> a, needs a restart");
         assertThat(plan.result().value("name")).isEqualTo("n1");
         assertThat(plan.result().value("executor")).isEqualTo("127.0.0.1:2");
         assertThat(plan.result().value("track look calls")).isEqualTo("false");
         assertThat(plan.result().value("machine idle-connections")).isEqualTo("5000000000");
-        assertThat(said(Plan.between(plan.result(), with()))).hasSize(5).noneMatch(step -> step.contains("restart"));
+        assertThat(said(Plan.between(plan.result(), with())))
+                .hasSize(5)
+                .noneMatch(step -> step.contains("restart"));
     }
 
     @Test
     void oneRefusedChangeLeavesAllAsItWas() {
-        Plan plan = Plan.between(with(), with("settings.services.1.effect", "pure", "stop_ms", "4000"));
+        Plan plan =
+                Plan.between(with(), with("settings.services.1.effect", "pure", "stop_ms", "4000"));
         assertThat(plan.isRefused()).isTrue();
         assertThat(plan.takesEffect()).isFalse();
         assertThat(plan.result()).isEqualTo(with());
@@ -70,32 +103,63 @@
 
     @Test
     void numbersThatAreWrittenOtherwiseMeanTheSameAndSoDoTracksInAnotherOrder() {
-        assertThat(Plan.between(with(), with("settings.customers.0.quota_rps", "3e1")).isEmpty()).isTrue();
-        Meaning swapped = with("settings.services.0.name", "unlock", "settings.services.0.effect", "token",
-                "settings.services.0.window_ns", "13020000000", "settings.services.0.aim_ns", null,
-                "settings.services.1.name", "look", "settings.services.1.effect", "pure",
-                "settings.services.1.aim_ns", "2000000000", "settings.services.1.window_ns", null,
-                "settings.domain.class_calls", "true,false");
+        assertThat(Plan.between(with(), with("settings.customers.0.quota_rps", "3e1")).isEmpty())
+                .isTrue();
+        Meaning swapped =
+                with(
+                        "settings.services.0.name",
+                        "unlock",
+                        "settings.services.0.effect",
+                        "token",
+                        "settings.services.0.window_ns",
+                        "13020000000",
+                        "settings.services.0.aim_ns",
+                        null,
+                        "settings.services.1.name",
+                        "look",
+                        "settings.services.1.effect",
+                        "pure",
+                        "settings.services.1.aim_ns",
+                        "2000000000",
+                        "settings.services.1.window_ns",
+                        null,
+                        "settings.domain.class_calls",
+                        "true,false");
         assertThat(Plan.between(with(), swapped).steps()).isEmpty();
         assertThat(Plan.between(with(), swapped).result()).isEqualTo(with());
     }
 
     @Test
     void tracksComeAndGoAsAWholeAndWhatOthersHaveInCommonChanges() {
-        Plan plan = Plan.between(with(), with("settings.services.0.name", "glance", "settings.services.1.window_ns", "14e9"));
-        assertThat(said(plan)).containsExactly("removed track look, needs a restart",
-                "added track glance, needs a restart", "track unlock window 13.02s -> 14s, for new tickets");
+        Plan plan =
+                Plan.between(
+                        with(),
+                        with(
+                                "settings.services.0.name",
+                                "glance",
+                                "settings.services.1.window_ns",
+                                "14e9"));
+        assertThat(said(plan))
+                .containsExactly(
+                        "removed track look, needs a restart",
+                        "added track glance, needs a restart",
+                        "track unlock window 13.02s -> 14s, for new tickets");
         assertThat(plan.result().tracks()).containsExactly("look", "unlock");
         assertThat(plan.result().value("track unlock window")).isEqualTo("14000000000");
     }
 
     @Test
     void everyEntrySaysWhyItChangesWhenItDoes() {
-        assertThat(Schema.all()).hasSizeGreaterThan(50).allSatisfy(entry -> {
-            assertThat(entry.because()).as(entry.name()).isNotBlank();
-            assertThat(entry.meaning()).as(entry.name()).endsWith(".");
-            assertThat(entry.required() || !entry.otherwise().isEmpty()).as(entry.name()).isTrue();
-        });
+        assertThat(Schema.all())
+                .hasSizeGreaterThan(50)
+                .allSatisfy(
+                        entry -> {
+                            assertThat(entry.because()).as(entry.name()).isNotBlank();
+                            assertThat(entry.meaning()).as(entry.name()).endsWith(".");
+                            assertThat(entry.required() || !entry.otherwise().isEmpty())
+                                    .as(entry.name())
+                                    .isTrue();
+                        });
         assertThat(Schema.named("track * effect").change()).isEqualTo(Change.REFUSED);
     }
 }
--- a/src/test/java/lupinwood/reload/TriggersTest.java
+++ b/src/test/java/lupinwood/reload/TriggersTest.java
@@ -9,7 +9,9 @@
 import lupinwood.reload.Triggers.Reading;
 import org.junit.jupiter.api.Test;
 
-/** A file with a version that is written to, and what the decisions make of it, as a printed trace. */
+/**
+ * A file with a version that is written to, and what the decisions make of it, as a printed trace.
+ */
 final class TriggersTest {
     private Moment now = new Moment(100_000_000_000L);
     private int version = 1;
--- a/src/test/java/lupinwood/routes/RoutesTest.java
+++ b/src/test/java/lupinwood/routes/RoutesTest.java
@@ -11,10 +11,29 @@
 
 /** Which request is which ticket. */
 final class RoutesTest {
-    private final Map<String, String> values = new LinkedHashMap<>(Map.of("track look abandon-time", "8000000000",
-            "track look effect", "pure", "track unlock abandon-time", "4000000000", "track unlock effect", "receipted",
-            "route a path", "/look/*", "route a track", "look", "route b path", "/look/closely", "route b track",
-            "look", "route c path", "/unlock", "route c track", "unlock"));
+    private final Map<String, String> values =
+            new LinkedHashMap<>(
+                    Map.of(
+                            "track look abandon-time",
+                            "8000000000",
+                            "track look effect",
+                            "pure",
+                            "track unlock abandon-time",
+                            "4000000000",
+                            "track unlock effect",
+                            "receipted",
+                            "route a path",
+                            "/look/*",
+                            "route a track",
+                            "look",
+                            "route b path",
+                            "/look/closely",
+                            "route b track",
+                            "look",
+                            "route c path",
+                            "/unlock",
+                            "route c track",
+                            "unlock"));
 
     /** Those that the settings name. */
     private List<String> customers = List.of("north");
@@ -31,8 +50,17 @@
         for (int i = 0; i < headers.length; i += 2) {
             all.put(headers[i], headers[i + 1]);
         }
-        return new Routes(new Meaning(Map.of("track", List.of("look", "unlock"), "route", List.of("a", "b", "c"),
-                "customer", customers), values)).match(new One(method, path, all));
+        return new Routes(
+                        new Meaning(
+                                Map.of(
+                                        "track",
+                                        List.of("look", "unlock"),
+                                        "route",
+                                        List.of("a", "b", "c"),
+                                        "customer",
+                                        customers),
+                                values))
+                .match(new One(method, path, all));
     }
 
     @Test
@@ -63,11 +91,14 @@
         values.put("route c mark-header", "X-Lock");
         assertThat(match("GET", "/unlock").refusal()).isEqualTo(Refusal.OTHER_METHOD);
         assertThat(match("POST", "/unlock").refusal()).isEqualTo(Refusal.NO_CUSTOMER);
-        assertThat(match("POST", "/unlock", "x-customer", "n").refusal()).isEqualTo(Refusal.NO_MARK);
-        assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "zz").refusal()).isEqualTo(Refusal.BAD_MARK);
+        assertThat(match("POST", "/unlock", "x-customer", "n").refusal())
+                .isEqualTo(Refusal.NO_MARK);
+        assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "zz").refusal())
+                .isEqualTo(Refusal.BAD_MARK);
         assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "a".repeat(65)).refusal())
                 .isEqualTo(Refusal.BAD_MARK);
-        assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "ab12").mark()).isEqualTo("ab12");
+        assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "ab12").mark())
+                .isEqualTo("ab12");
         assertThat(match("GET", "/look/a", "x-customer", "n", "x-mark", "ab").refusal())
                 .isEqualTo(Refusal.MARK_WHERE_NONE_BELONGS);
     }
