--- a/src/main/java/lupinwood/Brain.java
+++ b/src/main/java/lupinwood/Brain.java
@@ -1,7 +1,34 @@
 package lupinwood;
 
-import java.util.*;
-import lupinwood.node.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.PriorityQueue;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import lupinwood.node.Alarms;
+import lupinwood.node.CallerId;
+import lupinwood.node.Effect;
+import lupinwood.node.Gauges;
+import lupinwood.node.Handle;
+import lupinwood.node.Histogram;
+import lupinwood.node.Moment;
+import lupinwood.node.Node;
+import lupinwood.node.Outcome;
+import lupinwood.node.Server;
+import lupinwood.node.Settings;
+import lupinwood.node.Span;
+import lupinwood.node.Ticket;
+import lupinwood.node.TicketId;
+import lupinwood.node.Track;
 
 /**
  * All decisions of one node: what it takes, runs, bounces and fails. The interface is package
@@ -528,7 +555,7 @@
             // Where tickets have had to wait for long, the others are likely as crowded, unless
             // slow here.
             boolean worthless =
-                    overShare || tooOld() || floor > mostFloor / 2 && slowness() < 1 / SAFE;
+                    overShare || tooOld() || (floor > mostFloor / 2 && slowness() < 1 / SAFE);
             // A burst's ticket asks nobody to stay away: its dispatcher carries the other customers
             // too.
             boolean burst = overShare && customer.crowding(customer.came) > 2 * customer.usual;
@@ -638,6 +665,7 @@
          * would keep its place to the end; so its ticket fails at once, or calls anew where that
          * does no harm.
          */
+        @SuppressWarnings("ReferenceEquality") // the moment's object stands for this one call
         private void watchCall(Moment thisCall, Span target) {
             if (state != State.CALLING || calledAt != thisCall) {
                 return;
--- a/src/main/java/lupinwood/ajp/BackReader.java
+++ b/src/main/java/lupinwood/ajp/BackReader.java
@@ -12,9 +12,12 @@
     public sealed interface Event permits Answer, More, Pong {}
 
     /**
+     * One whole answer.
+     *
      * @param body null where it grew past its bound
      * @param reuse whether the connection may carry another request
      */
+    @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
     public record Answer(int status, Map<String, String> headers, byte[] body, boolean reuse)
             implements Event {}
 
--- a/src/main/java/lupinwood/ajp/FrontReader.java
+++ b/src/main/java/lupinwood/ajp/FrontReader.java
@@ -12,8 +12,11 @@
     public sealed interface Event permits Whole, More, Ping {}
 
     /**
+     * One whole request.
+     *
      * @param body null where it grew past its bound
      */
+    @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
     public record Whole(Request request, byte[] body) implements Event {}
 
     /** More of a body is needed, so many bytes at most: the other side waits to be asked. */
--- a/src/main/java/lupinwood/ajp/Splitter.java
+++ b/src/main/java/lupinwood/ajp/Splitter.java
@@ -28,7 +28,7 @@
     byte[] next(ByteBuffer in) throws BadPacket {
         while (headRead < HEAD && in.hasRemaining()) {
             head[headRead++] = in.get();
-            if (headRead == 2 && ((head[0] & 0xFF) << 8 | head[1] & 0xFF) != magic) {
+            if (headRead == 2 && ((head[0] & 0xFF) << 8 | (head[1] & 0xFF)) != magic) {
                 throw new BadPacket("no packet begins with these bytes");
             }
         }
@@ -36,7 +36,7 @@
             return null;
         }
         if (payload == null) {
-            int length = (head[2] & 0xFF) << 8 | head[3] & 0xFF;
+            int length = (head[2] & 0xFF) << 8 | (head[3] & 0xFF);
             if (length > most) {
                 throw new BadPacket(
                         "a packet of " + length + " bytes is beyond the " + most + " agreed");
--- a/src/main/java/lupinwood/cli/FleetWork.java
+++ b/src/main/java/lupinwood/cli/FleetWork.java
@@ -67,10 +67,10 @@
 
     int run(List<String> words, Asked asked) {
         boolean fits =
-                words.size() == 1 && ALONE.contains(words.get(0))
-                        || words.size() == 2 && WITH_NODE.contains(words.get(0))
-                        || words.get(0).equals("release")
-                                && words.size() == (asked.program() == null ? 2 : 1);
+                (words.size() == 1 && ALONE.contains(words.get(0)))
+                        || (words.size() == 2 && WITH_NODE.contains(words.get(0)))
+                        || (words.get(0).equals("release")
+                                && words.size() == (asked.program() == null ? 2 : 1));
         if (!fits) {
             System.err.println(
                     "lupinwood: 'fleet' takes: status, leave NODE, halt, resume, forget NODE, release FILE,"
@@ -304,8 +304,8 @@
                 for (JsonElement one : all) {
                     long at = one.getAsJsonObject().get("atMillis").getAsLong();
                     last = one.getAsJsonObject().get("text").getAsString();
-                    if (printed >= 0 && at > printed
-                            || one == all.get(all.size() - 1) && printed < 0) {
+                    if ((printed >= 0 && at > printed)
+                            || (one == all.get(all.size() - 1) && printed < 0)) {
                         System.out.println(Instant.ofEpochMilli(at) + " " + last);
                     }
                 }
--- a/src/main/java/lupinwood/cli/Serve.java
+++ b/src/main/java/lupinwood/cli/Serve.java
@@ -94,7 +94,7 @@
         Serving node = new Serving(config, Brain::new, log);
         // The same way out as by SIGTERM.
         node.onLeaveAsked(() -> new Thread(() -> System.exit(0), "asked to leave").start());
-        boolean watches = watching == Watching.ON || watching == Watching.AUTO && !heard;
+        boolean watches = watching == Watching.ON || (watching == Watching.AUTO && !heard);
         Reloader reads = new Reloader(loader, loaded, looked, watches, node, log);
         if (inFleet) {
             node.onText(TextHands.of(loader, reads, node, (TextAtStart) agreed, log));
--- a/src/main/java/lupinwood/config/Formatter.java
+++ b/src/main/java/lupinwood/config/Formatter.java
@@ -53,7 +53,7 @@
                 case KdlLexer.CONTINUED -> continued(word);
                 case KdlLexer.NEWLINE -> {
                     breaks++;
-                    if (!lineBegun && !breakDue || breaks > 1) {
+                    if ((!lineBegun && !breakDue) || breaks > 1) {
                         emptyLineDue |= breaks > 1;
                     }
                     breakDue |= lineBegun;
--- a/src/main/java/lupinwood/config/Quantities.java
+++ b/src/main/java/lupinwood/config/Quantities.java
@@ -213,7 +213,7 @@
                         : number.divide(
                                 new BigDecimal(factor.substring(slash + 1)), MathContext.DECIMAL64);
         boolean whole =
-                entry.kind() != Kind.SPAN && entry.kind() != Kind.SPAN_MILLIS
+                (entry.kind() != Kind.SPAN && entry.kind() != Kind.SPAN_MILLIS)
                         || value.stripTrailingZeros().scale() <= 0;
         return whole
                 ? new Read(value, "", "")
@@ -261,7 +261,7 @@
             }
         }
         String called = CALLED.get(unit);
-        String near = called != null && units.containsKey(called.split(",")[0]) ? called : null;
+        String near = called != null && units.containsKey(called.split(",", 0)[0]) ? called : null;
         return Read.wrong(
                 unit + " is no unit that " + entry.own() + " is given in",
                 near == null
--- a/src/main/java/lupinwood/config/Reader.java
+++ b/src/main/java/lupinwood/config/Reader.java
@@ -263,7 +263,7 @@
 
     private void top(Statement statement) {
         String name = statement.name.text();
-        if (name.equals(LET) || statement.broken && statement.inside == null) {
+        if (name.equals(LET) || (statement.broken && statement.inside == null)) {
             if (!name.equals(LET)) {
                 spoilt(name);
                 whole &=
@@ -396,7 +396,7 @@
             return;
         }
         Entry entry = Meaning.entry(name);
-        if (entry == null || entry.name().contains("*") && prefix.isEmpty()) {
+        if (entry == null || (entry.name().contains("*") && prefix.isEmpty())) {
             unknown(statement, prefix);
             return;
         }
@@ -465,7 +465,7 @@
     private void unknown(Statement statement, String prefix) {
         String own = statement.name.text();
         Place place = statement.name.place();
-        String section = prefix.isEmpty() ? "" : prefix.split(" ")[0];
+        String section = prefix.isEmpty() ? "" : prefix.split(" ", 0)[0];
         Set<String> here = new TreeSet<>();
         String elsewhere = null;
         for (Entry entry : Schema.all()) {
--- a/src/main/java/lupinwood/config/Reference.java
+++ b/src/main/java/lupinwood/config/Reference.java
@@ -41,8 +41,10 @@
     public static String table() {
         StringBuilder out =
                 new StringBuilder(
-                        "| entry | write | bounds | default | a change counts | meaning |\n"
-                                + "| --- | --- | --- | --- | --- | --- |\n");
+                        """
+                        | entry | write | bounds | default | a change counts | meaning |
+                        | --- | --- | --- | --- | --- | --- |
+                        """);
         for (Entry entry : Schema.all()) {
             out.append("| `")
                     .append(where(entry))
--- a/src/main/java/lupinwood/config/Texts.java
+++ b/src/main/java/lupinwood/config/Texts.java
@@ -35,7 +35,7 @@
                                             || !digits.matches("[0-9a-fA-F]+")
                                     ? -1
                                     : Integer.parseInt(digits, 16);
-                    if (!Character.isValidCodePoint(code) || code >= 0xD800 && code < 0xE000) {
+                    if (!Character.isValidCodePoint(code) || (code >= 0xD800 && code < 0xE000)) {
                         return null;
                     }
                     plain.appendCodePoint(code);
--- a/src/main/java/lupinwood/config/Writer.java
+++ b/src/main/java/lupinwood/config/Writer.java
@@ -12,6 +12,8 @@
     private Writer() {}
 
     /**
+     * Writes a configuration in the language's canonical form.
+     *
      * @param remark what to say behind an entry, by its name; empty for nothing
      */
     public static String write(Meaning meaning, Function<String, String> remark) {
@@ -68,7 +70,7 @@
     private static String value(Entry entry, String name, String value) {
         if (entry.kind() == Kind.WORDS) {
             StringBuilder words = new StringBuilder();
-            for (String word : value.split(",")) {
+            for (String word : value.split(",", 0)) {
                 words.append(words.length() == 0 ? "" : " ").append(text(word));
             }
             return words.toString();
--- a/src/main/java/lupinwood/core/Answer.java
+++ b/src/main/java/lupinwood/core/Answer.java
@@ -9,6 +9,7 @@
  * @param comeBackAfter zero for no such advice
  * @param result the bytes as the executor gave them
  */
+@SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
 public record Answer(
         Word word, double advice, Span comeBackAfter, boolean askNoOther, byte[] result) {
     /** The kinds of answer. */
--- a/src/main/java/lupinwood/core/Arrival.java
+++ b/src/main/java/lupinwood/core/Arrival.java
@@ -17,6 +17,7 @@
  * @param receipt null where the ticket carries none
  * @param body the bytes as they came
  */
+@SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
 public record Arrival(
         TryId tryId,
         String track,
--- a/src/main/java/lupinwood/core/Connections.java
+++ b/src/main/java/lupinwood/core/Connections.java
@@ -196,7 +196,7 @@
     private boolean isLeftUnused(Connection connection) {
         return connection.rest == Rest.ENDED
                 || connection.silences > 1
-                || connection.rest == Rest.ASKED_TO_CLOSE && isStubborn(connection);
+                || (connection.rest == Rest.ASKED_TO_CLOSE && isStubborn(connection));
     }
 
     private Stream<Connection> of(Rest rest) {
--- a/src/main/java/lupinwood/core/TryId.java
+++ b/src/main/java/lupinwood/core/TryId.java
@@ -7,6 +7,6 @@
     public static boolean isValid(String text) {
         return text != null
                 && text.length() == LENGTH
-                && text.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f');
+                && text.chars().allMatch(c -> (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'));
     }
 }
--- a/src/main/java/lupinwood/council/Carriage.java
+++ b/src/main/java/lupinwood/council/Carriage.java
@@ -53,7 +53,8 @@
     private final BiConsumer<Peer, JsonObject> heard;
     private NioSocketAcceptor acceptor;
     private final Map<InetSocketAddress, ConnectFuture> links = new HashMap<>();
-    private volatile long bytes;
+    private final java.util.concurrent.atomic.AtomicLong bytes =
+            new java.util.concurrent.atomic.AtomicLong();
 
     /**
      * @param heard on a thread of the carriage's own
@@ -136,7 +137,7 @@
 
     /** What went out and came in so far. */
     long bytes() {
-        return bytes;
+        return bytes.get();
     }
 
     void end() {
@@ -158,7 +159,7 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            bytes += ((String) message).length();
+            bytes.addAndGet(((String) message).length());
             JsonObject read;
             try {
                 read = JsonParser.parseString((String) message).getAsJsonObject();
@@ -175,7 +176,7 @@
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            bytes += ((String) message).length();
+            bytes.addAndGet(((String) message).length());
         }
 
         @Override
--- a/src/main/java/lupinwood/council/Council.java
+++ b/src/main/java/lupinwood/council/Council.java
@@ -120,6 +120,8 @@
     public record Wish(Release.Kind kind, String to, String text, boolean backsOnHalt) {}
 
     /**
+     * The answer to an operator's order.
+     *
      * @param done whether it was carried out; else the text says why not now
      */
     public record Answer(boolean done, String text) {}
@@ -159,7 +161,6 @@
 
     private final NodeName self;
     private final Means means;
-    private final Rules rules;
     private final Book book;
     private final Steward steward;
     private final long tokensAbove;
@@ -189,7 +190,6 @@
             Means means) {
         this.self = self;
         this.means = means;
-        this.rules = rules;
         this.tokensAbove = tokensAbove;
         book = new Book(rules.mostMembers());
         steward = new Steward(rules, duties);
@@ -225,12 +225,14 @@
         raft = builder.build();
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // the engine logs its own start
     public void start() {
         raft.start();
         look();
     }
 
     /** It takes part no more; the folder may be closed after this. */
+    @SuppressWarnings("FutureReturnValueIgnored") // nothing follows the end
     public void stop() {
         over = true;
         raft.terminate();
@@ -262,6 +264,7 @@
      * One question to the majority at a time: a beat that comes while one is under way waits for
      * the next, since votes for that one may be older than the beat.
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
     private void confirm() {
         if (confirming || waiting.isEmpty() || over) {
             return;
@@ -336,6 +339,7 @@
     }
 
     /** Has a deed written, unless the same is under way. */
+    @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
     private void propose(Deed deed, Consumer<Boolean> done) {
         if (underWay.size() >= MOST_DEEDS_AT_ONCE || !underWay.add(deed)) {
             return;
@@ -593,6 +597,7 @@
      * asking: the id that it had goes first, so that what it may have promised under it binds
      * nobody to a vote it no longer knows of.
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
     void admit(String id) {
         RaftGroupMembers members = raft.getCommittedMembers();
         Voter one = new Voter(id);
@@ -629,6 +634,7 @@
     }
 
     /** Has another voter lead, where there is one: a leader that goes by itself leaves no gap. */
+    @SuppressWarnings("FutureReturnValueIgnored") // best effort: the lease runs out otherwise
     void handOver() {
         if (leads()) {
             raft.getCommittedMembers().getVotingMembers().stream()
--- a/src/main/java/lupinwood/council/Fleet.java
+++ b/src/main/java/lupinwood/council/Fleet.java
@@ -548,6 +548,7 @@
         publish();
     }
 
+    @SuppressWarnings("ReferenceEquality") // the reply's object stands for this one reply
     private void publish() {
         Moment now = loop.now();
         List<FleetView.Held> held = new ArrayList<>();
@@ -624,7 +625,7 @@
         boolean plans =
                 !settings.places().isEmpty()
                         && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
-        if (token != null || leads != null && releaseOpen || plans) {
+        if (token != null || (leads != null && releaseOpen) || plans) {
             JsonObject ask = new JsonObject();
             ask.addProperty("k", "ask");
             ask.addProperty("number", 0);
--- a/src/main/java/lupinwood/council/FleetView.java
+++ b/src/main/java/lupinwood/council/FleetView.java
@@ -36,16 +36,22 @@
                     null);
 
     /**
+     * One lease that this node holds.
+     *
      * @param until when it may be done no more
      */
     public record Held(DutyName duty, Token token, Moment until) {}
 
     /**
+     * This node's share of the slots by plan.
+     *
      * @param plan zero before the first
      */
     public record Share(long plan, Map<String, Integer> slots, Moment until) {}
 
     /**
+     * The result of one health check.
+     *
      * @param at when it was tried, by this node's clock
      */
     public record Found(String server, boolean well, Moment at) {}
--- a/src/main/java/lupinwood/council/Question.java
+++ b/src/main/java/lupinwood/council/Question.java
@@ -39,6 +39,8 @@
     }
 
     /**
+     * Asks the voters for the state as their leader has it.
+     *
      * @param plans with all plans that some node may go by
      */
     public static Council.State state(
--- a/src/main/java/lupinwood/council/RealLoop.java
+++ b/src/main/java/lupinwood/council/RealLoop.java
@@ -50,6 +50,7 @@
     }
 
     @Override
+    @SuppressWarnings("FutureReturnValueIgnored") // a guarded job logs its own failure
     public void after(Span span, Runnable job) {
         try {
             thread.schedule(guarded(job), Math.max(0, span.nanos()), TimeUnit.NANOSECONDS);
--- a/src/main/java/lupinwood/failover/Planner.java
+++ b/src/main/java/lupinwood/failover/Planner.java
@@ -97,7 +97,7 @@
     public Deed.SetPlan decide(View view, Token token, Moment now) {
         if (view.places().isEmpty()
                 || view.members().isEmpty()
-                || lastLook != null && now.since(lastLook).compareTo(every) < 0) {
+                || (lastLook != null && now.since(lastLook).compareTo(every) < 0)) {
             return null;
         }
         lastLook = now;
@@ -139,7 +139,7 @@
         }
         Map<String, Map<String, Integer>> next =
                 fits(view, target, bears, alone) ? target : least(target, view);
-        if (sameRoster && next.equals(current) || !fits(view, next, bears, alone)) {
+        if ((sameRoster && next.equals(current)) || !fits(view, next, bears, alone)) {
             pending = null; // as when a place bears less than before
             return null;
         }
--- a/src/main/java/lupinwood/fleet/Allotment.java
+++ b/src/main/java/lupinwood/fleet/Allotment.java
@@ -23,6 +23,8 @@
     }
 
     /**
+     * Takes in what the leader grants by the named plan.
+     *
      * @param ends when the lease that this word gives ends by this node's clock
      */
     public void told(long plan, Map<String, Integer> may, Moment ends) {
--- a/src/main/java/lupinwood/fleet/Deed.java
+++ b/src/main/java/lupinwood/fleet/Deed.java
@@ -26,6 +26,8 @@
     record Forget(NodeName name) implements Deed {}
 
     /**
+     * Gives a duty to a node.
+     *
      * @param after the duty's token before, so that one decision made twice is done once
      */
     record Give(DutyName duty, NodeName heir, Life life, Token after) implements Deed {}
--- a/src/main/java/lupinwood/fleet/Releases.java
+++ b/src/main/java/lupinwood/fleet/Releases.java
@@ -130,7 +130,7 @@
         if (open == null
                 || finish.release() != open.number()
                 || finish.done() == (open.back() || open.steps() == 0)
-                || !finish.done() && !open.given().isEmpty()) {
+                || (!finish.done() && !open.given().isEmpty())) {
             return false;
         }
         if (finish.done() && open.kind() == Release.Kind.CONFIGURATION) {
--- a/src/main/java/lupinwood/fleet/Steward.java
+++ b/src/main/java/lupinwood/fleet/Steward.java
@@ -231,7 +231,7 @@
             }
             boolean comes =
                     beat.condition() == Condition.COLD || beat.condition() == Condition.WARM;
-            if (isFresh(one, now) && (!in && comes || in && changed)) {
+            if (isFresh(one, now) && ((!in && comes) || (in && changed))) {
                 deeds.add(new Deed.Join(beat.name(), beat.life(), beat.site()));
             }
         }
--- a/src/main/java/lupinwood/lab/ConfigCost.java
+++ b/src/main/java/lupinwood/lab/ConfigCost.java
@@ -98,8 +98,16 @@
             text.append("track t")
                     .append(i)
                     .append(
-                            " {\n    effect pure\n    credit 2\n    late-value 20%\n"
-                                    + "    agreed-time 2s\n    abandon-time 8s // as told by the fleet\n    window 13020ms\n}\n");
+                            """
+                             {
+                                effect pure
+                                credit 2
+                                late-value 20%
+                                agreed-time 2s
+                                abandon-time 8s // as told by the fleet
+                                window 13020ms
+                            }
+                            """);
         }
         return text.toString();
     }
--- a/src/main/java/lupinwood/lab/ProcessFleet.java
+++ b/src/main/java/lupinwood/lab/ProcessFleet.java
@@ -122,7 +122,7 @@
         }
 
         boolean wasHeldUp(long since) {
-            return heldUpFrom <= System.currentTimeMillis() && heldUpUntil >= since
+            return (heldUpFrom <= System.currentTimeMillis() && heldUpUntil >= since)
                     || slowUntil >= since;
         }
 
--- a/src/main/java/lupinwood/lab/ReleaseWays.java
+++ b/src/main/java/lupinwood/lab/ReleaseWays.java
@@ -102,10 +102,11 @@
         double done = 0;
         int next = 0;
         for (double now = 0; now < horizon; now++) {
+            int wavesBefore = atOnce > 0 ? next / atOnce : 0;
             boolean turn =
                     atOnce > 0
                             && next < nodes
-                            && (every == 0 ? now == 0 : now >= next / atOnce * every);
+                            && (every == 0 ? now == 0 : now >= wavesBefore * every);
             for (int i = 0; turn && i < atOnce && next < nodes; i++) {
                 backAt[next++] = now + RESTART;
                 done = now + RESTART + WARMS_UP;
--- a/src/main/java/lupinwood/lab/StandIns.java
+++ b/src/main/java/lupinwood/lab/StandIns.java
@@ -12,7 +12,7 @@
     /** Each call is a hit, with its own question in brackets. */
     static void index(InputStream in, OutputStream out) throws IOException {
         for (String line = Wire.line(in); line != null; line = Wire.line(in)) {
-            String[] words = line.split(" ");
+            String[] words = line.split(" ", 0);
             if (words[0].equals("GET")) {
                 byte[] question = Wire.body(in, words[3]);
                 byte[] reply =
--- a/src/main/java/lupinwood/net/DispatcherListener.java
+++ b/src/main/java/lupinwood/net/DispatcherListener.java
@@ -235,7 +235,7 @@
 
     private static Map<String, String> fields(String text) {
         Map<String, String> fields = new HashMap<>();
-        for (String field : text.split(",")) {
+        for (String field : text.split(",", 0)) {
             int equals = field.indexOf('=');
             if (equals > 0) {
                 fields.put(field.substring(0, equals), field.substring(equals + 1));
--- a/src/main/java/lupinwood/net/FleetPart.java
+++ b/src/main/java/lupinwood/net/FleetPart.java
@@ -154,6 +154,7 @@
         return new Moment(System.nanoTime());
     }
 
+    @SuppressWarnings("ReferenceEquality") // a new share is a new object
     private void look() {
         tally = counts.tally();
         condition = host.isWarm(warmAfter) ? Condition.WARM : Condition.COLD;
--- a/src/main/java/lupinwood/net/Front.java
+++ b/src/main/java/lupinwood/net/Front.java
@@ -123,7 +123,7 @@
             // Guards against a round whose work grows with the square of those that don't read.
             waitingForAll = waiting > FEW && waitingForAll < 0 ? waitingForAll() : waitingForAll;
             // Guards against callers that don't read: their answers must not fill the memory.
-            if (waiting > MOST_WAITING || waiting > FEW && waitingForAll > MOST_WAITING_ALL) {
+            if (waiting > MOST_WAITING || (waiting > FEW && waitingForAll > MOST_WAITING_ALL)) {
                 waitingForAll -= waiting;
                 close(caller.id, Ending.SLOW_READER);
             } else if (caller.ends && !caller.ended) {
@@ -153,6 +153,9 @@
         /** How many messages came, and whether one is begun, as told by the socket thread. */
         private volatile long messages;
 
+        /** The same for the socket thread, which alone writes it. */
+        private long messagesRead;
+
         private volatile boolean midway;
         private boolean watched;
 
@@ -256,7 +259,8 @@
             try {
                 for (T message = next(bytes); message != null; message = next(bytes)) {
                     Runnable read = read(message);
-                    messages++;
+                    messagesRead++;
+                    messages = messagesRead;
                     news.add(
                             () -> {
                                 if (id != null) {
--- a/src/main/java/lupinwood/net/HttpReplyParser.java
+++ b/src/main/java/lupinwood/net/HttpReplyParser.java
@@ -17,7 +17,7 @@
 
     @Override
     public Reply next(ByteBuffer in) throws Malformed {
-        while (in.hasRemaining() || reply != null && left == 0) {
+        while (in.hasRemaining() || (reply != null && left == 0)) {
             if (reply != null) {
                 int part = Math.min(left, in.remaining());
                 in.position(in.position() + part);
@@ -45,8 +45,8 @@
     }
 
     private Reply read(String text) throws Malformed {
-        String[] lines = text.split("\r\n");
-        String[] status = lines[0].split(" ");
+        String[] lines = text.split("\r\n", 0);
+        String[] status = lines[0].split(" ", 0);
         if (status.length < 2
                 || !status[0].startsWith("HTTP/1.")
                 || !status[1].matches("[1-5][0-9][0-9]")) {
--- a/src/main/java/lupinwood/net/IndexLink.java
+++ b/src/main/java/lupinwood/net/IndexLink.java
@@ -35,6 +35,7 @@
      */
     private static final int MOST_CALLS = 64;
 
+    @SuppressWarnings("ArrayRecordComponent") // never compared
     private record Call(TryId id, Span cap, byte[] body) {}
 
     private final Means means;
--- a/src/main/java/lupinwood/net/LineParser.java
+++ b/src/main/java/lupinwood/net/LineParser.java
@@ -11,6 +11,7 @@
  */
 final class LineParser implements Parser<LineParser.Message> {
     /** One message: its words and its bytes, none where the line has no length. */
+    @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
     record Message(String[] words, byte[] body) {}
 
     private static final int MOST_LINE = 4096;
--- a/src/main/java/lupinwood/net/NodeConfig.java
+++ b/src/main/java/lupinwood/net/NodeConfig.java
@@ -217,8 +217,8 @@
      */
     private static void flatten(String path, JsonElement value, Map<String, String> into) {
         if (value.isJsonNull()
-                || value.isJsonArray() && value.getAsJsonArray().isEmpty()
-                || value.isJsonPrimitive() && value.getAsString().isEmpty()) {
+                || (value.isJsonArray() && value.getAsJsonArray().isEmpty())
+                || (value.isJsonPrimitive() && value.getAsString().isEmpty())) {
             return;
         }
         if (value.isJsonObject()) {
--- a/src/main/java/lupinwood/net/OpenFiles.java
+++ b/src/main/java/lupinwood/net/OpenFiles.java
@@ -33,7 +33,7 @@
         try {
             for (String line : Files.readAllLines(LIMITS)) {
                 if (line.startsWith(SAYS)) {
-                    String soft = line.substring(SAYS.length()).strip().split(" +")[0];
+                    String soft = line.substring(SAYS.length()).strip().split(" +", 0)[0];
                     return soft.matches("\\d{1,9}") ? Integer.parseInt(soft) : Integer.MAX_VALUE;
                 }
             }
--- a/src/main/java/lupinwood/node/Settings.java
+++ b/src/main/java/lupinwood/node/Settings.java
@@ -43,7 +43,7 @@
 
     /** One item of a list; empty where the list is shorter. */
     public String item(String name, int place) {
-        String[] items = text(name).split(",");
+        String[] items = text(name).split(",", 0);
         return place < items.length ? items[place] : "";
     }
 }
--- a/src/main/java/lupinwood/pools/Pool.java
+++ b/src/main/java/lupinwood/pools/Pool.java
@@ -201,6 +201,8 @@
     }
 
     /**
+     * Chooses a server and counts the attempt as in flight there.
+     *
      * @param may which servers carry out tickets of its kind
      */
     public int send(Moment now, List<Integer> tried, IntPredicate may) {
--- a/src/main/java/lupinwood/release/Conductor.java
+++ b/src/main/java/lupinwood/release/Conductor.java
@@ -121,7 +121,7 @@
                                             .ifPresent(history -> history.past(tally)));
         }
         boolean halted = !picture.haltedBy().isEmpty();
-        if (release.steps() != step || release.back() != back || wasHalted && !halted) {
+        if (release.steps() != step || release.back() != back || (wasHalted && !halted)) {
             step = release.steps();
             back = release.back();
             stepSeen = now;
@@ -337,7 +337,7 @@
         unpermitted.clear();
         for (NodeName node : release.given()) {
             Seen seen = picture.of(node).orElse(null);
-            if (seen == null || runs(seen, release.kind(), release.to()) && isWell(node, now)) {
+            if (seen == null || (runs(seen, release.kind(), release.to()) && isWell(node, now))) {
                 missing.remove(node);
                 continue;
             }
@@ -408,8 +408,8 @@
                         .allMatch(
                                 seen ->
                                         release.isGiven(seen.name())
-                                                || !isThere(seen)
-                                                        && seen.standing() != Standing.LEAVING);
+                                                || (!isThere(seen)
+                                                        && seen.standing() != Standing.LEAVING));
         if (!all) {
             long out =
                     picture.seen().stream()
@@ -522,8 +522,8 @@
                             ? !runs(seen, release.kind(), release.to())
                             : runs(seen, release.kind(), release.from());
             if (release.isGiven(node)
-                    || !isThere(seen) && !hadIt.contains(node)
-                    || old && isWell(node, now)) {
+                    || (!isThere(seen) && !hadIt.contains(node))
+                    || (old && isWell(node, now))) {
                 missing.remove(node);
                 continue;
             }
--- a/src/main/java/lupinwood/release/Limits.java
+++ b/src/main/java/lupinwood/release/Limits.java
@@ -16,6 +16,8 @@
 public record Limits(
         Span watch, Span watchMost, double harm, double slower, Span well, Span rejoin) {
     /**
+     * Makes the limits that follow from the settings.
+     *
      * @param lease the fleet's, which some follow from
      */
     public static Limits of(Span watch, Span watchMost, double harm, Span lease) {
--- a/src/main/java/lupinwood/reload/Plan.java
+++ b/src/main/java/lupinwood/reload/Plan.java
@@ -105,7 +105,7 @@
         if (entry == null || entry.list().isEmpty()) {
             return true;
         }
-        String item = name.split(" ")[1];
+        String item = name.split(" ", 0)[1];
         return old.items(entry.list()).contains(item) && next.items(entry.list()).contains(item);
     }
 
--- a/src/main/java/lupinwood/reload/Triggers.java
+++ b/src/main/java/lupinwood/reload/Triggers.java
@@ -97,7 +97,7 @@
             seen = look;
             seenAt = now;
         }
-        boolean due = asked || watches && !look.equals(settled);
+        boolean due = asked || (watches && !look.equals(settled));
         if (!due) {
             rest(now);
         }
--- a/src/main/java/lupinwood/settings/Checks.java
+++ b/src/main/java/lupinwood/settings/Checks.java
@@ -436,7 +436,7 @@
     private void servers() {
         for (String server : meaning.items(Schema.SERVER)) {
             String name = "server " + server + " tracks";
-            for (String track : meaning.values().getOrDefault(name, "").split(",")) {
+            for (String track : meaning.values().getOrDefault(name, "").split(",", 0)) {
                 if (isSound(name) && !meaning.tracks().contains(track)) {
                     fault(
                             name,
--- a/src/main/java/lupinwood/settings/Kind.java
+++ b/src/main/java/lupinwood/settings/Kind.java
@@ -43,6 +43,9 @@
     }
 
     public boolean isNumber() {
-        return ordinal() <= NUMBER.ordinal();
+        return switch (this) {
+            case SPAN, SPAN_MILLIS, SHARE, RATE, MEMORY_KB, MEMORY_MB, COUNT, NUMBER -> true;
+            default -> false;
+        };
     }
 }
--- a/src/main/java/lupinwood/settings/Meaning.java
+++ b/src/main/java/lupinwood/settings/Meaning.java
@@ -95,12 +95,13 @@
         Map<String, String> found = new TreeMap<>();
         flat.forEach(
                 (key, kept) -> {
-                    if (key.startsWith("settings.") && key.endsWith(".count") || isItemsName(key)) {
+                    if ((key.startsWith("settings.") && key.endsWith(".count"))
+                            || isItemsName(key)) {
                         return;
                     }
                     Entry plain = Schema.keyed(key + ".#");
                     if (plain != null) {
-                        String[] items = kept.split(",");
+                        String[] items = kept.split(",", 0);
                         for (int i = 0; i < items.length && i < tracks.size(); i++) {
                             put(
                                     plain,
@@ -265,7 +266,7 @@
         if (entry.list().isEmpty()) {
             return entry.key();
         }
-        String item = name.split(" ")[1];
+        String item = name.split(" ", 0)[1];
         boolean numbered =
                 entry.list().equals(Schema.TRACK) || entry.list().equals(Schema.CUSTOMER);
         return entry.key()
--- a/src/main/java/lupinwood/settings/Values.java
+++ b/src/main/java/lupinwood/settings/Values.java
@@ -35,7 +35,7 @@
         return switch (entry.kind()) {
             case WORD ->
                     entry.words().contains(kept)
-                                    || entry.bears(Lapse.UNKNOWN_WORD) && !kept.isEmpty()
+                                    || (entry.bears(Lapse.UNKNOWN_WORD) && !kept.isEmpty())
                             ? entry.said(kept)
                             : null;
             case FLAG -> kept.equals("true") || kept.equals("false") ? kept : null;
@@ -89,8 +89,8 @@
     }
 
     static String plain(BigDecimal number) {
-        BigDecimal short_ = number.signum() == 0 ? BigDecimal.ZERO : number.stripTrailingZeros();
-        return short_.toPlainString();
+        BigDecimal shortForm = number.signum() == 0 ? BigDecimal.ZERO : number.stripTrailingZeros();
+        return shortForm.toPlainString();
     }
 
     /** For people: the value with its unit, as the language writes it. */
--- a/src/test/java/lupinwood/Watched.java
+++ b/src/test/java/lupinwood/Watched.java
@@ -2,7 +2,11 @@
 
 import java.util.Map;
 import java.util.function.Consumer;
-import lupinwood.node.*;
+import lupinwood.node.Gauges;
+import lupinwood.node.Handle;
+import lupinwood.node.Node;
+import lupinwood.node.Span;
+import lupinwood.node.Ticket;
 
 /**
  * A node with somebody beside it: told of each ticket before it, and of the end of each round after
--- a/src/test/java/lupinwood/core/HostTest.java
+++ b/src/test/java/lupinwood/core/HostTest.java
@@ -3,11 +3,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.nio.charset.StandardCharsets;
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import lupinwood.Brain;
 import lupinwood.Machine;
 import lupinwood.Watched;
-import lupinwood.node.*;
+import lupinwood.node.CallerId;
+import lupinwood.node.Moment;
+import lupinwood.node.Span;
+import lupinwood.node.SubjectId;
+import lupinwood.node.Ticket;
 import org.junit.jupiter.api.Test;
 
 /** The host round a real Brain, with ports that print what is asked of them. */
