--- /dev/null
+++ b/src/test/java/lupinwood/council/GoldenForm.java
@@ -0,0 +1,46 @@
+package lupinwood.council;
+
+import com.google.gson.Gson;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.function.Function;
+
+/**
+ * One form that leaves the process: the golden file that holds its bytes, the value that they stand
+ * for, and the code that writes and reads it.
+ */
+record GoldenForm<T>(String file, T value, Function<T, String> write, Function<String, T> read) {
+    static final Path FOLDER = Path.of("src/test/resources/golden/replicated");
+
+    /** Writes and reads what voters, nodes and operators send each other. */
+    static final Gson JSON = new Gson();
+
+    /** A value as it stands inside of a message. */
+    static <T> GoldenForm<T> inMessage(String file, T value, Class<T> type) {
+        return new GoldenForm<>(
+                file,
+                value,
+                one -> JSON.toJsonTree(one).toString(),
+                text -> JSON.fromJson(JsonParser.parseString(text), type));
+    }
+
+    static JsonObject object(String text) {
+        return JsonParser.parseString(text).getAsJsonObject();
+    }
+
+    String written() {
+        return write.apply(value);
+    }
+
+    T readBack(String text) {
+        return read.apply(text);
+    }
+
+    String golden() throws IOException {
+        return Files.readString(FOLDER.resolve(file), StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/src/test/java/lupinwood/council/GoldenFormsTest.java
@@ -0,0 +1,139 @@
+package lupinwood.council;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import lupinwood.fleet.Beat;
+import lupinwood.fleet.Deed;
+import lupinwood.fleet.Reply;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+
+/**
+ * What is stored and sent stays as it is, byte for byte, whatever the types are called in Java. The
+ * files were written by the version before the first that renamed a type; they are never written
+ * anew.
+ */
+final class GoldenFormsTest {
+    static List<GoldenForm<?>> forms() {
+        List<GoldenForm<?>> forms = new ArrayList<>();
+        forms.addAll(GoldenCommands.forms());
+        forms.addAll(GoldenMessages.forms());
+        forms.addAll(GoldenRaft.forms());
+        return forms;
+    }
+
+    @TestFactory
+    Stream<DynamicTest> eachValueIsWrittenAsItsFileSays() {
+        return forms().stream()
+                .map(
+                        form ->
+                                DynamicTest.dynamicTest(
+                                        form.file(),
+                                        () -> assertThat(form.written()).isEqualTo(form.golden())));
+    }
+
+    @TestFactory
+    Stream<DynamicTest> eachFileIsReadAsItsValue() {
+        return forms().stream()
+                .map(form -> DynamicTest.dynamicTest(form.file(), () -> assertReadBack(form)));
+    }
+
+    private static <T> void assertReadBack(GoldenForm<T> form) throws IOException {
+        T read = form.readBack(form.golden());
+        assertIsValue(form, read);
+        assertThat(form.write().apply(read)).isEqualTo(form.golden());
+    }
+
+    /** The engine's messages have no equality of their own. */
+    private static void assertIsValue(GoldenForm<?> form, Object read) {
+        assertThat(read).as(form.file()).hasSameClassAs(form.value());
+        if (read instanceof Record || read instanceof Enum) {
+            assertThat(read).as(form.file()).isEqualTo(form.value());
+        } else {
+            assertThat(read).as(form.file()).usingRecursiveComparison().isEqualTo(form.value());
+        }
+    }
+
+    @Test
+    void eachFileHasAFormAndEachFormAFileOfItsOwn() throws IOException {
+        try (Stream<Path> files = Files.list(GoldenForm.FOLDER)) {
+            assertThat(files.map(file -> file.getFileName().toString()).toList())
+                    .containsExactlyInAnyOrderElementsOf(
+                            forms().stream().map(GoldenForm::file).toList());
+        }
+    }
+
+    @Test
+    void aCommandOfANewerVersionIsPassedOver() {
+        assertThat(DeedText.deed("{\"what\":1,\"deed\":\"Unheard\"}")).isNull();
+    }
+
+    /** A newer version may say more, at the top and further in. */
+    @Test
+    void fieldsOfANewerVersionArePassedOver() throws IOException {
+        for (GoldenForm<?> form : forms()) {
+            JsonObject more = new JsonObject();
+            more.add("newer", GoldenForm.object("{\"list\":[1,{\"a\":null}],\"text\":\"x\"}"));
+            GoldenForm.object(form.golden()).entrySet().forEach(one -> add(more, one));
+            assertIsValue(form, form.readBack(more.toString()));
+        }
+    }
+
+    private static void add(JsonObject to, Map.Entry<String, JsonElement> one) {
+        if (one.getValue().isJsonObject() && one.getValue().getAsJsonObject().has("number")) {
+            one.getValue().getAsJsonObject().addProperty("newer", 1);
+        }
+        to.add(one.getKey(), one.getValue());
+    }
+
+    @Test
+    void missingFieldsAreNullZeroOrFalseAndUnknownConstantsNull() {
+        Beat beat = GoldenForm.JSON.fromJson("{\"condition\":\"NEWER\"}", Beat.class);
+        assertThat(beat)
+                .isEqualTo(
+                        new Beat(0, null, null, null, null, 0, null, null, null, null, null, null));
+        Reply reply = GoldenForm.JSON.fromJson("{}", Reply.class);
+        assertThat(reply)
+                .isEqualTo(new Reply(0, false, null, null, null, null, null, 0, null, null, 0));
+        assertThat(DeedText.deed("{\"deed\":\"Free\",\"why\":\"NEWER\"}"))
+                .isEqualTo(new Deed.Free(null, null, null));
+    }
+
+    @Test
+    void theLastOfTwoEqualFieldsCountsAndExplicitNullsAreNull() {
+        assertThat(GoldenForm.JSON.fromJson("{\"number\":1,\"number\":2}", Reply.class).number())
+                .isEqualTo(2);
+        assertThat(GoldenForm.JSON.fromJson("{\"name\":null}", Beat.class).name()).isNull();
+        assertThat(GoldenForm.JSON.fromJson("null", Beat.class)).isNull();
+        assertThat(GoldenForm.JSON.toJsonTree(null).isJsonNull()).isTrue();
+    }
+
+    @Test
+    void whatDoesNotFitItsFieldIsRefused() {
+        for (String text :
+                List.of(
+                        "{\"number\":null}",
+                        "{\"taken\":null}",
+                        "{\"number\":\"x\"}",
+                        "{\"grants\":{}}",
+                        "{\"leader\":[]}",
+                        "[]",
+                        "7")) {
+            assertThatThrownBy(() -> GoldenForm.JSON.fromJson(text, Reply.class))
+                    .as(text)
+                    .isInstanceOf(JsonParseException.class);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/lupinwood/council/GoldenRaft.java
@@ -0,0 +1,238 @@
+package lupinwood.council;
+
+import com.google.gson.JsonParser;
+import io.microraft.MembershipChangeMode;
+import io.microraft.RaftEndpoint;
+import io.microraft.model.RaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.message.RaftMessage;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/** The messages of the consensus engine, its log entries and its pieces of a snapshot. */
+final class GoldenRaft {
+    private static final RaftModelFactory MODEL = RaftText.MODEL;
+    private static final Voter SENDER = new Voter("n0");
+    private static final int TERM = 7;
+
+    private GoldenRaft() {}
+
+    private static Set<RaftEndpoint> voters(String... ids) {
+        Set<RaftEndpoint> voters = new LinkedHashSet<>();
+        for (String id : ids) {
+            voters.add(new Voter(id));
+        }
+        return voters;
+    }
+
+    static RaftGroupMembersView view() {
+        return MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(12)
+                .setMembers(voters("n0", "n1", "n2~5f"))
+                .setVotingMembers(voters("n0", "n1"))
+                .build();
+    }
+
+    static LogEntry entry(long index, Object operation) {
+        return MODEL.createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(TERM)
+                .setOperation(operation)
+                .build();
+    }
+
+    private static Object change(MembershipChangeMode mode) {
+        return MODEL.createUpdateRaftGroupMembersOpBuilder()
+                .setMembers(voters("n0", "n1", "n2~5f"))
+                .setVotingMembers(voters("n0", "n1"))
+                .setEndpoint(new Voter("n2~5f"))
+                .setMode(mode)
+                .build();
+    }
+
+    static SnapshotChunk chunk(int number, int count, Object operation) {
+        return MODEL.createSnapshotChunkBuilder()
+                .setIndex(40)
+                .setTerm(TERM)
+                .setOperation(operation)
+                .setSnapshotChunkIndex(number)
+                .setSnapshotChunkCount(count)
+                .setGroupMembersView(view())
+                .build();
+    }
+
+    private static GoldenForm<RaftMessage> message(String file, RaftMessage message) {
+        return new GoldenForm<>(
+                "raft-" + file + ".json",
+                message,
+                one -> RaftText.of(one).toString(),
+                text -> RaftText.message(GoldenForm.object(text), Council.GROUP));
+    }
+
+    private static GoldenForm<LogEntry> stored(String file, LogEntry entry) {
+        return new GoldenForm<>(
+                "log-entry-" + file + ".json",
+                entry,
+                one -> RaftText.of(one).toString(),
+                text -> RaftText.entry(GoldenForm.object(text)));
+    }
+
+    private static Collection<GoldenForm<RaftMessage>> installs() {
+        return List.of(
+                message("install-snapshot", install(chunk(1, 2, "{\"members\":[]}"))),
+                message("install-snapshot-without-chunk", install(null)));
+    }
+
+    private static RaftMessage install(SnapshotChunk chunk) {
+        return MODEL.createInstallSnapshotRequestBuilder()
+                .setGroupId(Council.GROUP)
+                .setSender(SENDER)
+                .setTerm(TERM)
+                .setSenderLeader(true)
+                .setSnapshotTerm(6)
+                .setSnapshotIndex(40)
+                .setTotalSnapshotChunkCount(2)
+                .setSnapshotChunk(chunk)
+                .setSnapshottedMembers(voters("n0", "n1"))
+                .setGroupMembersView(view())
+                .setQuerySequenceNumber(3)
+                .setFlowControlSequenceNumber(4)
+                .build();
+    }
+
+    private static Collection<GoldenForm<RaftMessage>> appends() {
+        String command = DeedText.of(GoldenCommands.story().get(1));
+        List<LogEntry> entries =
+                List.of(
+                        entry(41, "term"),
+                        entry(42, command),
+                        entry(43, ""),
+                        entry(44, change(MembershipChangeMode.ADD_LEARNER)));
+        return List.of(
+                message("append", append(entries)),
+                message("append-empty", append(List.of())),
+                message(
+                        "append-success",
+                        MODEL.createAppendEntriesSuccessResponseBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setLastLogIndex(44)
+                                .setQuerySequenceNumber(3)
+                                .setFlowControlSequenceNumber(4)
+                                .build()),
+                message(
+                        "append-failure",
+                        MODEL.createAppendEntriesFailureResponseBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setExpectedNextIndex(30)
+                                .setQuerySequenceNumber(3)
+                                .setFlowControlSequenceNumber(4)
+                                .build()));
+    }
+
+    private static RaftMessage append(List<LogEntry> entries) {
+        return MODEL.createAppendEntriesRequestBuilder()
+                .setGroupId(Council.GROUP)
+                .setSender(SENDER)
+                .setTerm(TERM)
+                .setPreviousLogTerm(6)
+                .setPreviousLogIndex(40)
+                .setCommitIndex(39)
+                .setLogEntries(entries)
+                .setQuerySequenceNumber(3)
+                .setFlowControlSequenceNumber(4)
+                .build();
+    }
+
+    private static Collection<GoldenForm<RaftMessage>> votes() {
+        return List.of(
+                message(
+                        "pre-vote",
+                        MODEL.createPreVoteRequestBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setLastLogTerm(6)
+                                .setLastLogIndex(44)
+                                .build()),
+                message(
+                        "pre-vote-response",
+                        MODEL.createPreVoteResponseBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setGranted(true)
+                                .build()),
+                message(
+                        "vote",
+                        MODEL.createVoteRequestBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setLastLogTerm(6)
+                                .setLastLogIndex(44)
+                                .setSticky(true)
+                                .build()),
+                message(
+                        "vote-response",
+                        MODEL.createVoteResponseBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setGranted(false)
+                                .build()),
+                message(
+                        "trigger-election",
+                        MODEL.createTriggerLeaderElectionRequestBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setLastLogTerm(6)
+                                .setLastLogIndex(44)
+                                .build()),
+                message(
+                        "install-snapshot-response",
+                        MODEL.createInstallSnapshotResponseBuilder()
+                                .setGroupId(Council.GROUP)
+                                .setSender(SENDER)
+                                .setTerm(TERM)
+                                .setSnapshotIndex(40)
+                                .setRequestedSnapshotChunkIndex(1)
+                                .setQuerySequenceNumber(3)
+                                .setFlowControlSequenceNumber(4)
+                                .build()));
+    }
+
+    static List<GoldenForm<?>> forms() {
+        List<GoldenForm<?>> forms = new ArrayList<>();
+        forms.addAll(appends());
+        forms.addAll(votes());
+        forms.addAll(installs());
+        forms.add(stored("command", entry(42, DeedText.of(GoldenCommands.story().get(1)))));
+        int modeNumber = 0;
+        for (MembershipChangeMode mode : MembershipChangeMode.values()) {
+            forms.add(stored("membership-" + modeNumber++, entry(43, change(mode))));
+        }
+        forms.add(
+                new GoldenForm<>(
+                        "snapshot-chunk.json",
+                        chunk(0, 1, "{\"members\":[]}"),
+                        one -> RaftText.of(one).toString(),
+                        text -> RaftText.chunk(GoldenForm.object(text))));
+        forms.add(
+                new GoldenForm<>(
+                        "group-members.json",
+                        view(),
+                        one -> RaftText.of(one).toString(),
+                        text -> RaftText.view(JsonParser.parseString(text))));
+        return forms;
+    }
+}
