--- a/src/main/java/lupinwood/cli/FleetWork.java
+++ b/src/main/java/lupinwood/cli/FleetWork.java
@@ -1,6 +1,5 @@
 package lupinwood.cli;
 
-import com.google.gson.Gson;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -19,6 +18,7 @@
 import lupinwood.config.Reader;
 import lupinwood.council.Council;
 import lupinwood.council.Emptied;
+import lupinwood.council.FleetJson;
 import lupinwood.council.FleetSettings;
 import lupinwood.council.Question;
 import lupinwood.fleet.NodeName;
@@ -422,7 +422,7 @@
         if (isOpen(state)) {
             System.out.println(said(state));
         }
-        Council.State whole = new Gson().fromJson(state, Council.State.class);
+        Council.State whole = FleetJson.read(state, Council.State.class);
         whole.rests()
                 .forEach(
                         rest -> {
--- a/src/main/java/lupinwood/council/Fleet.java
+++ b/src/main/java/lupinwood/council/Fleet.java
@@ -1,6 +1,5 @@
 package lupinwood.council;
 
-import com.google.gson.Gson;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import io.microraft.model.message.RaftMessage;
@@ -49,7 +48,6 @@
 public final class Fleet {
     public static final List<DutyName> DUTIES =
             List.of(DutyName.KEEPER, DutyName.TRIAL, DutyName.CONDUCTOR, DutyName.PLANNER);
-    private static final Gson GSON = new Gson();
     private static final String PROGRAM = Spoilt.program();
     private static final Span LOOK = Span.ofSeconds(0.02);
     private static final double KEEP_EVERY = 5; // leases
@@ -298,11 +296,11 @@
                         });
             }
             case "beat" -> {
-                Beat beat = GSON.fromJson(text.get("b"), Beat.class);
+                Beat beat = FleetJson.read(text.get("b"), Beat.class);
                 loop.offer(() -> beat(beat, from));
             }
             case "reply" -> {
-                Reply reply = GSON.fromJson(text.get("r"), Reply.class);
+                Reply reply = FleetJson.read(text.get("r"), Reply.class);
                 loop.offer(() -> replied(reply));
             }
             case "who" -> {
@@ -319,7 +317,7 @@
             }
             case "am" -> {
                 NodeName name = new NodeName(text.get("from").getAsString());
-                Founding.State state = Founding.State.valueOf(text.get("state").getAsString());
+                Founding.State state = Founding.told(text);
                 loop.offer(
                         () -> {
                             if (founding != null) {
@@ -337,7 +335,7 @@
                         });
             }
             case "keep" -> {
-                Deed.Keep keep = GSON.fromJson(text.get("d"), Deed.Keep.class);
+                Deed.Keep keep = FleetJson.read(text.get("d"), Deed.Keep.class);
                 loop.offer(
                         () -> {
                             if (council != null && keep.digest().length() < 4096) {
@@ -346,7 +344,7 @@
                         });
             }
             case "order" -> {
-                Council.Order order = GSON.fromJson(text.get("o"), Council.Order.class);
+                Council.Order order = FleetJson.read(text.get("o"), Council.Order.class);
                 loop.offer(() -> order(order, from));
             }
             case "deed" -> {
@@ -402,7 +400,7 @@
                 reply -> {
                     JsonObject text = new JsonObject();
                     text.addProperty("k", "reply");
-                    text.add("r", GSON.toJsonTree(reply));
+                    text.add("r", FleetJson.tree(reply));
                     from.say(text);
                 };
         if (council == null) {
@@ -418,7 +416,7 @@
                     JsonObject text = new JsonObject();
                     text.addProperty("k", "done");
                     text.addProperty("leads", answer != null);
-                    text.add("a", GSON.toJsonTree(answer));
+                    text.add("a", FleetJson.tree(answer));
                     from.say(text);
                 };
         if (council == null) {
@@ -467,7 +465,7 @@
             text.addProperty("digest", digest);
             text.addProperty("text", council.text(digest));
             text.addProperty("program", council.wantedProgram(name));
-            text.add("rests", GSON.toJsonTree(council.resting()));
+            text.add("rests", FleetJson.tree(council.resting()));
         }
         to.say(text);
     }
@@ -485,7 +483,7 @@
                 "state",
                 council == null
                         ? new JsonObject()
-                        : GSON.toJsonTree(
+                        : FleetJson.tree(
                                 council.state(
                                         question.has("tallies"),
                                         question.has("past"),
@@ -520,7 +518,7 @@
     private void say(Session.Sent sent) {
         JsonObject text = new JsonObject();
         text.addProperty("k", "beat");
-        text.add("b", GSON.toJsonTree(sent.beat()));
+        text.add("b", FleetJson.tree(sent.beat()));
         carriage.say(voters.get(sent.to()), text);
     }
 
@@ -654,7 +652,7 @@
         if (keeper != null
                 && !keeper.tell(
                         token,
-                        GSON.toJson(state),
+                        FleetJson.gson().toJson(state),
                         () -> token.equals(view.mayAct(DutyName.KEEPER, loop.now())),
                         bad -> loop.execute(() -> keeperFails(bad)))) {
             return;
@@ -666,7 +664,7 @@
             text.addProperty("k", "keep");
             text.add(
                     "d",
-                    GSON.toJsonTree(
+                    FleetJson.tree(
                             new Deed.Keep(
                                     token,
                                     state.getAsJsonObject().getAsJsonArray("seen").size()
@@ -681,7 +679,7 @@
         if (token == null || !told.isJsonObject() || !told.getAsJsonObject().has("seen")) {
             return;
         }
-        Council.State state = GSON.fromJson(told, Council.State.class);
+        Council.State state = FleetJson.read(told, Council.State.class);
         Picture picture =
                 new Picture(
                         state.release(),
@@ -708,7 +706,7 @@
                 text.addProperty("k", "order");
                 text.add(
                         "o",
-                        GSON.toJsonTree(
+                        FleetJson.tree(
                                 new Council.Order(
                                         let.order(),
                                         "leave",
@@ -730,7 +728,7 @@
         if (token == null || !told.getAsJsonObject().has("plans")) {
             return;
         }
-        Council.State state = GSON.fromJson(told, Council.State.class);
+        Council.State state = FleetJson.read(told, Council.State.class);
         if (!token.equals(plansUnder)) {
             plansUnder = token;
             planner = new Planner(settings.rules().lease());
--- a/src/main/java/lupinwood/council/Founding.java
+++ b/src/main/java/lupinwood/council/Founding.java
@@ -124,6 +124,15 @@
                         .build());
     }
 
+    /**
+     * What another voter told by {@link #tell}.
+     *
+     * @throws IllegalArgumentException where it is of a newer version
+     */
+    static State told(JsonObject text) {
+        return FleetJson.constantOf(State.class, text.get("state").getAsString());
+    }
+
     static JsonObject ask(NodeName self) {
         JsonObject text = new JsonObject();
         text.addProperty("k", "who");
@@ -135,7 +144,7 @@
         JsonObject text = new JsonObject();
         text.addProperty("k", "am");
         text.addProperty("from", self.text());
-        text.addProperty("state", state.name());
+        text.addProperty("state", FleetJson.nameOf(state));
         return text;
     }
 }
--- a/src/main/java/lupinwood/council/Question.java
+++ b/src/main/java/lupinwood/council/Question.java
@@ -1,6 +1,5 @@
 package lupinwood.council;
 
-import com.google.gson.Gson;
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -18,7 +17,6 @@
 
 /** Asks the voters what they know, for a command. */
 public final class Question {
-    private static final Gson GSON = new Gson();
     private static final long AGAIN_MILLIS = 500;
 
     /** Which text, and which program, a node is to be started with, and which servers rest. */
@@ -48,7 +46,7 @@
             throws InterruptedException {
         return ask(voters, within, log, plans).values().stream()
                 .filter(one -> one.get("leads").getAsBoolean())
-                .map(one -> GSON.fromJson(one.get("state"), Council.State.class))
+                .map(one -> FleetJson.read(one.get("state"), Council.State.class))
                 .findFirst()
                 .orElse(null);
     }
@@ -155,14 +153,14 @@
                         (from, text) -> {
                             if (text.get("k").getAsString().equals("done")
                                     && text.get("leads").getAsBoolean()) {
-                                answers.offer(GSON.fromJson(text.get("a"), Council.Answer.class));
+                                answers.offer(FleetJson.read(text.get("a"), Council.Answer.class));
                             }
                         },
                         log);
         try {
             JsonObject text = new JsonObject();
             text.addProperty("k", "order");
-            text.add("o", GSON.toJsonTree(order));
+            text.add("o", FleetJson.tree(order));
             long end = System.nanoTime() + within.nanos();
             Council.Answer answer = null;
             while (answer == null && System.nanoTime() < end) {
--- a/src/main/java/lupinwood/fleet/Plans.java
+++ b/src/main/java/lupinwood/fleet/Plans.java
@@ -13,9 +13,9 @@
  * that any live plan, this one included, or their standing right gives them is no more than that.
  * More is given only after what it takes from has been taken back and the older plan is retired.
  */
-final class Plans {
+public final class Plans {
     /** As it is kept and sent. */
-    record Page(
+    public record Page(
             List<Plan> live,
             Map<String, Integer> bears,
             Map<String, Map<String, Integer>> alone,
--- a/src/main/java/lupinwood/fleet/Releases.java
+++ b/src/main/java/lupinwood/fleet/Releases.java
@@ -10,17 +10,19 @@
  * The agreed part of releases: which text and which program are good, and which release is under
  * way. Two versions are in use at the most, since the next one begins only when this one has ended.
  */
-final class Releases {
+public final class Releases {
     /** Characters of a text: it travels in one message and stands in each voter's folder. */
     static final int MOST_TEXT = 32 * 1024;
 
     /**
+     * A configuration as it is kept; both empty for none.
+     *
      * @param text of the digest that it goes with
      */
-    record Text(String digest, String text) {}
+    public record Text(String digest, String text) {}
 
     /** As it is kept and sent. */
-    record Page(
+    public record Page(
             Text good,
             String program,
             Text next,
--- a/src/main/java/lupinwood/lab/FleetCost.java
+++ b/src/main/java/lupinwood/lab/FleetCost.java
@@ -1,9 +1,9 @@
 package lupinwood.lab;
 
-import com.google.gson.Gson;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import lupinwood.council.FleetJson;
 import lupinwood.fleet.DutyName;
 import lupinwood.fleet.Rules;
 import lupinwood.node.Span;
@@ -47,7 +47,7 @@
                             TimedFleet.Without.NOTHING,
                             seed);
             fleet.stalls = false;
-            fleet.weigh(new Gson());
+            fleet.weigh(FleetJson.gson());
             fleet.startAll();
             fleet.time.playUntil(SETTLES);
             long beats = fleet.beats;
--- a/src/test/java/lupinwood/council/GoldenForm.java
+++ b/src/test/java/lupinwood/council/GoldenForm.java
@@ -17,7 +17,7 @@
     static final Path FOLDER = Path.of("src/test/resources/golden/replicated");
 
     /** Writes and reads what voters, nodes and operators send each other. */
-    static final Gson JSON = new Gson();
+    static final Gson JSON = FleetJson.gson();
 
     /** A value as it stands inside of a message. */
     static <T> GoldenForm<T> inMessage(String file, T value, Class<T> type) {
--- a/src/test/java/lupinwood/council/GoldenMessages.java
+++ b/src/test/java/lupinwood/council/GoldenMessages.java
@@ -288,9 +288,7 @@
                             "bootstrap-answer-" + stateNumber++ + ".json",
                             state,
                             one -> Founding.tell(GoldenCommands.N0, one).toString(),
-                            text ->
-                                    Founding.State.valueOf(
-                                            GoldenForm.object(text).get("state").getAsString())));
+                            text -> Founding.told(GoldenForm.object(text))));
         }
         return forms;
     }
--- a/src/test/java/lupinwood/council/MessageSizeTest.java
+++ b/src/test/java/lupinwood/council/MessageSizeTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import com.google.gson.Gson;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
@@ -78,7 +77,7 @@
                             Span.ofSeconds(0.123456789),
                             report));
         }
-        assertThat(new Gson().toJson(seen).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
+        assertThat(FleetJson.gson().toJson(seen).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
     }
 
     @Test
@@ -124,7 +123,7 @@
         assertThat(beat.cut().leftOut()).hasSize(1024);
         assertThat(beat.cut().report().emptied()).hasSize(1024);
         assertThat(beat.cut().report().uses()).hasSize(1024);
-        assertThat(new Gson().toJson(beat).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
+        assertThat(FleetJson.gson().toJson(beat).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
     }
 
     @Test
