--- /dev/null
+++ b/src/test/java/lupinwood/council/MixedVersionIT.java
@@ -0,0 +1,319 @@
+package lupinwood.council;
+
+import static java.nio.charset.StandardCharsets.US_ASCII;
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.fail;
+import static org.junit.jupiter.api.Assumptions.assumeTrue;
+
+import java.io.BufferedReader;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
+import java.util.stream.Stream;
+import lupinwood.fleet.Book;
+import lupinwood.fleet.DutyName;
+import lupinwood.fleet.Life;
+import lupinwood.fleet.NodeName;
+import lupinwood.fleet.Release;
+import lupinwood.fleet.Rest;
+import lupinwood.fleet.Token;
+import lupinwood.log.Log;
+import lupinwood.node.Span;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * Three voters of an earlier version are replaced one by one by this one, on the same folders: what
+ * was agreed on stays, and both versions agree on more meanwhile. Runs where the system property
+ * {@code lupinwood.previousJar} names the earlier version's jar.
+ */
+@Timeout(value = 240, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+final class MixedVersionIT {
+    private static final String PREVIOUS_JAR = System.getProperty("lupinwood.previousJar");
+    private static final int VOTERS = 3;
+    private static final Span ANSWERS_WITHIN = Span.ofSeconds(2);
+    private static final int MOST_LINKS = 100;
+    private static final long WAIT_SECONDS = 30;
+    private static final String NODE =
+            """
+            name n%d
+            listen "127.0.0.1:%d"
+            executor "127.0.0.1:%d"
+            index "127.0.0.1:2"
+            naming "127.0.0.1:3"
+            seed "%d"
+            stop 4s
+            step 4ms
+            limits { descriptors 512 }
+            customer north { share 100%%; quota 5000/s }
+            track history { effect pure; agreed-time 2s; abandon-time 6s }
+            server s0 { address "127.0.0.1:4"; tracks history; region r; zone z0; bears 30; near 2 }
+            server s1 { address "127.0.0.1:5"; tracks history; region r; zone z1; bears 30; near 2 }
+            release { watch 10min; watch-most 15min }
+            fleet { lease 1s; region r; zone z%d; listen "127.0.0.1:%d"; folder council }
+            """;
+
+    @TempDir private Path at;
+    private final Log quiet = new Log(new PrintStream(new ByteArrayOutputStream()), Instant::now);
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
+
+    private ServerSocket executor;
+
+    private final Process[] processes = new Process[VOTERS];
+
+    @BeforeEach
+    void startThePreviousVersion() throws IOException {
+        assumeTrue(PREVIOUS_JAR != null, "lupinwood.previousJar isn't set");
+        executor = new ServerSocket(0, MOST_LINKS, InetAddress.getLoopbackAddress());
+        daemon(this::executor);
+        for (int i = 0; i < VOTERS; i++) {
+            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort()));
+        }
+        for (int i = 0; i < VOTERS; i++) {
+            Files.createDirectories(folder(i));
+            StringBuilder text = new StringBuilder();
+            text.append(
+                    NODE.formatted(
+                            i,
+                            freePort(),
+                            executor.getLocalPort(),
+                            i,
+                            i,
+                            addresses.get(i).getPort()));
+            for (int voter = 0; voter < VOTERS; voter++) {
+                text.append(
+                        "voter n%d { address \"127.0.0.1:%d\" }\n"
+                                .formatted(voter, addresses.get(voter).getPort()));
+            }
+            Files.writeString(folder(i).resolve("node.kdl"), text.toString());
+            start(i, PREVIOUS_JAR);
+        }
+    }
+
+    @AfterEach
+    void endAll() throws InterruptedException, IOException {
+        if (executor != null) {
+            executor.close();
+        }
+        for (Process process : processes) {
+            if (process != null) {
+                process.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
+            }
+        }
+    }
+
+    /** Takes links and is warm, and has nothing to run: without one a node gets no duty. */
+    private void executor() {
+        while (!executor.isClosed()) {
+            try {
+                Socket link = executor.accept();
+                daemon(() -> talk(link));
+            } catch (IOException e) {
+                return; // it is over
+            }
+        }
+    }
+
+    private static void daemon(Runnable job) {
+        Thread thread = new Thread(job, "executor");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private static void talk(Socket link) {
+        try (link;
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(link.getInputStream(), US_ASCII))) {
+            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                List<String> words = List.of(line.split(" ", 0));
+                String answer =
+                        words.get(0).equals("JOIN")
+                                ? "WELCOME WARM 60000\r\n"
+                                : "METERS " + words.get(1) + " 0.5 0 0.1 1\r\n";
+                link.getOutputStream().write(answer.getBytes(US_ASCII));
+            }
+        } catch (IOException e) {
+            // the node went
+        }
+    }
+
+    private static int freePort() throws IOException {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return free.getLocalPort();
+        }
+    }
+
+    private Path folder(int number) {
+        return at.resolve("n" + number);
+    }
+
+    private Path log(int number) {
+        return folder(number).resolve("log.txt");
+    }
+
+    private void start(int number, String classPath) throws IOException {
+        processes[number] =
+                new ProcessBuilder(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx64m",
+                                "-cp",
+                                classPath,
+                                "lupinwood.cli.Main",
+                                "serve",
+                                "--config",
+                                "node.kdl")
+                        .directory(folder(number).toFile())
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .redirectError(ProcessBuilder.Redirect.appendTo(log(number).toFile()))
+                        .start();
+    }
+
+    private void replace(int number) throws IOException, InterruptedException {
+        processes[number].destroyForcibly().waitFor(5, TimeUnit.SECONDS);
+        Files.writeString(log(number), ""); // from here on it tells of this version
+        start(number, System.getProperty("java.class.path"));
+    }
+
+    private Council.State await(String what, Predicate<Council.State> holds)
+            throws InterruptedException, IOException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        Council.State state = null;
+        while (System.nanoTime() < end && Stream.of(processes).allMatch(Process::isAlive)) {
+            state = Question.state(addresses, ANSWERS_WITHIN, quiet, true);
+            if (state != null && holds.test(state)) {
+                return state;
+            }
+            Thread.sleep(100);
+        }
+        StringBuilder logs = new StringBuilder();
+        for (int i = 0; i < VOTERS; i++) {
+            logs.append("\n--- n").append(i).append('\n').append(Files.readString(log(i)));
+        }
+        return fail("not in time, or a process went: " + what + "; last " + state + logs);
+    }
+
+    private String order(String id, String what, Council.Wish wish, String server)
+            throws InterruptedException {
+        Council.Order order = new Council.Order(id, what, null, "ann", wish, server);
+        for (int i = 0; i < 10; i++) {
+            Council.Answer answer = Question.order(addresses, order, Span.ofSeconds(10), quiet);
+            if (answer != null && answer.done()) {
+                return answer.text();
+            }
+            Thread.sleep(500); // nobody leads yet, or what came before it isn't over yet
+        }
+        return fail("was not done: " + order);
+    }
+
+    private static Map<DutyName, Token> tokens(Council.State state) {
+        Map<DutyName, Token> tokens = new HashMap<>();
+        state.duties().forEach(held -> tokens.put(held.duty(), held.token()));
+        return tokens;
+    }
+
+    private static Map<NodeName, Life> lives(Council.State state) {
+        Map<NodeName, Life> lives = new HashMap<>();
+        state.members().forEach(member -> lives.put(member.name(), member.life()));
+        return lives;
+    }
+
+    private static boolean isWhole(Council.State state) {
+        return state.leader() != null
+                && state.members().size() == VOTERS
+                && state.members().stream().allMatch(Book.Member::in)
+                && state.duties().size() == Fleet.DUTIES.size()
+                && state.duties().stream().noneMatch(Book.Held::isFree)
+                && !state.plans().isEmpty();
+    }
+
+    /** Replaces one voter; what was agreed on before is there after, and nothing goes back. */
+    private Council.State replaceAndCompare(int number, Council.State before)
+            throws IOException, InterruptedException {
+        NodeName name = new NodeName("n" + number);
+        Life old = lives(before).get(name);
+        replace(number);
+        Council.State after =
+                await(
+                        name + " is back",
+                        state -> isWhole(state) && !lives(state).get(name).equals(old));
+        Map<NodeName, Life> others = lives(before);
+        others.remove(name);
+        assertThat(lives(after)).containsAllEntriesOf(others);
+        tokens(before)
+                .forEach(
+                        (duty, token) ->
+                                assertThat(tokens(after).get(duty))
+                                        .as("the token of " + duty)
+                                        .isGreaterThanOrEqualTo(token));
+        before.duties().stream()
+                .filter(held -> tokens(after).get(held.duty()).equals(held.token()))
+                .forEach(held -> assertThat(after.duties()).contains(held));
+        assertThat(after.history().subList(0, before.history().size())).isEqualTo(before.history());
+        assertThat(after.rests()).isEqualTo(before.rests());
+        assertThat(after.permits()).isEqualTo(before.permits());
+        assertThat(after.haltedBy()).isEqualTo(before.haltedBy());
+        assertThat(after.good()).isEqualTo(before.good());
+        assertThat(after.release()).isEqualTo(before.release());
+        assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
+        assertThat(after.plans().stream().filter(one -> one.number() <= before.lastPlan()))
+                .isSubsetOf(before.plans());
+        assertThat(after.deeds()).isGreaterThan(before.deeds());
+        assertThat(Files.readString(log(number)))
+                .contains("a voter, with what it kept")
+                .doesNotContain("can't be read");
+        return after;
+    }
+
+    private Question.Wanted wanted() throws InterruptedException {
+        return Question.wanted(addresses, new NodeName("n1"), Span.ofSeconds(20), quiet);
+    }
+
+    @Test
+    void whatWasAgreedOnStaysWhileVotersAreReplacedOneByOne() throws Exception {
+        await("the fleet is whole", MixedVersionIT::isWhole);
+        Council.Wish program = new Council.Wish(Release.Kind.PROGRAM, "0.6", "", false);
+        String began = order("order-1", "release", program, null);
+        order("order-2", "back", null, null);
+        await("the release is over", state -> state.release() == null);
+        String rested = order("order-3", "rest", null, "s0");
+        Council.State old = await("s0 rests", state -> !state.rests().isEmpty() && isWhole(state));
+        assertThat(old.rests()).containsExactly(new Rest("s0", "ann"));
+
+        Council.State mixed = replaceAndCompare(0, old);
+        assertThat(order("order-3", "rest", null, "s0")).as("done once").isEqualTo(rested);
+        assertThat(wanted()).isEqualTo(new Question.Wanted("", "", "", List.of("s0")));
+        replaceAndCompare(1, mixed);
+
+        order("order-4", "unrest", null, "s0");
+        order("order-5", "release", program, null);
+        mixed = await("a release is open", state -> state.release() != null && isWhole(state));
+        assertThat(mixed.rests()).isEmpty();
+        Council.State all = replaceAndCompare(2, mixed);
+
+        assertThat(all.release().number()).isEqualTo(2);
+        assertThat(all.release().to()).isEqualTo("0.6");
+        assertThat(order("order-1", "release", program, null)).as("done once").isEqualTo(began);
+        order("order-6", "back", null, null);
+        await("the release is over", state -> state.release() == null && isWhole(state));
+    }
+}
