--- a/src/main/java/lupinwood/cli/Main.java
+++ b/src/main/java/lupinwood/cli/Main.java
@@ -16,7 +16,8 @@
         System.exit(run(args));
     }
 
-    private static int run(String[] args) {
+    /** Runs one command line and returns its exit status. */
+    static int run(String[] args) {
         // A node that starts needs no other command, and the parser would take its time to look
         // each through.
         Map<String, Command> commands =
--- a/src/main/java/lupinwood/cli/Serve.java
+++ b/src/main/java/lupinwood/cli/Serve.java
@@ -1,9 +1,14 @@
 package lupinwood.cli;
 
 import com.beust.jcommander.Parameter;
+import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
+import com.beust.jcommander.converters.BaseConverter;
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.EnumSet;
+import java.util.Locale;
+import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import lupinwood.Brain;
 import lupinwood.load.Loader;
@@ -43,6 +48,7 @@
 
     @Parameter(
             names = "--watch",
+            converter = WatchingConverter.class,
             description =
                     "Reload when the configuration's files change: 'on', 'off', or"
                             + " 'auto', which is on where SIGHUP can't be heard")
@@ -50,9 +56,48 @@
 
     /** Whether changed files are reason enough to read them. */
     enum Watching {
-        AUTO,
-        ON,
-        OFF
+        AUTO("AUTO"),
+        ON("ON"),
+        OFF("OFF");
+
+        private final String word;
+
+        Watching(String word) {
+            this.word = word;
+        }
+
+        /** As the command line has it, which the usage text prints too. */
+        @Override
+        public String toString() {
+            return word;
+        }
+    }
+
+    /** Takes the words as they are, or in small letters. */
+    static final class WatchingConverter extends BaseConverter<Watching> {
+        /**
+         * For one option.
+         *
+         * @param optionName as errors call it
+         */
+        public WatchingConverter(String optionName) {
+            super(optionName);
+        }
+
+        @Override
+        public Watching convert(String value) {
+            Set<Watching> all = EnumSet.allOf(Watching.class);
+            return all.stream()
+                    .filter(each -> each.word.equals(value.toUpperCase(Locale.ROOT)))
+                    .findFirst()
+                    .orElseThrow(
+                            () ->
+                                    new ParameterException(
+                                            "Invalid value for "
+                                                    + getOptionName()
+                                                    + " parameter. Allowed values:"
+                                                    + all));
+        }
     }
 
     /** The exit status; other than 0 where it could not start. */
