--- a/src/main/java/lupinwood/net/AjpFront.java
+++ b/src/main/java/lupinwood/net/AjpFront.java
@@ -98,6 +98,18 @@
         };
     }
 
+    /** What a web server reads of each, in the header that says why. */
+    private static String word(Routes.Refusal refusal) {
+        return switch (refusal) {
+            case NO_ROUTE -> "NO_ROUTE";
+            case OTHER_METHOD -> "OTHER_METHOD";
+            case NO_CUSTOMER -> "NO_CUSTOMER";
+            case NO_MARK -> "NO_MARK";
+            case BAD_MARK -> "BAD_MARK";
+            case MARK_WHERE_NONE_BELONGS -> "MARK_WHERE_NONE_BELONGS";
+        };
+    }
+
     private static String reason(int status) {
         return switch (status) {
             case 200 -> "OK";
@@ -209,7 +221,7 @@
                                 }
                             });
             if (match.refusal() != null) {
-                return refuse(status(match.refusal()), match.refusal().toString());
+                return refuse(status(match.refusal()), word(match.refusal()));
             }
             if (whole.body() == null) {
                 return refuse(413, "a body of more than " + MOST_BODY + " bytes");
