--- a/src/test/java/lupinwood/ajp/GoldenAjpTest.java
+++ b/src/test/java/lupinwood/ajp/GoldenAjpTest.java
@@ -97,6 +97,11 @@
         container("too many headers", head(2, 101).one(0xFF).packet());
         container("longer than itself", request(2).one(0xFF).one(1).packet());
         container("length that is none", head(4, 1).two(0xA008).text("1x").one(0xFF).packet());
+        GoldenFile.holds("ajp/container-reads.txt", transcript.toString());
+    }
+
+    @Test
+    void aContainersSideMakesTheSameOfBodies() {
         byte[] sized = Requests.forward("POST", "/x", Map.of(), BODY.length, null);
         container("body", sized, Requests.part(BODY, 0, 99, PACKET));
         container(
@@ -124,7 +129,7 @@
                 }) {
             container("no packet", HexFormat.of().parseHex(hex));
         }
-        GoldenFile.holds("ajp/container-reads.txt", transcript.toString());
+        GoldenFile.holds("ajp/container-reads-bodies.txt", transcript.toString());
     }
 
     @Test
--- a/src/test/java/lupinwood/net/GoldenLinesTest.java
+++ b/src/test/java/lupinwood/net/GoldenLinesTest.java
@@ -156,7 +156,12 @@
         tell("EXIT", 106, " OK 1 2\r\nok");
         answered();
         noteHeard();
-        title("what means nothing harms nothing");
+        GoldenFile.holds("lines/refused.txt", transcript());
+    }
+
+    @Test
+    void whatMeansNothingHarmsNothing() throws Exception {
+        beginWith("WELCOME WARM 12");
         for (String line :
                 List.of(
                         "BAD METER 7",
@@ -181,7 +186,7 @@
         tell("EXIT", 107, " OK 1 2\r\nok");
         answered();
         noteHeard();
-        GoldenFile.holds("lines/refused.txt", transcript());
+        GoldenFile.holds("lines/passed-over.txt", transcript());
     }
 
     /** The executor takes a new link; the node's clock goes on until it makes one. */
