--- a/src/main/java/lupinwood/node/Histogram.java
+++ b/src/main/java/lupinwood/admission/Histogram.java
@@ -1,4 +1,4 @@
-package lupinwood.node;
+package lupinwood.admission;
 
 /** A small histogram of positive figures in coarse bins, halved when it has taken in so many. */
 public final class Histogram {
@@ -48,7 +48,9 @@
     public double median() {
         if (Double.isNaN(median)) {
             int bin = 0;
-            for (double below = bins[0]; below * 2 < weight && bin < BINS - 1; below += bins[bin]) {
+            for (double cumulative = bins[0];
+                    cumulative * 2 < weight && bin < BINS - 1;
+                    cumulative += bins[bin]) {
                 bin++;
             }
             median = MIDDLES[bin];
--- a/src/main/java/lupinwood/node/Effect.java
+++ b/src/main/java/lupinwood/admission/Idempotency.java
@@ -1,11 +1,11 @@
-package lupinwood.node;
+package lupinwood.admission;
 
-/** What running a ticket twice would do. */
-public enum Effect {
+/** What running a request twice would do. */
+public enum Idempotency {
     /** Nothing: it may run again. */
-    PURE,
+    SAFE,
     /** It carries a mark by which a repeat is known, and must run once within its window. */
-    RECEIPTED,
+    IDEMPOTENT,
     /** It must never run twice. */
-    EFFECTFUL
+    UNSAFE
 }
--- a/src/main/java/lupinwood/node/Outcome.java
+++ b/src/main/java/lupinwood/admission/Outcome.java
@@ -1,4 +1,4 @@
-package lupinwood.node;
+package lupinwood.admission;
 
 /** How a run or a call below ended. */
 public enum Outcome {
--- /dev/null
+++ b/src/main/java/lupinwood/admission/RequestClassId.java
@@ -0,0 +1,4 @@
+package lupinwood.admission;
+
+/** A request class, by its place in the settings. */
+public record RequestClassId(int number) {}
--- a/src/main/java/lupinwood/node/Gauges.java
+++ b/src/main/java/lupinwood/admission/ResourceUsage.java
@@ -1,16 +1,17 @@
-package lupinwood.node;
+package lupinwood.admission;
 
 import java.util.List;
 
 /** What the machine reads off itself; NaN for what it can't tell. */
-public record Gauges(double coreUse, double wantingCore, double memoryShare, double connections) {
-    public static final Gauges UNKNOWN = named(List.of(), new double[0]);
+public record ResourceUsage(
+        double coreUse, double wantingCore, double memoryShare, double connections) {
+    public static final ResourceUsage UNKNOWN = named(List.of(), new double[0]);
 
     /**
      * Values in the order of their names, as the settings list them; other names are passed over.
      */
-    public static Gauges named(List<String> names, double[] values) {
-        return new Gauges(
+    public static ResourceUsage named(List<String> names, double[] values) {
+        return new ResourceUsage(
                 value("core_use", names, values),
                 value("on_cores", names, values),
                 value("heap_share", names, values),
--- a/src/main/java/lupinwood/node/Settings.java
+++ b/src/main/java/lupinwood/admission/SettingsMap.java
@@ -1,16 +1,16 @@
-package lupinwood.node;
+package lupinwood.admission;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** A plain map of names to values, read as what they stand for. An absent name is not an error. */
-public final class Settings {
+public final class SettingsMap {
     private final Map<String, String> values;
 
     /** Numbers are asked for often; each is parsed once. */
     private final Map<String, Double> numbers = new HashMap<>();
 
-    public Settings(Map<String, String> values) {
+    public SettingsMap(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
 
@@ -33,8 +33,8 @@
         return known.isNaN() ? otherwise : known;
     }
 
-    public Span span(String name) {
-        return new Span(Math.round(number(name, 0)));
+    public NanoDuration duration(String name) {
+        return new NanoDuration(Math.round(number(name, 0)));
     }
 
     public boolean is(String name, String value) {
--- a/src/main/java/lupinwood/ajp/FrontReader.java
+++ b/src/main/java/lupinwood/ajp/FrontReader.java
@@ -89,18 +89,18 @@
                 throw new BadPacket("a part of a body that is shorter than its packet");
             }
         }
-        long told = request.contentLength();
+        long reported = request.contentLength();
         got += part.length;
-        if (told >= 0 && got > told) {
+        if (reported >= 0 && got > reported) {
             throw new BadPacket("a body longer than its length");
         }
         if (got <= mostBody) {
             body.writeBytes(part);
         }
-        if (part.length > 0 && (told < 0 || got < told)) {
+        if (part.length > 0 && (reported < 0 || got < reported)) {
             return more();
         }
-        if (told >= 0 && got < told) {
+        if (reported >= 0 && got < reported) {
             throw new BadPacket("a body that ends before its length");
         }
         Whole whole = new Whole(request, got <= mostBody ? body.toByteArray() : null);
--- a/src/main/java/lupinwood/ajp/RequestReader.java
+++ b/src/main/java/lupinwood/ajp/RequestReader.java
@@ -82,13 +82,13 @@
     }
 
     private static long length(Map<String, String> headers) throws BadPacket {
-        String told = headers.get("content-length");
-        if (told == null) {
+        String reported = headers.get("content-length");
+        if (reported == null) {
             return headers.containsKey("transfer-encoding") ? -1 : 0;
         }
-        if (!told.matches("[0-9]{1,15}")) {
+        if (!reported.matches("[0-9]{1,15}")) {
             throw new BadPacket("a content length that is none");
         }
-        return Long.parseLong(told);
+        return Long.parseLong(reported);
     }
 }
--- a/src/main/java/lupinwood/pools/Trials.java
+++ b/src/main/java/lupinwood/balancing/HealthChecker.java
@@ -1,10 +1,10 @@
-package lupinwood.pools;
+package lupinwood.balancing;
 
 /** Who tries a server that was left out: each node by itself, or one for all. */
-public interface Trials {
+public interface HealthChecker {
     /** Each by itself. */
-    Trials ALONE =
-            new Trials() {
+    HealthChecker ALONE =
+            new HealthChecker() {
                 @Override
                 public boolean mayTry(String server) {
                     return true;
--- a/src/main/java/lupinwood/pools/Rules.java
+++ b/src/main/java/lupinwood/balancing/OutlierLimits.java
@@ -1,6 +1,6 @@
-package lupinwood.pools;
+package lupinwood.balancing;
 
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
 
 /**
  * What a pool goes by.
@@ -12,8 +12,12 @@
  * @param leftOutMost and no longer than this
  * @param repeatShare tries made again, for each first one
  */
-public record Rules(
-        int mostOut, int failures, Span leftOutFirst, Span leftOutMost, double repeatShare) {
-    public static final Rules USUAL =
-            new Rules(32, 4, Span.ofSeconds(0.5), Span.ofSeconds(30), 0.1);
+public record OutlierLimits(
+        int mostOut,
+        int failures,
+        NanoDuration leftOutFirst,
+        NanoDuration leftOutMost,
+        double repeatShare) {
+    public static final OutlierLimits USUAL =
+            new OutlierLimits(32, 4, NanoDuration.ofSeconds(0.5), NanoDuration.ofSeconds(30), 0.1);
 }
--- a/src/main/java/lupinwood/pools/Budget.java
+++ b/src/main/java/lupinwood/balancing/RetryBudget.java
@@ -1,11 +1,11 @@
-package lupinwood.pools;
+package lupinwood.balancing;
 
 /**
  * How many tries may be made again: a small share of the first ones, at any size, with a little
  * saved up for quiet times. When all servers fail, repeats stay that share and no storm comes of
  * them.
  */
-public final class Budget {
+public final class RetryBudget {
     private final double share;
     private final double most;
     private double saved;
@@ -16,13 +16,13 @@
      * @param share repeats for each first try, from 0 to 1
      * @param most how many may be saved up
      */
-    public Budget(double share, double most) {
+    public RetryBudget(double share, double most) {
         this.share = share;
         this.most = most;
         saved = most;
     }
 
-    /** A ticket is tried for the first time. */
+    /** A request is tried for the first time. */
     public void first() {
         firsts++;
         saved = Math.min(most, saved + share);
--- a/src/main/java/lupinwood/pools/Pool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -1,27 +1,27 @@
-package lupinwood.pools;
+package lupinwood.balancing;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Random;
 import java.util.function.IntPredicate;
-import lupinwood.node.Histogram;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.Histogram;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 
 /**
- * The servers that may carry out a ticket, as one of their clients sees them.
+ * The servers that may carry out a request, as one of their clients sees them.
  *
- * <p>A ticket goes where it is expected to be done soonest: by how long a server's latest took,
+ * <p>A request goes where it is expected to be done soonest: by how long a server's latest took,
  * times how many it would then have. A failure counts as long as a slow success, however fast it
  * came, so that a server that fails fast attracts no more work. How many may be out to each follows
  * the design's rule: times 0.9 once for each run past TARGET, flagged in flight, or failed; one
  * more for each fast one while half is used. A server that fails so many times in a row is left out
- * for a time that doubles, and comes back with one ticket at a time until that does well.
+ * for a time that doubles, and comes back with one request at a time until that does well.
  */
-public final class Pool {
+public final class ServerPool {
     /** How a run at a server ended. */
-    public enum End {
+    public enum AttemptEnd {
         /** With an answer that shows that the server does its work. */
         WELL,
         /** With an error, or not at all. */
@@ -34,18 +34,18 @@
     }
 
     private static final double LATEST = 8; // runs whose time is remembered
-    private static final double CALM = 32;
+    private static final double BASELINE = 32;
     private static final double ENOUGH = 6;
     private static final double START = 4;
-    private static final double SLOWER = 3; // TARGET is so many calm medians
+    private static final double SLOWER = 3; // TARGET is so many baseline median
     private static final double CUT = 0.9;
     private static final double UNTRIED = 0.9;
     private static final double FORGOTTEN =
             5; // seconds after which half of what is known of an idle server is left
-    private static final Span ASK_AGAIN = Span.ofSeconds(0.1);
-    private static final Span FIRST_GUESS = Span.ofSeconds(0.05);
+    private static final NanoDuration ASK_AGAIN = NanoDuration.ofSeconds(0.1);
+    private static final NanoDuration FIRST_GUESS = NanoDuration.ofSeconds(0.05);
 
-    private static final class Book {
+    private static final class ServerState {
         final String name;
         int out;
         double limit = START;
@@ -54,18 +54,19 @@
         double took = -1;
 
         /** When something was learned of it last. */
-        Moment latest;
+        MonotonicTime latest;
 
         int failuresInRow;
         int timesLeftOut;
 
         /** Null while it isn't left out. */
-        Moment backAt;
+        MonotonicTime backAt;
 
-        Moment leftOutAt;
+        MonotonicTime leftOutAt;
 
         /**
-         * Somebody else found it well since it was left out: that is worth one ticket, and no more.
+         * Somebody else found it well since it was left out: that is worth one request, and no
+         * more.
          */
         boolean vouched;
 
@@ -75,41 +76,41 @@
         /** Nothing new is sent there, by agreement with others and not for what is seen of it. */
         boolean rests;
 
-        Book(String name) {
+        ServerState(String name) {
             this.name = name;
         }
 
         /** What was known before counts less the longer ago it was learned. */
-        void learn(double seconds, Moment now) {
+        void learn(double seconds, MonotonicTime now) {
             double known = took < 0 ? seconds : took * left(now);
             took = known + (seconds - known) / LATEST;
             latest = now;
         }
 
-        double left(Moment now) {
+        double left(MonotonicTime now) {
             return Math.pow(0.5, now.since(latest).seconds() / FORGOTTEN);
         }
     }
 
-    private final List<Book> books = new ArrayList<>();
-    private final Rules rules;
+    private final List<ServerState> books = new ArrayList<>();
+    private final OutlierLimits rules;
     private final Random random;
 
     /** What runs took while a server had less than half of what it may: the pool's own calm. */
-    private final Histogram calm = new Histogram(CALM);
+    private final Histogram baseline = new Histogram(BASELINE);
 
     private int turn;
-    private Trials trials = Trials.ALONE;
+    private HealthChecker trials = HealthChecker.ALONE;
 
-    public Pool(List<String> servers, Rules rules, long seed) {
-        servers.forEach(name -> books.add(new Book(name)));
+    public ServerPool(List<String> servers, OutlierLimits rules, long seed) {
+        servers.forEach(name -> books.add(new ServerState(name)));
         this.rules = rules;
         random = new Random(seed);
     }
 
     /** Asks before each trial, and tells what it came to. */
-    public void trialsBy(Trials asked) {
-        trials = asked;
+    public void trialsBy(HealthChecker requested) {
+        trials = requested;
     }
 
     /**
@@ -117,15 +118,16 @@
      * tried here too, soon, and not by all nodes at once. It is not trusted over what is seen here;
      * what failed there changes nothing.
      */
-    public void told(String server, boolean well, Moment at, Moment now) {
-        for (Book book : books) {
+    public void onHealthCheckResult(
+            String server, boolean well, MonotonicTime at, MonotonicTime now) {
+        for (ServerState book : books) {
             if (well
                     && book.name.equals(server)
                     && book.backAt != null
                     && !book.vouched
                     && book.leftOutAt.isBefore(at)) {
                 book.vouched = true;
-                Moment soon = now.plus(rules.leftOutFirst().times(random.nextDouble()));
+                MonotonicTime soon = now.plus(rules.leftOutFirst().times(random.nextDouble()));
                 book.backAt = soon.isBefore(book.backAt) ? soon : book.backAt;
             }
         }
@@ -133,10 +135,10 @@
 
     /**
      * These rest and no others: nothing new is sent there. One that rests no more is eased in: it
-     * begins with one ticket at a time, and is at work once that did well.
+     * begins with one request at a time, and is at work once that did well.
      */
     public void rest(Collection<String> names) {
-        for (Book book : books) {
+        for (ServerState book : books) {
             boolean rests = names.contains(book.name);
             if (book.rests && !rests) {
                 book.onTrial = true;
@@ -148,7 +150,7 @@
     }
 
     /** Those that rest and have nothing of this node any more. */
-    public List<String> emptied() {
+    public List<String> drained() {
         return books.stream()
                 .filter(book -> book.rests && book.out == 0)
                 .map(book -> book.name)
@@ -160,7 +162,7 @@
         return books.stream().filter(book -> book.backAt != null).map(book -> book.name).toList();
     }
 
-    private boolean mayComeBack(Book book, Moment now) {
+    private boolean mayComeBack(ServerState book, MonotonicTime now) {
         return !now.isBefore(book.backAt) && (book.vouched || trials.mayTry(book.name));
     }
 
@@ -178,7 +180,7 @@
 
     /** How many may be out to it now. */
     public int limit(int server) {
-        Book book = books.get(server);
+        ServerState book = books.get(server);
         return book.onTrial || book.backAt != null ? 1 : (int) Math.floor(book.limit);
     }
 
@@ -191,27 +193,27 @@
     }
 
     /**
-     * Where a ticket is to go now; it then counts as out there. Below zero where no server may have
-     * one more.
+     * Where a request is to go now; it then counts as out there. Below zero where no server may
+     * have one more.
      *
      * @param tried servers that it went to before, which get it only if all others may not
      */
-    public int send(Moment now, List<Integer> tried) {
+    public int send(MonotonicTime now, List<Integer> tried) {
         return send(now, tried, server -> true);
     }
 
     /**
      * Chooses a server and counts the attempt as in flight there.
      *
-     * @param may which servers carry out tickets of its kind
+     * @param may which servers carry out requests of its kind
      */
-    public int send(Moment now, List<Integer> tried, IntPredicate may) {
+    public int send(MonotonicTime now, List<Integer> tried, IntPredicate may) {
         int best = best(now, tried, may);
         if (best < 0 && !tried.isEmpty()) {
             best = best(now, List.of(), may);
         }
         if (best >= 0) {
-            Book book = books.get(best);
+            ServerState book = books.get(best);
             if (book.backAt != null) {
                 book.backAt = null;
                 book.onTrial = true;
@@ -222,12 +224,12 @@
         return best;
     }
 
-    private int best(Moment now, List<Integer> tried, IntPredicate may) {
+    private int best(MonotonicTime now, List<Integer> tried, IntPredicate may) {
         int best = -1;
         double soonest = Double.MAX_VALUE;
         for (int i = 0; i < books.size(); i++) {
             int server = (turn + i) % books.size();
-            Book book = books.get(server);
+            ServerState book = books.get(server);
             boolean back = book.backAt == null || mayComeBack(book, now);
             if (book.rests
                     || !back
@@ -236,7 +238,7 @@
                     || !may.test(server)) {
                 continue;
             }
-            // One that was left out is tried before all others: it costs one ticket, and nothing
+            // One that was left out is tried before all others: it costs one request, and nothing
             // else shows it well.
             double expected = book.backAt != null ? -1 : (book.out + 1) * expected(book, now);
             if (expected < soonest) {
@@ -252,7 +254,7 @@
      * What is known of one that gets no work halves again and again: else a server that was slow
      * once would never be seen to be fast.
      */
-    private double expected(Book book, Moment now) {
+    private double expected(ServerState book, MonotonicTime now) {
         double fastest =
                 books.stream()
                         .filter(one -> one.took >= 0)
@@ -266,8 +268,10 @@
     }
 
     /** What a run may take before it is slow; zero while that isn't known. */
-    public Span target() {
-        return calm.weight() < ENOUGH ? Span.ZERO : Span.ofSeconds(SLOWER * calm.median());
+    public NanoDuration target() {
+        return baseline.weight() < ENOUGH
+                ? NanoDuration.ZERO
+                : NanoDuration.ofSeconds(SLOWER * baseline.median());
     }
 
     /** A run is past TARGET and still out; to be told once a run. */
@@ -275,7 +279,7 @@
         cut(books.get(server));
     }
 
-    private static void cut(Book book) {
+    private static void cut(ServerState book) {
         book.limit = Math.max(1, book.limit * CUT);
     }
 
@@ -284,19 +288,20 @@
      *
      * @param wasSlow whether {@link #slow} was told of it
      */
-    public void ended(int server, End end, Span took, boolean wasSlow, Moment now) {
-        Book book = books.get(server);
+    public void ended(
+            int server, AttemptEnd end, NanoDuration took, boolean wasSlow, MonotonicTime now) {
+        ServerState book = books.get(server);
         boolean halfUsed = book.out * 2 >= book.limit;
-        boolean wasCalm = book.out * 2 < Math.max(START, book.limit);
+        boolean wasBaseline = book.out * 2 < Math.max(START, book.limit);
         book.out--;
-        if (end == End.UNKNOWN) {
+        if (end == AttemptEnd.UNKNOWN) {
             return;
         }
         if (book.onTrial) {
-            trials.tried(book.name, end == End.WELL);
+            trials.tried(book.name, end == AttemptEnd.WELL);
         }
-        if (end == End.FAILED) {
-            book.learn(Math.max(took.seconds(), SLOWER * expectedCalm()), now);
+        if (end == AttemptEnd.FAILED) {
+            book.learn(Math.max(took.seconds(), SLOWER * expectedBaseline()), now);
             if (!wasSlow) {
                 cut(book);
             }
@@ -312,9 +317,10 @@
             book.limit = 1;
         }
         book.timesLeftOut = Math.max(0, book.timesLeftOut - (wasSlow ? 0 : 1));
-        boolean odd = calm.weight() >= ENOUGH && took.seconds() > SLOWER * calm.median();
-        if (wasCalm && (!odd || random.nextInt(8) == 0)) {
-            calm.add(took.seconds()); // of the odd one in eight, as slowness must not become the
+        boolean odd = baseline.weight() >= ENOUGH && took.seconds() > SLOWER * baseline.median();
+        if (wasBaseline && (!odd || random.nextInt(8) == 0)) {
+            baseline.add(
+                    took.seconds()); // of the odd one in eight, as slowness must not become the
             // calm at once
         }
         if (!wasSlow && !odd && halfUsed) {
@@ -322,19 +328,20 @@
         }
     }
 
-    private double expectedCalm() {
-        return calm.weight() > 0 ? calm.median() : FIRST_GUESS.seconds();
+    private double expectedBaseline() {
+        return baseline.weight() > 0 ? baseline.median() : FIRST_GUESS.seconds();
     }
 
     /**
      * Twice as long each time, and a little more or less, so that many clients don't come back as
      * one.
      */
-    private void leaveOut(Book book, Moment now) {
+    private void leaveOut(ServerState book, MonotonicTime now) {
         double factor =
                 Math.pow(2, Math.min(30, book.timesLeftOut++)) * (0.75 + random.nextDouble() / 2);
-        Span span = rules.leftOutFirst().times(Math.min(factor, 1e6)).min(rules.leftOutMost());
-        book.backAt = now.plus(span);
+        NanoDuration duration =
+                rules.leftOutFirst().times(Math.min(factor, 1e6)).min(rules.leftOutMost());
+        book.backAt = now.plus(duration);
         book.leftOutAt = now;
         book.vouched = false;
         book.onTrial = false;
@@ -343,7 +350,7 @@
     }
 
     /** When a server that is left out may be tried again, the soonest; never where none is. */
-    public Moment nextBack(Moment now) {
+    public MonotonicTime nextBack(MonotonicTime now) {
         return books.stream()
                 .filter(book -> book.backAt != null && !book.rests)
                 .map(
@@ -351,7 +358,7 @@
                                 now.isBefore(book.backAt) || mayComeBack(book, now)
                                         ? book.backAt
                                         : now.plus(ASK_AGAIN))
-                .min(Moment::compareTo)
-                .orElse(Moment.NEVER);
+                .min(MonotonicTime::compareTo)
+                .orElse(MonotonicTime.NEVER);
     }
 }
--- a/src/main/java/lupinwood/cli/ConfigWork.java
+++ b/src/main/java/lupinwood/cli/ConfigActions.java
@@ -13,26 +13,26 @@
 import java.nio.file.StandardCopyOption;
 import java.util.List;
 import lupinwood.config.Config;
+import lupinwood.config.DiagnosticReport;
+import lupinwood.config.Diagnostics;
 import lupinwood.config.Formatter;
-import lupinwood.config.Problems;
 import lupinwood.config.Reader;
 import lupinwood.config.Reference;
-import lupinwood.config.Report;
 import lupinwood.config.Source;
 import lupinwood.config.Writer;
 import lupinwood.load.FileSources;
 import lupinwood.load.Loader;
 import lupinwood.net.NodeConfig;
-import lupinwood.reload.Plan;
+import lupinwood.reload.ConfigDiff;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /**
  * Checks, formats, compares, converts, shows and explains configurations; what {@link
  * ConfigCommand} asks for.
  */
-final class ConfigWork {
+final class ConfigActions {
     private static final int FINE = 0;
     private static final int FOUND = 1;
     private static final int USAGE = 2;
@@ -43,7 +43,7 @@
     private final boolean operator;
     private final PrintStream out = new PrintStream(System.out, false, StandardCharsets.UTF_8);
 
-    ConfigWork(boolean json, boolean checkOnly, boolean operator) {
+    ConfigActions(boolean json, boolean checkOnly, boolean operator) {
         this.json = json;
         this.checkOnly = checkOnly;
         this.operator = operator;
@@ -121,11 +121,11 @@
         return report(config.problems(), config);
     }
 
-    private int report(Problems problems, Config config) {
+    private int report(Diagnostics problems, Config config) {
         if (json) {
-            out.println(Report.json(problems));
+            out.println(DiagnosticReport.json(problems));
         } else {
-            out.print(Report.text(problems, config::source));
+            out.print(DiagnosticReport.text(problems, config::source));
         }
         return problems.isEmpty() ? FINE : FOUND;
     }
@@ -148,7 +148,7 @@
                                                     : "    " + doubt.instead() + "\n");
                                 }
                             });
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             status = FOUND;
             all.add(problem(file, "error", e.getMessage(), ""));
             if (!json) {
@@ -190,12 +190,15 @@
     }
 
     private int formatOne(Path file) throws IOException {
-        Problems problems = new Problems();
+        Diagnostics problems = new Diagnostics();
         String text = Files.readString(file);
         Source source = new Source(file.toString(), text);
         String formatted = Formatter.format(source, problems);
         if (formatted == null) {
-            out.print(json ? Report.json(problems) + "\n" : Report.text(problems, place -> source));
+            out.print(
+                    json
+                            ? DiagnosticReport.json(problems) + "\n"
+                            : DiagnosticReport.text(problems, place -> source));
             return FOUND;
         }
         if (formatted.equals(text)) {
@@ -218,14 +221,14 @@
     // ---- diff, import, show, explain ----
 
     /** The meaning of a file that can be used; null where it can't, which was told. */
-    private Meaning meaning(String file) {
+    private ParsedSettings meaning(String file) {
         if (Loader.isLanguage(Path.of(file))) {
             Config config = Reader.read(new FileSources(), file);
             return report(config.problems(), config) == FINE ? config.meaning() : null;
         }
         try {
             return NodeConfig.read(Path.of(file)).meaning();
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             out.println(file + ": error: " + e.getMessage());
             return null;
         }
@@ -237,21 +240,22 @@
         }
         boolean asJson = json;
         json = false;
-        Meaning before = meaning(old);
-        Meaning after = meaning(next);
+        ParsedSettings before = meaning(old);
+        ParsedSettings after = meaning(next);
         if (before == null || after == null) {
             return USAGE;
         }
-        Plan plan = Plan.between(before, after);
+        ConfigDiff plan = ConfigDiff.between(before, after);
         JsonArray all = new JsonArray();
-        for (Plan.Step step : plan.steps()) {
+        for (ConfigDiff.Step step : plan.steps()) {
             JsonObject one = new JsonObject();
             one.addProperty("name", step.name());
             one.addProperty(
                     "before",
-                    step.before() == null ? null : Meaning.said(step.name(), step.before()));
+                    step.before() == null ? null : ParsedSettings.said(step.name(), step.before()));
             one.addProperty(
-                    "after", step.after() == null ? null : Meaning.said(step.name(), step.after()));
+                    "after",
+                    step.after() == null ? null : ParsedSettings.said(step.name(), step.after()));
             one.addProperty("change", step.change().said());
             one.addProperty("because", step.because());
             all.add(one);
@@ -269,7 +273,7 @@
         if (!canRead(List.of(file))) {
             return USAGE;
         }
-        Meaning meaning = meaning(file);
+        ParsedSettings meaning = meaning(file);
         if (meaning == null) {
             return FOUND;
         }
@@ -299,7 +303,7 @@
                         (name, value) -> {
                             JsonObject one = new JsonObject();
                             one.addProperty("name", name);
-                            one.addProperty("value", Meaning.said(name, value));
+                            one.addProperty("value", ParsedSettings.said(name, value));
                             one.addProperty("from", config.places().get(name).toString());
                             all.add(one);
                         });
--- a/src/main/java/lupinwood/cli/ConfigCommand.java
+++ b/src/main/java/lupinwood/cli/ConfigCommand.java
@@ -32,6 +32,6 @@
 
     @Override
     public int run() {
-        return new ConfigWork(json, checkOnly, operator).run(words);
+        return new ConfigActions(json, checkOnly, operator).run(words);
     }
 }
--- a/src/main/java/lupinwood/cli/LabCommand.java
+++ b/src/main/java/lupinwood/cli/ExperimentCommand.java
@@ -5,8 +5,8 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.time.Instant;
-import lupinwood.lab.Experiment;
-import lupinwood.lab.Experiments;
+import lupinwood.experiment.Experiment;
+import lupinwood.experiment.Experiments;
 import lupinwood.log.LibraryLogs;
 import lupinwood.log.Log;
 
@@ -16,7 +16,7 @@
                 "Run an experiment with stand-ins on loopback: "
                         + Experiments.NAMES
                         + ". The last line has its counts; exits with 1 where a rule broke")
-final class LabCommand implements Command {
+final class ExperimentCommand implements Command {
     private static final int BROKEN = 1;
     private static final int USAGE = 2;
 
--- a/src/main/java/lupinwood/cli/LabNode.java
+++ b/src/main/java/lupinwood/cli/ExperimentNode.java
@@ -3,16 +3,16 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.time.Instant;
-import lupinwood.council.Spoilt;
+import lupinwood.admission.NanoDuration;
+import lupinwood.consensus.FaultInjection;
 import lupinwood.log.WallClock;
-import lupinwood.node.Span;
 
 /** The laboratory's launcher: a node as by 'serve', in a process in which something is wrong. */
 @Parameters(
         commandDescription =
                 "Serve as a node with a wrong clock or a slow folder, for the laboratory",
         hidden = true)
-final class LabNode extends Serve {
+final class ExperimentNode extends Serve {
     @Parameter(names = "--shift-ms", description = "How far the wall clock is off, in milliseconds")
     private long shiftMillis;
 
@@ -40,7 +40,7 @@
         if (failsAtStart) {
             return 1;
         }
-        Spoilt.program(program);
+        FaultInjection.program(program);
         long begun = System.nanoTime();
         WallClock.readFrom(
                 () -> {
@@ -49,9 +49,9 @@
                                     && System.nanoTime() - begun > stepAfterMillis * 1_000_000;
                     return right ? Instant.now() : Instant.now().plusMillis(shiftMillis);
                 });
-        Spoilt.syncTakes(Span.ofSeconds(syncTakesMillis / 1000.0));
+        FaultInjection.syncTakes(NanoDuration.ofSeconds(syncTakesMillis / 1000.0));
         if (withoutEarlyStop) {
-            Spoilt.leaveOutEarlyStop();
+            FaultInjection.leaveOutEarlyStop();
         }
         return super.run();
     }
--- a/src/main/java/lupinwood/cli/FleetWork.java
+++ b/src/main/java/lupinwood/cli/FleetActions.java
@@ -14,25 +14,25 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.Rollout;
 import lupinwood.config.Config;
 import lupinwood.config.Reader;
-import lupinwood.council.Council;
-import lupinwood.council.Emptied;
-import lupinwood.council.FleetJson;
-import lupinwood.council.FleetSettings;
-import lupinwood.council.Question;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Plan;
-import lupinwood.fleet.Release;
-import lupinwood.load.Common;
+import lupinwood.consensus.ClusterJson;
+import lupinwood.consensus.ClusterQuery;
+import lupinwood.consensus.ClusterSettings;
+import lupinwood.consensus.DrainTracker;
+import lupinwood.consensus.RaftReplica;
 import lupinwood.load.FileSources;
+import lupinwood.load.SharedConfig;
 import lupinwood.log.LibraryLogs;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.node.Span;
 
 /** What the command 'fleet' does. */
-final class FleetWork {
+final class FleetActions {
     private static final int LEADERLESS = 1;
     private static final int USAGE = 2;
     private static final int NOT_NOW = 3;
@@ -46,11 +46,11 @@
 
     private final String operator;
     private final boolean json;
-    private final Span within;
+    private final NanoDuration within;
     private final boolean history;
 
     /** Who gives which order, and whether to wait until it is done. */
-    record Asked(
+    record Invocation(
             String by,
             String order,
             boolean waits,
@@ -58,19 +58,19 @@
             boolean backsOnHalt,
             String explain) {}
 
-    FleetWork(String operator, boolean json, double within, boolean history) {
+    FleetActions(String operator, boolean json, double within, boolean history) {
         this.history = history;
         this.operator = operator;
         this.json = json;
-        this.within = Span.ofSeconds(within);
+        this.within = NanoDuration.ofSeconds(within);
     }
 
-    int run(List<String> words, Asked asked) {
+    int run(List<String> words, Invocation invocation) {
         boolean fits =
                 (words.size() == 1 && ALONE.contains(words.get(0)))
                         || (words.size() == 2 && WITH_NODE.contains(words.get(0)))
                         || (words.get(0).equals("release")
-                                && words.size() == (asked.program() == null ? 2 : 1));
+                                && words.size() == (invocation.program() == null ? 2 : 1));
         if (!fits) {
             System.err.println(
                     "lupinwood: 'fleet' takes: status, leave NODE, halt, resume, forget NODE, release FILE,"
@@ -87,7 +87,7 @@
                             + config.problems().all().get(0).text());
             return USAGE;
         }
-        FleetSettings settings = FleetSettings.of(config.meaning());
+        ClusterSettings settings = ClusterSettings.of(config.meaning());
         if (settings == null) {
             System.err.println("lupinwood: " + operator + " names no voters, so there is no fleet");
             return USAGE;
@@ -96,16 +96,16 @@
         LibraryLogs.sendTo(quiet);
         try {
             if (words.get(0).equals("plan")) {
-                return plan(settings, asked.explain(), quiet);
+                return plan(settings, invocation.explain(), quiet);
             }
             if (words.get(0).equals("wanted")) {
                 return wanted(settings, words.get(1), quiet);
             }
             if (!words.get(0).equals("status")) {
-                return order(settings, words, asked, quiet);
+                return order(settings, words, invocation, quiet);
             }
             Map<Integer, JsonObject> answers =
-                    Question.ask(settings.voters().values(), within, quiet);
+                    ClusterQuery.ask(settings.voters().values(), within, quiet);
             JsonObject leads =
                     answers.values().stream()
                             .filter(one -> one.get("leads").getAsBoolean())
@@ -125,16 +125,17 @@
         }
     }
 
-    private int order(FleetSettings settings, List<String> words, Asked asked, Log quiet)
+    private int order(
+            ClusterSettings settings, List<String> words, Invocation invocation, Log quiet)
             throws InterruptedException {
         boolean release = words.get(0).equals("release");
         boolean rests = words.get(0).endsWith("rest");
         NodeName node = words.size() > 1 && !release && !rests ? new NodeName(words.get(1)) : null;
-        Council.Wish wish = null;
+        RaftReplica.RolloutRequest wish = null;
         if (release) {
             try {
-                wish = wish(words, asked);
-            } catch (IOException | NodeConfig.Unusable e) {
+                wish = wish(words, invocation);
+            } catch (IOException | NodeConfig.UnusableConfiguration e) {
                 System.err.println(
                         "lupinwood: can't be released: "
                                 + (e instanceof IOException
@@ -143,17 +144,17 @@
                 return USAGE;
             }
         }
-        Council.Order order =
-                new Council.Order(
-                        asked.order(),
+        RaftReplica.OperatorOrder order =
+                new RaftReplica.OperatorOrder(
+                        invocation.order(),
                         words.get(0),
                         node,
-                        asked.by(),
+                        invocation.by(),
                         wish,
                         rests ? words.get(1) : null);
         while (true) {
-            Council.Answer answer =
-                    Question.order(settings.voters().values(), order, within, quiet);
+            RaftReplica.OrderResult answer =
+                    ClusterQuery.order(settings.voters().values(), order, within, quiet);
             if (answer == null) {
                 System.err.println(
                         "lupinwood: nobody leads the council, so nothing new is allowed");
@@ -161,7 +162,7 @@
             }
             if (answer.done()) {
                 System.out.println(answer.text());
-                return !asked.waits()
+                return !invocation.waits()
                         ? 0
                         : words.get(0).equals("leave")
                                 ? untilGone(settings, node, quiet)
@@ -171,7 +172,7 @@
                                                 ? untilEnded(settings, release, quiet)
                                                 : 0;
             }
-            if (!asked.waits() || release) {
+            if (!invocation.waits() || release) {
                 System.err.println("lupinwood: not now: " + answer.text());
                 return NOT_NOW;
             }
@@ -179,19 +180,24 @@
         }
     }
 
-    private static Council.Wish wish(List<String> words, Asked asked)
-            throws IOException, NodeConfig.Unusable {
-        if (asked.program() != null) {
-            return new Council.Wish(Release.Kind.PROGRAM, asked.program(), "", asked.backsOnHalt());
+    private static RaftReplica.RolloutRequest wish(List<String> words, Invocation invocation)
+            throws IOException, NodeConfig.UnusableConfiguration {
+        if (invocation.program() != null) {
+            return new RaftReplica.RolloutRequest(
+                    Rollout.Kind.PROGRAM, invocation.program(), "", invocation.backsOnHalt());
         }
         String text = Files.readString(Path.of(words.get(1)));
-        return new Council.Wish(
-                Release.Kind.CONFIGURATION, Common.read(text).digest(), text, asked.backsOnHalt());
+        return new RaftReplica.RolloutRequest(
+                Rollout.Kind.CONFIGURATION,
+                SharedConfig.read(text).digest(),
+                text,
+                invocation.backsOnHalt());
     }
 
     /** How much goes where by the newest plan, and why; of one zone only, where one is named. */
-    private int plan(FleetSettings settings, String zone, Log quiet) throws InterruptedException {
-        Council.State state = Question.state(settings.voters().values(), within, quiet, true);
+    private int plan(ClusterSettings settings, String zone, Log quiet) throws InterruptedException {
+        RaftReplica.ReplicaView state =
+                ClusterQuery.state(settings.voters().values(), within, quiet, true);
         if (state == null) {
             System.err.println(
                     "lupinwood: nobody leads the council, so it can't be told; nodes go by their last plan for a lease");
@@ -202,7 +208,7 @@
                     "there is no plan: no server says what it bears, or nobody plans yet");
             return 0;
         }
-        Plan newest = state.plans().get(state.plans().size() - 1);
+        CapacityPlan newest = state.plans().get(state.plans().size() - 1);
         System.out.println(
                 "plan "
                         + newest.number()
@@ -253,9 +259,10 @@
     }
 
     /** For a supervisor: the program and the text that a node is to be started with. */
-    private int wanted(FleetSettings settings, String node, Log quiet) throws InterruptedException {
-        Question.Wanted wanted =
-                Question.wanted(settings.voters().values(), new NodeName(node), within, quiet);
+    private int wanted(ClusterSettings settings, String node, Log quiet)
+            throws InterruptedException {
+        ClusterQuery.Wanted wanted =
+                ClusterQuery.wanted(settings.voters().values(), new NodeName(node), within, quiet);
         if (wanted == null) {
             System.err.println("lupinwood: nobody leads the council, so it can't be told");
             return LEADERLESS;
@@ -266,20 +273,21 @@
     }
 
     /** Until each node that is in has said that it has nothing there any more. */
-    private int untilEmpty(FleetSettings settings, String server, Log quiet)
+    private int untilEmpty(ClusterSettings settings, String server, Log quiet)
             throws InterruptedException {
-        String told = "";
+        String reported = "";
         while (true) {
-            Council.State state = Question.state(settings.voters().values(), within, quiet);
+            RaftReplica.ReplicaView state =
+                    ClusterQuery.state(settings.voters().values(), within, quiet);
             if (state != null) {
-                String left = Emptied.left(state, server);
+                String left = DrainTracker.left(state, server);
                 if (left.isEmpty()) {
                     System.out.println(server + " is empty: each node said so");
                     return 0;
                 }
-                if (!left.equals(told)) {
+                if (!left.equals(reported)) {
                     System.out.println("not yet: " + left);
-                    told = left;
+                    reported = left;
                 }
             }
             Thread.sleep(ASK_AGAIN_MILLIS);
@@ -287,13 +295,13 @@
     }
 
     /** Prints what is written about it, until it has ended or was halted. */
-    private int untilEnded(FleetSettings settings, boolean forward, Log quiet)
+    private int untilEnded(ClusterSettings settings, boolean forward, Log quiet)
             throws InterruptedException {
         long printed = -1;
         String shown = "";
         while (true) {
             JsonObject leads =
-                    Question.ask(settings.voters().values(), within, quiet).values().stream()
+                    ClusterQuery.ask(settings.voters().values(), within, quiet).values().stream()
                             .filter(one -> one.get("leads").getAsBoolean())
                             .findFirst()
                             .orElse(null);
@@ -336,13 +344,13 @@
         }
     }
 
-    /** Until the council knows that the node is out, or isn't heard any more. */
-    private int untilGone(FleetSettings settings, NodeName node, Log quiet)
+    /** Until the consensus group knows that the node is out, or isn't heard any more. */
+    private int untilGone(ClusterSettings settings, NodeName node, Log quiet)
             throws InterruptedException {
         while (true) {
-            for (JsonObject told :
-                    Question.ask(settings.voters().values(), within, quiet).values()) {
-                for (JsonElement one : seen(told)) {
+            for (JsonObject reported :
+                    ClusterQuery.ask(settings.voters().values(), within, quiet).values()) {
+                for (JsonElement one : observed(reported)) {
                     String standing = one.getAsJsonObject().get("standing").getAsString();
                     if (text(one.getAsJsonObject(), "name").equals(node.text())
                             && (standing.equals("OUT") || standing.equals("UNKNOWN"))) {
@@ -355,13 +363,13 @@
         }
     }
 
-    private static JsonArray seen(JsonObject told) {
-        JsonArray seen = told.getAsJsonObject("state").getAsJsonArray("seen");
-        return seen == null ? new JsonArray() : seen;
+    private static JsonArray observed(JsonObject reported) {
+        JsonArray observed = reported.getAsJsonObject("state").getAsJsonArray("seen");
+        return observed == null ? new JsonArray() : observed;
     }
 
     private static void print(
-            FleetSettings settings,
+            ClusterSettings settings,
             Map<Integer, JsonObject> answers,
             JsonObject leads,
             boolean history) {
@@ -390,20 +398,21 @@
         }
         List<String> lines = new ArrayList<>();
         for (JsonElement one : state.getAsJsonArray("seen")) {
-            JsonObject seen = one.getAsJsonObject();
-            JsonObject site = seen.getAsJsonObject("site");
+            JsonObject observed = one.getAsJsonObject();
+            JsonObject site = observed.getAsJsonObject("site");
             String heard =
-                    seen.has("heard")
+                    observed.has("heard")
                             ? String.format(
                                     Locale.ROOT,
                                     "heard %.1f s ago",
-                                    seen.getAsJsonObject("heard").get("nanos").getAsLong() / 1e9)
+                                    observed.getAsJsonObject("heard").get("nanos").getAsLong()
+                                            / 1e9)
                             : "not heard by this leader";
             lines.add(
                     String.format(
                             "node %-16s %-8s %s/%s, %s",
-                            text(seen, "name"),
-                            seen.get("standing").getAsString().toLowerCase(Locale.ROOT),
+                            text(observed, "name"),
+                            observed.get("standing").getAsString().toLowerCase(Locale.ROOT),
                             site.get("region").getAsString(),
                             site.get("zone").getAsString(),
                             heard));
@@ -422,11 +431,11 @@
         if (isOpen(state)) {
             System.out.println(said(state));
         }
-        Council.State whole = FleetJson.read(state, Council.State.class);
+        RaftReplica.ReplicaView whole = ClusterJson.read(state, RaftReplica.ReplicaView.class);
         whole.rests()
                 .forEach(
                         rest -> {
-                            String left = Emptied.left(whole, rest.server());
+                            String left = DrainTracker.left(whole, rest.server());
                             System.out.println(
                                     "server "
                                             + rest.server()
--- a/src/main/java/lupinwood/cli/FleetCommand.java
+++ b/src/main/java/lupinwood/cli/FleetCommand.java
@@ -67,7 +67,10 @@
 
     @Override
     public int run() {
-        return new FleetWork(operator, json, within, history)
-                .run(words, new FleetWork.Asked(by, order, waits, program, backsOnHalt, explain));
+        return new FleetActions(operator, json, within, history)
+                .run(
+                        words,
+                        new FleetActions.Invocation(
+                                by, order, waits, program, backsOnHalt, explain));
     }
 }
--- a/src/main/java/lupinwood/cli/Hangup.java
+++ b/src/main/java/lupinwood/cli/HangupSignal.java
@@ -6,8 +6,8 @@
  * SIGHUP, which by default would end the process. The JVM's only way to hear a signal has no name
  * that the compiler takes without a warning, so it is looked up.
  */
-final class Hangup {
-    private Hangup() {}
+final class HangupSignal {
+    private HangupSignal() {}
 
     /**
      * Runs the job, on a thread of its own, at each SIGHUP from now on. False where the process was
@@ -20,7 +20,7 @@
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object heard =
                     Proxy.newProxyInstance(
-                            Hangup.class.getClassLoader(),
+                            HangupSignal.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (proxy, method, arguments) -> {
                                 if (method.getName().equals("handle")) {
--- a/src/main/java/lupinwood/cli/Help.java
+++ b/src/main/java/lupinwood/cli/Help.java
@@ -10,5 +10,5 @@
             names = {"--help", "-h"},
             description = "Print this text",
             help = true)
-    boolean asked;
+    boolean requested;
 }
--- a/src/main/java/lupinwood/cli/Main.java
+++ b/src/main/java/lupinwood/cli/Main.java
@@ -29,15 +29,15 @@
                                 "version",
                                 new Version(),
                                 "drill",
-                                new DrillCommand(),
+                                new SimulatorCommand(),
                                 "config",
                                 new ConfigCommand(),
                                 "lab",
-                                new LabCommand(),
+                                new ExperimentCommand(),
                                 "fleet",
                                 new FleetCommand(),
                                 "lab-node",
-                                new LabNode());
+                                new ExperimentNode());
         JCommander parser = JCommander.newBuilder().programName(NAME).build();
         Help help = new Help();
         parser.addObject(help);
@@ -55,7 +55,7 @@
             return USAGE;
         }
         String command = parser.getParsedCommand();
-        if (help.asked || "help".equals(command)) {
+        if (help.requested || "help".equals(command)) {
             StringBuilder usage = new StringBuilder();
             parser.getUsageFormatter().usage(usage);
             System.out.print(usage);
--- a/src/main/java/lupinwood/cli/Serve.java
+++ b/src/main/java/lupinwood/cli/Serve.java
@@ -10,16 +10,16 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
-import lupinwood.Brain;
+import lupinwood.admission.AdmissionController;
 import lupinwood.load.Loader;
 import lupinwood.load.Reloader;
-import lupinwood.load.TextAtStart;
-import lupinwood.load.TextHands;
+import lupinwood.load.SharedConfigApplier;
+import lupinwood.load.StartupConfig;
 import lupinwood.log.LibraryLogs;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
-import lupinwood.reload.Look;
+import lupinwood.net.NodeServer;
+import lupinwood.reload.FileFingerprint;
 import lupinwood.settings.Schema;
 
 /**
@@ -105,20 +105,20 @@
 
     @Override
     public int run() {
-        Relay hangup = new Relay();
+        SignalRelay hangup = new SignalRelay();
         // First of all: unheard, the signal would end the process.
-        boolean heard = Hangup.onEach(hangup::signal);
+        boolean heard = HangupSignal.onEach(hangup::signal);
         String path = file != null ? file : System.getenv("RELAY_CONFIG");
         if (path == null || path.isEmpty()) {
             System.err.println("lupinwood: no configuration: give --config or set RELAY_CONFIG");
             return UNUSABLE;
         }
         Loader loader = new Loader(Path.of(path), operator == null ? null : Path.of(operator));
-        Look looked = loader.look();
+        FileFingerprint looked = loader.look();
         Loader.Loaded loaded;
         try {
             loaded = loader.load();
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             System.err.println("lupinwood: " + e.getMessage());
             return UNUSABLE;
         }
@@ -129,23 +129,25 @@
             log.line("in doubt, and served all the same: " + config.doubtful());
         }
         boolean inFleet = !config.meaning().items(Schema.VOTER).isEmpty();
-        Object agreed =
+        Object latencyObjective =
                 inFleet
-                        ? TextAtStart.ask(loader, config, log)
+                        ? StartupConfig.ask(loader, config, log)
                         : null; // its class isn't loaded without a fleet
         if (inFleet) {
-            config = ((TextAtStart) agreed).config();
+            config = ((StartupConfig) latencyObjective).config();
         }
-        Serving node = new Serving(config, Brain::new, log);
+        NodeServer node = new NodeServer(config, AdmissionController::new, log);
         // The same way out as by SIGTERM.
-        node.onLeaveAsked(() -> new Thread(() -> System.exit(0), "asked to leave").start());
+        node.onDrainRequested(() -> new Thread(() -> System.exit(0), "asked to leave").start());
         boolean watches = watching == Watching.ON || (watching == Watching.AUTO && !heard);
         Reloader reads = new Reloader(loader, loaded, looked, watches, node, log);
         if (inFleet) {
-            node.onText(TextHands.of(loader, reads, node, (TextAtStart) agreed, log));
+            node.onText(
+                    SharedConfigApplier.of(
+                            loader, reads, node, (StartupConfig) latencyObjective, log));
         }
         hangup.to(reads::signal);
-        // Before the door opens: the notice to leave may come at any time.
+        // Before the listener opens: the notice to leave may come at any time.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(node, log), "leave"));
         try {
             if (node.start()) {
@@ -183,7 +185,7 @@
      * Runs on SIGTERM. Halting, and not returning, ends the process with 0: all went as it was
      * asked to.
      */
-    private void leave(Serving serving, Log log) {
+    private void leave(NodeServer serving, Log log) {
         try {
             serving.leave();
         } catch (InterruptedException e) {
--- a/src/main/java/lupinwood/cli/Relay.java
+++ b/src/main/java/lupinwood/cli/SignalRelay.java
@@ -1,7 +1,7 @@
 package lupinwood.cli;
 
 /** A signal that may come before there is anyone to hear it: it is kept until then, once. */
-final class Relay {
+final class SignalRelay {
     private Runnable hears;
     private boolean came;
 
--- a/src/main/java/lupinwood/cli/DrillCommand.java
+++ b/src/main/java/lupinwood/cli/SimulatorCommand.java
@@ -9,9 +9,9 @@
 @Parameters(
         commandDescription =
                 "Play the decisions on the simulator's wire, on standard input and output")
-final class DrillCommand implements Command {
+final class SimulatorCommand implements Command {
     @Override
     public int run() {
-        return new DrillWork().run();
+        return new SimulatorMode().run();
     }
 }
--- a/src/main/java/lupinwood/cli/DrillWork.java
+++ b/src/main/java/lupinwood/cli/SimulatorMode.java
@@ -4,15 +4,15 @@
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
 import java.io.IOException;
-import lupinwood.Brain;
-import lupinwood.sim.Drill;
-import lupinwood.sim.MalformedFrame;
+import lupinwood.admission.AdmissionController;
+import lupinwood.simulator.MalformedFrame;
+import lupinwood.simulator.SimulatorAdapter;
 
 /** Plays the decisions on the simulator's wire. */
-final class DrillWork {
+final class SimulatorMode {
     int run() {
         try {
-            new Drill(Brain::new)
+            new SimulatorAdapter(AdmissionController::new)
                     .play(
                             new FileInputStream(FileDescriptor.in),
                             new FileOutputStream(FileDescriptor.out));
--- a/src/main/java/lupinwood/fleet/Allotment.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -1,24 +1,24 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.Map;
-import lupinwood.node.Moment;
+import lupinwood.admission.MonotonicTime;
 
 /**
  * What this node may have at places below, by the plan that it heard of last and while its lease
- * lasts, counted as {@link Holding} counts duties: from before it asked, on a clock that may run
+ * lasts, counted as {@link HeldLeases} counts duties: from before it asked, on a clock that may run
  * slow. After that, and before the first word, only what is its by standing right. Plans never go
  * back within one life, so an older word that comes late changes nothing.
  */
-public final class Allotment {
+public final class CapacityLease {
     private final Map<String, Integer> alone;
     private long number;
     private Map<String, Integer> slots = Map.of();
-    private Moment until = new Moment(Long.MIN_VALUE);
+    private MonotonicTime until = new MonotonicTime(Long.MIN_VALUE);
 
     /**
      * @param alone what it may have at a place by standing right
      */
-    public Allotment(Map<String, Integer> alone) {
+    public CapacityLease(Map<String, Integer> alone) {
         this.alone = Map.copyOf(alone);
     }
 
@@ -27,7 +27,7 @@
      *
      * @param ends when the lease that this word gives ends by this node's clock
      */
-    public void told(long plan, Map<String, Integer> may, Moment ends) {
+    public void update(long plan, Map<String, Integer> may, MonotonicTime ends) {
         if (plan < number || plan == 0) {
             return;
         }
@@ -45,14 +45,14 @@
         return number;
     }
 
-    /** How many tickets at once it may have there now. */
-    public int may(String place, Moment now) {
+    /** How many requests at once it may have there now. */
+    public int may(String place, MonotonicTime now) {
         int standing = alone.getOrDefault(place, 0);
         return now.isBefore(until) ? Math.max(standing, slots.getOrDefault(place, 0)) : standing;
     }
 
     /** Until when it may go by {@link #slots}. */
-    public Moment until() {
+    public MonotonicTime until() {
         return until;
     }
 
@@ -60,7 +60,7 @@
         return slots;
     }
 
-    public boolean isLeased(Moment now) {
+    public boolean isLeased(MonotonicTime now) {
         return now.isBefore(until);
     }
 }
--- a/src/main/java/lupinwood/fleet/Plan.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlan.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.HashSet;
 import java.util.List;
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /**
- * How many tickets at once each node may have at each place below. A site's slots at a place are
+ * How many requests at once each node may have at each place below. A site's slots at a place are
  * parted evenly among its nodes, and what is left over goes one each to some of them, other ones at
  * each place. A node that isn't in the roster has nothing by it, also if it stands in one of its
  * zones: it came later and wasn't counted.
@@ -17,9 +17,9 @@
  *     their names
  * @param slots of all nodes of a site together, at a place; a place that isn't named may have none
  */
-public record Plan(
+public record CapacityPlan(
         long number, Map<String, String> roster, Map<String, Map<String, Integer>> slots) {
-    public Plan {
+    public CapacityPlan {
         roster = new TreeMap<>(roster); // its order parts what is left over, so it must be the same
         // everywhere
     }
@@ -64,10 +64,12 @@
      * @param alone what a node of a site may have at a place without any plan
      */
     public static String overfull(
-            List<Plan> plans, Map<String, Integer> bears, Map<String, Map<String, Integer>> alone) {
+            List<CapacityPlan> plans,
+            Map<String, Integer> bears,
+            Map<String, Map<String, Integer>> alone) {
         Set<String> nodes = new HashSet<>();
         Map<String, Map<String, Integer>> most = new TreeMap<>();
-        for (Plan plan : plans) {
+        for (CapacityPlan plan : plans) {
             for (Map<String, Integer> slots : plan.slots().values()) {
                 for (String place : slots.keySet()) {
                     if (!bears.containsKey(place)) {
@@ -106,9 +108,9 @@
                 .orElse(null);
     }
 
-    Plan without(NodeName node) {
+    CapacityPlan without(NodeName node) {
         Map<String, String> left = new TreeMap<>(roster);
         left.remove(node.text());
-        return new Plan(number, left, slots);
+        return new CapacityPlan(number, left, slots);
     }
 }
--- a/src/main/java/lupinwood/fleet/Plans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,20 +13,20 @@
  * that any live plan, this one included, or their standing right gives them is no more than that.
  * More is given only after what it takes from has been taken back and the older plan is retired.
  */
-public final class Plans {
+public final class CapacityPlans {
     /** As it is kept and sent. */
-    public record Page(
-            List<Plan> live,
+    public record Snapshot(
+            List<CapacityPlan> live,
             Map<String, Integer> bears,
             Map<String, Map<String, Integer>> alone,
             long last) {}
 
-    private final List<Plan> live = new ArrayList<>();
+    private final List<CapacityPlan> live = new ArrayList<>();
     private Map<String, Integer> bears = Map.of();
     private Map<String, Map<String, Integer>> alone = Map.of();
     private long last;
 
-    void open(Page page) {
+    void open(Snapshot page) {
         live.clear();
         if (page != null) { // null in the page of an older version
             live.addAll(page.live());
@@ -36,32 +36,32 @@
         }
     }
 
-    Page page() {
-        return new Page(new ArrayList<>(live), bears, alone, last);
+    Snapshot page() {
+        return new Snapshot(new ArrayList<>(live), bears, alone, last);
     }
 
-    boolean plan(Deed.SetPlan deed, Collection<Book.Member> members) {
-        if (deed.after() != last) {
+    boolean plan(ClusterCommand.SetCapacityPlan command, Collection<ClusterState.Member> members) {
+        if (command.after() != last) {
             return false;
         }
         Map<String, String> roster = new TreeMap<>();
         members.forEach(member -> roster.put(member.name().text(), member.site().toString()));
-        Plan plan = new Plan(last + 1, roster, deed.slots());
-        List<Plan> all = new ArrayList<>(live);
+        CapacityPlan plan = new CapacityPlan(last + 1, roster, command.slots());
+        List<CapacityPlan> all = new ArrayList<>(live);
         all.add(plan);
-        if (Plan.overfull(all, deed.bears(), deed.alone()) != null) {
+        if (CapacityPlan.overfull(all, command.bears(), command.alone()) != null) {
             return false;
         }
         last++;
         live.add(plan);
-        bears = deed.bears();
-        alone = deed.alone();
+        bears = command.bears();
+        alone = command.alone();
         return true;
     }
 
     /** No node goes by an older one any more. */
-    boolean retire(long below) {
-        return below <= last && live.removeIf(plan -> plan.number() < below);
+    boolean retire(long beforePlan) {
+        return beforePlan <= last && live.removeIf(plan -> plan.number() < beforePlan);
     }
 
     void forget(NodeName node) {
@@ -69,11 +69,11 @@
     }
 
     /** The newest; null before the first. */
-    Plan newest() {
+    CapacityPlan newest() {
         return live.isEmpty() ? null : live.get(live.size() - 1);
     }
 
-    List<Plan> live() {
+    List<CapacityPlan> live() {
         return live;
     }
 
--- a/src/main/java/lupinwood/fleet/Session.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,62 +6,62 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 
 /**
- * A node's standing talk with the council: whom to tell, when again, and what was said. It follows
- * the word of who leads; where nothing answers it goes round the voters, after pauses that double
- * and differ from node to node, so that hundreds that were cut off don't come back as one.
+ * A node's standing talk with the consensus group: whom to tell, when again, and what was said. It
+ * follows the word of who leads; where nothing answers it goes round the voters, after pauses that
+ * double and differ from node to node, so that hundreds that were cut off don't come back as one.
  */
-public final class Session {
-    /** A beat to be sent. */
-    public record Sent(NodeName to, Beat beat) {}
+public final class ClusterSession {
+    /** A heartbeat to be sent. */
+    public record Sent(NodeName to, Heartbeat heartbeat) {}
 
-    private static final double LONGEST_PAUSE = 4; // beats
+    private static final double LONGEST_PAUSE = 4; // heartbeats
 
-    private final Rules rules;
+    private final LeaseTiming rules;
     private final NodeName name;
-    private final Life life;
+    private final Incarnation life;
     private final Site site;
     private final Random random;
-    private final Holding holding;
+    private final HeldLeases holding;
     private List<NodeName> voters;
     private NodeName to;
     private long number;
-    private Moment next;
+    private MonotonicTime next;
 
-    /** Null while no beat is without its reply. */
-    private Moment awaitsSince;
+    /** Null while no heartbeat is without its reply. */
+    private MonotonicTime awaitsSince;
 
     private int silences;
-    private Moment latestWord;
-    private Reply latest;
-    private final Map<DutyName, Grant> handsOn = new TreeMap<>();
-    private final Map<DutyName, Grant> failsAt = new TreeMap<>();
+    private MonotonicTime latestWord;
+    private HeartbeatReply latest;
+    private final Map<DutyName, Lease> releasing = new TreeMap<>();
+    private final Map<DutyName, Lease> failsAt = new TreeMap<>();
     private List<String> leftOut = List.of();
-    private Report report;
-    private final Allotment allotment = new Allotment(Map.of());
-    private final Map<String, Finding> found = new LinkedHashMap<>();
-    private final Map<String, Moment> foundAt = new LinkedHashMap<>();
+    private NodeReport report;
+    private final CapacityLease allotment = new CapacityLease(Map.of());
+    private final Map<String, HealthCheckResult> found = new LinkedHashMap<>();
+    private final Map<String, MonotonicTime> foundAt = new LinkedHashMap<>();
 
-    public Session(
-            Rules rules,
+    public ClusterSession(
+            LeaseTiming rules,
             NodeName name,
-            Life life,
+            Incarnation life,
             Site site,
             List<NodeName> voters,
             long seed,
-            Moment now) {
+            MonotonicTime now) {
         this.rules = rules;
         this.name = name;
         this.life = life;
         this.site = site;
         random = new Random(seed);
-        holding = new Holding(rules);
+        holding = new HeldLeases(rules);
         follow(voters);
         // Spread from the start: a fleet may be started at once.
-        next = now.plus(rules.beat().times(random.nextDouble()));
+        next = now.plus(rules.heartbeatInterval().times(random.nextDouble()));
     }
 
     /** The voters are these from now on. */
@@ -70,13 +70,13 @@
         to = voters.get(random.nextInt(voters.size()));
     }
 
-    /** When {@link #beat} has something to do next. */
-    public Moment due() {
+    /** When {@link #heartbeat} has something to do next. */
+    public MonotonicTime due() {
         return next;
     }
 
-    /** The beat that is due now, or null. */
-    public Sent beat(Condition condition, Moment now) {
+    /** The heartbeat that is due now, or null. */
+    public Sent heartbeat(NodeCondition condition, MonotonicTime now) {
         if (now.isBefore(next)) {
             return null;
         }
@@ -88,19 +88,19 @@
         holding.asks(number, now);
         awaitsSince = now;
         next = now.plus(pause(condition, now));
-        List<Finding> aged = new ArrayList<>();
+        List<HealthCheckResult> aged = new ArrayList<>();
         found.forEach((server, one) -> aged.add(one.aged(now.since(foundAt.get(server)))));
         return new Sent(
                 to,
-                new Beat(
-                                Beat.VERSION,
+                new Heartbeat(
+                                Heartbeat.VERSION,
                                 name,
                                 life,
                                 site,
                                 condition,
                                 number,
                                 holding.holds(now),
-                                List.copyOf(handsOn.values()),
+                                List.copyOf(releasing.values()),
                                 List.copyOf(failsAt.values()),
                                 leftOut,
                                 aged,
@@ -108,18 +108,18 @@
                         .cut());
     }
 
-    /** The last beat of this life, with all duties handed on. */
-    public Sent last(Moment now) {
+    /** The last heartbeat of this life, with all duties handed on. */
+    public Sent last(MonotonicTime now) {
         next = now;
-        return beat(Condition.GONE, now);
+        return heartbeat(NodeCondition.GONE, now);
     }
 
-    private Span pause(Condition condition, Moment now) {
+    private NanoDuration pause(NodeCondition condition, MonotonicTime now) {
         boolean urgent =
                 !holding.holds(now).isEmpty()
-                        || !handsOn.isEmpty()
-                        || condition == Condition.LEAVING;
-        Span usual = urgent ? rules.beatHolding() : rules.beat();
+                        || !releasing.isEmpty()
+                        || condition == NodeCondition.LEAVING;
+        NanoDuration usual = urgent ? rules.holderHeartbeatInterval() : rules.heartbeatInterval();
         // The first round through the voters is quick; then the pauses double.
         double factor =
                 silences <= voters.size() ? 1 : Math.pow(2, Math.min(10, silences - voters.size()));
@@ -127,7 +127,7 @@
     }
 
     /** A reply came. */
-    public void heard(Reply reply, Moment now) {
+    public void heard(HeartbeatReply reply, MonotonicTime now) {
         if (reply.number() > number) {
             return; // of another life
         }
@@ -141,15 +141,17 @@
         silences = 0;
         latestWord = now;
         latest = reply;
-        Moment asked = holding.asked(reply.number());
-        if (reply.share() != null && asked != null) {
-            allotment.told(
+        MonotonicTime requested = holding.requestSent(reply.number());
+        if (reply.share() != null && requested != null) {
+            allotment.update(
                     reply.share().plan(),
                     reply.share().slots(),
-                    asked.plus(rules.heldFor().min(reply.lease().times(1 - rules.drift()))));
+                    requested.plus(
+                            rules.holderLease().min(reply.lease().times(1 - rules.drift()))));
         }
-        holding.told(reply, now);
-        handsOn.values()
+        holding.onReply(reply, now);
+        releasing
+                .values()
                 .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
         failsAt.values()
                 .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
@@ -158,7 +160,7 @@
         found.keySet().retainAll(foundAt.keySet());
     }
 
-    private void redirected(Reply reply, Moment now) {
+    private void redirected(HeartbeatReply reply, MonotonicTime now) {
         if (reply.number() != number) {
             return;
         }
@@ -170,38 +172,38 @@
         silences++;
         // A hint is followed soon, though not at once: two voters that name each other would be a
         // storm.
-        Moment soon =
+        MonotonicTime soon =
                 now.plus(
-                        rules.beatHolding()
+                        rules.holderHeartbeatInterval()
                                 .times(known && silences < 4 ? 0.1 : 0.5 + random.nextDouble()));
         next = soon.isBefore(next) ? soon : next;
     }
 
     /** What this node may have at places below by plans; standing rights are not in it. */
-    public Allotment allotment() {
+    public CapacityLease allotment() {
         return allotment;
     }
 
     /** Which duties are this node's. */
-    public Holding holding() {
+    public HeldLeases holding() {
         return holding;
     }
 
     /**
-     * The duty is no longer done here; the council hears of it with the next beat, which is due at
-     * once.
+     * The duty is no longer done here; the consensus group hears of it with the next heartbeat,
+     * which is due at once.
      */
-    public void handOn(DutyName duty, Moment now) {
-        Grant grant = holding.giveUp(duty);
+    public void handOn(DutyName duty, MonotonicTime now) {
+        Lease grant = holding.giveUp(duty);
         if (grant != null) {
-            handsOn.put(duty, grant);
+            releasing.put(duty, grant);
             next = now;
         }
     }
 
     /** The same, since the duty can't be done here. */
-    public void failAt(DutyName duty, Moment now) {
-        Grant grant = holding.giveUp(duty);
+    public void failAt(DutyName duty, MonotonicTime now) {
+        Lease grant = holding.giveUp(duty);
         if (grant != null) {
             failsAt.put(duty, grant);
             next = now;
@@ -209,46 +211,47 @@
     }
 
     /** All duties are handed on. */
-    public void handOnAll(Moment now) {
+    public void handOnAll(MonotonicTime now) {
         holding.holds(now).forEach(grant -> handOn(grant.duty(), now));
     }
 
-    /** Whether the council knows that nothing is held here any more. */
-    public boolean isClear(Moment now) {
-        return holding.holds(now).isEmpty() && handsOn.isEmpty();
+    /** Whether the consensus group knows that nothing is held here any more. */
+    public boolean isClear(MonotonicTime now) {
+        return holding.holds(now).isEmpty() && releasing.isEmpty();
     }
 
     public void leavesOut(List<String> servers) {
         leftOut = List.copyOf(servers);
     }
 
-    /** What this node runs and how that does, as it is told with each beat from now on. */
-    public void reports(Report told) {
-        report = told;
+    /** What this node runs and how that does, as it is told with each heartbeat from now on. */
+    public void reports(NodeReport reported) {
+        report = reported;
     }
 
     /** What a try under the duty trial came to. */
-    public void found(String server, boolean well, Token token, Moment now) {
-        found.put(server, new Finding(server, well, token, Span.ZERO));
+    public void found(String server, boolean well, FencingToken token, MonotonicTime now) {
+        found.put(server, new HealthCheckResult(server, well, token, NanoDuration.ZERO));
         foundAt.put(server, now);
         next = next.isBefore(now) ? next : now;
     }
 
     /**
-     * Whether the council's word is fresh enough to go by; else this node does as it would alone.
+     * Whether the consensus group's word is fresh enough to go by; else this node does as it would
+     * alone.
      */
-    public boolean isInTouch(Moment now) {
+    public boolean isInTouch(MonotonicTime now) {
         return latestWord != null
                 && now.since(latestWord).compareTo(rules.lease()) <= 0
                 && latest.trouble().isEmpty();
     }
 
     /** The latest word of who leads, or null before there was any. */
-    public Reply latest() {
+    public HeartbeatReply latest() {
         return latest;
     }
 
-    public Moment latestWord() {
+    public MonotonicTime latestWord() {
         return latestWord;
     }
 
--- a/src/main/java/lupinwood/fleet/Book.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,16 +10,16 @@
 
 /**
  * What the fleet has agreed on: its members, and who holds which duty under which token. The same
- * deeds in the same order give the same book everywhere. It knows no time: whether a lease has run
- * out is the steward's to reckon.
+ * commands in the same order give the same book everywhere. It knows no time: whether a lease has
+ * run out is the lease manager's to reckon.
  */
-public final class Book {
+public final class ClusterState {
     /**
      * A node that came.
      *
      * @param in whether it has come and not gone
      */
-    public record Member(NodeName name, Life life, Site site, boolean in) {}
+    public record Member(NodeName name, Incarnation life, Site site, boolean in) {}
 
     /**
      * A duty.
@@ -28,53 +28,53 @@
      * @param life of the holder
      * @param token the one it was last given under
      */
-    public record Held(DutyName duty, NodeName holder, Life life, Token token) {
+    public record DutyLease(DutyName duty, NodeName holder, Incarnation life, FencingToken token) {
         public boolean isFree() {
             return holder == null;
         }
 
-        public boolean isBy(NodeName name, Life ofLife) {
+        public boolean isBy(NodeName name, Incarnation ofLife) {
             return holder != null && holder.equals(name) && life.equals(ofLife);
         }
     }
 
     /** An operator's order that was carried out, with what it came to. */
-    public record Done(String order, String text) {}
+    public record CompletedOrder(String order, String text) {}
 
     /** What operators did, and what followed; the time is the wall clock of who led. */
-    public record Entry(long atMillis, String text) {}
+    public record HistoryEntry(long atMillis, String text) {}
 
     /** The whole book, as it is kept and sent. */
-    public record Page(
+    public record Snapshot(
             List<Member> members,
-            List<Held> duties,
+            List<DutyLease> duties,
             long lastToken,
             String digest,
-            long deeds,
-            List<Permit> permits,
+            long commands,
+            List<DisruptionPermit> permits,
             long lastPermit,
             String haltedBy,
-            List<Done> done,
-            List<Entry> history,
-            Releases.Page releases,
-            List<Rest> rests,
-            Plans.Page plans) {}
+            List<CompletedOrder> done,
+            List<HistoryEntry> history,
+            Rollouts.Snapshot releases,
+            List<Cordon> rests,
+            CapacityPlans.Snapshot plans) {}
 
     private static final int MOST_DUTIES = 64;
     private static final int MOST_PERMITS = 1024;
 
     /** Orders that may be repeated, and lines of history. */
-    private static final int MOST_KEPT = 256;
+    private static final int MAX_RETAINED = 256;
 
     private final int mostMembers;
     private final TreeMap<NodeName, Member> members = new TreeMap<>();
-    private final TreeMap<DutyName, Held> duties = new TreeMap<>();
-    private final TreeMap<Long, Permit> permits = new TreeMap<>();
-    private final Releases releases = new Releases();
-    private final Plans plans = new Plans();
-    private final TreeMap<String, Rest> rests = new TreeMap<>();
-    private final ArrayDeque<Done> done = new ArrayDeque<>();
-    private final ArrayDeque<Entry> history = new ArrayDeque<>();
+    private final TreeMap<DutyName, DutyLease> duties = new TreeMap<>();
+    private final TreeMap<Long, DisruptionPermit> permits = new TreeMap<>();
+    private final Rollouts releases = new Rollouts();
+    private final CapacityPlans plans = new CapacityPlans();
+    private final TreeMap<String, Cordon> rests = new TreeMap<>();
+    private final ArrayDeque<CompletedOrder> done = new ArrayDeque<>();
+    private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
     private long lastPermit;
 
     /** Who halted; empty while nothing is. */
@@ -82,21 +82,21 @@
 
     private long lastToken;
     private String digest = "";
-    private long deeds;
+    private long commands;
 
-    public Book(int mostMembers) {
+    public ClusterState(int mostMembers) {
         this.mostMembers = mostMembers;
     }
 
     /** Takes over a whole page in the place of all it had. */
-    public void open(Page page) {
+    public void open(Snapshot page) {
         members.clear();
         page.members().forEach(member -> members.put(member.name(), member));
         duties.clear();
-        page.duties().forEach(held -> duties.put(held.duty(), held));
+        page.duties().forEach(lease -> duties.put(lease.duty(), lease));
         lastToken = page.lastToken();
         digest = page.digest();
-        deeds = page.deeds();
+        commands = page.commands();
         permits.clear();
         page.permits().forEach(permit -> permits.put(permit.number(), permit));
         lastPermit = page.lastPermit();
@@ -113,13 +113,13 @@
         }
     }
 
-    public Page page() {
-        return new Page(
+    public Snapshot page() {
+        return new Snapshot(
                 new ArrayList<>(members.values()),
                 new ArrayList<>(duties.values()),
                 lastToken,
                 digest,
-                deeds,
+                commands,
                 new ArrayList<>(permits.values()),
                 lastPermit,
                 haltedBy,
@@ -130,13 +130,13 @@
                 plans.page());
     }
 
-    /** Whether the deed fitted and was done; one that no longer fits changes nothing. */
-    public boolean apply(Deed deed) {
-        deeds++;
-        if (deed instanceof Deed.Join join) {
+    /** Whether the command fitted and was done; one that no longer fits changes nothing. */
+    public boolean apply(ClusterCommand command) {
+        commands++;
+        if (command instanceof ClusterCommand.Join join) {
             return join(join);
         }
-        if (deed instanceof Deed.Leave leave) {
+        if (command instanceof ClusterCommand.Leave leave) {
             Member member = members.get(leave.name());
             if (member == null || !member.life().equals(leave.life())) {
                 return false;
@@ -145,9 +145,10 @@
                     leave.name(), new Member(member.name(), member.life(), member.site(), false));
             return true;
         }
-        if (deed instanceof Deed.Forget forget) {
+        if (command instanceof ClusterCommand.RemoveNode forget) {
             boolean holds =
-                    duties.values().stream().anyMatch(held -> forget.name().equals(held.holder()));
+                    duties.values().stream()
+                            .anyMatch(lease -> forget.name().equals(lease.holder()));
             if (holds || members.remove(forget.name()) == null) {
                 return false;
             }
@@ -155,22 +156,22 @@
             plans.forget(forget.name());
             return true;
         }
-        if (deed instanceof Deed.Give give) {
+        if (command instanceof ClusterCommand.GrantLease give) {
             return give(give);
         }
-        if (deed instanceof Deed.Free free) {
-            Held held = duties.get(free.duty());
-            if (held == null || held.isFree() || !held.token().equals(free.token())) {
+        if (command instanceof ClusterCommand.ReleaseLease free) {
+            DutyLease lease = duties.get(free.duty());
+            if (lease == null || lease.isFree() || !lease.token().equals(free.token())) {
                 return false;
             }
-            duties.put(free.duty(), new Held(free.duty(), null, null, held.token()));
+            duties.put(free.duty(), new DutyLease(free.duty(), null, null, lease.token()));
             return true;
         }
-        if (deed instanceof Deed.Allow allow) {
+        if (command instanceof ClusterCommand.GrantPermit allow) {
             return allow(allow);
         }
-        if (deed instanceof Deed.Back back) {
-            Permit permit = permits.remove(back.permit());
+        if (command instanceof ClusterCommand.ReturnPermit back) {
+            DisruptionPermit permit = permits.remove(back.permit());
             if (permit != null) {
                 write(
                         back.atMillis(),
@@ -183,7 +184,7 @@
             }
             return permit != null;
         }
-        if (deed instanceof Deed.Halt halt) {
+        if (command instanceof ClusterCommand.SetHalt halt) {
             if (answer(halt.order()) == null) {
                 haltedBy = halt.halted() ? halt.by() : "";
                 did(halt.order(), halt.halted() ? "halted" : "resumed");
@@ -191,17 +192,17 @@
             }
             return true;
         }
-        if (deed instanceof Deed.Found found) {
+        if (command instanceof ClusterCommand.Bootstrap found) {
             if (isFounded()) {
                 return false;
             }
             lastToken = Math.max(1, found.above());
             return true;
         }
-        if (deed instanceof Deed.Begin begin) {
+        if (command instanceof ClusterCommand.BeginRollout begin) {
             return begin(begin);
         }
-        if (deed instanceof Deed.SetPlan plan) {
+        if (command instanceof ClusterCommand.SetCapacityPlan plan) {
             boolean fits =
                     isUnder(DutyName.PLANNER, plan.token()) && plans.plan(plan, members.values());
             if (fits && !plan.why().isEmpty()) {
@@ -209,22 +210,22 @@
             }
             return fits;
         }
-        if (deed instanceof Deed.Retire retire) {
-            return plans.retire(retire.below());
+        if (command instanceof ClusterCommand.RetireCapacityPlans retire) {
+            return plans.retire(retire.beforePlan());
         }
-        if (deed instanceof Deed.LetRest let) {
+        if (command instanceof ClusterCommand.CordonServer let) {
             if (answer(let.order()) != null) {
                 return true;
             }
             boolean fits = againstRest(let.server(), let.most()).isEmpty();
             if (fits) {
-                rests.put(let.server(), new Rest(let.server(), let.by()));
+                rests.put(let.server(), new Cordon(let.server(), let.by()));
                 did(let.order(), let.server() + " rests");
                 write(let.atMillis(), let.by() + " let " + let.server() + " rest");
             }
             return fits;
         }
-        if (deed instanceof Deed.EndRest end) {
+        if (command instanceof ClusterCommand.UncordonServer end) {
             if (answer(end.order()) != null) {
                 return true;
             }
@@ -235,15 +236,16 @@
             }
             return fits;
         }
-        if (deed instanceof Deed.Step step) {
+        if (command instanceof ClusterCommand.AdvanceRollout step) {
             return step(step);
         }
-        if (deed instanceof Deed.Turn turn) {
+        if (command instanceof ClusterCommand.RollBack turn) {
             return turn(turn);
         }
-        if (deed instanceof Deed.Finish finish) {
-            Release release = releases.release();
-            boolean fits = isUnder(DutyName.CONDUCTOR, finish.token()) && releases.finish(finish);
+        if (command instanceof ClusterCommand.FinishRollout finish) {
+            Rollout release = releases.release();
+            boolean fits =
+                    isUnder(DutyName.ROLLOUT_CONTROLLER, finish.token()) && releases.finish(finish);
             if (fits) {
                 write(
                         finish.atMillis(),
@@ -255,20 +257,20 @@
             }
             return fits;
         }
-        Deed.Keep keep = (Deed.Keep) deed;
-        if (!isUnder(DutyName.KEEPER, keep.token())) {
+        ClusterCommand.RecordStatus keep = (ClusterCommand.RecordStatus) command;
+        if (!isUnder(DutyName.STATUS_REPORTER, keep.token())) {
             return false;
         }
         digest = keep.digest();
         return true;
     }
 
-    private boolean isUnder(DutyName duty, Token token) {
-        Held held = duties.get(duty);
-        return held != null && !held.isFree() && held.token().equals(token);
+    private boolean isUnder(DutyName duty, FencingToken token) {
+        DutyLease lease = duties.get(duty);
+        return lease != null && !lease.isFree() && lease.token().equals(token);
     }
 
-    private boolean begin(Deed.Begin begin) {
+    private boolean begin(ClusterCommand.BeginRollout begin) {
         if (answer(begin.order()) != null) {
             return true; // it was done before
         }
@@ -282,15 +284,15 @@
                         + " began "
                         + releases.release()
                         + " of "
-                        + (begin.kind() == Release.Kind.PROGRAM
+                        + (begin.kind() == Rollout.Kind.PROGRAM
                                 ? "the program "
                                 : "the configuration ")
                         + begin.to());
         return true;
     }
 
-    private boolean step(Deed.Step step) {
-        if (!isUnder(DutyName.CONDUCTOR, step.token())
+    private boolean step(ClusterCommand.AdvanceRollout step) {
+        if (!isUnder(DutyName.ROLLOUT_CONTROLLER, step.token())
                 || !haltedBy.isEmpty()
                 || !releases.step(step)) {
             return false;
@@ -308,7 +310,7 @@
     }
 
     /** Nothing may hold up the way back: it ends a halt, whoever halted. */
-    private boolean turn(Deed.Turn turn) {
+    private boolean turn(ClusterCommand.RollBack turn) {
         if (answer(turn.order()) != null) {
             return true;
         }
@@ -322,7 +324,7 @@
     }
 
     /** Why a release may not begin now; empty where it may. */
-    public String againstRelease(Release.Kind kind, String to, String text) {
+    public String againstRelease(Rollout.Kind kind, String to, String text) {
         return !haltedBy.isEmpty()
                 ? haltedBy + " halted"
                 : !rests.isEmpty()
@@ -332,7 +334,7 @@
 
     /** Why a server may not rest now; empty where it may. */
     public String againstRest(String server, int most) {
-        Release release = releases.release();
+        Rollout release = releases.release();
         return !haltedBy.isEmpty()
                 ? haltedBy + " halted"
                 : release != null
@@ -348,12 +350,12 @@
     }
 
     /** The newest plan; null before the first. */
-    public Plan plan() {
+    public CapacityPlan plan() {
         return plans.newest();
     }
 
     /** All plans that some node may still go by, the oldest first. */
-    public List<Plan> livePlans() {
+    public List<CapacityPlan> livePlans() {
         return Collections.unmodifiableList(plans.live());
     }
 
@@ -363,12 +365,12 @@
     }
 
     /** The servers that rest. */
-    public Collection<Rest> rests() {
+    public Collection<Cordon> rests() {
         return Collections.unmodifiableCollection(rests.values());
     }
 
     /** The release that is open; null while none is. */
-    public Release release() {
+    public Rollout release() {
         return releases.release();
     }
 
@@ -378,13 +380,13 @@
     }
 
     /** What each node answered over a watch before the open release, by its name. */
-    public Map<String, Tally> past() {
+    public Map<String, RequestCounts> past() {
         return releases.past();
     }
 
     /** What a node is to run. */
-    public Reply.Wanted wanted(NodeName node) {
-        return new Reply.Wanted(
+    public HeartbeatReply.Wanted wanted(NodeName node) {
+        return new HeartbeatReply.Wanted(
                 releases.wanted(node),
                 releases.toCheck(),
                 releases.release() != null,
@@ -401,7 +403,7 @@
         return releases.text(digest);
     }
 
-    private boolean allow(Deed.Allow allow) {
+    private boolean allow(ClusterCommand.GrantPermit allow) {
         if (answer(allow.order()) != null) {
             return true; // it was done before
         }
@@ -412,13 +414,18 @@
                 || member == null
                 || has
                 || permits.size() >= MOST_PERMITS
-                || !new Outs(allow.rules(), members.values(), permits.values(), allow.seenOut())
+                || !new DisruptionBudget(
+                                allow.rules(),
+                                members.values(),
+                                permits.values(),
+                                allow.unavailableNodes())
                         .against(allow.node())
                         .isEmpty()) {
             return false;
         }
-        Permit permit =
-                new Permit(++lastPermit, member.name(), member.life(), member.site(), allow.by());
+        DisruptionPermit permit =
+                new DisruptionPermit(
+                        ++lastPermit, member.name(), member.life(), member.site(), allow.by());
         permits.put(permit.number(), permit);
         did(allow.order(), "permit " + permit.number() + " for " + permit.node());
         write(
@@ -428,15 +435,15 @@
     }
 
     private void did(String order, String text) {
-        done.add(new Done(order, text));
-        if (done.size() > MOST_KEPT) {
+        done.add(new CompletedOrder(order, text));
+        if (done.size() > MAX_RETAINED) {
             done.poll();
         }
     }
 
     private void write(long atMillis, String text) {
-        history.add(new Entry(atMillis, text));
-        if (history.size() > MOST_KEPT) {
+        history.add(new HistoryEntry(atMillis, text));
+        if (history.size() > MAX_RETAINED) {
             history.poll();
         }
     }
@@ -445,23 +452,25 @@
     public String answer(String order) {
         return done.stream()
                 .filter(one -> one.order().equals(order))
-                .map(Done::text)
+                .map(CompletedOrder::text)
                 .findFirst()
                 .orElse(null);
     }
 
     /** Why a node may not go now; empty where it may. */
-    public String against(NodeName node, OutRules rules, Collection<NodeName> seenOut) {
+    public String against(
+            NodeName node, DisruptionLimits rules, Collection<NodeName> unavailableNodes) {
         if (!haltedBy.isEmpty()) {
             return haltedBy + " halted";
         }
         boolean has = permits.values().stream().anyMatch(permit -> permit.node().equals(node));
         return has
                 ? node + " has a permit already"
-                : new Outs(rules, members.values(), permits.values(), seenOut).against(node);
+                : new DisruptionBudget(rules, members.values(), permits.values(), unavailableNodes)
+                        .against(node);
     }
 
-    public Collection<Permit> permits() {
+    public Collection<DisruptionPermit> permits() {
         return Collections.unmodifiableCollection(permits.values());
     }
 
@@ -470,11 +479,11 @@
         return haltedBy;
     }
 
-    public List<Entry> history() {
+    public List<HistoryEntry> history() {
         return new ArrayList<>(history);
     }
 
-    private boolean join(Deed.Join join) {
+    private boolean join(ClusterCommand.Join join) {
         if (!members.containsKey(join.name()) && members.size() >= mostMembers) {
             // Guards against names that come once each, as of nodes named anew at each start: who
             // went makes room.
@@ -490,19 +499,20 @@
         return true;
     }
 
-    private boolean give(Deed.Give give) {
-        Held held = duties.get(give.duty());
+    private boolean give(ClusterCommand.GrantLease give) {
+        DutyLease lease = duties.get(give.duty());
         Member heir = members.get(give.heir());
         boolean fits =
-                held == null
+                lease == null
                         ? give.after().number() == 0 && duties.size() < MOST_DUTIES
-                        : held.isFree() && held.token().equals(give.after());
+                        : lease.isFree() && lease.token().equals(give.after());
         if (!fits || heir == null || !heir.in() || !heir.life().equals(give.life())) {
             return false;
         }
         duties.put(
                 give.duty(),
-                new Held(give.duty(), give.heir(), give.life(), new Token(++lastToken)));
+                new DutyLease(
+                        give.duty(), give.heir(), give.life(), new FencingToken(++lastToken)));
         return true;
     }
 
@@ -526,22 +536,22 @@
     }
 
     /** Never null: one that was never given is nobody's under token 0. */
-    public Held duty(DutyName duty) {
-        Held held = duties.get(duty);
-        return held == null ? new Held(duty, null, null, new Token(0)) : held;
+    public DutyLease duty(DutyName duty) {
+        DutyLease lease = duties.get(duty);
+        return lease == null ? new DutyLease(duty, null, null, new FencingToken(0)) : lease;
     }
 
-    public Collection<Held> duties() {
+    public Collection<DutyLease> duties() {
         return Collections.unmodifiableCollection(duties.values());
     }
 
-    /** What the keeper last gathered. */
+    /** What the status reporter last gathered. */
     public String digest() {
         return digest;
     }
 
-    /** How many deeds were read, those that didn't fit included. */
-    public long deeds() {
-        return deeds;
+    /** How many commands were read, those that didn't fit included. */
+    public long commands() {
+        return commands;
     }
 }
--- a/src/main/java/lupinwood/fleet/Rest.java
+++ b/src/main/java/lupinwood/cluster/Cordon.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /**
  * A server below that is agreed to rest: no node sends it anything new.
@@ -6,4 +6,4 @@
  * @param server as the operators' files name it
  * @param by who asked
  */
-public record Rest(String server, String by) {}
+public record Cordon(String server, String by) {}
--- a/src/main/java/lupinwood/fleet/Outs.java
+++ b/src/main/java/lupinwood/cluster/DisruptionBudget.java
@@ -1,25 +1,25 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
 
 /** Who is out, whatever the reason, and whether one more may go. */
-final class Outs {
-    private final OutRules rules;
-    private final Collection<Book.Member> members;
+final class DisruptionBudget {
+    private final DisruptionLimits rules;
+    private final Collection<ClusterState.Member> members;
 
     /** By permits, and by what was seen: not in, unknown, cold or leaving. */
     private final Set<NodeName> out;
 
-    Outs(
-            OutRules rules,
-            Collection<Book.Member> members,
-            Collection<Permit> permits,
-            Collection<NodeName> seenOut) {
+    DisruptionBudget(
+            DisruptionLimits rules,
+            Collection<ClusterState.Member> members,
+            Collection<DisruptionPermit> permits,
+            Collection<NodeName> unavailableNodes) {
         this.rules = rules;
         this.members = members;
-        out = new HashSet<>(seenOut);
+        out = new HashSet<>(unavailableNodes);
         permits.forEach(permit -> out.add(permit.node()));
         members.stream().filter(member -> !member.in()).forEach(member -> out.add(member.name()));
     }
@@ -33,7 +33,7 @@
      * new leader has heard nobody yet, and all would be out already by what it sees.
      */
     String against(NodeName node) {
-        Book.Member member =
+        ClusterState.Member member =
                 members.stream().filter(one -> one.name().equals(node)).findFirst().orElse(null);
         if (member == null) {
             return "there is no node " + node;
@@ -55,7 +55,7 @@
         if (all - gone < rules.leastIn()) {
             return "fewer than " + rules.leastIn() + " nodes would stay in";
         }
-        // Null in a deed of an older version.
+        // Null in a command of an older version.
         if (rules.voters() != null && rules.voters().contains(node)) {
             int without = 1 + (int) rules.voters().stream().filter(out::contains).count();
             if (without * 2 >= rules.voters().size()) {
--- a/src/main/java/lupinwood/fleet/OutRules.java
+++ b/src/main/java/lupinwood/cluster/DisruptionLimits.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.List;
 
@@ -13,17 +13,17 @@
  * @param leastIn so many have to stay in, in the whole fleet
  * @param voters of these a majority has to stay in, or nothing could be agreed on any more
  */
-public record OutRules(
+public record DisruptionLimits(
         int most,
         double share,
         int zoneMost,
         double zoneShare,
         int leastIn,
         List<NodeName> voters) {
-    public static final OutRules USUAL =
-            new OutRules(Integer.MAX_VALUE, 0.1, Integer.MAX_VALUE, 0.34, 1);
+    public static final DisruptionLimits USUAL =
+            new DisruptionLimits(Integer.MAX_VALUE, 0.1, Integer.MAX_VALUE, 0.34, 1);
 
-    public OutRules(int most, double share, int zoneMost, double zoneShare, int leastIn) {
+    public DisruptionLimits(int most, double share, int zoneMost, double zoneShare, int leastIn) {
         this(most, share, zoneMost, zoneShare, leastIn, List.of());
     }
 
--- a/src/main/java/lupinwood/fleet/DutyName.java
+++ b/src/main/java/lupinwood/cluster/DutyName.java
@@ -1,18 +1,18 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /** What one node at a time is to do for all. */
 public record DutyName(String text) implements Comparable<DutyName> {
     /** Tries servers that all nodes have left out. */
-    public static final DutyName TRIAL = new DutyName("trial");
+    public static final DutyName HEALTH_CHECK = new DutyName("trial");
 
     /** Gathers the fleet's picture and tells it outside. */
-    public static final DutyName KEEPER = new DutyName("keeper");
+    public static final DutyName STATUS_REPORTER = new DutyName("keeper");
 
     /** Plans how much goes from where to where. */
     public static final DutyName PLANNER = new DutyName("planner");
 
     /** Leads releases. */
-    public static final DutyName CONDUCTOR = new DutyName("conductor");
+    public static final DutyName ROLLOUT_CONTROLLER = new DutyName("conductor");
 
     @Override
     public int compareTo(DutyName other) {
--- a/src/main/java/lupinwood/fleet/Token.java
+++ b/src/main/java/lupinwood/cluster/FencingToken.java
@@ -1,12 +1,12 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /**
  * Comes with each duty given, and only grows: whatever an act reaches refuses a lower one than it
  * has seen.
  */
-public record Token(long number) implements Comparable<Token> {
+public record FencingToken(long number) implements Comparable<FencingToken> {
     @Override
-    public int compareTo(Token other) {
+    public int compareTo(FencingToken other) {
         return Long.compare(number, other.number);
     }
 
--- a/src/main/java/lupinwood/fleet/Beat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -1,32 +1,32 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.List;
 
 /**
- * What a node tells the council, again and again.
+ * What a node tells the consensus group, again and again.
  *
- * @param version of this form; a council passes over what it can't read
+ * @param version of this form; a consensus group passes over what it can't read
  * @param number counts up within one life; the reply names it
  * @param holds what it holds for certain now
- * @param handsOn what it held, and does no more
+ * @param releasing what it held, and does no more
  * @param failsAt what it can't do
  * @param leftOut servers that it has left out
  * @param found what it tried under the duty trial
  * @param report null of an older version
  */
-public record Beat(
+public record Heartbeat(
         int version,
         NodeName name,
-        Life life,
+        Incarnation life,
         Site site,
-        Condition condition,
+        NodeCondition condition,
         long number,
-        List<Grant> holds,
-        List<Grant> handsOn,
-        List<Grant> failsAt,
+        List<Lease> holds,
+        List<Lease> releasing,
+        List<Lease> failsAt,
         List<String> leftOut,
-        List<Finding> found,
-        Report report) {
+        List<HealthCheckResult> found,
+        NodeReport report) {
     public static final int VERSION = 1;
 
     /**
@@ -36,8 +36,8 @@
     public static final int MOST = 1024;
 
     /** Without what would be too much, or is missing in an older form. */
-    public Beat cut() {
-        return new Beat(
+    public Heartbeat cut() {
+        return new Heartbeat(
                 version,
                 name,
                 life,
@@ -45,7 +45,7 @@
                 condition,
                 number,
                 cut(holds),
-                cut(handsOn),
+                cut(releasing),
                 cut(failsAt),
                 cut(leftOut),
                 cut(found),
--- a/src/main/java/lupinwood/fleet/Reply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -1,42 +1,43 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.List;
 import java.util.Map;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
 
 /**
- * What the council says to a beat.
+ * What the consensus group says to a heartbeat.
  *
- * @param number the beat's
- * @param taken whether the one who says it leads; else the beat counts for nothing
+ * @param number the heartbeat's
+ * @param taken whether the one who says it leads; else the heartbeat counts for nothing
  * @param leader who leads, as far as the one who says it knows; null where nobody is known to
  * @param trouble why the node stands outside; empty where it doesn't
- * @param lease how long each grant is good, from before the beat was sent
+ * @param lease how long each grant is good, from before the heartbeat was sent
  * @param grants what the node holds; a duty that isn't named isn't its
  * @param found what the holder of the duty trial found lately
  * @param leave the permit under which the node is to go; zero where it is to stay
  * @param wanted what the node is to run; null of an older version
- * @param share what the node may send where, for a lease from before its beat; null without a plan
- * @param others how many nodes the council heard lately
+ * @param share what the node may send where, for a lease from before its heartbeat; null without a
+ *     plan
+ * @param others how many nodes the consensus group heard lately
  */
-public record Reply(
+public record HeartbeatReply(
         long number,
         boolean taken,
         NodeName leader,
         String trouble,
-        Span lease,
-        List<Grant> grants,
-        List<Finding> found,
+        NanoDuration lease,
+        List<Lease> grants,
+        List<HealthCheckResult> found,
         long leave,
         Wanted wanted,
-        Share share,
+        CapacityShare share,
         int others) {
     /**
      * A node's part of a plan.
      *
-     * @param slots how many tickets at once it may have at a place
+     * @param slots how many requests at once it may have at a place
      */
-    public record Share(long plan, Map<String, Integer> slots) {}
+    public record CapacityShare(long plan, Map<String, Integer> slots) {}
 
     /**
      * What a node is to run.
@@ -52,8 +53,18 @@
         }
     }
 
-    static Reply notTaken(long number, NodeName leader) {
-        return new Reply(
-                number, false, leader, "", Span.ZERO, List.of(), List.of(), 0, null, null, 0);
+    static HeartbeatReply notTaken(long number, NodeName leader) {
+        return new HeartbeatReply(
+                number,
+                false,
+                leader,
+                "",
+                NanoDuration.ZERO,
+                List.of(),
+                List.of(),
+                0,
+                null,
+                null,
+                0);
     }
 }
--- a/src/main/java/lupinwood/fleet/Life.java
+++ b/src/main/java/lupinwood/cluster/Incarnation.java
@@ -1,9 +1,9 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /**
  * One start of a node: drawn anew each time, so that two processes under one name are told apart.
  */
-public record Life(long number) {
+public record Incarnation(long number) {
     @Override
     public String toString() {
         return Long.toHexString(number);
--- a/src/main/java/lupinwood/fleet/Condition.java
+++ b/src/main/java/lupinwood/cluster/NodeCondition.java
@@ -1,7 +1,7 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /** How a node finds itself; GONE is the last that it says. */
-public enum Condition {
+public enum NodeCondition {
     COLD,
     WARM,
     LEAVING,
--- a/src/main/java/lupinwood/fleet/NodeName.java
+++ b/src/main/java/lupinwood/cluster/NodeName.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /** What a node is called, the same after a restart. */
 public record NodeName(String text) implements Comparable<NodeName> {
--- a/src/main/java/lupinwood/fleet/Standing.java
+++ b/src/main/java/lupinwood/cluster/NodeStatus.java
@@ -1,7 +1,7 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /** What the fleet knows of a node. */
-public enum Standing {
+public enum NodeStatus {
     /** Heard lately, and not yet warm. */
     UP,
     /** Heard lately, and warm. */
--- a/src/main/java/lupinwood/fleet/Release.java
+++ b/src/main/java/lupinwood/cluster/Rollout.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.List;
 
@@ -14,7 +14,7 @@
  * @param steps how many waves were given, there and back
  * @param given the nodes that are to have it now, in the order in which they got it
  */
-public record Release(
+public record Rollout(
         long number,
         Kind kind,
         String from,
@@ -35,8 +35,8 @@
         return turnedAt >= 0;
     }
 
-    Release with(int turned, int step, List<NodeName> nodes) {
-        return new Release(
+    Rollout with(int turned, int step, List<NodeName> nodes) {
+        return new Rollout(
                 number, kind, from, to, by, backsOnHalt, turned, step, List.copyOf(nodes));
     }
 
--- a/src/main/java/lupinwood/fleet/Releases.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -10,7 +10,7 @@
  * The agreed part of releases: which text and which program are good, and which release is under
  * way. Two versions are in use at the most, since the next one begins only when this one has ended.
  */
-public final class Releases {
+public final class Rollouts {
     /** Characters of a text: it travels in one message and stands in each voter's folder. */
     static final int MOST_TEXT = 32 * 1024;
 
@@ -19,34 +19,34 @@
      *
      * @param text of the digest that it goes with
      */
-    public record Text(String digest, String text) {}
+    public record ConfigText(String digest, String text) {}
 
     /** As it is kept and sent. */
-    public record Page(
-            Text good,
+    public record Snapshot(
+            ConfigText good,
             String program,
-            Text next,
-            Release open,
+            ConfigText next,
+            Rollout open,
             long last,
-            Map<String, Tally> past) {}
+            Map<String, RequestCounts> past) {}
 
-    private static final Text NONE = new Text("", "");
-    private Text good = NONE;
+    private static final ConfigText NONE = new ConfigText("", "");
+    private ConfigText good = NONE;
 
     /** The program's last good version; empty while nobody released one. */
     private String program = "";
 
-    private Text next = NONE;
+    private ConfigText next = NONE;
 
     /** Null while none is open. */
-    private Release open;
+    private Rollout open;
 
     private long last;
 
     /** How the nodes did before the release; whoever leads it later has this from here. */
-    private Map<String, Tally> past = Map.of();
+    private Map<String, RequestCounts> past = Map.of();
 
-    void open(Page page) {
+    void open(Snapshot page) {
         if (page != null) { // null in the page of an older version
             good = page.good();
             program = page.program();
@@ -57,16 +57,16 @@
         }
     }
 
-    Page page() {
-        return new Page(good, program, next, open, last, past);
+    Snapshot page() {
+        return new Snapshot(good, program, next, open, last, past);
     }
 
-    Release release() {
+    Rollout release() {
         return open;
     }
 
     /** Why it may not begin; empty where it may. */
-    String against(Release.Kind kind, String to, String text) {
+    String against(Rollout.Kind kind, String to, String text) {
         if (open != null) {
             return open + " by " + open.by() + " is open; it has to end first";
         }
@@ -77,19 +77,19 @@
                     + MOST_TEXT
                     + " is the most";
         }
-        if (to.equals(kind == Release.Kind.CONFIGURATION ? good.digest() : program)) {
+        if (to.equals(kind == Rollout.Kind.CONFIGURATION ? good.digest() : program)) {
             return "that means the same as what the fleet runs, " + (to.isEmpty() ? "nothing" : to);
         }
         return "";
     }
 
-    boolean begin(Deed.Begin begin) {
+    boolean begin(ClusterCommand.BeginRollout begin) {
         if (!against(begin.kind(), begin.to(), begin.text()).isEmpty()) {
             return false;
         }
-        boolean text = begin.kind() == Release.Kind.CONFIGURATION;
+        boolean text = begin.kind() == Rollout.Kind.CONFIGURATION;
         open =
-                new Release(
+                new Rollout(
                         ++last,
                         begin.kind(),
                         text ? good.digest() : program,
@@ -99,12 +99,12 @@
                         -1,
                         0,
                         List.of());
-        next = text ? new Text(begin.to(), begin.text()) : NONE;
+        next = text ? new ConfigText(begin.to(), begin.text()) : NONE;
         return true;
     }
 
     /** A wave: there the nodes get it, on the way back they have it no more. */
-    boolean step(Deed.Step step) {
+    boolean step(ClusterCommand.AdvanceRollout step) {
         if (open == null
                 || step.release() != open.number()
                 || step.step() != open.steps() + 1
@@ -128,14 +128,14 @@
         return true;
     }
 
-    boolean finish(Deed.Finish finish) {
+    boolean finish(ClusterCommand.FinishRollout finish) {
         if (open == null
                 || finish.release() != open.number()
                 || finish.done() == (open.back() || open.steps() == 0)
                 || (!finish.done() && !open.given().isEmpty())) {
             return false;
         }
-        if (finish.done() && open.kind() == Release.Kind.CONFIGURATION) {
+        if (finish.done() && open.kind() == Rollout.Kind.CONFIGURATION) {
             good = next;
         } else if (finish.done()) {
             program = open.to();
@@ -150,26 +150,26 @@
         return good.digest();
     }
 
-    Map<String, Tally> past() {
+    Map<String, RequestCounts> past() {
         return past;
     }
 
     /** The digest of the text that a node is to go by. */
     String wanted(NodeName node) {
         boolean given =
-                open != null && open.kind() == Release.Kind.CONFIGURATION && open.isGiven(node);
+                open != null && open.kind() == Rollout.Kind.CONFIGURATION && open.isGiven(node);
         return given ? open.to() : good.digest();
     }
 
     /** The program that a node is to be started with; empty for whatever there is. */
     String wantedProgram(NodeName node) {
-        boolean released = open != null && open.kind() == Release.Kind.PROGRAM;
+        boolean released = open != null && open.kind() == Rollout.Kind.PROGRAM;
         return released && open.isGiven(node) ? open.to() : program;
     }
 
     /** The digest of a text that nodes are to check now; empty for none. */
     String toCheck() {
-        return open != null && open.kind() == Release.Kind.CONFIGURATION && !open.back()
+        return open != null && open.kind() == Rollout.Kind.CONFIGURATION && !open.back()
                 ? open.to()
                 : "";
     }
--- a/src/main/java/lupinwood/fleet/Site.java
+++ b/src/main/java/lupinwood/cluster/Site.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 /** Where a node stands. */
 public record Site(String region, String zone) {
--- a/src/main/java/lupinwood/config/Config.java
+++ b/src/main/java/lupinwood/config/Config.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 
 /**
  * A configuration as read from its texts.
@@ -12,9 +12,12 @@
  * @param sources all texts, the first one first
  */
 public record Config(
-        Meaning meaning, Map<String, Place> places, Problems problems, List<Source> sources) {
+        ParsedSettings meaning,
+        Map<String, SourcePosition> places,
+        Diagnostics problems,
+        List<Source> sources) {
     /** The text in which something stands, or null. */
-    public Source source(Place place) {
+    public Source source(SourcePosition place) {
         return sources.stream()
                 .filter(source -> source.name().equals(place.file()))
                 .findFirst()
--- a/src/main/java/lupinwood/config/Problem.java
+++ b/src/main/java/lupinwood/config/Diagnostic.java
@@ -6,4 +6,4 @@
  * @param text what is wrong, one line
  * @param instead what to write instead, one line; empty where that can't be known
  */
-public record Problem(Place place, String text, String instead) {}
+public record Diagnostic(SourcePosition place, String text, String instead) {}
--- a/src/main/java/lupinwood/config/Report.java
+++ b/src/main/java/lupinwood/config/DiagnosticReport.java
@@ -7,16 +7,16 @@
 import java.util.function.Function;
 
 /** Problems as people and tools read them. */
-public final class Report {
+public final class DiagnosticReport {
     private static final int MOST_SHOWN = 160;
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
 
-    private Report() {}
+    private DiagnosticReport() {}
 
     /** {@code FILE:LINE:COL: error: TEXT}, the line itself, a caret, and what to write instead. */
-    public static String text(Problems problems, Function<Place, Source> sources) {
+    public static String text(Diagnostics problems, Function<SourcePosition, Source> sources) {
         StringBuilder out = new StringBuilder();
-        for (Problem problem : problems.all()) {
+        for (Diagnostic problem : problems.all()) {
             out.append(problem.place())
                     .append(": error: ")
                     .append(visible(problem.text()))
@@ -37,7 +37,7 @@
     }
 
     /** The part of a long line that the place is in; a tab counts as one blank, as in columns. */
-    private static void excerpt(String line, Place place, StringBuilder out) {
+    private static void excerpt(String line, SourcePosition place, StringBuilder out) {
         int column = Math.min(place.column() - 1, line.length());
         int from = column < MOST_SHOWN * 3 / 4 ? 0 : column - MOST_SHOWN / 2;
         int to = Math.min(line.length(), from + MOST_SHOWN);
@@ -69,9 +69,9 @@
     }
 
     /** An array of objects with file, line, column, length, text and instead. */
-    public static String json(Problems problems) {
+    public static String json(Diagnostics problems) {
         JsonArray all = new JsonArray();
-        for (Problem problem : problems.all()) {
+        for (Diagnostic problem : problems.all()) {
             JsonObject one = new JsonObject();
             one.addProperty("file", problem.place().file());
             one.addProperty("line", problem.place().line());
--- a/src/main/java/lupinwood/config/Problems.java
+++ b/src/main/java/lupinwood/config/Diagnostics.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /** The mistakes found so far, in a number that somebody can read. */
-public final class Problems {
+public final class Diagnostics {
     private static final int MOST = 200;
 
-    private final List<Problem> found = new ArrayList<>();
+    private final List<Diagnostic> found = new ArrayList<>();
     private int more;
 
-    void add(Place place, String text, String instead) {
+    void add(SourcePosition place, String text, String instead) {
         if (found.size() < MOST) {
-            found.add(new Problem(place, text, instead));
+            found.add(new Diagnostic(place, text, instead));
         } else {
             more++;
         }
@@ -29,12 +29,12 @@
     }
 
     /** File by file, in the order of lines. */
-    public List<Problem> all() {
+    public List<Diagnostic> all() {
         List<String> files =
                 found.stream().map(problem -> problem.place().file()).distinct().toList();
         return found.stream()
                 .sorted(
-                        Comparator.<Problem>comparingInt(p -> files.indexOf(p.place().file()))
+                        Comparator.<Diagnostic>comparingInt(p -> files.indexOf(p.place().file()))
                                 .thenComparingInt(p -> p.place().line())
                                 .thenComparingInt(p -> p.place().column()))
                 .toList();
--- a/src/main/java/lupinwood/config/Formatter.java
+++ b/src/main/java/lupinwood/config/Formatter.java
@@ -32,7 +32,7 @@
     private Formatter() {}
 
     /** The text in its form, or null where it can't be read, which the problems tell. */
-    public static String format(Source source, Problems problems) {
+    public static String format(Source source, Diagnostics problems) {
         boolean sound = problems.isEmpty();
         Parser.parse(source, problems);
         if (sound && !problems.isEmpty()) {
--- a/src/main/java/lupinwood/config/Parser.java
+++ b/src/main/java/lupinwood/config/Parser.java
@@ -18,10 +18,10 @@
     /** A text's statements, and whether its structure could be made out. */
     record Parsed(List<Statement> statements, boolean whole) {}
 
-    private record Open(Statement of, Place place, List<Statement> into) {}
+    private record Open(Statement of, SourcePosition place, List<Statement> into) {}
 
     private final Source source;
-    private final Problems problems;
+    private final Diagnostics problems;
     private final List<Token> words = new ArrayList<>();
     private final Deque<Open> open = new ArrayDeque<>();
     private final List<Statement> top = new ArrayList<>();
@@ -29,12 +29,12 @@
     private int count;
     private boolean lost;
 
-    private Parser(Source source, Problems problems) {
+    private Parser(Source source, Diagnostics problems) {
         this.source = source;
         this.problems = problems;
     }
 
-    static Parsed parse(Source source, Problems problems) {
+    static Parsed parse(Source source, Diagnostics problems) {
         Parser parser = new Parser(source, problems);
         parser.read();
         return new Parsed(parser.top, !parser.lost);
@@ -92,7 +92,7 @@
         }
         if (remarks > 0) {
             stop(
-                    new Place(
+                    new SourcePosition(
                             source.name(), opened.getLine(), opened.getCharPositionInLine() + 1, 2),
                     "this comment is never closed",
                     "write */ where it ends");
@@ -100,12 +100,12 @@
         return !lost;
     }
 
-    private void stop(Place place, String text, String instead) {
+    private void stop(SourcePosition place, String text, String instead) {
         problems.add(place, text, instead);
         lost = true;
     }
 
-    private Place place(Token word) {
+    private SourcePosition place(Token word) {
         return Syntax.place(source, word);
     }
 
@@ -137,14 +137,16 @@
     /** One statement up to its braces or its end. */
     private Statement statement() {
         boolean off = take(KdlLexer.SLASHDASH);
-        Word name = value("an entry's name");
+        ValueToken name = value("an entry's name");
         Statement statement = new Statement(name);
         statement.broken = !name.sound();
         if (++count > MOST_STATEMENTS) {
             stop(name.place(), "there are more than " + MOST_STATEMENTS + " entries", "");
             return statement;
         }
-        if (name.sound() && (name.kind() == Word.Kind.NUMBER || name.kind() == Word.Kind.KEYWORD)) {
+        if (name.sound()
+                && (name.kind() == ValueToken.Kind.NUMBER
+                        || name.kind() == ValueToken.Kind.KEYWORD)) {
             broken(
                     statement,
                     name.place(),
@@ -157,10 +159,10 @@
                 passOver();
                 continue;
             }
-            Word word = value("a value");
+            ValueToken word = value("a value");
             if (at < words.size() && words.get(at).getType() == KdlLexer.EQUALS) {
                 at++;
-                Word value =
+                ValueToken value =
                         at < words.size() && !ends(words.get(at).getType())
                                 ? value("a value")
                                 : word;
@@ -212,22 +214,22 @@
         return false;
     }
 
-    private void broken(Statement statement, Place place, String text, String instead) {
+    private void broken(Statement statement, SourcePosition place, String text, String instead) {
         if (!statement.broken) {
             problems.add(place, text, instead);
             statement.broken = true;
         }
     }
 
-    private Word slip(Token word, String text, String instead) {
+    private ValueToken slip(Token word, String text, String instead) {
         problems.add(place(word), text, instead);
-        return new Word(Word.Kind.BARE, word.getText(), "", place(word), false);
+        return new ValueToken(ValueToken.Kind.BARE, word.getText(), "", place(word), false);
     }
 
     /**
      * The next word, which is there, with the note before it; never waits for more than one line.
      */
-    private Word value(String expected) {
+    private ValueToken value(String expected) {
         if (at >= words.size() || ends(words.get(at).getType())) {
             Token near = words.get(Math.min(at, words.size() - 1));
             return slip(
@@ -257,11 +259,13 @@
         return word(first, note);
     }
 
-    private Word word(Token word, String note) {
+    private ValueToken word(Token word, String note) {
         String text = word.getText();
         return switch (word.getType()) {
-            case KdlLexer.WORD -> new Word(Word.Kind.BARE, text, note, place(word), true);
-            case KdlLexer.NUMBER -> new Word(Word.Kind.NUMBER, text, note, place(word), true);
+            case KdlLexer.WORD ->
+                    new ValueToken(ValueToken.Kind.BARE, text, note, place(word), true);
+            case KdlLexer.NUMBER ->
+                    new ValueToken(ValueToken.Kind.NUMBER, text, note, place(word), true);
             case KdlLexer.KEYWORD -> keyword(word, note);
             case KdlLexer.STRING ->
                     string(word, Texts.unescape(text.substring(1, text.length() - 1)), note);
@@ -302,7 +306,7 @@
                                                     "")
                                             + "\"");
             case KdlLexer.UNCLOSED_MULTILINE, KdlLexer.UNCLOSED_RAW -> {
-                Word said =
+                ValueToken said =
                         slip(
                                 word,
                                 "this text is never closed",
@@ -316,7 +320,7 @@
                 yield said;
             }
             default -> {
-                Word said = slip(word, Texts.stray(text), "take it out");
+                ValueToken said = slip(word, Texts.stray(text), "take it out");
                 while (at < words.size() && !ends(words.get(at).getType())) {
                     at++; // one message for a line of noise
                 }
@@ -325,17 +329,17 @@
         };
     }
 
-    private Word string(Token word, String text, String note) {
+    private ValueToken string(Token word, String text, String note) {
         return text == null
                 ? slip(word, "an escape in this text names no character", "write up to \\u{10FFFF}")
-                : new Word(Word.Kind.QUOTED, text, note, place(word), true);
+                : new ValueToken(ValueToken.Kind.QUOTED, text, note, place(word), true);
     }
 
-    private Word keyword(Token word, String note) {
+    private ValueToken keyword(Token word, String note) {
         String text = word.getText();
         return switch (text) {
             case "#true", "#false", "#null", "#inf", "#-inf", "#nan" ->
-                    new Word(Word.Kind.KEYWORD, text, note, place(word), true);
+                    new ValueToken(ValueToken.Kind.KEYWORD, text, note, place(word), true);
             default ->
                     slip(
                             word,
--- a/src/main/java/lupinwood/config/Quantities.java
+++ b/src/main/java/lupinwood/config/Quantities.java
@@ -8,8 +8,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Kind;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
+import lupinwood.settings.ValueType;
 
 /** Numbers with units, and what people write in their place. */
 final class Quantities {
@@ -33,7 +33,7 @@
 
     private static final int MOST_POWER = 30;
 
-    private static final Map<String, String> SPANS =
+    private static final Map<String, String> DURATIONS =
             units(
                     "ns", "1", "us", "1e3", "ms", "1e6", "s", "1e9", "min", "60e9", "h", "3600e9",
                     "d", "86400e9");
@@ -121,9 +121,9 @@
         return units;
     }
 
-    private static Map<String, String> of(Kind kind) {
+    private static Map<String, String> of(ValueType kind) {
         return switch (kind) {
-            case SPAN, SPAN_MILLIS -> SPANS;
+            case DURATION, DURATION_MILLIS -> DURATIONS;
             case MEMORY_KB, MEMORY_MB -> MEMORY;
             case SHARE -> SHARES;
             case RATE -> RATES;
@@ -133,7 +133,7 @@
 
     /** Whether a note before a number is a unit, as in {@code (ms)250}. */
     static boolean isUnit(String note) {
-        return SPANS.containsKey(note)
+        return DURATIONS.containsKey(note)
                 || MEMORY.containsKey(note)
                 || SHARES.containsKey(note)
                 || RATES.containsKey(note);
@@ -141,10 +141,11 @@
 
     /** As the schema keeps it: nanoseconds, bytes, a fraction of one, pieces a second. */
     static Read read(String written, String note, Entry entry) {
-        Kind kind = entry.kind();
+        ValueType kind = entry.kind();
         String text = written + note;
         if (text.length() > MOST_CHARS) {
-            return Read.wrong("this number is too long to mean anything", Meaning.wanted(entry));
+            return Read.wrong(
+                    "this number is too long to mean anything", ParsedSettings.wanted(entry));
         }
         String unseen = BLANKS.matcher(text).replaceAll("");
         if (!unseen.equals(text)) {
@@ -178,13 +179,13 @@
         if (!shape.matches()
                 || !shape.group(1).matches(".*[0-9].*")
                 || shape.group(1).endsWith("_")) {
-            return Read.wrong(text + " is no number", Meaning.wanted(entry));
+            return Read.wrong(text + " is no number", ParsedSettings.wanted(entry));
         }
         return withUnit(shape.group(1).replace("_", ""), shape.group(2), entry);
     }
 
-    private static String unitless(Kind kind, String unit) {
-        return unit.isEmpty() && (kind == Kind.SPAN || kind == Kind.SPAN_MILLIS)
+    private static String unitless(ValueType kind, String unit) {
+        return unit.isEmpty() && (kind == ValueType.DURATION || kind == ValueType.DURATION_MILLIS)
                 ? "ms, or in another unit"
                 : "";
     }
@@ -194,12 +195,13 @@
         try {
             number = new BigDecimal(digits);
         } catch (NumberFormatException e) {
-            return Read.wrong(digits + " is no number", Meaning.wanted(entry));
+            return Read.wrong(digits + " is no number", ParsedSettings.wanted(entry));
         }
         if (Math.abs((long) number.precision() - number.scale()) > MOST_POWER
                 || Math.abs((long) number.scale()) > MOST_POWER) {
             return Read.wrong(
-                    digits + unit + " is beyond anything that can be meant", Meaning.wanted(entry));
+                    digits + unit + " is beyond anything that can be meant",
+                    ParsedSettings.wanted(entry));
         }
         Map<String, String> units = of(entry.kind());
         String factor = units.get(unit);
@@ -213,21 +215,21 @@
                         : number.divide(
                                 new BigDecimal(factor.substring(slash + 1)), MathContext.DECIMAL64);
         boolean whole =
-                (entry.kind() != Kind.SPAN && entry.kind() != Kind.SPAN_MILLIS)
+                (entry.kind() != ValueType.DURATION && entry.kind() != ValueType.DURATION_MILLIS)
                         || value.stripTrailingZeros().scale() <= 0;
         return whole
                 ? new Read(value, "", "")
                 : Read.wrong(
                         digits + unit + " is no whole number of nanoseconds",
-                        Meaning.wanted(entry));
+                        ParsedSettings.wanted(entry));
     }
 
     private static Read wrongUnit(
             BigDecimal number, String digits, String unit, Entry entry, Map<String, String> units) {
-        Kind kind = entry.kind();
+        ValueType kind = entry.kind();
         if (unit.isEmpty()) {
             return switch (kind) {
-                case SPAN, SPAN_MILLIS ->
+                case DURATION, DURATION_MILLIS ->
                         Read.wrong(
                                 digits + " has no unit, so it is no time",
                                 "write " + digits + "ms, " + digits + "s or another unit of time");
--- a/src/main/java/lupinwood/config/Reader.java
+++ b/src/main/java/lupinwood/config/Reader.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import lupinwood.settings.Checks;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Fault;
-import lupinwood.settings.Kind;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.SettingsError;
+import lupinwood.settings.SettingsValidator;
+import lupinwood.settings.ValueType;
 
 /**
  * Reads a configuration: its first text, what that includes, the values given names, then each
@@ -34,25 +34,25 @@
 
     private static final Set<String> SECTIONS = findSections();
 
-    private record Given(String value, Place place) {}
+    private record Given(String value, SourcePosition place) {}
 
     private final Sources from;
     private final boolean part;
-    private final Problems problems = new Problems();
+    private final Diagnostics problems = new Diagnostics();
     private final List<Source> sources = new ArrayList<>();
 
     /** All texts' statements with those that they include in the place of the including. */
     private final List<Statement> statements = new ArrayList<>();
 
-    private final Map<String, Place> includedAt = new HashMap<>();
-    private final Map<String, Word> named = new LinkedHashMap<>();
+    private final Map<String, SourcePosition> includedAt = new HashMap<>();
+    private final Map<String, ValueToken> named = new LinkedHashMap<>();
     private final Map<String, Given> given = new LinkedHashMap<>();
 
     /** Blocks that were given, by name, with their place. */
-    private final Map<String, Place> blocks = new LinkedHashMap<>();
+    private final Map<String, SourcePosition> blocks = new LinkedHashMap<>();
 
     private final Map<String, Set<String>> items = new LinkedHashMap<>();
-    private final List<Fault> wrong = new ArrayList<>();
+    private final List<SettingsError> wrong = new ArrayList<>();
     private int bytes;
 
     /** No further text is taken in. */
@@ -82,10 +82,10 @@
     }
 
     private Config read(String first) {
-        Place start = new Place(first, 1, 1, 1);
+        SourcePosition start = new SourcePosition(first, 1, 1, 1);
         try {
             String name = from.resolve("", first);
-            start = new Place(name, 1, 1, 1);
+            start = new SourcePosition(name, 1, 1, 1);
             include(name, start, new ArrayDeque<>());
         } catch (Sources.Unreadable e) {
             problems.add(start, e.getMessage(), "");
@@ -107,18 +107,19 @@
         given.forEach((name, one) -> values.put(name, one.value()));
         Map<String, List<String>> lists = new LinkedHashMap<>();
         items.forEach((list, names) -> lists.put(list, List.copyOf(names)));
-        Meaning meaning = new Meaning(lists, Meaning.ordered(lists, values));
+        ParsedSettings meaning = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
         if (whole) {
             judge(meaning, start);
         }
-        Map<String, Place> places = new LinkedHashMap<>();
+        Map<String, SourcePosition> places = new LinkedHashMap<>();
         given.forEach((name, one) -> places.put(name, one.place()));
         return new Config(meaning, places, problems, sources);
     }
 
     // ---- texts ----
 
-    private void include(String name, Place by, Deque<Place> chain) throws Sources.Unreadable {
+    private void include(String name, SourcePosition by, Deque<SourcePosition> chain)
+            throws Sources.Unreadable {
         Source source;
         try {
             int left = MOST_BYTES_IN_ALL - bytes;
@@ -147,8 +148,8 @@
         }
     }
 
-    private void include(Statement statement, String by, Deque<Place> chain) {
-        Place place =
+    private void include(Statement statement, String by, Deque<SourcePosition> chain) {
+        SourcePosition place =
                 statement.values.isEmpty()
                         ? statement.name.place()
                         : statement.values.get(0).place();
@@ -165,7 +166,7 @@
         chain.addLast(place);
         try {
             String name = from.resolve(by, statement.values.get(0).text());
-            Place before = includedAt.get(name);
+            SourcePosition before = includedAt.get(name);
             boolean circle =
                     name.equals(sources.get(0).name())
                             || chain.stream().anyMatch(link -> link.file().equals(name));
@@ -210,21 +211,22 @@
                 statement.values.size() == 2
                         && statement.inside == null
                         && statement.property == null
-                        && statement.values.get(0).kind() == Word.Kind.BARE;
+                        && statement.values.get(0).kind() == ValueToken.Kind.BARE;
         if (!sound) {
             problems.add(
                     statement.name.place(),
                     "let takes a name and one value",
                     "write let NAME VALUE");
             if (!statement.values.isEmpty()) {
-                Word given = statement.values.get(0);
+                ValueToken given = statement.values.get(0);
                 named.putIfAbsent(
-                        given.text(), new Word(Word.Kind.BARE, "", "", given.place(), false));
+                        given.text(),
+                        new ValueToken(ValueToken.Kind.BARE, "", "", given.place(), false));
             }
             return;
         }
-        Word name = statement.values.get(0);
-        Word before = named.putIfAbsent(name.text(), statement.values.get(1));
+        ValueToken name = statement.values.get(0);
+        ValueToken before = named.putIfAbsent(name.text(), statement.values.get(1));
         if (before != null) {
             problems.add(
                     name.place(),
@@ -234,11 +236,11 @@
     }
 
     /** The value itself, or what its name stands for; null where that was told to be wrong. */
-    private Word plain(Word word) {
-        if (word.kind() != Word.Kind.BARE || !word.text().startsWith("$")) {
+    private ValueToken plain(ValueToken word) {
+        if (word.kind() != ValueToken.Kind.BARE || !word.text().startsWith("$")) {
             return word;
         }
-        Word value = named.get(word.text().substring(1));
+        ValueToken value = named.get(word.text().substring(1));
         if (value == null) {
             String near = Names.nearest(word.text().substring(1), named.keySet());
             problems.add(
@@ -247,7 +249,7 @@
                     near == null
                             ? "add let " + word.text().substring(1) + " VALUE"
                             : "write $" + near);
-        } else if (value.kind() == Word.Kind.BARE && value.text().startsWith("$")) {
+        } else if (value.kind() == ValueToken.Kind.BARE && value.text().startsWith("$")) {
             problems.add(
                     word.place(),
                     word.text() + " stands for another name, " + value.text(),
@@ -256,7 +258,8 @@
         }
         return value == null
                 ? null
-                : new Word(value.kind(), value.text(), value.note(), word.place(), value.sound());
+                : new ValueToken(
+                        value.kind(), value.text(), value.note(), word.place(), value.sound());
     }
 
     // ---- entries ----
@@ -265,11 +268,11 @@
         String name = statement.name.text();
         if (name.equals(LET) || (statement.broken && statement.inside == null)) {
             if (!name.equals(LET)) {
-                spoilt(name);
+                corrupted(name);
                 whole &=
                         statement.name.sound()
-                                && statement.name.kind() != Word.Kind.NUMBER
-                                && statement.name.kind() != Word.Kind.KEYWORD;
+                                && statement.name.kind() != ValueToken.Kind.NUMBER
+                                && statement.name.kind() != ValueToken.Kind.KEYWORD;
             }
             return;
         }
@@ -295,8 +298,8 @@
     }
 
     /** What was given and can't be used isn't missing. */
-    private void spoilt(String name) {
-        wrong.add(new Fault(name, "", "", true));
+    private void corrupted(String name) {
+        wrong.add(new SettingsError(name, "", "", true));
     }
 
     private void item(Statement statement, Set<String> names) {
@@ -313,7 +316,7 @@
             whole = false; // what is inside is then in no place
             return;
         }
-        Word word = plain(statement.values.get(0));
+        ValueToken word = plain(statement.values.get(0));
         if (word == null) {
             whole = false;
             return;
@@ -350,7 +353,7 @@
 
     private void block(Statement statement, String name, String prefix) {
         boolean overrides = statement.name.note().equals(OVERRIDE);
-        Place before = blocks.putIfAbsent(name, statement.name.place());
+        SourcePosition before = blocks.putIfAbsent(name, statement.name.place());
         if (before != null && !overrides) {
             problems.add(
                     statement.name.place(),
@@ -372,7 +375,7 @@
         note(statement);
         for (Statement inside : statement.inside) {
             if (inside.broken) {
-                spoilt(prefix + inside.name.text());
+                corrupted(prefix + inside.name.text());
             } else {
                 entry(inside, prefix, overrides);
             }
@@ -395,7 +398,7 @@
             extra(statement, name, inOverride);
             return;
         }
-        Entry entry = Meaning.entry(name);
+        Entry entry = ParsedSettings.entry(name);
         if (entry == null || (entry.name().contains("*") && prefix.isEmpty())) {
             unknown(statement, prefix);
             return;
@@ -404,8 +407,8 @@
             problems.add(
                     statement.name.place(),
                     entry.own() + " takes a value and no braces",
-                    Meaning.wanted(entry));
-            spoilt(name);
+                    ParsedSettings.wanted(entry));
+            corrupted(name);
             return;
         }
         if (statement.property != null) {
@@ -413,20 +416,20 @@
                     statement.property,
                     "an entry's value has no name of its own and no =",
                     "write it as an entry of its own, like " + entry.own() + " VALUE");
-            spoilt(name);
+            corrupted(name);
             return;
         }
         note(statement);
         String value = value(statement, entry);
         if (value == null) {
-            spoilt(name);
+            corrupted(name);
         } else {
             give(statement, name, value, inOverride);
         }
     }
 
     private void give(Statement statement, String name, String value, boolean inOverride) {
-        Place place = statement.name.place();
+        SourcePosition place = statement.name.place();
         Given before = given.get(name);
         boolean overrides = inOverride || statement.name.note().equals(OVERRIDE);
         if (before != null && !overrides) {
@@ -440,12 +443,12 @@
                     "there is no " + statement.name.text() + " before this to override",
                     "take (override) out, or put this after what it overrides");
         }
-        Place at = statement.values.isEmpty() ? place : statement.values.get(0).place();
+        SourcePosition at = statement.values.isEmpty() ? place : statement.values.get(0).place();
         given.put(name, new Given(value, at));
     }
 
     private void extra(Statement statement, String name, boolean inOverride) {
-        Word word = statement.values.size() == 1 ? plain(statement.values.get(0)) : null;
+        ValueToken word = statement.values.size() == 1 ? plain(statement.values.get(0)) : null;
         String key = "settings." + statement.name.text();
         if (Schema.keyed(key) != null) {
             problems.add(
@@ -464,7 +467,7 @@
 
     private void unknown(Statement statement, String prefix) {
         String own = statement.name.text();
-        Place place = statement.name.place();
+        SourcePosition place = statement.name.place();
         String section = prefix.isEmpty() ? "" : prefix.split(" ", 0)[0];
         Set<String> here = new TreeSet<>();
         String elsewhere = null;
@@ -506,11 +509,11 @@
         }
         whole &= statement.inside == null; // a misspelled section, whose entries are then nowhere
         if (elsewhere != null) {
-            spoilt(elsewhere.isEmpty() ? own : elsewhere + " " + own);
+            corrupted(elsewhere.isEmpty() ? own : elsewhere + " " + own);
         }
         String near = Names.nearest(own, here);
         if (near != null) {
-            spoilt(prefix + near);
+            corrupted(prefix + near);
         }
     }
 
@@ -518,10 +521,10 @@
 
     /** As the meaning keeps it; null where it was told to be wrong. */
     private String value(Statement statement, Entry entry) {
-        if (entry.kind() == Kind.WORDS && !statement.values.isEmpty()) {
+        if (entry.kind() == ValueType.WORDS && !statement.values.isEmpty()) {
             StringBuilder words = new StringBuilder();
-            for (Word each : statement.values) {
-                Word word = plain(each);
+            for (ValueToken each : statement.values) {
+                ValueToken word = plain(each);
                 if (word == null) {
                     return null;
                 }
@@ -533,7 +536,7 @@
             if (statement.values.size() == 2
                     && entry.kind().isNumber()
                     && Quantities.isUnit(statement.values.get(1).text())) {
-                Word number = statement.values.get(0);
+                ValueToken number = statement.values.get(0);
                 problems.add(
                         number.place(),
                         "there is a blank between " + number.text() + " and its unit",
@@ -541,39 +544,42 @@
                 return null;
             }
             boolean none = statement.values.isEmpty();
-            Place place = none ? statement.name.place() : statement.values.get(1).place();
+            SourcePosition place = none ? statement.name.place() : statement.values.get(1).place();
             problems.add(
                     place,
                     none
                             ? entry.own() + " has no value"
                             : entry.own() + " takes one value, not " + statement.values.size(),
-                    Meaning.wanted(entry));
+                    ParsedSettings.wanted(entry));
             return null;
         }
-        Word word = plain(statement.values.get(0));
-        if (word != null && word.kind() == Word.Kind.BARE && word.text().endsWith(",")) {
+        ValueToken word = plain(statement.values.get(0));
+        if (word != null && word.kind() == ValueToken.Kind.BARE && word.text().endsWith(",")) {
             problems.add(word.place(), "a comma behind a value means nothing", "take it out");
             return null;
         }
-        return word == null || !word.sound() ? null : Conversion.of(word, entry, problems);
+        return word == null || !word.sound() ? null : ValueConversion.of(word, entry, problems);
     }
 
     // ---- the whole ----
 
-    private void judge(Meaning meaning, Place start) {
-        for (Fault fault : part ? Checks.ofPart(meaning, wrong) : Checks.of(meaning, wrong)) {
+    private void judge(ParsedSettings meaning, SourcePosition start) {
+        for (SettingsError fault :
+                part
+                        ? SettingsValidator.ofPart(meaning, wrong)
+                        : SettingsValidator.of(meaning, wrong)) {
             problems.add(place(fault.name(), start), fault.text(), fault.instead());
         }
     }
 
     /** Where an entry was given; else where its block was; else the start. */
-    private Place place(String name, Place start) {
+    private SourcePosition place(String name, SourcePosition start) {
         Given one = given.get(name);
         if (one != null) {
             return one.place();
         }
         int space = name.lastIndexOf(' ');
-        Place block =
+        SourcePosition block =
                 space < 0
                         ? blocks.get(name)
                         : blocks.getOrDefault(name.substring(0, space), blocks.get(name));
--- a/src/main/java/lupinwood/config/Reference.java
+++ b/src/main/java/lupinwood/config/Reference.java
@@ -1,9 +1,9 @@
 package lupinwood.config;
 
 import java.util.stream.Collectors;
-import lupinwood.settings.Change;
+import lupinwood.settings.ChangeEffect;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /** The entries explained, from the schema alone. */
@@ -73,9 +73,9 @@
 
     private static String bounds(Entry entry) {
         String name = entry.name().replace("*", "x");
-        return Meaning.said(name, entry.least().toPlainString())
+        return ParsedSettings.said(name, entry.least().toPlainString())
                 + " to "
-                + Meaning.said(name, entry.most().toPlainString());
+                + ParsedSettings.said(name, entry.most().toPlainString());
     }
 
     /** What the platform's form may get wrong, and what counts then. */
@@ -84,8 +84,8 @@
                 entry.lapses().stream()
                         .sorted()
                         .map(
-                                lapse ->
-                                        switch (lapse) {
+                                violation ->
+                                        switch (violation) {
                                             case ABSENT -> "none";
                                             case TOO_LITTLE -> "less";
                                             case TOO_MUCH -> "more";
@@ -98,7 +98,7 @@
 
     private static String changes(Entry entry) {
         return entry.change().said()
-                + (entry.change() == Change.RESTART || entry.change() == Change.REFUSED
+                + (entry.change() == ChangeEffect.RESTART || entry.change() == ChangeEffect.REFUSED
                         ? ": "
                         : ", since ")
                 + entry.because();
--- a/src/main/java/lupinwood/config/Source.java
+++ b/src/main/java/lupinwood/config/Source.java
@@ -13,9 +13,9 @@
     /** The bytes are no UTF-8; the place tells where the first wrong one stands. */
     static final class NoText extends CharacterCodingException {
         private static final long serialVersionUID = 1L;
-        final transient Place place;
+        final transient SourcePosition place;
 
-        NoText(Place place) {
+        NoText(SourcePosition place) {
             this.place = place;
         }
     }
@@ -34,7 +34,7 @@
             String before = text.toString();
             int lines = (int) before.chars().filter(c -> c == '\n').count();
             int column = before.length() - before.lastIndexOf('\n');
-            throw new NoText(new Place(name, lines + 1, column, 1));
+            throw new NoText(new SourcePosition(name, lines + 1, column, 1));
         }
         return new Source(name, text.toString());
     }
--- a/src/main/java/lupinwood/config/Place.java
+++ b/src/main/java/lupinwood/config/SourcePosition.java
@@ -8,7 +8,7 @@
  * @param column in characters, counted from 1
  * @param length in characters, at least 1; it ends with its line
  */
-public record Place(String file, int line, int column, int length) {
+public record SourcePosition(String file, int line, int column, int length) {
     @Override
     public String toString() {
         return file + ":" + line + ":" + column;
--- a/src/main/java/lupinwood/config/Statement.java
+++ b/src/main/java/lupinwood/config/Statement.java
@@ -5,11 +5,11 @@
 
 /** One statement: a name, its values, and the statements in its braces. */
 final class Statement {
-    final Word name;
-    final List<Word> values = new ArrayList<>();
+    final ValueToken name;
+    final List<ValueToken> values = new ArrayList<>();
 
     /** Where it has a property, as {@code name=value}, which no entry takes; null without one. */
-    Place property;
+    SourcePosition property;
 
     /** Null without braces. */
     List<Statement> inside;
@@ -17,7 +17,7 @@
     /** Whether something in it can't be used and was reported; nothing else is then said of it. */
     boolean broken;
 
-    Statement(Word name) {
+    Statement(ValueToken name) {
         this.name = name;
     }
 }
--- a/src/main/java/lupinwood/config/Syntax.java
+++ b/src/main/java/lupinwood/config/Syntax.java
@@ -16,10 +16,10 @@
         return lexer.getAllTokens();
     }
 
-    static Place place(Source source, Token word) {
+    static SourcePosition place(Source source, Token word) {
         int length = word.getText().length();
         int end = word.getText().indexOf('\n');
-        return new Place(
+        return new SourcePosition(
                 source.name(),
                 word.getLine(),
                 word.getCharPositionInLine() + 1,
--- a/src/main/java/lupinwood/config/Conversion.java
+++ b/src/main/java/lupinwood/config/ValueConversion.java
@@ -3,15 +3,15 @@
 import java.math.BigDecimal;
 import java.util.Locale;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Kind;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
+import lupinwood.settings.ValueType;
 
 /** Makes of one word the value that an entry keeps, or says what is wrong with it. */
-final class Conversion {
-    private Conversion() {}
+final class ValueConversion {
+    private ValueConversion() {}
 
     /** Null where it can't be used, which was then told. */
-    static String of(Word word, Entry entry, Problems problems) {
+    static String of(ValueToken word, Entry entry, Diagnostics problems) {
         Quantities.Read read = read(word, entry);
         if (read.text() != null && !read.text().isEmpty()) {
             problems.add(word.place(), read.text(), read.instead());
@@ -21,10 +21,10 @@
     }
 
     /** Of what is no number, the value stands where one says what to write instead. */
-    private static Quantities.Read read(Word word, Entry entry) {
-        Kind kind = entry.kind();
+    private static Quantities.Read read(ValueToken word, Entry entry) {
+        ValueType kind = entry.kind();
         String text = word.text();
-        if (!word.note().isEmpty() && !(kind.isNumber() && word.kind() == Word.Kind.NUMBER)) {
+        if (!word.note().isEmpty() && !(kind.isNumber() && word.kind() == ValueToken.Kind.NUMBER)) {
             return Quantities.Read.wrong(
                     "(" + word.note() + ") means nothing before this value", "take it out");
         }
@@ -35,9 +35,10 @@
                         Quantities.Read.wrong(
                                 "a text in quotes is no number",
                                 text.isEmpty()
-                                        ? Meaning.wanted(entry)
+                                        ? ParsedSettings.wanted(entry)
                                         : "write " + text + " without quotes");
-                default -> Quantities.Read.wrong(text + " is no number", Meaning.wanted(entry));
+                default ->
+                        Quantities.Read.wrong(text + " is no number", ParsedSettings.wanted(entry));
             };
         }
         return switch (kind) {
@@ -51,8 +52,8 @@
         return new Quantities.Read(null, null, value);
     }
 
-    private static Quantities.Read flag(Word word, Entry entry) {
-        if (word.kind() == Word.Kind.KEYWORD
+    private static Quantities.Read flag(ValueToken word, Entry entry) {
+        if (word.kind() == ValueToken.Kind.KEYWORD
                 && (word.text().equals("#true") || word.text().equals("#false"))) {
             return good(word.text().substring(1));
         }
@@ -66,8 +67,8 @@
                 word.text() + " is no answer to whether: " + entry.own(), instead);
     }
 
-    private static Quantities.Read word(Word word, Entry entry) {
-        if (word.kind() != Word.Kind.KEYWORD && entry.saidAs().contains(word.text())) {
+    private static Quantities.Read word(ValueToken word, Entry entry) {
+        if (word.kind() != ValueToken.Kind.KEYWORD && entry.saidAs().contains(word.text())) {
             return good(word.text());
         }
         String known = entry.said(word.text());
@@ -75,29 +76,31 @@
                 known.equals(word.text()) ? Names.nearest(word.text(), entry.saidAs()) : known;
         return Quantities.Read.wrong(
                 word.text() + " is no " + entry.own(),
-                near == null ? Meaning.wanted(entry) : "write " + near);
+                near == null ? ParsedSettings.wanted(entry) : "write " + near);
     }
 
-    private static Quantities.Read text(Word word, Entry entry) {
+    private static Quantities.Read text(ValueToken word, Entry entry) {
         String text = word.text();
-        boolean quotesDo = entry.kind() != Kind.ADDRESS || Meaning.isAddress(text);
-        if (quotesDo && (word.kind() == Word.Kind.NUMBER || word.kind() == Word.Kind.KEYWORD)) {
+        boolean quotesDo = entry.kind() != ValueType.ADDRESS || ParsedSettings.isAddress(text);
+        if (quotesDo
+                && (word.kind() == ValueToken.Kind.NUMBER
+                        || word.kind() == ValueToken.Kind.KEYWORD)) {
             return Quantities.Read.wrong(
                     text + " is no text", "write \"" + text.replace("#", "") + "\"");
         }
         if (text.isBlank()) {
-            return Quantities.Read.wrong("this text is empty", Meaning.wanted(entry));
+            return Quantities.Read.wrong("this text is empty", ParsedSettings.wanted(entry));
         }
-        if (entry.kind() == Kind.ADDRESS && !Meaning.isAddress(text)) {
+        if (entry.kind() == ValueType.ADDRESS && !ParsedSettings.isAddress(text)) {
             return Quantities.Read.wrong(
                     "this is no host and port: " + text,
                     "write HOST:PORT in quotes, as"
                             + " \"127.0.0.1:5050\", with a port from 1 to 65535");
         }
-        if (entry.kind() == Kind.HEX && !text.matches("[0-9a-fA-F]{1,16}")) {
+        if (entry.kind() == ValueType.HEX && !text.matches("[0-9a-fA-F]{1,16}")) {
             return Quantities.Read.wrong(
                     "this is no hexadecimal number of up to 16 digits: " + text,
-                    Meaning.wanted(entry));
+                    ParsedSettings.wanted(entry));
         }
         return good(text);
     }
--- a/src/main/java/lupinwood/config/Word.java
+++ b/src/main/java/lupinwood/config/ValueToken.java
@@ -9,7 +9,7 @@
  * @param note the type annotation before it, without its parentheses; empty where there is none
  * @param sound whether it can be used; if not, that was reported
  */
-record Word(Kind kind, String text, String note, Place place, boolean sound) {
+record ValueToken(Kind kind, String text, String note, SourcePosition place, boolean sound) {
     enum Kind {
         BARE,
         QUOTED,
--- a/src/main/java/lupinwood/config/Writer.java
+++ b/src/main/java/lupinwood/config/Writer.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import java.util.function.Function;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Kind;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.ValueType;
 
 /** Writes a meaning as a text of the language, each entry in the schema's order. */
 public final class Writer {
@@ -16,12 +16,12 @@
      *
      * @param remark what to say behind an entry, by its name; empty for nothing
      */
-    public static String write(Meaning meaning, Function<String, String> remark) {
+    public static String write(ParsedSettings meaning, Function<String, String> remark) {
         StringBuilder out = new StringBuilder();
         String section = "";
         for (Map.Entry<String, String> each : meaning.values().entrySet()) {
             String name = each.getKey();
-            Entry entry = Meaning.entry(name);
+            Entry entry = ParsedSettings.entry(name);
             int space = name.lastIndexOf(' ');
             String of = entry == null ? Schema.EXTRA : space < 0 ? "" : name.substring(0, space);
             if (!of.equals(section)) {
@@ -54,8 +54,8 @@
         return out.toString();
     }
 
-    /** Customers of whom nothing is told but that they are there. */
-    private static void items(Meaning meaning, StringBuilder out, String section) {
+    /** Tenants of whom nothing is told but that they are there. */
+    private static void items(ParsedSettings meaning, StringBuilder out, String section) {
         out.append(section.isEmpty() ? "" : "}\n");
         for (String list : Schema.LISTS) {
             for (String item : meaning.items(list)) {
@@ -68,17 +68,17 @@
     }
 
     private static String value(Entry entry, String name, String value) {
-        if (entry.kind() == Kind.WORDS) {
+        if (entry.kind() == ValueType.WORDS) {
             StringBuilder words = new StringBuilder();
             for (String word : value.split(",", 0)) {
                 words.append(words.length() == 0 ? "" : " ").append(text(word));
             }
             return words.toString();
         }
-        boolean quotes = entry.kind() == Kind.ADDRESS || entry.kind() == Kind.HEX;
+        boolean quotes = entry.kind() == ValueType.ADDRESS || entry.kind() == ValueType.HEX;
         return quotes
                 ? quoted(value)
-                : entry.kind() == Kind.TEXT ? text(value) : Meaning.said(name, value);
+                : entry.kind() == ValueType.TEXT ? text(value) : ParsedSettings.said(name, value);
     }
 
     /** Bare where that reads as the same text. */
--- a/src/main/java/lupinwood/council/Founding.java
+++ b/src/main/java/lupinwood/consensus/ClusterBootstrap.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonObject;
 import io.microraft.RaftEndpoint;
@@ -10,18 +10,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lupinwood.fleet.NodeName;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.NodeName;
 
 /**
  * How a voter becomes one. With an empty folder it can't know whether it never voted or has lost
- * what it promised. So a council is founded only while all voters named are there: each writes down
- * that it founds once all others are empty or founding too, and takes part once all have. Whoever
- * then hears of a term from another, and has nothing itself, has lost its folder: it never votes as
- * who it was, and asks to be let in under a new id.
+ * what it promised. So a consensus group is founded only while all voters named are there: each
+ * writes down that it founds once all others are empty or founding too, and takes part once all
+ * have. Whoever then hears of a term from another, and has nothing itself, has lost its folder: it
+ * never votes as who it was, and asks to be let in under a new id.
  */
-final class Founding {
+final class ClusterBootstrap {
     /** What another voter is: nothing kept, founding, or with a term behind it. */
     enum State {
         EMPTY,
@@ -37,27 +37,27 @@
         COME_ANEW
     }
 
-    private record Word(State state, Moment at) {}
+    private record Statement(State state, MonotonicTime at) {}
 
     private final List<NodeName> others = new ArrayList<>();
-    private final Map<NodeName, Word> words = new HashMap<>();
-    private final Span fresh;
+    private final Map<NodeName, Statement> words = new HashMap<>();
+    private final NanoDuration fresh;
     private State state;
 
-    Founding(NodeName self, List<NodeName> voters, State state, Span fresh) {
+    ClusterBootstrap(NodeName self, List<NodeName> voters, State state, NanoDuration fresh) {
         voters.stream().filter(name -> !name.equals(self)).forEach(others::add);
         this.state = state;
         this.fresh = fresh;
     }
 
-    void heard(NodeName from, State told, Moment now) {
+    void heard(NodeName from, State reported, MonotonicTime now) {
         if (others.contains(from)) {
-            words.put(from, new Word(told, now));
+            words.put(from, new Statement(reported, now));
         }
     }
 
     /** What is to be done now; FOUND is to be followed by {@link #founded} once it is durable. */
-    Step step(Moment now) {
+    Step step(MonotonicTime now) {
         if (words.values().stream().anyMatch(word -> word.state() == State.VOTES)) {
             return state == State.EMPTY ? Step.COME_ANEW : Step.TAKE_PART;
         }
@@ -88,16 +88,16 @@
     }
 
     /** What a folder says of its voter. */
-    static State of(RestoredRaftState kept) {
-        if (kept == null) {
+    static State of(RestoredRaftState restored) {
+        if (restored == null) {
             return State.EMPTY;
         }
         boolean never =
-                kept.getTermPersistentState().getTerm() == 0
-                        && kept.getLogEntries().isEmpty()
-                        && kept.getSnapshotEntry() == null;
+                restored.getTermPersistentState().getTerm() == 0
+                        && restored.getLogEntries().isEmpty()
+                        && restored.getSnapshotEntry() == null;
         return never
-                        && Voter.of(kept.getLocalEndpointPersistentState().getLocalEndpoint())
+                        && Voter.of(restored.getLocalEndpointPersistentState().getLocalEndpoint())
                                         .id()
                                         .indexOf('~')
                                 < 0
@@ -106,17 +106,18 @@
     }
 
     /** Writes down that this voter is one of the founders. */
-    static void write(Folder folder, NodeName self, List<NodeName> voters) throws IOException {
+    static void write(RaftStorage storage, NodeName self, List<NodeName> voters)
+            throws IOException {
         Set<RaftEndpoint> all = new LinkedHashSet<>();
         voters.forEach(name -> all.add(new Voter(name.text())));
-        folder.persistAndFlushLocalEndpoint(
-                RaftText.MODEL
+        storage.persistAndFlushLocalEndpoint(
+                RaftCodec.MODEL
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(new Voter(self.text()))
                         .setVoting(true)
                         .build());
-        folder.persistAndFlushInitialGroupMembers(
-                RaftText.MODEL
+        storage.persistAndFlushInitialGroupMembers(
+                RaftCodec.MODEL
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(all)
@@ -129,8 +130,8 @@
      *
      * @throws IllegalArgumentException where it is of a newer version
      */
-    static State told(JsonObject text) {
-        return FleetJson.constantOf(State.class, text.get("state").getAsString());
+    static State reported(JsonObject text) {
+        return ClusterJson.constantOf(State.class, text.get("state").getAsString());
     }
 
     static JsonObject ask(NodeName self) {
@@ -144,7 +145,7 @@
         JsonObject text = new JsonObject();
         text.addProperty("k", "am");
         text.addProperty("from", self.text());
-        text.addProperty("state", FleetJson.nameOf(state));
+        text.addProperty("state", ClusterJson.nameOf(state));
         return text;
     }
 }
--- a/src/main/java/lupinwood/council/FleetJson.java
+++ b/src/main/java/lupinwood/consensus/ClusterJson.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
@@ -6,30 +6,30 @@
 import com.google.gson.ReflectionAccessFilter;
 import java.util.HashMap;
 import java.util.Map;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Finding;
-import lupinwood.fleet.Grant;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.OutRules;
-import lupinwood.fleet.Permit;
-import lupinwood.fleet.Plan;
-import lupinwood.fleet.Plans;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Releases;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Rest;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.CapacityPlans;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.Cordon;
+import lupinwood.cluster.DisruptionLimits;
+import lupinwood.cluster.DisruptionPermit;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.HealthCheckResult;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.Lease;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
+import lupinwood.cluster.Rollouts;
+import lupinwood.cluster.Site;
 
 /**
  * The JSON that voters keep, and that nodes, voters and operators send each other. Each name in it
@@ -40,9 +40,9 @@
  *
  * <p>For any thread.
  */
-public final class FleetJson {
-    private static final Map<Class<? extends Deed>, String> KINDS = new HashMap<>();
-    private static final Map<String, Class<? extends Deed>> COMMANDS = new HashMap<>();
+public final class ClusterJson {
+    private static final Map<Class<? extends ClusterCommand>, String> KINDS = new HashMap<>();
+    private static final Map<String, Class<? extends ClusterCommand>> COMMANDS = new HashMap<>();
     private static final WireNames NAMES = names();
     private static final Gson GSON =
             new GsonBuilder()
@@ -51,7 +51,7 @@
                             type -> ReflectionAccessFilter.FilterResult.BLOCK_ALL)
                     .create();
 
-    private FleetJson() {}
+    private ClusterJson() {}
 
     /** Writes and reads all that has names here, and refuses other records, enums and classes. */
     public static Gson gson() {
@@ -73,7 +73,7 @@
     }
 
     /** The name of a command's kind, as the log has it. */
-    static String kindOf(Deed command) {
+    static String kindOf(ClusterCommand command) {
         String kind = KINDS.get(command.getClass());
         if (kind == null) {
             throw new IllegalArgumentException(command.getClass() + " has no name in the log");
@@ -82,7 +82,7 @@
     }
 
     /** The kind of command of that name; null for one of a newer version. */
-    static Class<? extends Deed> commandOf(String kind) {
+    static Class<? extends ClusterCommand> commandOf(String kind) {
         return COMMANDS.get(kind);
     }
 
@@ -118,7 +118,10 @@
     }
 
     private static void command(
-            WireNames names, Class<? extends Deed> type, String kind, String... components) {
+            WireNames names,
+            Class<? extends ClusterCommand> type,
+            String kind,
+            String... components) {
         KINDS.put(type, kind);
         COMMANDS.put(kind, type);
         names.components(type.asSubclass(Record.class), components);
@@ -126,19 +129,25 @@
 
     private static void addValues(WireNames names) {
         names.components(NodeName.class, "text");
-        names.components(Life.class, "number");
+        names.components(Incarnation.class, "number");
         names.components(Site.class, "region", "zone");
         names.components(DutyName.class, "text");
-        names.components(Token.class, "number");
-        names.components(Grant.class, "duty", "token");
-        names.components(Finding.class, "server", "well", "token", "age");
-        names.components(Rest.class, "server", "by");
-        names.components(Permit.class, "number", "node", "life", "site", "by");
+        names.components(FencingToken.class, "number");
+        names.components(Lease.class, "duty", "token");
+        names.components(HealthCheckResult.class, "server", "well", "token", "age");
+        names.components(Cordon.class, "server", "by");
+        names.components(DisruptionPermit.class, "number", "node", "life", "site", "by");
         names.components(
-                OutRules.class, "most", "share", "zoneMost", "zoneShare", "leastIn", "voters");
-        names.components(Plan.class, "number", "roster", "slots");
+                DisruptionLimits.class,
+                "most",
+                "share",
+                "zoneMost",
+                "zoneShare",
+                "leastIn",
+                "voters");
+        names.components(CapacityPlan.class, "number", "roster", "slots");
         names.components(
-                Release.class,
+                Rollout.class,
                 "number",
                 "kind",
                 "from",
@@ -148,15 +157,21 @@
                 "turnedAt",
                 "steps",
                 "given");
-        names.components(Span.class, "nanos");
-        names.components(Tally.class, "counts");
+        names.components(NanoDuration.class, "nanos");
+        names.components(RequestCounts.class, "counts");
         names.components(
-                Tally.Count.class, "track", "satisfied", "late", "bounced", "abandoned", "seconds");
+                RequestCounts.ClassCounts.class,
+                "track",
+                "satisfied",
+                "late",
+                "bounced",
+                "abandoned",
+                "seconds");
     }
 
     private static void addHeartbeats(WireNames names) {
         names.components(
-                Beat.class,
+                Heartbeat.class,
                 "version",
                 "name",
                 "life",
@@ -170,12 +185,19 @@
                 "found",
                 "report");
         names.components(
-                Report.class, "program", "runs", "checked", "emptied", "plan", "uses", "tally");
-        names.components(Report.Checked.class, "digest", "fits", "restarts", "why");
+                NodeReport.class, "program", "runs", "checked", "emptied", "plan", "uses", "tally");
+        names.components(NodeReport.ConfigCheck.class, "digest", "fits", "restarts", "why");
         names.components(
-                Report.Use.class, "place", "out", "asked", "ended", "failed", "seconds", "leftOut");
+                NodeReport.LocationUse.class,
+                "place",
+                "out",
+                "asked",
+                "ended",
+                "failed",
+                "seconds",
+                "leftOut");
         names.components(
-                Reply.class,
+                HeartbeatReply.class,
                 "number",
                 "taken",
                 "leader",
@@ -187,17 +209,17 @@
                 "wanted",
                 "share",
                 "others");
-        names.components(Reply.Share.class, "plan", "slots");
-        names.components(Reply.Wanted.class, "runs", "checks", "busy", "rests");
+        names.components(HeartbeatReply.CapacityShare.class, "plan", "slots");
+        names.components(HeartbeatReply.Wanted.class, "runs", "checks", "busy", "rests");
     }
 
     private static void addSnapshots(WireNames names) {
-        names.components(Book.Member.class, "name", "life", "site", "in");
-        names.components(Book.Held.class, "duty", "holder", "life", "token");
-        names.components(Book.Done.class, "order", "text");
-        names.components(Book.Entry.class, "atMillis", "text");
+        names.components(ClusterState.Member.class, "name", "life", "site", "in");
+        names.components(ClusterState.DutyLease.class, "duty", "holder", "life", "token");
+        names.components(ClusterState.CompletedOrder.class, "order", "text");
+        names.components(ClusterState.HistoryEntry.class, "atMillis", "text");
         names.components(
-                Book.Page.class,
+                ClusterState.Snapshot.class,
                 "members",
                 "duties",
                 "lastToken",
@@ -211,15 +233,16 @@
                 "releases",
                 "rests",
                 "plans");
-        names.components(Releases.Text.class, "digest", "text");
-        names.components(Releases.Page.class, "good", "program", "next", "open", "last", "past");
-        names.components(Plans.Page.class, "live", "bears", "alone", "last");
+        names.components(Rollouts.ConfigText.class, "digest", "text");
+        names.components(
+                Rollouts.Snapshot.class, "good", "program", "next", "open", "last", "past");
+        names.components(CapacityPlans.Snapshot.class, "live", "bears", "alone", "last");
     }
 
     private static void addOrders(WireNames names) {
-        names.components(Seen.class, "name", "life", "site", "standing", "heard", "report");
+        names.components(NodeView.class, "name", "life", "site", "standing", "heard", "report");
         names.components(
-                Council.State.class,
+                RaftReplica.ReplicaView.class,
                 "self",
                 "leader",
                 "term",
@@ -237,25 +260,26 @@
                 "members",
                 "plans",
                 "lastPlan");
-        names.components(Council.Order.class, "id", "what", "node", "by", "wish", "server");
-        names.components(Council.Wish.class, "kind", "to", "text", "backsOnHalt");
-        names.components(Council.Answer.class, "done", "text");
+        names.components(
+                RaftReplica.OperatorOrder.class, "id", "what", "node", "by", "wish", "server");
+        names.components(RaftReplica.RolloutRequest.class, "kind", "to", "text", "backsOnHalt");
+        names.components(RaftReplica.OrderResult.class, "done", "text");
     }
 
     private static void addMemberAndLeaseCommands(WireNames names) {
-        command(names, Deed.Found.class, "Found", "above");
-        command(names, Deed.Join.class, "Join", "name", "life", "site");
-        command(names, Deed.Leave.class, "Leave", "name", "life");
-        command(names, Deed.Forget.class, "Forget", "name");
-        command(names, Deed.Give.class, "Give", "duty", "heir", "life", "after");
-        command(names, Deed.Free.class, "Free", "duty", "token", "why");
-        command(names, Deed.Keep.class, "Keep", "token", "digest");
+        command(names, ClusterCommand.Bootstrap.class, "Found", "above");
+        command(names, ClusterCommand.Join.class, "Join", "name", "life", "site");
+        command(names, ClusterCommand.Leave.class, "Leave", "name", "life");
+        command(names, ClusterCommand.RemoveNode.class, "Forget", "name");
+        command(names, ClusterCommand.GrantLease.class, "Give", "duty", "heir", "life", "after");
+        command(names, ClusterCommand.ReleaseLease.class, "Free", "duty", "token", "why");
+        command(names, ClusterCommand.RecordStatus.class, "Keep", "token", "digest");
     }
 
     private static void addOrderCommands(WireNames names) {
         command(
                 names,
-                Deed.Allow.class,
+                ClusterCommand.GrantPermit.class,
                 "Allow",
                 "order",
                 "node",
@@ -263,16 +287,31 @@
                 "atMillis",
                 "rules",
                 "seenOut");
-        command(names, Deed.Back.class, "Back", "permit", "why", "atMillis");
-        command(names, Deed.Halt.class, "Halt", "order", "halted", "by", "atMillis");
-        command(names, Deed.LetRest.class, "LetRest", "order", "server", "by", "most", "atMillis");
-        command(names, Deed.EndRest.class, "EndRest", "order", "server", "by", "atMillis");
+        command(names, ClusterCommand.ReturnPermit.class, "Back", "permit", "why", "atMillis");
+        command(names, ClusterCommand.SetHalt.class, "Halt", "order", "halted", "by", "atMillis");
+        command(
+                names,
+                ClusterCommand.CordonServer.class,
+                "LetRest",
+                "order",
+                "server",
+                "by",
+                "most",
+                "atMillis");
+        command(
+                names,
+                ClusterCommand.UncordonServer.class,
+                "EndRest",
+                "order",
+                "server",
+                "by",
+                "atMillis");
     }
 
     private static void addReleaseAndPlanCommands(WireNames names) {
         command(
                 names,
-                Deed.Begin.class,
+                ClusterCommand.BeginRollout.class,
                 "Begin",
                 "order",
                 "by",
@@ -283,7 +322,7 @@
                 "atMillis");
         command(
                 names,
-                Deed.Step.class,
+                ClusterCommand.AdvanceRollout.class,
                 "Step",
                 "token",
                 "release",
@@ -293,11 +332,19 @@
                 "why",
                 "past",
                 "atMillis");
-        command(names, Deed.Turn.class, "Turn", "order", "release", "by", "atMillis");
-        command(names, Deed.Finish.class, "Finish", "token", "release", "done", "why", "atMillis");
+        command(names, ClusterCommand.RollBack.class, "Turn", "order", "release", "by", "atMillis");
+        command(
+                names,
+                ClusterCommand.FinishRollout.class,
+                "Finish",
+                "token",
+                "release",
+                "done",
+                "why",
+                "atMillis");
         command(
                 names,
-                Deed.SetPlan.class,
+                ClusterCommand.SetCapacityPlan.class,
                 "SetPlan",
                 "token",
                 "after",
@@ -306,60 +353,60 @@
                 "slots",
                 "why",
                 "atMillis");
-        command(names, Deed.Retire.class, "Retire", "below");
+        command(names, ClusterCommand.RetireCapacityPlans.class, "Retire", "below");
     }
 
     private static void addConstants(WireNames names) {
         names.constants(
-                Condition.class,
+                NodeCondition.class,
                 Map.of(
-                        Condition.COLD,
+                        NodeCondition.COLD,
                         "COLD",
-                        Condition.WARM,
+                        NodeCondition.WARM,
                         "WARM",
-                        Condition.LEAVING,
+                        NodeCondition.LEAVING,
                         "LEAVING",
-                        Condition.GONE,
+                        NodeCondition.GONE,
                         "GONE"));
         names.constants(
-                Standing.class,
+                NodeStatus.class,
                 Map.of(
-                        Standing.UP,
+                        NodeStatus.UP,
                         "UP",
-                        Standing.WARM,
+                        NodeStatus.WARM,
                         "WARM",
-                        Standing.LEAVING,
+                        NodeStatus.LEAVING,
                         "LEAVING",
-                        Standing.OUT,
+                        NodeStatus.OUT,
                         "OUT",
-                        Standing.UNKNOWN,
+                        NodeStatus.UNKNOWN,
                         "UNKNOWN"));
         names.constants(
-                Release.Kind.class,
+                Rollout.Kind.class,
                 Map.of(
-                        Release.Kind.CONFIGURATION,
+                        Rollout.Kind.CONFIGURATION,
                         "CONFIGURATION",
-                        Release.Kind.PROGRAM,
+                        Rollout.Kind.PROGRAM,
                         "PROGRAM"));
         names.constants(
-                Deed.Why.class,
+                ClusterCommand.LeaseEnd.class,
                 Map.of(
-                        Deed.Why.LAPSED,
+                        ClusterCommand.LeaseEnd.LAPSED,
                         "LAPSED",
-                        Deed.Why.HANDED_ON,
+                        ClusterCommand.LeaseEnd.HANDED_ON,
                         "HANDED_ON",
-                        Deed.Why.FAILED,
+                        ClusterCommand.LeaseEnd.FAILED,
                         "FAILED",
-                        Deed.Why.WENT,
+                        ClusterCommand.LeaseEnd.WENT,
                         "WENT"));
         names.constants(
-                Founding.State.class,
+                ClusterBootstrap.State.class,
                 Map.of(
-                        Founding.State.EMPTY,
+                        ClusterBootstrap.State.EMPTY,
                         "EMPTY",
-                        Founding.State.FOUNDS,
+                        ClusterBootstrap.State.FOUNDS,
                         "FOUNDS",
-                        Founding.State.VOTES,
+                        ClusterBootstrap.State.VOTES,
                         "VOTES"));
     }
 }
