--- a/src/main/java/lupinwood/council/Fleet.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -17,104 +17,108 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import lupinwood.failover.Planner;
-import lupinwood.fleet.Allotment;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Grant;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Session;
-import lupinwood.fleet.Steward;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.CapacityLease;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterSession;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.Lease;
+import lupinwood.cluster.LeaseManager;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.failover.CapacityPlanner;
 import lupinwood.log.Log;
 import lupinwood.log.WallClock;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.release.Act;
-import lupinwood.release.Conductor;
-import lupinwood.release.Picture;
+import lupinwood.rollout.RolloutAction;
+import lupinwood.rollout.RolloutController;
+import lupinwood.rollout.RolloutSnapshot;
 
 /**
- * One node's part in its fleet: its talk with the council, the duties it holds, and where it is a
- * voter, its part in the council itself. All on a thread of its own; the deciding thread only reads
- * {@link #view}. Whatever happens here, the node serves on.
+ * One node's part in its fleet: its talk with the consensus group, the duties it holds, and where
+ * it is a voter, its part in the consensus group itself. All on a thread of its own; the event loop
+ * thread only reads {@link #view}. Whatever happens here, the node serves on.
  */
-public final class Fleet {
+public final class ClusterNode {
     public static final List<DutyName> DUTIES =
-            List.of(DutyName.KEEPER, DutyName.TRIAL, DutyName.CONDUCTOR, DutyName.PLANNER);
-    private static final String PROGRAM = Spoilt.program();
-    private static final Span LOOK = Span.ofSeconds(0.02);
+            List.of(
+                    DutyName.STATUS_REPORTER,
+                    DutyName.HEALTH_CHECK,
+                    DutyName.ROLLOUT_CONTROLLER,
+                    DutyName.PLANNER);
+    private static final String PROGRAM = FaultInjection.program();
+    private static final NanoDuration LOOK = NanoDuration.ofSeconds(0.02);
     private static final double KEEP_EVERY = 5; // leases
-    private static final Span FOUNDING_EVERY = Span.ofSeconds(0.3);
+    private static final NanoDuration BOOTSTRAP_EVERY = NanoDuration.ofSeconds(0.3);
 
     /**
      * What this node says of itself.
      *
-     * @param emptied servers that rest, and have nothing of this node
+     * @param drained servers that rest, and have nothing of this node
      * @param uses what it does at places below
      * @param tally what it answered so far
-     * @param hands checks and takes the fleet's text
+     * @param configApplier checks and takes the fleet's text
      * @param leave has the node leave as by the notice; returns at once
      */
     public record Self(
-            Supplier<Condition> condition,
+            Supplier<NodeCondition> condition,
             Supplier<List<String>> leftOut,
-            Supplier<List<String>> emptied,
-            Supplier<List<Report.Use>> uses,
-            Supplier<Tally> tally,
-            Supplier<Hands> hands,
+            Supplier<List<String>> drained,
+            Supplier<List<NodeReport.LocationUse>> uses,
+            Supplier<RequestCounts> tally,
+            Supplier<ConfigApplier> configApplier,
             Runnable leave) {}
 
-    private final FleetSettings settings;
+    private final ClusterSettings settings;
     private final Self self;
     private final Log log;
-    private final RealLoop loop;
-    private final Carriage carriage;
+    private final ThreadTaskLoop loop;
+    private final RaftTransport transport;
     private final Random random = new Random();
-    private final Life life = new Life(random.nextLong());
-    private final Session session;
-    private final Set<Grant> known = new HashSet<>();
+    private final Incarnation life = new Incarnation(random.nextLong());
+    private final ClusterSession session;
+    private final Set<Lease> known = new HashSet<>();
 
     /** The reply whose findings are in the view. */
-    private Reply toldOf;
+    private HeartbeatReply publishedReply;
 
-    private List<FleetView.Found> found = List.of();
+    private List<ClusterView.ServerHealth> found = List.of();
 
     /** Where each voter is reached; it may move. */
     private Map<NodeName, InetSocketAddress> voters;
 
-    private volatile FleetView view = FleetView.NONE;
+    private volatile ClusterView view = ClusterView.NONE;
     private volatile boolean leaving;
-    private Folder folder;
+    private RaftStorage storage;
 
     /** Null before this voter takes part, and in a node that is none. */
-    private Council council;
+    private RaftReplica replica;
 
-    private Founding founding;
-    private KeeperWork keeper;
-    private TextWork texts;
-    private Conductor conductor;
+    private ClusterBootstrap bootstrap;
+    private StatusReporter statusReporter;
+    private SharedConfigFollower texts;
+    private RolloutController rolloutController;
     private boolean releaseOpen;
-    private Planner planner;
-    private Token plansUnder;
+    private CapacityPlanner planner;
+    private FencingToken plansUnder;
     private List<String> restsAtStart = List.of();
     private boolean over;
 
-    public Fleet(FleetSettings settings, Self self, Log log) {
+    public ClusterNode(ClusterSettings settings, Self self, Log log) {
         this.settings = settings;
         voters = settings.voters();
         this.self = self;
         this.log = log;
-        loop = new RealLoop(log);
-        carriage = new Carriage(this::heard, log);
+        loop = new ThreadTaskLoop(log);
+        transport = new RaftTransport(this::heard, log);
         session =
-                new Session(
+                new ClusterSession(
                         settings.rules(),
                         settings.name(),
                         life,
@@ -136,14 +140,17 @@
                 log.line(
                         "fleet: this node can't be a voter until it is started anew: "
                                 + e.getMessage());
-                founding = null;
+                bootstrap = null;
             }
         }
-        keeper = settings.report() == null ? null : new KeeperWork(settings.report(), log);
-        restsAtStart = self.hands().get().restsAtStart();
+        statusReporter =
+                settings.report() == null ? null : new StatusReporter(settings.report(), log);
+        restsAtStart = self.configApplier().get().restsAtStart();
         publish();
-        texts = new TextWork(self.hands().get(), loop::execute, this::fetch, log);
-        conductor = new Conductor(settings.name(), settings.limits());
+        texts =
+                new SharedConfigFollower(
+                        self.configApplier().get(), loop::execute, this::fetch, log);
+        rolloutController = new RolloutController(settings.name(), settings.limits());
         loop.execute(this::talk);
         loop.execute(this::look);
         log.line(
@@ -158,11 +165,15 @@
     }
 
     private void vote() throws IOException {
-        carriage.listen(settings.listen());
-        folder = Folder.open(settings.folder(), text -> loop.execute(() -> folderFailed(text)));
-        RestoredRaftState kept = folder.restore();
-        Founding.State state = Founding.of(kept);
-        founding = new Founding(settings.name(), settings.names(), state, FOUNDING_EVERY.times(4));
+        transport.listen(settings.listen());
+        storage =
+                RaftStorage.open(
+                        settings.directory(), text -> loop.execute(() -> storageFailed(text)));
+        RestoredRaftState restored = storage.restore();
+        ClusterBootstrap.State state = ClusterBootstrap.of(restored);
+        bootstrap =
+                new ClusterBootstrap(
+                        settings.name(), settings.names(), state, BOOTSTRAP_EVERY.times(4));
         log.line(
                 "fleet: a voter, "
                         + switch (state) {
@@ -171,24 +182,27 @@
                             case FOUNDS -> "founding the council";
                             case VOTES -> "with what it kept";
                         });
-        loop.execute(state == Founding.State.VOTES ? () -> takePart(kept, null) : this::found);
+        loop.execute(
+                state == ClusterBootstrap.State.VOTES
+                        ? () -> takePart(restored, null)
+                        : this::found);
     }
 
     // ---- becoming a voter ----
 
     private void found() {
-        if (over || council != null) {
+        if (over || replica != null) {
             return;
         }
         try {
-            switch (founding.step(loop.now())) {
+            switch (bootstrap.step(loop.now())) {
                 case FOUND -> {
-                    Founding.write(folder, settings.name(), settings.names());
-                    founding.founded();
+                    ClusterBootstrap.write(storage, settings.name(), settings.names());
+                    bootstrap.founded();
                     log.line("fleet: founds the council with " + settings.names());
                 }
                 case TAKE_PART -> {
-                    takePart(folder.restore(), null);
+                    takePart(storage.restore(), null);
                     return;
                 }
                 case COME_ANEW -> {
@@ -203,68 +217,69 @@
                 default -> {}
             }
         } catch (IOException e) {
-            folderFailed(e.getMessage());
+            storageFailed(e.getMessage());
             return;
         }
-        askOthers(Founding.ask(settings.name()));
-        loop.after(FOUNDING_EVERY, this::found);
+        askOthers(ClusterBootstrap.ask(settings.name()));
+        loop.after(BOOTSTRAP_EVERY, this::found);
     }
 
     private void askOthers(JsonObject text) {
         voters.forEach(
                 (name, address) -> {
                     if (!name.equals(settings.name())) {
-                        carriage.say(address, text);
+                        transport.say(address, text);
                     }
                 });
     }
 
-    private void takePart(RestoredRaftState kept, String newId) {
+    private void takePart(RestoredRaftState restored, String newId) {
         String id = newId != null ? newId : settings.name().text();
         List<String> founders = settings.names().stream().map(NodeName::text).toList();
-        // The seconds of the wall clock matter once in a council's life: tokens of a lost one stay
+        // The seconds of the wall clock matter once in a consensus group's life: tokens of a lost
+        // one stay
         // lower.
         long above = WallClock.now().getEpochSecond() * 1000;
-        council =
-                new Council(
+        replica =
+                new RaftReplica(
                         settings.name(),
                         id,
                         founders,
                         settings.rules(),
                         DUTIES,
                         above,
-                        new Council.Means(
+                        new RaftReplica.ReplicaContext(
                                 loop,
                                 this::post,
-                                folder,
-                                kept,
+                                storage,
+                                restored,
                                 random,
                                 text -> log.line("fleet: " + text)));
-        council.start();
+        replica.start();
         askIn();
     }
 
-    /** Until the council counts it among its voters. */
+    /** Until the consensus group counts it among its voters. */
     private void askIn() {
-        if (over || council == null || council.voters().contains(council.endpoint())) {
+        if (over || replica == null || replica.voters().contains(replica.endpoint())) {
             return;
         }
         JsonObject text = new JsonObject();
         text.addProperty("k", "admit");
-        text.addProperty("id", council.endpoint());
+        text.addProperty("id", replica.endpoint());
         askOthers(text);
-        loop.after(FOUNDING_EVERY, this::askIn);
+        loop.after(BOOTSTRAP_EVERY, this::askIn);
     }
 
-    private void folderFailed(String why) {
+    private void storageFailed(String why) {
         log.line(
                 "fleet: the folder failed, this voter votes no more until it is started anew: "
                         + why);
-        if (council != null) {
-            council.stop();
-            council = null;
+        if (replica != null) {
+            replica.stop();
+            replica = null;
         }
-        founding = null;
+        bootstrap = null;
     }
 
     private void post(String to, RaftMessage message) {
@@ -274,54 +289,58 @@
             JsonObject text = new JsonObject();
             text.addProperty("k", "raft");
             text.addProperty("to", to);
-            text.add("m", RaftText.of(message));
-            carriage.say(address, text);
+            text.add("m", RaftCodec.of(message));
+            transport.say(address, text);
         }
     }
 
     // ---- what others say ----
 
     /** On the carriage's thread. */
-    private void heard(Carriage.Peer from, JsonObject text) {
+    private void heard(RaftTransport.Peer from, JsonObject text) {
         String kind = text.get("k").getAsString();
         switch (kind) {
             case "raft" -> {
-                RaftMessage message = RaftText.message(text.getAsJsonObject("m"), Council.GROUP);
+                RaftMessage message =
+                        RaftCodec.message(text.getAsJsonObject("m"), RaftReplica.GROUP);
                 String to = text.get("to").getAsString();
                 loop.offer(
                         () -> {
-                            if (council != null && council.endpoint().equals(to)) {
-                                council.heard(message);
+                            if (replica != null && replica.endpoint().equals(to)) {
+                                replica.heard(message);
                             }
                         });
             }
             case "beat" -> {
-                Beat beat = FleetJson.read(text.get("b"), Beat.class);
-                loop.offer(() -> beat(beat, from));
+                Heartbeat heartbeat = ClusterJson.read(text.get("b"), Heartbeat.class);
+                loop.offer(() -> sendHeartbeat(heartbeat, from));
             }
             case "reply" -> {
-                Reply reply = FleetJson.read(text.get("r"), Reply.class);
+                HeartbeatReply reply = ClusterJson.read(text.get("r"), HeartbeatReply.class);
                 loop.offer(() -> replied(reply));
             }
             case "who" -> {
                 NodeName name = new NodeName(text.get("from").getAsString());
                 loop.offer(
                         () -> {
-                            if (founding != null && voters.containsKey(name)) {
-                                Founding.State state =
-                                        council != null ? Founding.State.VOTES : founding.state();
-                                carriage.say(
-                                        voters.get(name), Founding.tell(settings.name(), state));
+                            if (bootstrap != null && voters.containsKey(name)) {
+                                ClusterBootstrap.State state =
+                                        replica != null
+                                                ? ClusterBootstrap.State.VOTES
+                                                : bootstrap.state();
+                                transport.say(
+                                        voters.get(name),
+                                        ClusterBootstrap.tell(settings.name(), state));
                             }
                         });
             }
             case "am" -> {
                 NodeName name = new NodeName(text.get("from").getAsString());
-                Founding.State state = Founding.told(text);
+                ClusterBootstrap.State state = ClusterBootstrap.reported(text);
                 loop.offer(
                         () -> {
-                            if (founding != null) {
-                                founding.heard(name, state, loop.now());
+                            if (bootstrap != null) {
+                                bootstrap.heard(name, state, loop.now());
                             }
                         });
             }
@@ -329,38 +348,41 @@
                 String id = text.get("id").getAsString();
                 loop.offer(
                         () -> {
-                            if (council != null && voters.containsKey(new Voter(id).name())) {
-                                council.admit(id);
+                            if (replica != null && voters.containsKey(new Voter(id).name())) {
+                                replica.admit(id);
                             }
                         });
             }
             case "keep" -> {
-                Deed.Keep keep = FleetJson.read(text.get("d"), Deed.Keep.class);
+                ClusterCommand.RecordStatus keep =
+                        ClusterJson.read(text.get("d"), ClusterCommand.RecordStatus.class);
                 loop.offer(
                         () -> {
-                            if (council != null && keep.digest().length() < 4096) {
-                                council.write(keep, done -> {});
+                            if (replica != null && keep.digest().length() < 4096) {
+                                replica.write(keep, done -> {});
                             }
                         });
             }
             case "order" -> {
-                Council.Order order = FleetJson.read(text.get("o"), Council.Order.class);
+                RaftReplica.OperatorOrder order =
+                        ClusterJson.read(text.get("o"), RaftReplica.OperatorOrder.class);
                 loop.offer(() -> order(order, from));
             }
             case "deed" -> {
-                Deed deed = DeedText.deed(text.get("d").getAsString());
+                ClusterCommand command = CommandCodec.command(text.get("d").getAsString());
                 loop.offer(
                         () -> {
-                            // Whoever says it, the book takes these under the conductor's token
+                            // Whoever says it, the cluster state takes these under the rollout
+                            // controller's token
                             // only; a halt harms nothing.
                             boolean conductors =
-                                    deed instanceof Deed.Step
-                                            || deed instanceof Deed.Finish
-                                            || deed instanceof Deed.Halt
-                                            || deed instanceof Deed.Turn
-                                            || deed instanceof Deed.SetPlan;
-                            if (council != null && conductors) {
-                                council.write(deed, done -> {});
+                                    command instanceof ClusterCommand.AdvanceRollout
+                                            || command instanceof ClusterCommand.FinishRollout
+                                            || command instanceof ClusterCommand.SetHalt
+                                            || command instanceof ClusterCommand.RollBack
+                                            || command instanceof ClusterCommand.SetCapacityPlan;
+                            if (replica != null && conductors) {
+                                replica.write(command, done -> {});
                             }
                         });
             }
@@ -378,7 +400,7 @@
                                     texts.fetched(
                                             text.get("digest").getAsString(),
                                             text.get("text").getAsString()));
-            case "ask" -> loop.offer(() -> from.say(told(text)));
+            case "ask" -> loop.offer(() -> from.say(status(text)));
             case "told" -> {
                 JsonElement state = text.get("state");
                 boolean leads = text.get("leads").getAsBoolean();
@@ -395,42 +417,42 @@
         }
     }
 
-    private void beat(Beat beat, Carriage.Peer from) {
-        Consumer<Reply> to =
+    private void sendHeartbeat(Heartbeat heartbeat, RaftTransport.Peer from) {
+        Consumer<HeartbeatReply> to =
                 reply -> {
                     JsonObject text = new JsonObject();
                     text.addProperty("k", "reply");
-                    text.add("r", FleetJson.tree(reply));
+                    text.add("r", ClusterJson.tree(reply));
                     from.say(text);
                 };
-        if (council == null) {
-            to.accept(Steward.elsewhere(beat, null));
+        if (replica == null) {
+            to.accept(LeaseManager.elsewhere(heartbeat, null));
         } else {
-            council.heard(beat, to);
+            replica.heard(heartbeat, to);
         }
     }
 
-    private void order(Council.Order order, Carriage.Peer from) {
-        Consumer<Council.Answer> to =
+    private void order(RaftReplica.OperatorOrder order, RaftTransport.Peer from) {
+        Consumer<RaftReplica.OrderResult> to =
                 answer -> {
                     JsonObject text = new JsonObject();
                     text.addProperty("k", "done");
                     text.addProperty("leads", answer != null);
-                    text.add("a", FleetJson.tree(answer));
+                    text.add("a", ClusterJson.tree(answer));
                     from.say(text);
                 };
-        if (council == null) {
+        if (replica == null) {
             to.accept(null);
         } else {
             String against =
                     order.what().equals("rest")
-                            ? settings.against(order.server(), council.resting())
+                            ? settings.against(order.server(), replica.resting())
                             : "";
             if (!against.isEmpty()) {
-                to.accept(council.isLeading() ? new Council.Answer(false, against) : null);
+                to.accept(replica.isLeading() ? new RaftReplica.OrderResult(false, against) : null);
                 return;
             }
-            council.order(order, settings.outs(), settings.mostResting(), to);
+            replica.order(order, settings.disruptionLimits(), settings.mostResting(), to);
         }
     }
 
@@ -438,11 +460,11 @@
         JsonObject text = new JsonObject();
         text.addProperty("k", "text?");
         text.addProperty("digest", digest);
-        carriage.say(voters.get(session.talksTo()), text);
+        transport.say(voters.get(session.talksTo()), text);
     }
 
-    private void tellText(String digest, Carriage.Peer to) {
-        String known = council == null ? null : council.text(digest);
+    private void tellText(String digest, RaftTransport.Peer to) {
+        String known = replica == null ? null : replica.text(digest);
         if (known != null) {
             JsonObject text = new JsonObject();
             text.addProperty("k", "text");
@@ -456,35 +478,35 @@
      * For a node that is about to start: which text it is to go by, with the text; by whoever
      * leads.
      */
-    private void tellWanted(NodeName name, Carriage.Peer to) {
-        String digest = council == null ? null : council.wanted(name);
+    private void tellWanted(NodeName name, RaftTransport.Peer to) {
+        String digest = replica == null ? null : replica.wanted(name);
         JsonObject text = new JsonObject();
         text.addProperty("k", "wanted");
         text.addProperty("leads", digest != null);
         if (digest != null) {
             text.addProperty("digest", digest);
-            text.addProperty("text", council.text(digest));
-            text.addProperty("program", council.wantedProgram(name));
-            text.add("rests", FleetJson.tree(council.resting()));
+            text.addProperty("text", replica.text(digest));
+            text.addProperty("program", replica.wantedProgram(name));
+            text.add("rests", ClusterJson.tree(replica.resting()));
         }
         to.say(text);
     }
 
     /** What this voter knows, for who asks. */
-    private JsonObject told(JsonObject question) {
+    private JsonObject status(JsonObject question) {
         JsonObject text = new JsonObject();
         text.addProperty("k", "told");
-        text.addProperty("leads", council != null && council.isLeading());
+        text.addProperty("leads", replica != null && replica.isLeading());
         text.addProperty(
                 "leader",
-                council == null || council.leader() == null ? "" : council.leader().text());
+                replica == null || replica.leader() == null ? "" : replica.leader().text());
         text.add("number", question.get("number"));
         text.add(
                 "state",
-                council == null
+                replica == null
                         ? new JsonObject()
-                        : FleetJson.tree(
-                                council.state(
+                        : ClusterJson.tree(
+                                replica.state(
                                         question.has("tallies"),
                                         question.has("past"),
                                         question.has("plans"))));
@@ -497,34 +519,37 @@
         if (over) {
             return;
         }
-        Moment now = loop.now();
+        MonotonicTime now = loop.now();
         session.leavesOut(self.leftOut().get());
         session.reports(
-                new Report(
+                new NodeReport(
                         PROGRAM,
                         texts.runs(),
                         texts.checked(),
-                        self.emptied().get(),
+                        self.drained().get(),
                         session.allotment().plan(),
                         self.uses().get(),
                         self.tally().get()));
-        Session.Sent sent = session.beat(leaving ? Condition.LEAVING : self.condition().get(), now);
+        ClusterSession.Sent sent =
+                session.heartbeat(leaving ? NodeCondition.LEAVING : self.condition().get(), now);
         if (sent != null) {
             say(sent);
         }
-        loop.after(session.due().since(now).max(LOOK).min(settings.rules().beat()), this::talk);
+        loop.after(
+                session.due().since(now).max(LOOK).min(settings.rules().heartbeatInterval()),
+                this::talk);
     }
 
-    private void say(Session.Sent sent) {
+    private void say(ClusterSession.Sent sent) {
         JsonObject text = new JsonObject();
         text.addProperty("k", "beat");
-        text.add("b", FleetJson.tree(sent.beat()));
-        carriage.say(voters.get(sent.to()), text);
+        text.add("b", ClusterJson.tree(sent.heartbeat()));
+        transport.say(voters.get(sent.to()), text);
     }
 
-    private void replied(Reply reply) {
+    private void replied(HeartbeatReply reply) {
         String before = session.latest() == null ? "" : session.latest().trouble();
-        if (Spoilt.isWithoutEarlyStop()) {
+        if (FaultInjection.isWithoutEarlyStop()) {
             session.holding().asks(reply.number(), loop.now());
         }
         session.heard(reply, loop.now());
@@ -548,53 +573,53 @@
 
     @SuppressWarnings("ReferenceEquality") // the reply's object stands for this one reply
     private void publish() {
-        Moment now = loop.now();
-        List<FleetView.Held> held = new ArrayList<>();
+        MonotonicTime now = loop.now();
+        List<ClusterView.LeaseView> leases = new ArrayList<>();
         session.holding()
                 .holds(now)
                 .forEach(
                         grant ->
-                                held.add(
-                                        new FleetView.Held(
+                                leases.add(
+                                        new ClusterView.LeaseView(
                                                 grant.duty(),
                                                 grant.token(),
                                                 now.plus(
                                                         session.holding()
                                                                 .left(grant.duty(), now)))));
-        Reply latest = session.latest();
-        if (latest != toldOf && latest != null) {
-            toldOf = latest;
+        HeartbeatReply latest = session.latest();
+        if (latest != publishedReply && latest != null) {
+            publishedReply = latest;
             found =
                     latest.found().stream()
                             .map(
                                     one ->
-                                            new FleetView.Found(
+                                            new ClusterView.ServerHealth(
                                                     one.server(),
                                                     one.well(),
                                                     session.latestWord().minus(one.age())))
                             .toList();
         }
-        Moment touch =
+        MonotonicTime touch =
                 session.isInTouch(now)
                         ? session.latestWord().plus(settings.rules().lease())
-                        : new Moment(Long.MIN_VALUE);
+                        : new MonotonicTime(Long.MIN_VALUE);
         List<String> rests =
                 latest == null || latest.wanted() == null || latest.wanted().rests() == null
                         ? restsAtStart
                         : latest.wanted().rests();
-        Allotment may = session.allotment();
+        CapacityLease may = session.allotment();
         view =
-                new FleetView(
+                new ClusterView(
                         touch,
-                        held,
+                        leases,
                         found,
-                        new FleetView.Share(may.plan(), may.slots(), may.until()),
+                        new ClusterView.CapacityShare(may.plan(), may.slots(), may.until()),
                         rests,
                         latest == null ? null : latest.leader());
-        Set<Grant> holds = new HashSet<>(session.holding().holds(now));
-        List<Grant> news = new ArrayList<>(holds);
+        Set<Lease> holds = new HashSet<>(session.holding().holds(now));
+        List<Lease> news = new ArrayList<>(holds);
         news.removeAll(known);
-        news.sort(Comparator.comparing(Grant::token));
+        news.sort(Comparator.comparing(Lease::token));
         news.forEach(grant -> log.line("fleet: holds " + grant.duty() + " under " + grant.token()));
         known.stream()
                 .filter(grant -> !holds.contains(grant))
@@ -615,8 +640,8 @@
             return;
         }
         publish();
-        Token token = session.holding().mayAct(DutyName.KEEPER, loop.now());
-        Token leads = session.holding().mayAct(DutyName.CONDUCTOR, loop.now());
+        FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken leads = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
         if (session.latest() != null && session.isInTouch(loop.now())) {
             texts.follow(session.latest().wanted());
         }
@@ -630,84 +655,89 @@
             if (leads != null && releaseOpen) {
                 ask.addProperty("tallies", true);
             }
-            if (leads != null && conductor.wantsPast()) {
+            if (leads != null && rolloutController.wantsPast()) {
                 ask.addProperty("past", true);
             }
             if (plans) {
                 ask.addProperty("plans", true);
             }
-            carriage.say(voters.get(session.talksTo()), ask);
+            transport.say(voters.get(session.talksTo()), ask);
         }
-        loop.after(settings.rules().beatHolding().times(0.5), this::look);
+        loop.after(settings.rules().holderHeartbeatInterval().times(0.5), this::look);
     }
 
-    private Moment keptAt = new Moment(Long.MIN_VALUE / 2);
+    private MonotonicTime recordedAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
-    /** The keeper has the picture: it is told outside, and from time to time written down. */
+    /**
+     * The status reporter has the picture: it is told outside, and from time to time written down.
+     */
     private void keep(JsonElement state) {
-        Token token = session.holding().mayAct(DutyName.KEEPER, loop.now());
+        FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
         if (token == null || !state.isJsonObject() || !state.getAsJsonObject().has("seen")) {
             return;
         }
-        if (keeper != null
-                && !keeper.tell(
+        if (statusReporter != null
+                && !statusReporter.tell(
                         token,
-                        FleetJson.gson().toJson(state),
-                        () -> token.equals(view.mayAct(DutyName.KEEPER, loop.now())),
-                        bad -> loop.execute(() -> keeperFails(bad)))) {
+                        ClusterJson.gson().toJson(state),
+                        () -> token.equals(view.mayAct(DutyName.STATUS_REPORTER, loop.now())),
+                        bad -> loop.execute(() -> statusReporterFails(bad)))) {
             return;
         }
-        Moment now = loop.now();
-        if (now.since(keptAt).compareTo(settings.rules().lease().times(KEEP_EVERY)) > 0) {
-            keptAt = now;
+        MonotonicTime now = loop.now();
+        if (now.since(recordedAt).compareTo(settings.rules().lease().times(KEEP_EVERY)) > 0) {
+            recordedAt = now;
             JsonObject text = new JsonObject();
             text.addProperty("k", "keep");
             text.add(
                     "d",
-                    FleetJson.tree(
-                            new Deed.Keep(
+                    ClusterJson.tree(
+                            new ClusterCommand.RecordStatus(
                                     token,
                                     state.getAsJsonObject().getAsJsonArray("seen").size()
                                             + " nodes known")));
-            carriage.say(voters.get(session.talksTo()), text);
+            transport.say(voters.get(session.talksTo()), text);
         }
     }
 
-    /** The conductor has the picture: it says what is next, under its token, to whoever leads. */
-    private void conduct(JsonElement told) {
-        Token token = session.holding().mayAct(DutyName.CONDUCTOR, loop.now());
-        if (token == null || !told.isJsonObject() || !told.getAsJsonObject().has("seen")) {
+    /**
+     * The rollout controller has the picture: it says what is next, under its token, to whoever
+     * leads.
+     */
+    private void conduct(JsonElement reported) {
+        FencingToken token = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        if (token == null || !reported.isJsonObject() || !reported.getAsJsonObject().has("seen")) {
             return;
         }
-        Council.State state = FleetJson.read(told, Council.State.class);
-        Picture picture =
-                new Picture(
+        RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
+        RolloutSnapshot picture =
+                new RolloutSnapshot(
                         state.release(),
                         state.good(),
                         state.haltedBy(),
-                        state.seen(),
+                        state.nodeViews(),
                         state.permits(),
-                        settings.outs().mostOf(state.seen().size()),
+                        settings.disruptionLimits().mostOf(state.nodeViews().size()),
                         state.past());
-        String before = conductor.says();
-        List<Act> acts = conductor.decide(picture, token, loop.now());
-        if (!conductor.says().equals(before) && !conductor.says().isEmpty()) {
+        String before = rolloutController.says();
+        List<RolloutAction> acts = rolloutController.decide(picture, token, loop.now());
+        if (!rolloutController.says().equals(before) && !rolloutController.says().isEmpty()) {
             log.line(
                     "fleet: "
                             + (state.release() == null ? "" : state.release() + ": ")
-                            + conductor.says());
+                            + rolloutController.says());
         }
-        for (Act act : acts) {
+        for (RolloutAction act : acts) {
             JsonObject text = new JsonObject();
-            if (act instanceof Act.Write write) {
+            if (act instanceof RolloutAction.Propose write) {
                 text.addProperty("k", "deed");
-                text.addProperty("d", DeedText.of(write.deed()));
-            } else if (act instanceof Act.Let let) {
+                text.addProperty("d", CommandCodec.of(write.command()));
+            } else if (act instanceof RolloutAction.PermitRestart let) {
                 text.addProperty("k", "order");
                 text.add(
                         "o",
-                        FleetJson.tree(
-                                new Council.Order(
+                        ClusterJson.tree(
+                                new RaftReplica.OperatorOrder(
                                         let.order(),
                                         "leave",
                                         let.node(),
@@ -715,7 +745,7 @@
                                                 ? "the conductor"
                                                 : state.release().toString())));
             }
-            carriage.say(voters.get(session.talksTo()), text);
+            transport.say(voters.get(session.talksTo()), text);
         }
     }
 
@@ -723,22 +753,22 @@
      * The planner has the picture: the next plan, if there is to be one, under its token, to
      * whoever leads.
      */
-    private void plan(JsonElement told) {
-        Token token = session.holding().mayAct(DutyName.PLANNER, loop.now());
-        if (token == null || !told.getAsJsonObject().has("plans")) {
+    private void plan(JsonElement reported) {
+        FencingToken token = session.holding().mayAct(DutyName.PLANNER, loop.now());
+        if (token == null || !reported.getAsJsonObject().has("plans")) {
             return;
         }
-        Council.State state = FleetJson.read(told, Council.State.class);
+        RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
         if (!token.equals(plansUnder)) {
             plansUnder = token;
-            planner = new Planner(settings.rules().lease());
+            planner = new CapacityPlanner(settings.rules().lease());
         }
-        Deed.SetPlan plan =
+        ClusterCommand.SetCapacityPlan plan =
                 planner.decide(
-                        new Planner.View(
+                        new CapacityPlanner.View(
                                 settings.places(),
                                 state.members(),
-                                state.seen(),
+                                state.nodeViews(),
                                 state.plans(),
                                 state.lastPlan()),
                         token,
@@ -747,14 +777,14 @@
             log.line("fleet: plans: " + planner.why());
             JsonObject text = new JsonObject();
             text.addProperty("k", "deed");
-            text.addProperty("d", DeedText.of(plan));
-            carriage.say(voters.get(session.talksTo()), text);
+            text.addProperty("d", CommandCodec.of(plan));
+            transport.say(voters.get(session.talksTo()), text);
         }
     }
 
-    private void keeperFails(String why) {
+    private void statusReporterFails(String why) {
         log.line("fleet: can't keep the picture, hands the duty on: " + why);
-        session.failAt(DutyName.KEEPER, loop.now());
+        session.failAt(DutyName.STATUS_REPORTER, loop.now());
         publish();
     }
 
@@ -766,19 +796,19 @@
                 () -> {
                     if (moved.keySet().equals(voters.keySet()) && !moved.equals(voters)) {
                         voters = Map.copyOf(moved);
-                        carriage.keepOnly(voters.values());
+                        transport.keepOnly(voters.values());
                         log.line("fleet: reaches the voters at " + voters);
                     }
                 });
     }
 
     /** Read by any thread; never waits. */
-    public FleetView view() {
+    public ClusterView view() {
         return view;
     }
 
     /** What a try under the duty trial came to. */
-    public void found(String server, boolean well, Token token) {
+    public void found(String server, boolean well, FencingToken token) {
         loop.offer(() -> session.found(server, well, token, loop.now()));
     }
 
@@ -789,22 +819,22 @@
                 () -> {
                     session.handOnAll(loop.now());
                     publish();
-                    talkNow(Condition.LEAVING);
-                    if (council != null) {
-                        council.handOver();
+                    talkNow(NodeCondition.LEAVING);
+                    if (replica != null) {
+                        replica.handOver();
                     }
                 });
     }
 
-    private void talkNow(Condition condition) {
-        Session.Sent sent = session.beat(condition, loop.now());
+    private void talkNow(NodeCondition condition) {
+        ClusterSession.Sent sent = session.heartbeat(condition, loop.now());
         if (sent != null) {
             say(sent);
         }
     }
 
     /** The last word, and the end; takes as long at the most. */
-    public void end(Span most) {
+    public void end(NanoDuration most) {
         CountDownLatch said = new CountDownLatch(1);
         loop.execute(
                 () -> {
@@ -820,26 +850,26 @@
         loop.execute(
                 () -> {
                     over = true;
-                    if (council != null) {
-                        council.stop();
+                    if (replica != null) {
+                        replica.stop();
                     }
                 });
         loop.end();
-        carriage.end();
-        if (folder != null) {
-            folder.close();
+        transport.end();
+        if (storage != null) {
+            storage.close();
         }
     }
 
     /** For the log: what is known here now. */
     public String figures() {
-        FleetView now = view;
+        ClusterView now = view;
         return "fleet: "
                 + (now.isInTouch(loop.now()) ? "in touch with " + now.leader() : "alone")
                 + ", holds "
                 + known.size()
                 + ", bytes "
-                + carriage.bytes()
-                + (folder == null ? "" : ", syncs " + folder.flushes());
+                + transport.bytes()
+                + (storage == null ? "" : ", syncs " + storage.flushes());
     }
 }
--- a/src/main/java/lupinwood/council/Question.java
+++ b/src/main/java/lupinwood/consensus/ClusterQuery.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
@@ -11,18 +11,18 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lupinwood.fleet.NodeName;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.NodeName;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
 
 /** Asks the voters what they know, for a command. */
-public final class Question {
+public final class ClusterQuery {
     private static final long AGAIN_MILLIS = 500;
 
     /** Which text, and which program, a node is to be started with, and which servers rest. */
     public record Wanted(String digest, String text, String program, List<String> rests) {}
 
-    private Question() {}
+    private ClusterQuery() {}
 
     private static List<String> rests(JsonObject text) {
         List<String> rests = new ArrayList<>();
@@ -31,7 +31,8 @@
     }
 
     /** What the one who leads knows; null where nobody who does answered in time. */
-    public static Council.State state(Collection<InetSocketAddress> voters, Span within, Log log)
+    public static RaftReplica.ReplicaView state(
+            Collection<InetSocketAddress> voters, NanoDuration within, Log log)
             throws InterruptedException {
         return state(voters, within, log, false);
     }
@@ -41,23 +42,23 @@
      *
      * @param plans with all plans that some node may go by
      */
-    public static Council.State state(
-            Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
+    public static RaftReplica.ReplicaView state(
+            Collection<InetSocketAddress> voters, NanoDuration within, Log log, boolean plans)
             throws InterruptedException {
         return ask(voters, within, log, plans).values().stream()
                 .filter(one -> one.get("leads").getAsBoolean())
-                .map(one -> FleetJson.read(one.get("state"), Council.State.class))
+                .map(one -> ClusterJson.read(one.get("state"), RaftReplica.ReplicaView.class))
                 .findFirst()
                 .orElse(null);
     }
 
     /** Null where nobody who leads answered in time, or nobody can be reached. */
     public static Wanted wanted(
-            Collection<InetSocketAddress> voters, NodeName node, Span within, Log log)
+            Collection<InetSocketAddress> voters, NodeName node, NanoDuration within, Log log)
             throws InterruptedException {
         BlockingQueue<Wanted> answers = new ArrayBlockingQueue<>(64);
-        Carriage carriage =
-                new Carriage(
+        RaftTransport transport =
+                new RaftTransport(
                         (from, text) -> {
                             if (text.get("k").getAsString().equals("wanted")
                                     && text.get("leads").getAsBoolean()) {
@@ -77,7 +78,7 @@
             long end = System.nanoTime() + within.nanos();
             Wanted wanted = null;
             while (wanted == null && System.nanoTime() < end) {
-                voters.forEach(voter -> carriage.say(voter, text));
+                voters.forEach(voter -> transport.say(voter, text));
                 wanted =
                         answers.poll(
                                 Math.min(AGAIN_MILLIS, within.nanos() / 3_000_000),
@@ -85,7 +86,7 @@
             }
             return wanted;
         } finally {
-            carriage.end();
+            transport.end();
         }
     }
 
@@ -94,18 +95,18 @@
      * one who leads has answered.
      */
     public static Map<Integer, JsonObject> ask(
-            Collection<InetSocketAddress> voters, Span within, Log log)
+            Collection<InetSocketAddress> voters, NanoDuration within, Log log)
             throws InterruptedException {
         return ask(voters, within, log, false);
     }
 
     private static Map<Integer, JsonObject> ask(
-            Collection<InetSocketAddress> voters, Span within, Log log, boolean plans)
+            Collection<InetSocketAddress> voters, NanoDuration within, Log log, boolean plans)
             throws InterruptedException {
         Map<Integer, JsonObject> answers = new LinkedHashMap<>();
         CountDownLatch enough = new CountDownLatch(1);
-        Carriage carriage =
-                new Carriage(
+        RaftTransport transport =
+                new RaftTransport(
                         (from, text) -> {
                             synchronized (answers) {
                                 if (text.get("k").getAsString().equals("told")) {
@@ -127,11 +128,11 @@
                 if (plans) {
                     ask.addProperty("plans", true);
                 }
-                carriage.say(voter, ask);
+                transport.say(voter, ask);
             }
             enough.await(within.nanos(), TimeUnit.NANOSECONDS);
         } finally {
-            carriage.end();
+            transport.end();
         }
         synchronized (answers) {
             return new LinkedHashMap<>(answers);
@@ -144,32 +145,37 @@
      *
      * @return null where nobody led in time
      */
-    public static Council.Answer order(
-            Collection<InetSocketAddress> voters, Council.Order order, Span within, Log log)
+    public static RaftReplica.OrderResult order(
+            Collection<InetSocketAddress> voters,
+            RaftReplica.OperatorOrder order,
+            NanoDuration within,
+            Log log)
             throws InterruptedException {
-        BlockingQueue<Council.Answer> answers = new ArrayBlockingQueue<>(64);
-        Carriage carriage =
-                new Carriage(
+        BlockingQueue<RaftReplica.OrderResult> answers = new ArrayBlockingQueue<>(64);
+        RaftTransport transport =
+                new RaftTransport(
                         (from, text) -> {
                             if (text.get("k").getAsString().equals("done")
                                     && text.get("leads").getAsBoolean()) {
-                                answers.offer(FleetJson.read(text.get("a"), Council.Answer.class));
+                                answers.offer(
+                                        ClusterJson.read(
+                                                text.get("a"), RaftReplica.OrderResult.class));
                             }
                         },
                         log);
         try {
             JsonObject text = new JsonObject();
             text.addProperty("k", "order");
-            text.add("o", FleetJson.tree(order));
+            text.add("o", ClusterJson.tree(order));
             long end = System.nanoTime() + within.nanos();
-            Council.Answer answer = null;
+            RaftReplica.OrderResult answer = null;
             while (answer == null && System.nanoTime() < end) {
-                voters.forEach(voter -> carriage.say(voter, text));
+                voters.forEach(voter -> transport.say(voter, text));
                 answer = answers.poll(AGAIN_MILLIS, TimeUnit.MILLISECONDS);
             }
             return answer;
         } finally {
-            carriage.end();
+            transport.end();
         }
     }
 }
--- a/src/main/java/lupinwood/council/FleetSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.math.BigDecimal;
 import java.net.InetSocketAddress;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lupinwood.failover.Place;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.OutRules;
-import lupinwood.fleet.Rules;
-import lupinwood.fleet.Site;
-import lupinwood.node.Span;
-import lupinwood.release.Limits;
-import lupinwood.settings.Meaning;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.DisruptionLimits;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.Site;
+import lupinwood.failover.Location;
+import lupinwood.rollout.CanaryLimits;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /**
@@ -23,25 +23,25 @@
  *
  * @param voters where each voter is reached, in the file's order
  * @param listen where this node listens for others; null unless it is a voter
- * @param folder where a voter keeps what it must not forget; null unless it is one
+ * @param directory where a voter keeps what it must not forget; null unless it is one
  * @param servers what servers below carry out, by their names
  * @param places servers that are planned in common
  * @param mostResting so many of them may rest at once
- * @param report where the keeper tells the fleet's picture; null for nowhere
+ * @param report where the status reporter tells the fleet's picture; null for nowhere
  */
-public record FleetSettings(
+public record ClusterSettings(
         NodeName name,
         Site site,
         Map<NodeName, InetSocketAddress> voters,
         InetSocketAddress listen,
-        Path folder,
+        Path directory,
         InetSocketAddress report,
-        Rules rules,
-        OutRules outs,
-        Limits limits,
+        LeaseTiming rules,
+        DisruptionLimits disruptionLimits,
+        CanaryLimits limits,
         Map<String, Set<String>> servers,
         int mostResting,
-        List<Place> places) {
+        List<Location> places) {
     private static final BigDecimal LEASE = new BigDecimal(3_000_000_000L);
     private static final BigDecimal WATCH = new BigDecimal(60_000_000_000L);
     private static final BigDecimal WATCH_MOST = new BigDecimal(900_000_000_000L);
@@ -49,7 +49,7 @@
     private static final BigDecimal DRIFT = new BigDecimal("0.01");
 
     /** Null where the file says nothing of a fleet. */
-    public static FleetSettings of(Meaning meaning) {
+    public static ClusterSettings of(ParsedSettings meaning) {
         List<String> names = meaning.items(Schema.VOTER);
         if (names.isEmpty()) {
             return null;
@@ -64,9 +64,10 @@
                 meaning.values().getOrDefault("name", ""); // an operator's file by itself has none
         boolean votes = names.contains(name);
         String listen = meaning.value("fleet listen");
-        Span lease = new Span(meaning.number("fleet lease", LEASE).longValue());
-        Rules rules = Rules.of(lease, meaning.number("fleet drift", DRIFT).doubleValue());
-        return new FleetSettings(
+        NanoDuration lease = new NanoDuration(meaning.number("fleet lease", LEASE).longValue());
+        LeaseTiming rules =
+                LeaseTiming.of(lease, meaning.number("fleet drift", DRIFT).doubleValue());
+        return new ClusterSettings(
                 new NodeName(name),
                 new Site(
                         meaning.values().getOrDefault("fleet region", "region"),
@@ -78,14 +79,14 @@
                         ? null
                         : address(meaning.value("fleet report")),
                 rules,
-                outs(meaning, new ArrayList<>(voters.keySet())),
+                disruptionLimits(meaning, new ArrayList<>(voters.keySet())),
                 limits(meaning, lease),
                 servers(meaning),
                 meaning.number("out below-most", BigDecimal.ONE).intValue(),
                 places(meaning));
     }
 
-    private static Map<String, Set<String>> servers(Meaning meaning) {
+    private static Map<String, Set<String>> servers(ParsedSettings meaning) {
         Map<String, Set<String>> servers = new LinkedHashMap<>();
         for (String name : meaning.items(Schema.SERVER)) {
             servers.put(
@@ -99,14 +100,14 @@
     }
 
     /** Servers of which the file says what they bear; only those are planned. */
-    public static List<Place> places(Meaning meaning) {
-        List<Place> places = new ArrayList<>();
+    public static List<Location> places(ParsedSettings meaning) {
+        List<Location> places = new ArrayList<>();
         for (String name : meaning.items(Schema.SERVER)) {
             String at = "server " + name + " ";
             if (meaning.value(at + "bears") != null) {
                 int bears = meaning.number(at + "bears", null).intValue();
                 places.add(
-                        new Place(
+                        new Location(
                                 name,
                                 new Site(
                                         meaning.values().getOrDefault(at + "region", "region"),
@@ -124,38 +125,39 @@
 
     /**
      * Why a server may not rest beside those that do: by this node's file, nobody would carry out
-     * some track.
+     * some request class.
      */
     String against(String server, Set<String> resting) {
         if (!servers.containsKey(server)) {
             return "the file of " + name + ", which leads, names no server " + server;
         }
-        for (String track : servers.get(server)) {
+        for (String className : servers.get(server)) {
             boolean other =
                     servers.entrySet().stream()
                             .anyMatch(
                                     one ->
                                             !one.getKey().equals(server)
                                                     && !resting.contains(one.getKey())
-                                                    && one.getValue().contains(track));
+                                                    && one.getValue().contains(className));
             if (!other) {
-                return "nobody else would carry out tickets of " + track;
+                return "nobody else would carry out tickets of " + className;
             }
         }
         return "";
     }
 
-    private static Limits limits(Meaning meaning, Span lease) {
-        return Limits.of(
-                new Span(meaning.number("release watch", WATCH).longValue()),
-                new Span(meaning.number("release watch-most", WATCH_MOST).longValue()),
+    private static CanaryLimits limits(ParsedSettings meaning, NanoDuration lease) {
+        return CanaryLimits.of(
+                new NanoDuration(meaning.number("release watch", WATCH).longValue()),
+                new NanoDuration(meaning.number("release watch-most", WATCH_MOST).longValue()),
                 meaning.number("release harm", HARM).doubleValue(),
                 lease);
     }
 
-    private static OutRules outs(Meaning meaning, List<NodeName> voters) {
-        OutRules usual = OutRules.USUAL;
-        return new OutRules(
+    private static DisruptionLimits disruptionLimits(
+            ParsedSettings meaning, List<NodeName> voters) {
+        DisruptionLimits usual = DisruptionLimits.USUAL;
+        return new DisruptionLimits(
                 meaning.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
                 meaning.number("out share", BigDecimal.valueOf(usual.share())).doubleValue(),
                 meaning.number("out zone-most", BigDecimal.valueOf(usual.zoneMost())).intValue(),
--- a/src/main/java/lupinwood/council/Hands.java
+++ b/src/main/java/lupinwood/consensus/ConfigApplier.java
@@ -1,14 +1,14 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.util.List;
 import java.util.function.Consumer;
-import lupinwood.fleet.Report;
+import lupinwood.cluster.NodeReport;
 
 /** What a node does with the fleet's text. The outcomes may come by any thread. */
-public interface Hands {
+public interface ConfigApplier {
     /** A node that can't. */
-    Hands NONE =
-            new Hands() {
+    ConfigApplier NONE =
+            new ConfigApplier() {
                 @Override
                 public String runs() {
                     return "";
@@ -20,9 +20,11 @@
                 }
 
                 @Override
-                public void check(String digest, String text, Consumer<Report.Checked> done) {
+                public void check(
+                        String digest, String text, Consumer<NodeReport.ConfigCheck> done) {
                     done.accept(
-                            new Report.Checked(digest, false, false, "this node takes no text"));
+                            new NodeReport.ConfigCheck(
+                                    digest, false, false, "this node takes no text"));
                 }
 
                 @Override
@@ -38,7 +40,7 @@
     List<String> restsAtStart();
 
     /** Says whether it could go by the text, and changes nothing. */
-    void check(String digest, String text, Consumer<Report.Checked> done);
+    void check(String digest, String text, Consumer<NodeReport.ConfigCheck> done);
 
     /**
      * Goes by the text from now on, wholly or not at all.
--- a/src/main/java/lupinwood/council/Emptied.java
+++ b/src/main/java/lupinwood/consensus/DrainTracker.java
@@ -1,31 +1,31 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Standing;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
 
 /**
  * Whether a server that rests is empty: each node that is in has said, in this life and lately,
  * that it sends nothing new there and has nothing there. A node that can't be heard is never taken
  * to have stopped: it may be at work beyond a cut.
  */
-public final class Emptied {
+public final class DrainTracker {
     private static final int MOST_NAMED = 5;
 
-    private Emptied() {}
+    private DrainTracker() {}
 
     /** Which nodes haven't said so, and why, in one line; empty where all have. */
-    public static String left(Council.State state, String server) {
+    public static String left(RaftReplica.ReplicaView state, String server) {
         List<String> left = new ArrayList<>();
-        for (Seen seen : state.seen()) {
-            if (seen.standing() == Standing.OUT) {
+        for (NodeView nodeView : state.nodeViews()) {
+            if (nodeView.standing() == NodeStatus.OUT) {
                 continue;
             }
-            if (seen.standing() == Standing.UNKNOWN) {
-                left.add(seen.name() + " isn't heard");
-            } else if (seen.report() == null || !seen.report().emptied().contains(server)) {
-                left.add(seen.name() + " has not said so");
+            if (nodeView.standing() == NodeStatus.UNKNOWN) {
+                left.add(nodeView.name() + " isn't heard");
+            } else if (nodeView.report() == null || !nodeView.report().drained().contains(server)) {
+                left.add(nodeView.name() + " has not said so");
             }
         }
         int more = left.size() - MOST_NAMED;
--- a/src/main/java/lupinwood/council/EnumAdapter.java
+++ b/src/main/java/lupinwood/consensus/EnumAdapter.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.TypeAdapter;
 import com.google.gson.stream.JsonReader;
--- a/src/main/java/lupinwood/council/Spoilt.java
+++ b/src/main/java/lupinwood/consensus/FaultInjection.java
@@ -1,21 +1,21 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
 
 /**
- * What the laboratory's launcher spoils in a process of its own, to see that the council bears it,
- * or that the audit finds a safeguard that is missing. Nothing in 'serve' sets any of it.
+ * What the laboratory's launcher spoils in a process of its own, to see that the consensus group
+ * bears it, or that the audit finds a safeguard that is missing. Nothing in 'serve' sets any of it.
  */
-public final class Spoilt {
-    private static volatile Span syncTakes = Span.ZERO;
+public final class FaultInjection {
+    private static volatile NanoDuration syncTakes = NanoDuration.ZERO;
     private static volatile boolean withoutEarlyStop;
     private static volatile String program;
 
-    private Spoilt() {}
+    private FaultInjection() {}
 
     /** Each write to the folder takes so much longer, as on a disk that others keep busy. */
-    public static void syncTakes(Span span) {
-        syncTakes = span;
+    public static void syncTakes(NanoDuration duration) {
+        syncTakes = duration;
     }
 
     /** A holder counts its lease from when the grant came, not from before it asked. */
@@ -29,7 +29,7 @@
     }
 
     static String program() {
-        String version = Fleet.class.getPackage().getImplementationVersion();
+        String version = ClusterNode.class.getPackage().getImplementationVersion();
         return program != null ? program : version == null ? "unpackaged" : version;
     }
 
--- a/src/main/java/lupinwood/council/RaftText.java
+++ b/src/main/java/lupinwood/consensus/RaftCodec.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -35,10 +35,10 @@
  * the library's change of voters. What can't be read is told by an {@link
  * IllegalArgumentException}.
  */
-final class RaftText {
+final class RaftCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private RaftText() {}
+    private RaftCodec() {}
 
     // ---- messages ----
 
--- a/src/main/java/lupinwood/council/Council.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
@@ -30,65 +30,66 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.OutRules;
-import lupinwood.fleet.Permit;
-import lupinwood.fleet.Plan;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Rest;
-import lupinwood.fleet.Rules;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Steward;
-import lupinwood.fleet.Tally;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.Cordon;
+import lupinwood.cluster.DisruptionLimits;
+import lupinwood.cluster.DisruptionPermit;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.LeaseManager;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
 import lupinwood.log.WallClock;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
 
 /**
- * One voter's part in the council: the library's engine, the book that it agrees on, and the
- * steward who decides while this voter leads. All happens on one loop, whose clock may be made up.
+ * One voter's part in the consensus group: the library's engine, the cluster state that it agrees
+ * on, and the lease manager who decides while this voter leads. All happens on one loop, whose
+ * clock may be made up.
  *
- * <p>A beat is answered only after a majority confirmed that this voter still led after the beat
- * came: so whoever leads later began after every word that a holder may count from.
+ * <p>A heartbeat is answered only after a majority confirmed that this voter still led after the
+ * heartbeat came: so whoever leads later began after every word that a holder may count from.
  */
-public final class Council {
+public final class RaftReplica {
     /**
      * What it works with.
      *
      * @param post takes a message to the voter of an id
      * @param restored what the folder held; null for one that never voted
      */
-    public record Means(
-            Loop loop,
+    public record ReplicaContext(
+            TaskLoop loop,
             BiConsumer<String, RaftMessage> post,
             RaftStore store,
             RestoredRaftState restored,
             Random random,
             Consumer<String> log) {}
 
-    /** What one voter says of the council. */
-    public record State(
+    /** What one voter says of the consensus group. */
+    public record ReplicaView(
             NodeName self,
             NodeName leader,
             int term,
-            List<Seen> seen,
-            List<Book.Held> duties,
+            List<NodeView> nodeViews,
+            List<ClusterState.DutyLease> duties,
             String digest,
-            long deeds,
-            List<Permit> permits,
+            long commands,
+            List<DisruptionPermit> permits,
             String haltedBy,
-            List<Book.Entry> history,
-            Release release,
+            List<ClusterState.HistoryEntry> history,
+            Rollout release,
             String good,
-            List<Rest> rests,
-            Map<String, Tally> past,
-            List<Book.Member> members,
-            List<Plan> plans,
+            List<Cordon> rests,
+            Map<String, RequestCounts> past,
+            List<ClusterState.Member> members,
+            List<CapacityPlan> plans,
             long lastPlan) {}
 
     /**
@@ -100,13 +101,14 @@
      * @param wish what is to be released; else null
      * @param server which one is to rest, or to be back; else null
      */
-    public record Order(
-            String id, String what, NodeName node, String by, Wish wish, String server) {
-        public Order(String id, String what, NodeName node, String by) {
+    public record OperatorOrder(
+            String id, String what, NodeName node, String by, RolloutRequest wish, String server) {
+        public OperatorOrder(String id, String what, NodeName node, String by) {
             this(id, what, node, by, null, null);
         }
 
-        public Order(String id, String what, NodeName node, String by, Wish wish) {
+        public OperatorOrder(
+                String id, String what, NodeName node, String by, RolloutRequest wish) {
             this(id, what, node, by, wish, null);
         }
     }
@@ -117,14 +119,14 @@
      * @param to a text's digest, or a version of the program
      * @param text of a configuration; else empty
      */
-    public record Wish(Release.Kind kind, String to, String text, boolean backsOnHalt) {}
+    public record RolloutRequest(Rollout.Kind kind, String to, String text, boolean backsOnHalt) {}
 
     /**
      * The answer to an operator's order.
      *
      * @param done whether it was carried out; else the text says why not now
      */
-    public record Answer(boolean done, String text) {}
+    public record OrderResult(boolean done, String text) {}
 
     static final String GROUP = "fleet";
     private static final String NEW_TERM = "term";
@@ -142,57 +144,59 @@
     private static final int REPORT_SECONDS = 3600;
 
     /**
-     * Beats that wait for one confirmation; past that the newest is passed over, and told again by
-     * its node.
+     * Heartbeats that wait for one confirmation; past that the newest is passed over, and told
+     * again by its node.
      */
     private static final int MOST_WAITING = 4096;
 
-    private static final int MOST_DEEDS_AT_ONCE = 64;
+    private static final int MOST_COMMANDS_AT_ONCE = 64;
 
     /**
-     * A batch of the longest deeds, a text or the past of all nodes, has to fit into one message.
+     * A batch of the longest commands, a text or the past of all nodes, has to fit into one
+     * message.
      */
     private static final int MOST_IN_A_BATCH = 4;
 
     /**
      * @param again whether it was answered before, and hears of something new since
      */
-    private record Waiting(Beat beat, Consumer<Reply> to, boolean again) {}
+    private record PendingHeartbeat(
+            Heartbeat heartbeat, Consumer<HeartbeatReply> to, boolean again) {}
 
     private final NodeName self;
-    private final Means means;
-    private final Book book;
-    private final Steward steward;
+    private final ReplicaContext means;
+    private final ClusterState book;
+    private final LeaseManager leaseManager;
     private final long tokensAbove;
     private final RaftNode raft;
     private final double speed;
-    private final Set<Deed> underWay = new HashSet<>();
+    private final Set<ClusterCommand> underWay = new HashSet<>();
 
-    /** The latest beat of each node, which may be answered once more. */
-    private final Map<NodeName, Waiting> latest = new HashMap<>();
+    /** The latest heartbeat of each node, which may be answered once more. */
+    private final Map<NodeName, PendingHeartbeat> latest = new HashMap<>();
 
-    private List<Waiting> waiting = new ArrayList<>();
+    private List<PendingHeartbeat> waiting = new ArrayList<>();
     private boolean confirming;
     private int ledTerm = -1;
     private boolean changing;
     private boolean over;
 
     /**
-     * @param tokensAbove where tokens begin should this be the council's first leader ever
+     * @param tokensAbove where tokens begin should this be the consensus group's first leader ever
      */
-    public Council(
+    public RaftReplica(
             NodeName self,
             String endpoint,
             Collection<String> founders,
-            Rules rules,
+            LeaseTiming rules,
             List<DutyName> duties,
             long tokensAbove,
-            Means means) {
+            ReplicaContext means) {
         this.self = self;
         this.means = means;
         this.tokensAbove = tokensAbove;
-        book = new Book(rules.mostMembers());
-        steward = new Steward(rules, duties);
+        book = new ClusterState(rules.mostMembers());
+        leaseManager = new LeaseManager(rules, duties);
         speed = ENGINE_SECONDS_A_LEASE / rules.lease().seconds();
         RaftConfig config =
                 RaftConfig.newBuilder()
@@ -208,11 +212,11 @@
                 RaftNode.newBuilder()
                         .setGroupId(GROUP)
                         .setConfig(config)
-                        .setExecutor(new Executor())
+                        .setExecutor(new LoopExecutor())
                         .setTransport(new Post())
-                        .setStateMachine(new Agreed())
+                        .setStateMachine(new ReplicatedStateMachine())
                         .setStore(means.store())
-                        .setModelFactory(RaftText.MODEL)
+                        .setModelFactory(RaftCodec.MODEL)
                         .setRandom(means.random())
                         .setClock(new EngineClock());
         if (means.restored() == null) {
@@ -245,24 +249,24 @@
         }
     }
 
-    /** A node's beat; the answer comes once it is confirmed, or never. */
-    public void heard(Beat told, Consumer<Reply> to) {
-        Beat beat = told.cut();
+    /** A node's heartbeat; the answer comes once it is confirmed, or never. */
+    public void heard(Heartbeat reported, Consumer<HeartbeatReply> to) {
+        Heartbeat heartbeat = reported.cut();
         if (!leads()) {
-            to.accept(Steward.elsewhere(beat, leader()));
+            to.accept(LeaseManager.elsewhere(heartbeat, leader()));
             return;
         }
         if (waiting.size() < MOST_WAITING) {
-            Waiting one = new Waiting(beat, to, false);
+            PendingHeartbeat one = new PendingHeartbeat(heartbeat, to, false);
             waiting.add(one);
-            latest.put(beat.name(), one);
+            latest.put(heartbeat.name(), one);
             confirm();
         }
     }
 
     /**
-     * One question to the majority at a time: a beat that comes while one is under way waits for
-     * the next, since votes for that one may be older than the beat.
+     * One question to the majority at a time: a heartbeat that comes while one is under way waits
+     * for the next, since votes for that one may be older than the heartbeat.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
     private void confirm() {
@@ -270,7 +274,7 @@
             return;
         }
         confirming = true;
-        List<Waiting> batch = waiting;
+        List<PendingHeartbeat> batch = waiting;
         waiting = new ArrayList<>();
         int term = ledTerm;
         raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
@@ -285,17 +289,18 @@
                                         one ->
                                                 one.to()
                                                         .accept(
-                                                                Steward.elsewhere(
-                                                                        one.beat(), leader())));
+                                                                LeaseManager.elsewhere(
+                                                                        one.heartbeat(),
+                                                                        leader())));
                             }
                             confirm();
                         });
     }
 
-    private void answer(Waiting one) {
-        Moment now = means.loop().now();
-        String trouble = one.again() ? "" : steward.heard(one.beat(), book, now);
-        one.to().accept(steward.replyTo(one.beat(), trouble, book, self, now));
+    private void answer(PendingHeartbeat one) {
+        MonotonicTime now = means.loop().now();
+        String trouble = one.again() ? "" : leaseManager.heard(one.heartbeat(), book, now);
+        one.to().accept(leaseManager.replyTo(one.heartbeat(), trouble, book, self, now));
     }
 
     /** Whether this voter leads; notices when it begins to, or ends. */
@@ -307,11 +312,11 @@
                         && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (leads && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
-            steward.leads(book, means.loop().now());
+            leaseManager.leads(book, means.loop().now());
             means.log().accept("leads the council in term " + ledTerm);
         } else if (!leads && ledTerm >= 0) {
             ledTerm = -1;
-            steward.leadsNoMore();
+            leaseManager.leadsNoMore();
             latest.clear();
             means.log().accept("leads the council no more");
         }
@@ -328,45 +333,45 @@
             if (leads()) {
                 act();
             }
-            means.loop().after(steward.looksEvery(), this::look);
+            means.loop().after(leaseManager.looksEvery(), this::look);
         }
     }
 
     private void act() {
-        for (Deed deed : steward.decide(book, tokensAbove, means.loop().now())) {
-            propose(deed, null);
+        for (ClusterCommand command : leaseManager.decide(book, tokensAbove, means.loop().now())) {
+            propose(command, null);
         }
     }
 
-    /** Has a deed written, unless the same is under way. */
+    /** Has a command written, unless the same is under way. */
     @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
-    private void propose(Deed deed, Consumer<Boolean> done) {
-        if (underWay.size() >= MOST_DEEDS_AT_ONCE || !underWay.add(deed)) {
+    private void propose(ClusterCommand command, Consumer<Boolean> done) {
+        if (underWay.size() >= MOST_COMMANDS_AT_ONCE || !underWay.add(command)) {
             return;
         }
-        // The steward knows no wall clock; the line of history has one all the same.
-        Deed written = timed(deed);
-        raft.<Boolean>replicate(DeedText.of(written))
+        // The lease manager knows no wall clock; the line of history has one all the same.
+        ClusterCommand written = timed(command);
+        raft.<Boolean>replicate(CommandCodec.of(written))
                 .whenComplete(
                         (Ordered<Boolean> result, Throwable failed) -> {
-                            underWay.remove(deed);
+                            underWay.remove(command);
                             if (done != null) {
                                 done.accept(failed == null && result.getResult());
                             }
                             if (failed == null && result.getResult()) {
-                                means.log().accept("written: " + deed);
-                                if (deed instanceof Deed.Give give) {
+                                means.log().accept("written: " + command);
+                                if (command instanceof ClusterCommand.GrantLease give) {
                                     tellAgain(give.heir());
                                 }
                             }
                         });
     }
 
-    private static Deed timed(Deed deed) {
-        return deed instanceof Deed.Back back
-                ? new Deed.Back(back.permit(), back.why(), millis())
-                : deed instanceof Deed.Step one
-                        ? new Deed.Step(
+    private static ClusterCommand timed(ClusterCommand command) {
+        return command instanceof ClusterCommand.ReturnPermit back
+                ? new ClusterCommand.ReturnPermit(back.permit(), back.why(), millis())
+                : command instanceof ClusterCommand.AdvanceRollout one
+                        ? new ClusterCommand.AdvanceRollout(
                                 one.token(),
                                 one.release(),
                                 one.step(),
@@ -375,17 +380,18 @@
                                 one.why(),
                                 one.past(),
                                 millis())
-                        : deed instanceof Deed.Turn one
-                                ? new Deed.Turn(one.order(), one.release(), one.by(), millis())
-                                : deed instanceof Deed.Finish one
-                                        ? new Deed.Finish(
+                        : command instanceof ClusterCommand.RollBack one
+                                ? new ClusterCommand.RollBack(
+                                        one.order(), one.release(), one.by(), millis())
+                                : command instanceof ClusterCommand.FinishRollout one
+                                        ? new ClusterCommand.FinishRollout(
                                                 one.token(),
                                                 one.release(),
                                                 one.done(),
                                                 one.why(),
                                                 millis())
-                                        : deed instanceof Deed.SetPlan one
-                                                ? new Deed.SetPlan(
+                                        : command instanceof ClusterCommand.SetCapacityPlan one
+                                                ? new ClusterCommand.SetCapacityPlan(
                                                         one.token(),
                                                         one.after(),
                                                         one.bears(),
@@ -393,31 +399,31 @@
                                                         one.slots(),
                                                         one.why(),
                                                         millis())
-                                                : deed instanceof Deed.Halt one
-                                                        ? new Deed.Halt(
+                                                : command instanceof ClusterCommand.SetHalt one
+                                                        ? new ClusterCommand.SetHalt(
                                                                 one.order(),
                                                                 one.halted(),
                                                                 one.by(),
                                                                 millis())
-                                                        : deed;
+                                                        : command;
     }
 
-    /** An heir needn't wait for its next beat to hear of it. */
+    /** An heir needn't wait for its next heartbeat to hear of it. */
     private void tellAgain(NodeName heir) {
-        Waiting one = latest.get(heir);
+        PendingHeartbeat one = latest.get(heir);
         if (one != null && leads()) {
-            waiting.add(new Waiting(one.beat(), one.to(), true));
+            waiting.add(new PendingHeartbeat(one.heartbeat(), one.to(), true));
             confirm();
         }
     }
 
     /**
-     * A deed that another part of the node wants written; false where it did not fit, or may not
+     * A command that another part of the node wants written; false where it did not fit, or may not
      * have been written.
      */
-    public void write(Deed deed, Consumer<Boolean> done) {
+    public void write(ClusterCommand command, Consumer<Boolean> done) {
         if (leads()) {
-            propose(deed, done);
+            propose(command, done);
         } else {
             done.accept(false);
         }
@@ -457,15 +463,15 @@
      * @param withPast how nodes did before the release
      * @param withPlans how much goes where, and what nodes do at places
      */
-    public State state(boolean withTallies, boolean withPast, boolean withPlans) {
-        List<Seen> seen =
+    public ReplicaView state(boolean withTallies, boolean withPast, boolean withPlans) {
+        List<NodeView> nodeViews =
                 leads()
-                        ? steward.picture(book, means.loop().now()).stream()
+                        ? leaseManager.picture(book, means.loop().now()).stream()
                                 .map(
                                         one ->
                                                 one.report() == null
                                                         ? one
-                                                        : new Seen(
+                                                        : new NodeView(
                                                                 one.name(),
                                                                 one.life(),
                                                                 one.site(),
@@ -477,14 +483,14 @@
                                                                                 withPlans)))
                                 .toList()
                         : List.of();
-        return new State(
+        return new ReplicaView(
                 self,
                 leader(),
                 raft.getTerm().getTerm(),
-                seen,
+                nodeViews,
                 new ArrayList<>(book.duties()),
                 book.digest(),
-                book.deeds(),
+                book.commands(),
                 new ArrayList<>(book.permits()),
                 book.haltedBy(),
                 book.history(),
@@ -501,18 +507,22 @@
      * Carries out an operator's order, once; null to the answer where another leads, or nobody
      * does.
      */
-    public void order(Order order, OutRules outs, int mostResting, Consumer<Answer> to) {
+    public void order(
+            OperatorOrder order,
+            DisruptionLimits disruptionLimits,
+            int mostResting,
+            Consumer<OrderResult> to) {
         if (!leads()) {
             to.accept(null);
             return;
         }
         String before = book.answer(order.id());
         long at = millis();
-        List<NodeName> out = steward.seenOut(book, means.loop().now());
-        Wish wish = order.wish();
+        List<NodeName> out = leaseManager.unavailableNodes(book, means.loop().now());
+        RolloutRequest wish = order.wish();
         String against =
                 switch (order.what()) {
-                    case "leave" -> book.against(order.node(), outs, out);
+                    case "leave" -> book.against(order.node(), disruptionLimits, out);
                     case "release" -> book.againstRelease(wish.kind(), wish.to(), wish.text());
                     case "back" ->
                             book.release() == null
@@ -528,19 +538,28 @@
                                     : order.server() + " doesn't rest";
                     default -> "";
                 };
-        Deed deed =
+        ClusterCommand command =
                 switch (order.what()) {
                     case "leave" ->
-                            new Deed.Allow(order.id(), order.node(), order.by(), at, outs, out);
+                            new ClusterCommand.GrantPermit(
+                                    order.id(),
+                                    order.node(),
+                                    order.by(),
+                                    at,
+                                    disruptionLimits,
+                                    out);
                     case "halt", "resume" ->
-                            new Deed.Halt(order.id(), order.what().equals("halt"), order.by(), at);
-                    case "forget" -> new Deed.Forget(order.node());
+                            new ClusterCommand.SetHalt(
+                                    order.id(), order.what().equals("halt"), order.by(), at);
+                    case "forget" -> new ClusterCommand.RemoveNode(order.node());
                     case "rest" ->
-                            new Deed.LetRest(
+                            new ClusterCommand.CordonServer(
                                     order.id(), order.server(), order.by(), mostResting, at);
-                    case "unrest" -> new Deed.EndRest(order.id(), order.server(), order.by(), at);
+                    case "unrest" ->
+                            new ClusterCommand.UncordonServer(
+                                    order.id(), order.server(), order.by(), at);
                     case "release" ->
-                            new Deed.Begin(
+                            new ClusterCommand.BeginRollout(
                                     order.id(),
                                     order.by(),
                                     wish.kind(),
@@ -549,29 +568,29 @@
                                     wish.backsOnHalt(),
                                     at);
                     case "back" ->
-                            new Deed.Turn(
+                            new ClusterCommand.RollBack(
                                     order.id(),
                                     book.release() == null ? 0 : book.release().number(),
                                     order.by(),
                                     at);
                     default -> null;
                 };
-        if (before != null || deed == null || !against.isEmpty()) {
+        if (before != null || command == null || !against.isEmpty()) {
             to.accept(
-                    new Answer(
+                    new OrderResult(
                             before != null,
                             before != null
                                     ? before
-                                    : deed == null
+                                    : command == null
                                             ? "there is no order " + order.what()
                                             : against));
             return;
         }
         propose(
-                deed,
+                command,
                 fitted ->
                         to.accept(
-                                new Answer(
+                                new OrderResult(
                                         fitted,
                                         book.answer(order.id()) != null
                                                 ? book.answer(order.id())
@@ -583,13 +602,13 @@
     /** Who votes, as far as this voter knows. */
     public Set<String> voters() {
         Set<String> ids = new HashSet<>();
-        raft.getCommittedMembers().getVotingMembers().forEach(one -> ids.add(RaftText.id(one)));
+        raft.getCommittedMembers().getVotingMembers().forEach(one -> ids.add(RaftCodec.id(one)));
         return ids;
     }
 
     /** The id by which this voter votes. */
     public String endpoint() {
-        return RaftText.id(raft.getLocalEndpoint());
+        return RaftCodec.id(raft.getLocalEndpoint());
     }
 
     /**
@@ -628,7 +647,7 @@
                                                 "written: "
                                                         + mode
                                                         + " "
-                                                        + RaftText.id(old.orElse(one)));
+                                                        + RaftCodec.id(old.orElse(one)));
                             }
                         });
     }
@@ -649,25 +668,25 @@
     }
 
     /** What the library agrees on for us. */
-    private final class Agreed implements StateMachine {
+    private final class ReplicatedStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             String text = (String) operation;
             if (text.isEmpty()) {
                 return null; // a question
             }
-            Deed deed = text.equals(NEW_TERM) ? null : DeedText.deed(text);
-            return deed != null && book.apply(deed);
+            ClusterCommand command = text.equals(NEW_TERM) ? null : CommandCodec.command(text);
+            return command != null && book.apply(command);
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> pieces) {
-            DeedText.pieces(book.page()).forEach(pieces);
+            CommandCodec.pieces(book.page()).forEach(pieces);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> pieces) {
-            book.open(DeedText.page(pieces));
+            book.open(CommandCodec.page(pieces));
         }
 
         @Override
@@ -679,7 +698,7 @@
     private final class Post implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            means.post().accept(RaftText.id(target), message);
+            means.post().accept(RaftCodec.id(target), message);
         }
 
         @Override
@@ -688,7 +707,7 @@
         }
     }
 
-    private final class Executor implements RaftNodeExecutor {
+    private final class LoopExecutor implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
             means.loop().execute(task);
@@ -701,7 +720,7 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            means.loop().after(new Span(Math.round(unit.toNanos(delay) / speed)), task);
+            means.loop().after(new NanoDuration(Math.round(unit.toNanos(delay) / speed)), task);
         }
     }
 
--- a/src/main/java/lupinwood/council/Folder.java
+++ b/src/main/java/lupinwood/consensus/RaftStorage.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonNull;
@@ -28,7 +28,7 @@
  * nothing is written any more: what a disk that failed once says it has kept can't be trusted, so
  * the voter stops voting until it is started anew.
  */
-final class Folder implements RaftStore, Closeable {
+final class RaftStorage implements RaftStore, Closeable {
     private static final String FILE = "council.mv";
     private static final String FORM = "1";
     private static final int CACHE_MB = 1;
@@ -43,7 +43,7 @@
     private boolean broken;
     private long flushes;
 
-    private Folder(MVStore store, Consumer<String> failed) {
+    private RaftStorage(MVStore store, Consumer<String> failed) {
         this.store = store;
         this.failed = failed;
         facts = store.openMap("facts");
@@ -57,7 +57,7 @@
      *
      * @param failed told once, when a write failed
      */
-    static Folder open(Path at, Consumer<String> failed) throws IOException {
+    static RaftStorage open(Path at, Consumer<String> failed) throws IOException {
         Files.createDirectories(at);
         MVStore store;
         try {
@@ -77,14 +77,14 @@
                                     + " can't be read: "
                                     + message.replaceAll("\\[.*", "").strip());
         }
-        Folder folder = new Folder(store, failed);
-        String form = folder.facts.putIfAbsent("form", FORM);
+        RaftStorage storage = new RaftStorage(store, failed);
+        String form = storage.facts.putIfAbsent("form", FORM);
         if (form != null && !form.equals(FORM)) {
             store.closeImmediately();
             throw new IOException(
                     "the folder " + at + " has form " + form + "; this build reads form " + FORM);
         }
-        return folder;
+        return storage;
     }
 
     /** Null where nothing is kept that makes it a voter. */
@@ -92,41 +92,41 @@
         try {
             List<SnapshotChunk> pieces = new ArrayList<>();
             chunks.keyIterator(null)
-                    .forEachRemaining(key -> pieces.add(RaftText.chunk(json(chunks.get(key)))));
+                    .forEachRemaining(key -> pieces.add(RaftCodec.chunk(json(chunks.get(key)))));
             List<LogEntry> entries = new ArrayList<>();
             log.keyIterator(null)
-                    .forEachRemaining(key -> entries.add(RaftText.entry(json(log.get(key)))));
-            return Kept.restore(self(), members(), term(), pieces, entries);
+                    .forEachRemaining(key -> entries.add(RaftCodec.entry(json(log.get(key)))));
+            return RestoredState.restore(self(), members(), term(), pieces, entries);
         } catch (RuntimeException e) {
             throw new IOException("the folder holds what can't be read: " + e);
         }
     }
 
     private RaftEndpointPersistentState self() {
-        String kept = facts.get("self");
-        return kept == null
+        String stored = facts.get("self");
+        return stored == null
                 ? null
-                : RaftText.MODEL
+                : RaftCodec.MODEL
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new Voter(json(kept).get("id").getAsString()))
-                        .setVoting(json(kept).get("voting").getAsBoolean())
+                        .setLocalEndpoint(new Voter(json(stored).get("id").getAsString()))
+                        .setVoting(json(stored).get("voting").getAsBoolean())
                         .build();
     }
 
     private RaftGroupMembersView members() {
-        String kept = facts.get("members");
-        return kept == null ? null : RaftText.view(JsonParser.parseString(kept));
+        String stored = facts.get("members");
+        return stored == null ? null : RaftCodec.view(JsonParser.parseString(stored));
     }
 
     private RaftTermPersistentState term() {
-        String kept = facts.get("term");
-        if (kept == null) {
+        String stored = facts.get("term");
+        if (stored == null) {
             return null;
         }
-        JsonElement votedFor = json(kept).get("votedFor");
-        return RaftText.MODEL
+        JsonElement votedFor = json(stored).get("votedFor");
+        return RaftCodec.MODEL
                 .createRaftTermPersistentStateBuilder()
-                .setTerm(json(kept).get("term").getAsInt())
+                .setTerm(json(stored).get("term").getAsInt())
                 .setVotedFor(
                         votedFor == null || votedFor.isJsonNull()
                                 ? null
@@ -143,7 +143,7 @@
         try {
             store.commit();
             store.sync();
-            Spoilt.onSync();
+            FaultInjection.onSync();
             if (++flushes % COMPACT_EVERY == 0) {
                 store.compactFile(COMPACT_MILLIS);
             }
@@ -178,7 +178,7 @@
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
         JsonObject text = new JsonObject();
-        text.addProperty("id", RaftText.id(self.getLocalEndpoint()));
+        text.addProperty("id", RaftCodec.id(self.getLocalEndpoint()));
         text.addProperty("voting", self.isVoting());
         put("self", text);
         durable();
@@ -187,7 +187,7 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
             throws IOException {
-        put("members", RaftText.of(members));
+        put("members", RaftCodec.of(members));
         durable();
     }
 
@@ -197,7 +197,7 @@
         text.addProperty("term", term.getTerm());
         text.add("votedFor", JsonNull.INSTANCE);
         if (term.getVotedFor() != null) {
-            text.addProperty("votedFor", RaftText.id(term.getVotedFor()));
+            text.addProperty("votedFor", RaftCodec.id(term.getVotedFor()));
         }
         put("term", text);
         durable();
@@ -207,7 +207,7 @@
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
         whole();
         try {
-            entries.forEach(entry -> log.put(entry.getIndex(), RaftText.of(entry).toString()));
+            entries.forEach(entry -> log.put(entry.getIndex(), RaftCodec.of(entry).toString()));
         } catch (MVStoreException e) {
             throw failure(e);
         }
@@ -219,7 +219,7 @@
         try {
             chunks.put(
                     key(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
-                    RaftText.of(chunk).toString());
+                    RaftCodec.of(chunk).toString());
         } catch (MVStoreException e) {
             throw failure(e);
         }
--- a/src/main/java/lupinwood/council/Carriage.java
+++ b/src/main/java/lupinwood/consensus/RaftTransport.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -29,7 +29,7 @@
  * lost, as when a link breaks or a peer doesn't read; nothing waits for one. Whoever doesn't read
  * costs itself only.
  */
-final class Carriage {
+final class RaftTransport {
     /** A message is no longer, in bytes. */
     static final int MOST_BYTES = 512 * 1024;
 
@@ -59,7 +59,7 @@
     /**
      * @param heard on a thread of the carriage's own
      */
-    Carriage(BiConsumer<Peer, JsonObject> heard, Log log) {
+    RaftTransport(BiConsumer<Peer, JsonObject> heard, Log log) {
         this.heard = heard;
         this.log = log;
         connector.setConnectTimeoutMillis(CONNECT_MS);
@@ -117,11 +117,11 @@
     }
 
     /** The links to addresses that nobody asks for any more are closed. */
-    synchronized void keepOnly(Collection<InetSocketAddress> asked) {
+    synchronized void keepOnly(Collection<InetSocketAddress> requested) {
         links.entrySet()
                 .removeIf(
                         link -> {
-                            boolean close = !asked.contains(link.getKey());
+                            boolean close = !requested.contains(link.getKey());
                             if (close && link.getValue().isConnected()) {
                                 link.getValue().getSession().closeNow();
                             }
--- a/src/main/java/lupinwood/council/RecordAdapter.java
+++ b/src/main/java/lupinwood/consensus/RecordAdapter.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
--- a/src/main/java/lupinwood/council/Kept.java
+++ b/src/main/java/lupinwood/consensus/RestoredState.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /** What a voter had kept, put together again for the library. */
-public final class Kept {
-    private Kept() {}
+public final class RestoredState {
+    private RestoredState() {}
 
     /**
      * Null where it had kept nothing that makes it a voter.
@@ -42,7 +42,7 @@
             SnapshotChunk first = one.get(0);
             if (snapshot == null && one.size() == first.getSnapshotChunkCount()) {
                 snapshot =
-                        RaftText.MODEL
+                        RaftCodec.MODEL
                                 .createSnapshotEntryBuilder()
                                 .setIndex(first.getIndex())
                                 .setTerm(first.getTerm())
@@ -56,7 +56,7 @@
         RaftTermPersistentState known =
                 term != null
                         ? term
-                        : RaftText.MODEL
+                        : RaftCodec.MODEL
                                 .createRaftTermPersistentStateBuilder()
                                 .setTerm(0)
                                 .setVotedFor(null)
--- a/src/main/java/lupinwood/council/TextWork.java
+++ b/src/main/java/lupinwood/consensus/SharedConfigFollower.java
@@ -1,27 +1,27 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Report;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.NodeReport;
 import lupinwood.log.Log;
 
 /**
- * Follows the council's word on the text that this node is to go by: has it fetched by its digest,
- * checked when asked, and taken; one thing at a time. A text that wasn't taken isn't tried again
- * until the council wants another. Belongs to the fleet's loop.
+ * Follows the consensus group's word on the text that this node is to go by: has it fetched by its
+ * digest, checked when asked, and taken; one thing at a time. A text that wasn't taken isn't tried
+ * again until the consensus group wants another. Belongs to the fleet's loop.
  */
-final class TextWork {
-    private static final int MOST_KEPT = 3;
+final class SharedConfigFollower {
+    private static final int MAX_RETAINED = 3;
 
-    private final Hands hands;
+    private final ConfigApplier configApplier;
     private final Consumer<Runnable> loop;
     private final Consumer<String> fetch;
     private final Log log;
     private final Map<String, String> texts = new HashMap<>();
     private String runs;
-    private Report.Checked checked;
+    private NodeReport.ConfigCheck checked;
     private String notTaken;
     private boolean busy;
 
@@ -29,16 +29,17 @@
      * @param loop does a job on the fleet's loop
      * @param fetch asks a voter for the text of a digest
      */
-    TextWork(Hands hands, Consumer<Runnable> loop, Consumer<String> fetch, Log log) {
-        this.hands = hands;
+    SharedConfigFollower(
+            ConfigApplier configApplier, Consumer<Runnable> loop, Consumer<String> fetch, Log log) {
+        this.configApplier = configApplier;
         this.loop = loop;
         this.fetch = fetch;
         this.log = log;
-        runs = hands.runs();
+        runs = configApplier.runs();
     }
 
-    /** What the council last said; asked again and again. */
-    void follow(Reply.Wanted wanted) {
+    /** What the consensus group last said; asked again and again. */
+    void follow(HeartbeatReply.Wanted wanted) {
         if (wanted == null || busy) {
             return;
         }
@@ -53,7 +54,7 @@
             with(
                     wanted.runs(),
                     text ->
-                            hands.take(
+                            configApplier.take(
                                     wanted.runs(),
                                     text,
                                     why -> loop.accept(() -> taken(wanted.runs(), text, why))));
@@ -73,22 +74,22 @@
     }
 
     private void check(String digest, String text) {
-        hands.check(
+        configApplier.check(
                 digest,
                 text,
-                told ->
+                reported ->
                         loop.accept(
                                 () -> {
                                     busy = false;
-                                    checked = told;
+                                    checked = reported;
                                     log.line(
                                             "fleet: the text "
-                                                    + told.digest()
-                                                    + (told.fits()
-                                                            ? told.restarts()
+                                                    + reported.digest()
+                                                    + (reported.fits()
+                                                            ? reported.restarts()
                                                                     ? " fits, and needs a restart"
                                                                     : " fits"
-                                                            : " does not fit: " + told.why()));
+                                                            : " does not fit: " + reported.why()));
                                 }));
     }
 
@@ -111,7 +112,7 @@
 
     /** A voter sent it. */
     void fetched(String digest, String text) {
-        if (texts.size() >= MOST_KEPT) {
+        if (texts.size() >= MAX_RETAINED) {
             texts.clear();
         }
         texts.put(digest, text);
@@ -122,7 +123,7 @@
     }
 
     /** Null before any. */
-    Report.Checked checked() {
+    NodeReport.ConfigCheck checked() {
         return checked;
     }
 }
--- a/src/main/java/lupinwood/council/KeeperWork.java
+++ b/src/main/java/lupinwood/consensus/StatusReporter.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -12,15 +12,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import lupinwood.fleet.Token;
+import lupinwood.cluster.FencingToken;
 import lupinwood.log.Log;
 
 /**
- * The keeper's act outside: the fleet's picture, put by HTTP with the token. Whoever takes it
- * refuses a lower token than it has seen by 409 or 412; then, or when it fails a few times in a
+ * The status reporter's act outside: the fleet's picture, put by HTTP with the token. Whoever takes
+ * it refuses a lower token than it has seen by 409 or 412; then, or when it fails a few times in a
  * row, this node can't do the duty.
  */
-final class KeeperWork {
+final class StatusReporter {
     private static final int TIMEOUT_MILLIS = 1000;
     private static final int FAILURES = 3;
     private static final int CONFLICT = 409;
@@ -42,7 +42,7 @@
                     });
     private int failures;
 
-    KeeperWork(InetSocketAddress to, Log log) {
+    StatusReporter(InetSocketAddress to, Log log) {
         this.to = to;
         this.log = log;
         thread.allowCoreThreadTimeOut(true);
@@ -53,7 +53,7 @@
      *
      * @param may asked once more right before the act, on another thread than the fleet's
      */
-    boolean tell(Token token, String picture, BooleanSupplier may, Consumer<String> fails) {
+    boolean tell(FencingToken token, String picture, BooleanSupplier may, Consumer<String> fails) {
         try {
             thread.execute(() -> put(token, picture, may, fails));
             return true;
@@ -62,7 +62,8 @@
         }
     }
 
-    private void put(Token token, String picture, BooleanSupplier may, Consumer<String> fails) {
+    private void put(
+            FencingToken token, String picture, BooleanSupplier may, Consumer<String> fails) {
         if (!may.getAsBoolean()) {
             return;
         }
@@ -90,7 +91,7 @@
         }
     }
 
-    private int status(Token token, byte[] picture) throws IOException {
+    private int status(FencingToken token, byte[] picture) throws IOException {
         HttpURLConnection put =
                 (HttpURLConnection)
                         URI.create("http://" + to.getHostString() + ":" + to.getPort() + "/fleet")
--- a/src/main/java/lupinwood/council/RealLoop.java
+++ b/src/main/java/lupinwood/consensus/ThreadTaskLoop.java
@@ -1,17 +1,17 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import lupinwood.log.Log;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
 
 /** A thread of its own, on the machine's monotonic clock. */
-final class RealLoop implements Loop {
+final class ThreadTaskLoop implements TaskLoop {
     /**
-     * What others may have waiting for it; what the council hears past that is passed over, and
-     * comes again.
+     * What others may have waiting for it; what the consensus group hears past that is passed over,
+     * and comes again.
      */
     private static final int MOST_WAITING = 4096;
 
@@ -27,7 +27,7 @@
                         return one;
                     });
 
-    RealLoop(Log log) {
+    ThreadTaskLoop(Log log) {
         this.log = log;
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         thread.setRemoveOnCancelPolicy(true);
@@ -51,17 +51,17 @@
 
     @Override
     @SuppressWarnings("FutureReturnValueIgnored") // a guarded job logs its own failure
-    public void after(Span span, Runnable job) {
+    public void after(NanoDuration duration, Runnable job) {
         try {
-            thread.schedule(guarded(job), Math.max(0, span.nanos()), TimeUnit.NANOSECONDS);
+            thread.schedule(guarded(job), Math.max(0, duration.nanos()), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             // It was ended.
         }
     }
 
     @Override
-    public Moment now() {
-        return new Moment(System.nanoTime());
+    public MonotonicTime now() {
+        return new MonotonicTime(System.nanoTime());
     }
 
     private Runnable guarded(Runnable job) {
--- a/src/main/java/lupinwood/council/Voter.java
+++ b/src/main/java/lupinwood/consensus/Voter.java
@@ -1,7 +1,7 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import io.microraft.RaftEndpoint;
-import lupinwood.fleet.NodeName;
+import lupinwood.cluster.NodeName;
 
 /**
  * A voter as the library names it. Its id is the node's name, and a mark behind {@code ~} where its
--- a/src/main/java/lupinwood/core/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The node without its sockets: tickets, connections, receipts, calls and deadlines. No I/O, no
- * threads; the time and all news are told from outside, by one thread, and results leave through
- * the ports.
- */
-package lupinwood.core;
--- a/src/main/java/lupinwood/lab/AjpPeer.java
+++ b/src/main/java/lupinwood/experiment/AjpPeer.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -17,7 +17,7 @@
 /** A web server with one AJP connection to the node: one request at a time, sent in pieces. */
 final class AjpPeer implements Closeable {
     private static final int PACKET = 8192;
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int RESPONSE_TIMEOUT_MILLIS = 20_000;
 
     private final Socket socket;
     private final String secret;
@@ -29,15 +29,15 @@
         this.secret = secret;
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
     }
 
     /** The bytes of a request with its body. */
-    byte[] bytes(String path, String customer, String mark, String body) {
+    byte[] bytes(String path, String tenant, String mark, String body) {
         byte[] content = body.getBytes(StandardCharsets.ISO_8859_1);
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put("Host", "lab");
-        headers.put("X-Customer", customer);
+        headers.put("X-Customer", tenant);
         if (mark != null) {
             headers.put("X-Mark", mark);
         }
--- a/src/main/java/lupinwood/lab/Audit.java
+++ b/src/main/java/lupinwood/experiment/Audit.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * Holds what was sent, run and answered against the rules: each ticket has one final answer before
- * its abandon time, no mark and no effectful ticket runs twice, what is satisfied has the result of
- * its own body. Thread-safe.
+ * Holds what was sent, run and answered against the rules: each request has one final answer before
+ * its timeout, no mark and no unsafe request runs twice, what is served has the result of its own
+ * body. Thread-safe.
  */
 final class Audit {
-    /** A ticket as it was sent. */
-    record Sent(String track, String body, String mark, long atMillis, long abandonMillis) {}
+    /** A request as it was sent. */
+    record Sent(String className, String body, String mark, long atMillis, long timeoutMillis) {}
 
     private final Map<String, Sent> open = new HashMap<>();
     private final Map<String, Integer> answered = new HashMap<>();
@@ -25,8 +25,8 @@
     private final Set<String> excused = new HashSet<>();
     private long slackMillis = 100;
 
-    synchronized void sent(String id, Sent ticket) {
-        open.put(id, ticket);
+    synchronized void sent(String id, Sent request) {
+        open.put(id, request);
         count("sent");
     }
 
@@ -37,23 +37,23 @@
         if (excused.remove(id)) {
             return;
         }
-        Sent ticket = open.remove(id);
+        Sent request = open.remove(id);
         if (answered.merge(id, 1, Integer::sum) > 1) {
             breaks("two answers to " + id);
-        } else if (ticket == null) {
+        } else if (request == null) {
             breaks("an answer to " + id + ", which was never sent");
         } else {
             String kind =
                     word.equals("ACK") ? "satisfied" : word.equals("NAK") ? "bounced" : "abandoned";
             count(kind);
-            if (nowMillis > ticket.atMillis() + ticket.abandonMillis() + slackMillis) {
+            if (nowMillis > request.atMillis() + request.timeoutMillis() + slackMillis) {
                 breaks(
                         id
                                 + " was answered "
-                                + (nowMillis - ticket.atMillis())
+                                + (nowMillis - request.atMillis())
                                 + " ms after it was sent");
             }
-            if (kind.equals("satisfied") && !result.equals("done: " + ticket.body())) {
+            if (kind.equals("satisfied") && !result.equals("done: " + request.body())) {
                 breaks(id + " was satisfied with another's result");
             }
             if (kind.equals("bounced") && runsOf.containsKey("try " + id)) {
@@ -63,15 +63,15 @@
     }
 
     /** A run started that wasn't under way. */
-    synchronized void ran(String id, String track, String body) {
+    synchronized void ran(String id, String className, String body) {
         count("runs");
         int tries = runsOf.merge("try " + id, 1, Integer::sum);
         // Fronts may name tries themselves, so an unlock is known by its body, which no two marks
         // share.
-        if (track.startsWith("unlock") && runsOf.merge("unlock " + body, 1, Integer::sum) > 1) {
+        if (className.startsWith("unlock") && runsOf.merge("unlock " + body, 1, Integer::sum) > 1) {
             breaks("the unlock '" + body + "' ran twice");
         } else if (tries > 1) {
-            breaks(id + " of " + track + " ran twice");
+            breaks(id + " of " + className + " ran twice");
         }
     }
 
@@ -97,7 +97,7 @@
         open.clear();
     }
 
-    synchronized int openTickets() {
+    synchronized int openRequests() {
         return open.size();
     }
 
--- a/src/main/java/lupinwood/lab/PoolsRun.java
+++ b/src/main/java/lupinwood/experiment/BalancingExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,51 +6,61 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import java.util.Random;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.pools.Budget;
-import lupinwood.pools.Pool;
-import lupinwood.pools.Rules;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.balancing.OutlierLimits;
+import lupinwood.balancing.RetryBudget;
+import lupinwood.balancing.ServerPool;
 
 /**
  * Four servers in made-up time, of which in turn one fails fast, one is ten times slower and one is
- * dead, under a load that the other three could carry: how much is satisfied in time by the pool,
- * by round robin and by least in hand.
+ * dead, under a load that the other three could carry: how much is served in time by the pool, by
+ * round robin and by least in hand.
  */
-final class PoolsRun implements Experiment {
+final class BalancingExperiment implements Experiment {
     private static final int SERVERS = 4;
     private static final int SLOTS = 8;
     private static final double WORK = 0.02;
     private static final double PHASE = 15;
-    private static final double PATIENCE = 1;
+    private static final double RESPONSE_TIMEOUT = 1;
     private static final double LOAD = 0.7;
     private static final double LEAST = 0.97;
 
     /** How a server is chosen. */
     private interface Chooser {
-        int send(Moment now, List<Integer> tried, int[] out);
+        int send(MonotonicTime now, List<Integer> tried, int[] out);
 
         default void slow(int server) {}
 
-        default void ended(int server, Pool.End end, Span took, boolean slow, Moment now) {}
+        default void ended(
+                int server,
+                ServerPool.AttemptEnd end,
+                NanoDuration took,
+                boolean slow,
+                MonotonicTime now) {}
 
-        default Span target() {
-            return Span.ZERO;
+        default NanoDuration target() {
+            return NanoDuration.ZERO;
         }
     }
 
-    private record Event(Moment at, long order, Runnable job) {}
+    private record Event(MonotonicTime at, long order, Runnable job) {}
 
     private final long seed;
 
-    PoolsRun(long seed) {
+    BalancingExperiment(long seed) {
         this.seed = seed;
     }
 
     @Override
     public Outcome run() {
         Result pool =
-                new Play(new OfPool(new Pool(List.of("a", "b", "c", "d"), Rules.USUAL, seed)))
+                new Play(
+                                new OfPool(
+                                        new ServerPool(
+                                                List.of("a", "b", "c", "d"),
+                                                OutlierLimits.USUAL,
+                                                seed)))
                         .play();
         int[] turn = {0};
         Result robin = new Play((now, tried, out) -> turn[0]++ % SERVERS).play();
@@ -68,7 +78,7 @@
         if (pool.worst() < LEAST) {
             broken.add("in one phase only " + percent(pool.worst()) + " were satisfied");
         }
-        if (pool.repeats > pool.firsts * Rules.USUAL.repeatShare() + 11) {
+        if (pool.repeats > pool.firsts * OutlierLimits.USUAL.repeatShare() + 11) {
             broken.add(pool.repeats + " repeats are past the budget");
         }
         return new Outcome(
@@ -91,14 +101,14 @@
 
     private static final class Result {
         private final int[] came = new int[SERVERS];
-        private final int[] satisfied = new int[SERVERS];
+        private final int[] served = new int[SERVERS];
         private long firsts;
         private long repeats;
 
         double worst() {
             double worst = 1;
             for (int i = 0; i < SERVERS; i++) {
-                worst = Math.min(worst, (double) satisfied[i] / Math.max(1, came[i]));
+                worst = Math.min(worst, (double) served[i] / Math.max(1, came[i]));
             }
             return worst;
         }
@@ -111,15 +121,15 @@
                 text.append(i == 0 ? "" : " ")
                         .append(names[i])
                         .append(' ')
-                        .append(percent((double) satisfied[i] / Math.max(1, came[i])));
+                        .append(percent((double) served[i] / Math.max(1, came[i])));
             }
             return text + " repeats " + percent((double) repeats / firsts);
         }
     }
 
-    private record OfPool(Pool pool) implements Chooser {
+    private record OfPool(ServerPool pool) implements Chooser {
         @Override
-        public int send(Moment now, List<Integer> tried, int[] out) {
+        public int send(MonotonicTime now, List<Integer> tried, int[] out) {
             return pool.send(now, tried);
         }
 
@@ -129,12 +139,17 @@
         }
 
         @Override
-        public void ended(int server, Pool.End end, Span took, boolean slow, Moment now) {
+        public void ended(
+                int server,
+                ServerPool.AttemptEnd end,
+                NanoDuration took,
+                boolean slow,
+                MonotonicTime now) {
             pool.ended(server, end, took, slow, now);
         }
 
         @Override
-        public Span target() {
+        public NanoDuration target() {
             return pool.target();
         }
     }
@@ -143,7 +158,7 @@
     private final class Play {
         private final Chooser chooser;
         private final Random random = new Random(seed);
-        private final Budget budget = new Budget(Rules.USUAL.repeatShare(), 10);
+        private final RetryBudget budget = new RetryBudget(OutlierLimits.USUAL.repeatShare(), 10);
         private final PriorityQueue<Event> queue =
                 new PriorityQueue<>(
                         Comparator.comparing(Event::at).thenComparingLong(Event::order));
@@ -152,12 +167,12 @@
         /** When each slot of each server is free again. */
         private final double[][] free = new double[SERVERS][SLOTS];
 
-        private final List<Ticket> waiting = new ArrayList<>();
+        private final List<SimulatedRequest> waiting = new ArrayList<>();
         private final Result result = new Result();
         private double now;
         private long order;
 
-        private final class Ticket {
+        private final class SimulatedRequest {
             final double came = now;
             final int phase = (int) Math.min(SERVERS - 1, now / PHASE);
             final List<Integer> tried = new ArrayList<>();
@@ -177,9 +192,9 @@
                         () -> {
                             result.firsts++;
                             budget.first();
-                            Ticket ticket = new Ticket();
-                            result.came[ticket.phase]++;
-                            send(ticket);
+                            SimulatedRequest request = new SimulatedRequest();
+                            result.came[request.phase]++;
+                            send(request);
                         });
             }
             while (!queue.isEmpty()) {
@@ -192,33 +207,33 @@
         }
 
         private void at(double seconds, Runnable job) {
-            queue.add(new Event(moment(seconds), order++, job));
+            queue.add(new Event(time(seconds), order++, job));
         }
 
-        private Moment moment(double seconds) {
-            return new Moment(Math.round(seconds * 1e9));
+        private MonotonicTime time(double seconds) {
+            return new MonotonicTime(Math.round(seconds * 1e9));
         }
 
-        private void send(Ticket ticket) {
-            if (now - ticket.came > PATIENCE) {
+        private void send(SimulatedRequest request) {
+            if (now - request.came > RESPONSE_TIMEOUT) {
                 return;
             }
-            int server = chooser.send(moment(now), ticket.tried, out);
+            int server = chooser.send(time(now), request.tried, out);
             if (server < 0) {
                 if (waiting.size() < 1000) {
-                    waiting.add(ticket);
+                    waiting.add(request);
                 }
                 return;
             }
             out[server]++;
-            ticket.tried.add(server);
+            request.tried.add(server);
             double begun = now;
-            boolean fails = ticketPhaseNow() == 1 && server == 0;
-            boolean dead = ticketPhaseNow() == 3 && server == 2;
+            boolean fails = requestPhaseNow() == 1 && server == 0;
+            boolean dead = requestPhaseNow() == 3 && server == 2;
             boolean[] slow = {false};
             boolean[] over = {false};
             double end = fails ? now + 0.001 : dead ? now + 0.0002 : work(server);
-            Span target = chooser.target();
+            NanoDuration target = chooser.target();
             if (target.isPositive()) {
                 at(
                         now + target.seconds(),
@@ -236,16 +251,18 @@
                         out[server]--;
                         chooser.ended(
                                 server,
-                                fails || dead ? Pool.End.FAILED : Pool.End.WELL,
-                                Span.ofSeconds(now - begun),
+                                fails || dead
+                                        ? ServerPool.AttemptEnd.FAILED
+                                        : ServerPool.AttemptEnd.WELL,
+                                NanoDuration.ofSeconds(now - begun),
                                 slow[0],
-                                moment(now));
+                                time(now));
                         if (fails || dead) {
-                            if (now - ticket.came < PATIENCE && budget.again()) {
-                                send(ticket);
+                            if (now - request.came < RESPONSE_TIMEOUT && budget.again()) {
+                                send(request);
                             }
-                        } else if (now - ticket.came <= PATIENCE) {
-                            result.satisfied[ticket.phase]++;
+                        } else if (now - request.came <= RESPONSE_TIMEOUT) {
+                            result.served[request.phase]++;
                         }
                         if (!waiting.isEmpty()) {
                             send(waiting.remove(0));
@@ -253,7 +270,7 @@
                     });
         }
 
-        private int ticketPhaseNow() {
+        private int requestPhaseNow() {
             return (int) Math.min(SERVERS - 1, now / PHASE);
         }
 
@@ -266,7 +283,7 @@
             double takes =
                     WORK
                             * (0.5 + random.nextDouble())
-                            * (ticketPhaseNow() == 2 && server == 1 ? 10 : 1);
+                            * (requestPhaseNow() == 2 && server == 1 ? 10 : 1);
             free[server][first] = Math.max(now, free[server][first]) + takes;
             return free[server][first];
         }
--- a/src/main/java/lupinwood/lab/Caller.java
+++ b/src/main/java/lupinwood/experiment/Caller.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
@@ -11,7 +11,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
 
-/** A dispatcher with one connection to the node; its answers are read by a thread of its own. */
+/**
+ * An upstream load balancer with one connection to the node; its answers are read by a thread of
+ * its own.
+ */
 final class Caller implements Closeable {
     private static final int MOST_OPEN = 32;
 
@@ -27,7 +30,7 @@
     private boolean finished;
 
     /**
-     * @param heard hears each answer's ticket id and its words
+     * @param heard hears each answer's request id and its words
      */
     Caller(int port, Audit audit, BiConsumer<String, List<String>> heard) throws IOException {
         this(port, audit, heard, false);
@@ -44,14 +47,18 @@
         this.heard = heard;
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
-        Door.daemon(this::read);
+        LoopbackServer.daemon(this::read);
         socket.getOutputStream()
-                .write(Wire.array("HEALTH", "1000000")); // who says nothing for long is closed
+                .write(
+                        WireFormat.array(
+                                "HEALTH", "1000000")); // who says nothing for long is closed
     }
 
     private void read() {
         try (InputStream in = new BufferedInputStream(socket.getInputStream())) {
-            for (List<String> words = Wire.array(in); words != null; words = Wire.array(in)) {
+            for (List<String> words = WireFormat.array(in);
+                    words != null;
+                    words = WireFormat.array(in)) {
                 if (words.get(0).equals("0") && words.get(1).equals("FIN")) {
                     finish();
                     continue;
@@ -95,31 +102,35 @@
         return finished;
     }
 
-    void send(String id, Audit.Sent ticket, String customer) throws IOException {
-        send(id, ticket, customer, 0);
+    void send(String id, Audit.Sent request, String tenant) throws IOException {
+        send(id, request, tenant, 0);
     }
 
     /**
      * @param shiftMillis how far this machine's wall clock is off
      */
-    synchronized void send(String id, Audit.Sent ticket, String customer, long shiftMillis)
+    synchronized void send(String id, Audit.Sent request, String tenant, long shiftMillis)
             throws IOException {
         String fields =
                 "req="
                         + id
                         + ",ts="
-                        + (ticket.atMillis() + shiftMillis)
+                        + (request.atMillis() + shiftMillis)
                         + ",via=1,owner="
-                        + customer
+                        + tenant
                         + ",need=20.5,level=0.5"
-                        + (ticket.mark() == null ? "" : ",opkey=" + ticket.mark());
-        audit.sent(id, ticket);
+                        + (request.mark() == null ? "" : ",opkey=" + request.mark());
+        audit.sent(id, request);
         open++;
         tags.put(Long.toString(++tag), id);
         socket.getOutputStream()
                 .write(
-                        Wire.array(
-                                "REQ", Long.toString(tag), ticket.track(), fields, ticket.body()));
+                        WireFormat.array(
+                                "REQ",
+                                Long.toString(tag),
+                                request.className(),
+                                fields,
+                                request.body()));
     }
 
     @Override
--- a/src/main/java/lupinwood/lab/PlanModel.java
+++ b/src/main/java/lupinwood/experiment/CapacityPlanModel.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Plan;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.NodeName;
 
 /**
  * All that can happen to shares of two zones at three places, small enough to be looked through
@@ -19,7 +19,7 @@
  * at any moment, leaders that change. At no moment may what both nodes believe be more at a place
  * than it bears. Each rule is left out in turn, and that has to be found.
  */
-final class PlanModel implements Experiment {
+final class CapacityPlanModel implements Experiment {
     /** A rule that may be left out. */
     private enum Without {
         NOTHING,
@@ -52,7 +52,7 @@
      *
      * @param old told by a leader before, so that today's knows nothing of it
      */
-    private record Word(int node, int plan, boolean came, boolean old) {
+    private record PlanStatement(int node, int plan, boolean came, boolean old) {
         int hashed() {
             return node + 2 * plan + 8 * (came ? 1 : 0) + 16 * (old ? 1 : 0);
         }
@@ -62,24 +62,24 @@
      * @param tables the table of each plan so far
      * @param oldest the oldest live plan
      * @param heardA the newest plan that a node heard of
-     * @param toldA what today's leader heard a node say of that
+     * @param reportedA what today's leader heard a node say of that
      */
     private record State(
             List<Integer> tables,
             int oldest,
-            List<Word> words,
+            List<PlanStatement> words,
             int heardA,
             int heardB,
-            int toldA,
-            int toldB,
+            int reportedA,
+            int reportedB,
             int leaders,
             boolean waited) {
         int heard(int node) {
             return node == 0 ? heardA : heardB;
         }
 
-        int told(int node) {
-            return node == 0 ? toldA : toldB;
+        int reported(int node) {
+            return node == 0 ? reportedA : reportedB;
         }
     }
 
@@ -112,28 +112,28 @@
 
     private static Found search(Without without) {
         State first = new State(List.of(), 1, List.of(), 0, 0, 0, 0, 1, true);
-        Set<State> seen = new HashSet<>(Set.of(first));
+        Set<State> observed = new HashSet<>(Set.of(first));
         Deque<State> now = new ArrayDeque<>(List.of(first));
         for (int depth = 0; !now.isEmpty(); depth++) {
             Deque<State> next = new ArrayDeque<>();
             for (State state : now) {
                 String over = overfull(state);
                 if (over != null) {
-                    return new Found(seen.size(), depth, over);
+                    return new Found(observed.size(), depth, over);
                 }
                 for (State after : after(state, without)) {
-                    if (seen.add(after)) {
+                    if (observed.add(after)) {
                         next.add(after);
                     }
                 }
             }
             now = next;
         }
-        return new Found(seen.size(), 0, null);
+        return new Found(observed.size(), 0, null);
     }
 
-    private static Plan plan(State state, int number) {
-        return new Plan(number, ROSTER, TABLES.get(state.tables().get(number - 1)));
+    private static CapacityPlan plan(State state, int number) {
+        return new CapacityPlan(number, ROSTER, TABLES.get(state.tables().get(number - 1)));
     }
 
     /** What both believe at this moment. */
@@ -168,10 +168,10 @@
         int newest = s.tables().size();
         for (int node = 0; node < NODES.size(); node++) {
             if (newest > 0 && s.words().size() < MOST_GRANTS) {
-                all.add(words(s, with(s.words(), new Word(node, newest, false, false))));
+                all.add(words(s, with(s.words(), new PlanStatement(node, newest, false, false))));
             }
             int heard = s.heard(node);
-            if (heard > s.told(node)) {
+            if (heard > s.reported(node)) {
                 all.add(
                         new State(
                                 s.tables(),
@@ -179,8 +179,8 @@
                                 s.words(),
                                 s.heardA(),
                                 s.heardB(),
-                                node == 0 ? heard : s.toldA(),
-                                node == 1 ? heard : s.toldB(),
+                                node == 0 ? heard : s.reportedA(),
+                                node == 1 ? heard : s.reportedB(),
                                 s.leaders(),
                                 s.waited()));
             }
@@ -189,9 +189,12 @@
             word(s, i, without, all);
         }
         if (s.leaders() < MOST_LEADERS) {
-            List<Word> old =
+            List<PlanStatement> old =
                     s.words().stream()
-                            .map(word -> new Word(word.node(), word.plan(), word.came(), true))
+                            .map(
+                                    word ->
+                                            new PlanStatement(
+                                                    word.node(), word.plan(), word.came(), true))
                             .toList();
             all.add(
                     new State(
@@ -205,7 +208,7 @@
                             s.leaders() + 1,
                             false));
         }
-        boolean oldOver = s.words().stream().noneMatch(Word::old);
+        boolean oldOver = s.words().stream().noneMatch(PlanStatement::old);
         if (!s.waited() && (oldOver || without == Without.WAIT_OF_A_NEW_LEADER)) {
             all.add(
                     new State(
@@ -214,8 +217,8 @@
                             s.words(),
                             s.heardA(),
                             s.heardB(),
-                            s.toldA(),
-                            s.toldB(),
+                            s.reportedA(),
+                            s.reportedB(),
                             s.leaders(),
                             true));
         }
@@ -234,16 +237,16 @@
                             s.words(),
                             s.heardA(),
                             s.heardB(),
-                            s.toldA(),
-                            s.toldB(),
+                            s.reportedA(),
+                            s.reportedB(),
                             s.leaders(),
                             s.waited());
-            List<Plan> live = new ArrayList<>();
+            List<CapacityPlan> live = new ArrayList<>();
             for (int number = s.oldest(); number <= tables.size(); number++) {
                 live.add(plan(after, number));
             }
             if (without == Without.SUM_OVER_LIVE_PLANS
-                    || Plan.overfull(live, BOUNDS, Map.of()) == null) {
+                    || CapacityPlan.overfull(live, BOUNDS, Map.of()) == null) {
                 all.add(after);
             }
         }
@@ -251,11 +254,12 @@
 
     /** It comes, perhaps twice; its lease runs out, come or not. */
     private static void word(State s, int i, Without without, List<State> all) {
-        Word word = s.words().get(i);
+        PlanStatement word = s.words().get(i);
         int heard = s.heard(word.node());
         boolean newer = word.plan() >= heard || without == Without.NEVER_BACK;
         int then = newer ? word.plan() : heard;
-        List<Word> came = set(s.words(), i, new Word(word.node(), word.plan(), true, word.old()));
+        List<PlanStatement> came =
+                set(s.words(), i, new PlanStatement(word.node(), word.plan(), true, word.old()));
         all.add(
                 new State(
                         s.tables(),
@@ -263,29 +267,29 @@
                         came,
                         word.node() == 0 ? then : s.heardA(),
                         word.node() == 1 ? then : s.heardB(),
-                        s.toldA(),
-                        s.toldB(),
+                        s.reportedA(),
+                        s.reportedB(),
                         s.leaders(),
                         s.waited()));
-        List<Word> left = new ArrayList<>(s.words());
+        List<PlanStatement> left = new ArrayList<>(s.words());
         left.remove(i);
         all.add(words(s, List.copyOf(left)));
     }
 
     /**
-     * As the steward does it: of what today's leader told, and nothing before it waited for what
-     * others told.
+     * As the lease manager does it: of what today's leader told, and nothing before it waited for
+     * what others told.
      */
     private static void retire(State s, Without without, List<State> all) {
         if (!s.waited() || s.tables().size() <= s.oldest()) {
             return;
         }
         int oldest = s.tables().size();
-        for (Word word : s.words()) {
+        for (PlanStatement word : s.words()) {
             boolean acknowledged =
-                    word.plan() < s.told(word.node())
+                    word.plan() < s.reported(word.node())
                             || (without == Without.ACKNOWLEDGEMENT_OF_OLDER
-                                    && s.told(word.node()) > 0);
+                                    && s.reported(word.node()) > 0);
             if (!word.old() && !acknowledged && without != Without.WAIT_FOR_LEASES) {
                 oldest = Math.min(oldest, word.plan());
             }
@@ -298,41 +302,41 @@
                             s.words(),
                             s.heardA(),
                             s.heardB(),
-                            s.toldA(),
-                            s.toldB(),
+                            s.reportedA(),
+                            s.reportedB(),
                             s.leaders(),
                             s.waited()));
         }
     }
 
-    private static State words(State s, List<Word> words) {
+    private static State words(State s, List<PlanStatement> words) {
         return new State(
                 s.tables(),
                 s.oldest(),
                 words,
                 s.heardA(),
                 s.heardB(),
-                s.toldA(),
-                s.toldB(),
+                s.reportedA(),
+                s.reportedB(),
                 s.leaders(),
                 s.waited());
     }
 
-    private static List<Word> with(List<Word> words, Word more) {
-        List<Word> all = new ArrayList<>(words);
+    private static List<PlanStatement> with(List<PlanStatement> words, PlanStatement more) {
+        List<PlanStatement> all = new ArrayList<>(words);
         all.add(more);
         return sorted(all);
     }
 
-    private static List<Word> set(List<Word> words, int i, Word word) {
-        List<Word> all = new ArrayList<>(words);
+    private static List<PlanStatement> set(List<PlanStatement> words, int i, PlanStatement word) {
+        List<PlanStatement> all = new ArrayList<>(words);
         all.set(i, word);
         return sorted(all);
     }
 
     /** In which order they were said means nothing. */
-    private static List<Word> sorted(List<Word> words) {
-        words.sort(Comparator.comparing(Word::hashed));
+    private static List<PlanStatement> sorted(List<PlanStatement> words) {
+        words.sort(Comparator.comparing(PlanStatement::hashed));
         return List.copyOf(words);
     }
 }
--- a/src/main/java/lupinwood/lab/FleetCost.java
+++ b/src/main/java/lupinwood/experiment/ClusterCostExperiment.java
@@ -1,31 +1,31 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import lupinwood.council.FleetJson;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Rules;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.consensus.ClusterJson;
 
 /**
  * What a fleet says in calm made-up time, by size: messages and bytes a node and second, and
  * hand-overs, of which none has a cause.
  */
-final class FleetCost implements Experiment {
+final class ClusterCostExperiment implements Experiment {
     private static final int VOTERS = 5;
     private static final double SETTLES = 10;
     private static final double CUT_SECONDS = 20;
     private static final double QUARTER = 0.25;
 
     /** A small fleet swings by itself; a large one has to come back spread. */
-    private static final double MOST_CROWD = 3;
+    private static final double MAX_LOAD = 3;
 
     private final long seed;
     private final List<Integer> sizes;
     private final int seconds;
 
-    FleetCost(long seed, int size, int seconds) {
+    ClusterCostExperiment(long seed, int size, int seconds) {
         this.seed = seed;
         sizes = size > 0 ? List.of(size) : List.of(12, 100, 300);
         this.seconds = seconds;
@@ -37,45 +37,46 @@
         StringBuilder line = new StringBuilder("fleet-cost: ");
         double first = 0;
         for (int size : sizes) {
-            TimedFleet fleet =
-                    new TimedFleet(
+            SimulatedCluster fleet =
+                    new SimulatedCluster(
                             VOTERS,
                             size - VOTERS,
                             3,
-                            Rules.of(Span.ofSeconds(3), 0.01),
+                            LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01),
                             0.01,
-                            TimedFleet.Without.NOTHING,
+                            SimulatedCluster.Without.NOTHING,
                             seed);
             fleet.stalls = false;
-            fleet.weigh(FleetJson.gson());
+            fleet.weigh(ClusterJson.gson());
             fleet.startAll();
             fleet.time.playUntil(SETTLES);
-            long beats = fleet.beats;
+            long heartbeats = fleet.heartbeats;
             long bytes = fleet.bytes;
-            long calm = fleet.handOvers.size();
+            long baseline = fleet.handOvers.size();
             fleet.time.playUntil(SETTLES + seconds);
             double perNode = (double) (fleet.bytes - bytes) / size / seconds;
             first = first == 0 ? perNode : first;
             broken.addAll(fleet.broken);
-            long causeless = fleet.handOvers.size() - calm;
+            long causeless = fleet.handOvers.size() - baseline;
             if (causeless > 0) {
                 broken.add(causeless + " hand-overs without a cause at " + size + " nodes");
             }
             if (perNode > first * 1.5) {
                 broken.add("bytes a node grow with the fleet's size");
             }
-            double beatsEach = (double) (fleet.beats - beats) / size / seconds;
-            double crowd = crowdAfterACut(fleet, size);
-            if (crowd > MOST_CROWD) {
+            double heartbeatsEach = (double) (fleet.heartbeats - heartbeats) / size / seconds;
+            double load = loadAfterACut(fleet, size);
+            if (load > MAX_LOAD) {
                 broken.add(
                         String.format(
                                 Locale.ROOT,
                                 "after a cut %d nodes came back at %.1f times the calm rate",
                                 size,
-                                crowd));
+                                load));
             }
-            boolean held = fleet.nodes.stream().anyMatch(node -> node.holds(DutyName.TRIAL));
-            if (!held) {
+            boolean leased =
+                    fleet.nodes.stream().anyMatch(node -> node.holds(DutyName.HEALTH_CHECK));
+            if (!leased) {
                 broken.add("nobody holds the duty at " + size + " nodes");
             }
             line.append(
@@ -84,22 +85,22 @@
                             "%d nodes: %.2f beats and %.0f bytes a node and second, joined and held in"
                                     + " %.1f s, hand-overs in %d s %d, back after a cut at most %.1f times the calm rate; ",
                             size,
-                            beatsEach,
+                            heartbeatsEach,
                             perNode,
-                            fleet.firstHeld / 1e9,
+                            fleet.firstLeased / 1e9,
                             seconds,
                             causeless,
-                            crowd));
+                            load));
         }
         return new Outcome(line + "broken " + broken.size(), broken);
     }
 
     /**
-     * All are cut from the council for some leases; then the most beats in a quarter of a second,
-     * beside the calm rate.
+     * All are cut from the consensus group for some leases; then the most heartbeats in a quarter
+     * of a second, beside the calm rate.
      */
-    private static double crowdAfterACut(TimedFleet fleet, int size) {
-        for (TimedFleet.Node one : fleet.nodes) {
+    private static double loadAfterACut(SimulatedCluster fleet, int size) {
+        for (SimulatedCluster.Node one : fleet.nodes) {
             for (int voter = 0; voter < VOTERS; voter++) {
                 if (one.place >= VOTERS) {
                     fleet.links.cut(one.place, voter);
@@ -111,12 +112,12 @@
         fleet.links.mendAll();
         long most = 0;
         for (int i = 0; i < 80; i++) {
-            long before = fleet.beats;
+            long before = fleet.heartbeats;
             now += QUARTER;
             fleet.time.playUntil(now);
-            most = Math.max(most, fleet.beats - before);
+            most = Math.max(most, fleet.heartbeats - before);
         }
-        // In calm each node has one beat a second, a third of the lease.
+        // In calm each node has one heartbeat a second, a third of the lease.
         return most / (size * QUARTER);
     }
 }
--- a/src/main/java/lupinwood/lab/FleetOnOff.java
+++ b/src/main/java/lupinwood/experiment/ClusterOverheadExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,22 +8,22 @@
  * Nodes of a fleet and nodes without one, side by side under the same load: what belonging to it
  * costs.
  */
-final class FleetOnOff implements Experiment {
+final class ClusterOverheadExperiment implements Experiment {
     private static final int VOTERS = 3;
     private static final int EACH = 2;
     private static final int SETTLES_MILLIS = 5000;
     private final long seed;
     private final int seconds;
 
-    FleetOnOff(long seed, int seconds) {
+    ClusterOverheadExperiment(long seed, int seconds) {
         this.seed = seed;
         this.seconds = seconds;
     }
 
     @Override
     public Outcome run() throws Exception {
-        try (ProcessFleet fleet =
-                new ProcessFleet(
+        try (ProcessCluster fleet =
+                new ProcessCluster(
                         VOTERS,
                         VOTERS + EACH,
                         VOTERS + 2 * EACH,
@@ -35,9 +35,9 @@
             fleet.startAll();
             Thread.sleep(SETTLES_MILLIS + seconds * 1000L);
             StringBuilder line = new StringBuilder("fleet-on-off: ");
-            line.append(told("voters", fleet.members.subList(0, VOTERS)));
-            line.append(told("members", fleet.members.subList(VOTERS, VOTERS + EACH)));
-            line.append(told("alone", fleet.members.subList(VOTERS + EACH, VOTERS + 2 * EACH)));
+            line.append(reported("voters", fleet.members.subList(0, VOTERS)));
+            line.append(reported("members", fleet.members.subList(VOTERS, VOTERS + EACH)));
+            line.append(reported("alone", fleet.members.subList(VOTERS + EACH, VOTERS + 2 * EACH)));
             List<String> broken = new ArrayList<>(fleet.leaveAll());
             return new Outcome(
                     line
@@ -51,7 +51,7 @@
         }
     }
 
-    private static String told(String what, List<ProcessFleet.Member> members) {
+    private static String reported(String what, List<ProcessCluster.Member> members) {
         double median = members.stream().mapToDouble(one -> one.took(0.5)).average().orElse(0);
         double tail = members.stream().mapToDouble(one -> one.took(0.99)).average().orElse(0);
         double memory =
--- a/src/main/java/lupinwood/lab/FleetTour.java
+++ b/src/main/java/lupinwood/experiment/ClusterTour.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,15 +9,15 @@
  * A first look at a fleet: three nodes as processes, what 'fleet status' tells of them, and what
  * happens as one dies.
  */
-final class FleetTour implements Experiment {
+final class ClusterTour implements Experiment {
     private static final int NODES = 3;
     private static final long LEASE_MILLIS = 2000;
-    private static final int PATIENCE = 600; // looks, 50 ms apart
+    private static final int RESPONSE_TIMEOUT = 600; // looks, 50 ms apart
 
     private final long seed;
     private final PrintStream out;
 
-    FleetTour(long seed, PrintStream out) {
+    ClusterTour(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
@@ -25,8 +25,8 @@
     @Override
     public Outcome run() throws Exception {
         List<String> broken = new ArrayList<>();
-        try (ProcessFleet fleet =
-                new ProcessFleet(NODES, NODES, LEASE_MILLIS, 50, true, seed, line -> {})) {
+        try (ProcessCluster fleet =
+                new ProcessCluster(NODES, NODES, LEASE_MILLIS, 50, true, seed, line -> {})) {
             out.println("Three nodes, each also a voter, with a lease of 2 s:\n");
             fleet.operatorFile().lines().forEach(line -> out.println("    " + line));
             fleet.startAll();
@@ -61,23 +61,23 @@
         }
     }
 
-    private void status(ProcessFleet fleet, List<String> broken)
+    private void status(ProcessCluster fleet, List<String> broken)
             throws IOException, InterruptedException {
         out.println("\n$ lupinwood fleet status --operator operator.kdl");
-        ProcessFleet.Said said = fleet.command("fleet", "status", "--operator");
+        ProcessCluster.Said said = fleet.command("fleet", "status", "--operator");
         said.lines().forEach(line -> out.println("    " + line));
         if (said.status() != 0) {
             broken.add("fleet status ended with " + said.status());
         }
     }
 
-    private interface Look {
+    private interface StatusSnapshot {
         boolean holds();
     }
 
-    private static void until(Look look, List<String> broken, String what)
+    private static void until(StatusSnapshot look, List<String> broken, String what)
             throws InterruptedException {
-        for (int i = 0; i < PATIENCE; i++) {
+        for (int i = 0; i < RESPONSE_TIMEOUT; i++) {
             if (look.holds()) {
                 return;
             }
--- a/src/main/java/lupinwood/lab/ConfigCost.java
+++ b/src/main/java/lupinwood/experiment/ConfigCost.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Locale;
 import lupinwood.config.Config;
+import lupinwood.config.Diagnostics;
 import lupinwood.config.Formatter;
-import lupinwood.config.Problems;
 import lupinwood.config.Reader;
 import lupinwood.config.Source;
 import lupinwood.load.FileSources;
-import lupinwood.reload.Plan;
+import lupinwood.reload.ConfigDiff;
 
 /**
  * What it costs to check, format and compare a large configuration, as multiples of reading its
@@ -21,7 +21,7 @@
  */
 final class ConfigCost implements Experiment {
     private static final int ROUNDS = 41;
-    private static final int ENTRIES_OF_A_TRACK = 6;
+    private static final int ENTRIES_OF_A_REQUEST_CLASS = 6;
 
     /** A step that is measured. */
     private interface Step {
@@ -46,8 +46,8 @@
             double read =
                     micros(() -> new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
             double check = micros(() -> Reader.read(new FileSources(), file.toString()));
-            double format = micros(() -> Formatter.format(source, new Problems()));
-            double plan = micros(() -> Plan.between(config.meaning(), config.meaning()));
+            double format = micros(() -> Formatter.format(source, new Diagnostics()));
+            double plan = micros(() -> ConfigDiff.between(config.meaning(), config.meaning()));
             return new Outcome(
                     String.format(
                             Locale.ROOT,
@@ -94,7 +94,7 @@
                 step 4ms
                 limits { descriptors 256 }
                 """);
-        for (int i = 0; i < entries / ENTRIES_OF_A_TRACK; i++) {
+        for (int i = 0; i < entries / ENTRIES_OF_A_REQUEST_CLASS; i++) {
             text.append("track t")
                     .append(i)
                     .append(
--- a/src/main/java/lupinwood/lab/RestRun.java
+++ b/src/main/java/lupinwood/experiment/CordonExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,23 +8,23 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import lupinwood.council.Council;
-import lupinwood.council.Emptied;
-import lupinwood.council.Question;
+import lupinwood.admission.NanoDuration;
+import lupinwood.consensus.ClusterQuery;
+import lupinwood.consensus.DrainTracker;
+import lupinwood.consensus.RaftReplica;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
 
 /**
- * Servers below that rest by turns while real nodes send them tickets: once the fleet says that one
- * is empty, nothing may come there until it is taken back, whatever dies, is cut off or starts anew
- * meanwhile. The auditor counts at the servers.
+ * Servers below that rest by turns while real nodes send them requests: once the fleet says that
+ * one is empty, nothing may come there until it is taken back, whatever dies, is cut off or starts
+ * anew meanwhile. The auditor counts at the servers.
  */
-final class RestRun implements Experiment {
+final class CordonExperiment implements Experiment {
     private static final int VOTERS = 3;
     private static final int NODES = 7;
     private static final int SERVERS = 3;
     private static final long LEASE_MILLIS = 1500;
-    private static final int TICKETS_EVERY = 25;
+    private static final int REQUESTS_EVERY = 25;
     private static final long EMPTY_WITHIN_MILLIS = 30_000;
     private static final long EMPTY_FOR_MILLIS = 5000;
     private static final long BACK_WITHIN_MILLIS = 15_000;
@@ -45,7 +45,7 @@
     private int orders;
     private long longestToEmpty;
 
-    RestRun(long seed, int rounds, Log log) {
+    CordonExperiment(long seed, int rounds, Log log) {
         this.seed = seed;
         this.rounds = rounds;
         this.log = log;
@@ -55,25 +55,25 @@
     public Outcome run() throws Exception {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         StringBuilder more = new StringBuilder();
-        List<Door> doors = new ArrayList<>();
+        List<LoopbackServer> doors = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             StandInServer server = new StandInServer(new Audit(), random.nextLong(), 0);
             servers.add(server);
-            Door door = new Door(0, server::talk);
-            doors.add(door);
+            LoopbackServer proxy = new LoopbackServer(0, server::talk);
+            doors.add(proxy);
             more.append("server s")
                     .append(i)
                     .append(" { address \"")
-                    .append(door.address())
+                    .append(proxy.address())
                     .append("\"; tracks history }\n");
         }
-        try (ProcessFleet fleet =
-                new ProcessFleet(
+        try (ProcessCluster fleet =
+                new ProcessCluster(
                         VOTERS,
                         NODES,
                         NODES,
                         LEASE_MILLIS,
-                        TICKETS_EVERY,
+                        REQUESTS_EVERY,
                         true,
                         seed,
                         log::line,
@@ -104,39 +104,40 @@
                             broken.size()),
                     broken);
         } finally {
-            for (Door door : doors) {
-                door.close();
+            for (LoopbackServer proxy : doors) {
+                proxy.close();
             }
         }
     }
 
-    private Council.Answer order(ProcessFleet fleet, String what, String server)
+    private RaftReplica.OrderResult order(ProcessCluster fleet, String what, String server)
             throws InterruptedException {
-        return Question.order(
+        return ClusterQuery.order(
                 fleet.voterAddresses(),
-                new Council.Order("lab" + seed + "." + orders++, what, null, "ann", null, server),
-                Span.ofSeconds(5),
+                new RaftReplica.OperatorOrder(
+                        "lab" + seed + "." + orders++, what, null, "ann", null, server),
+                NanoDuration.ofSeconds(5),
                 quiet);
     }
 
-    private void round(ProcessFleet fleet, int round, Fault fault, Random random)
+    private void round(ProcessCluster fleet, int round, Fault fault, Random random)
             throws InterruptedException, IOException {
         int which = random.nextInt(SERVERS);
         String server = "s" + which;
         StandInServer at = servers.get(which);
         log.line("round " + round + ": " + server + " with " + fault);
-        Council.Answer answer = order(fleet, "rest", server);
+        RaftReplica.OrderResult answer = order(fleet, "rest", server);
         if (answer == null || !answer.done()) {
             broken.add(server + " may not rest: " + answer);
             return;
         }
-        Council.Answer second = order(fleet, "rest", "s" + (which + 1) % SERVERS);
+        RaftReplica.OrderResult second = order(fleet, "rest", "s" + (which + 1) % SERVERS);
         if (second != null && second.done()) {
             broken.add("two servers rest, and one may");
         }
         awaitEmpty(fleet, server);
         long before = at.tries();
-        ProcessFleet.Member one = member(fleet, fault, random);
+        ProcessCluster.Member one = member(fleet, fault, random);
         begin(fleet, fault, one);
         Thread.sleep(EMPTY_FOR_MILLIS);
         end(fleet, fault, one);
@@ -161,12 +162,12 @@
         }
     }
 
-    private void awaitEmpty(ProcessFleet fleet, String server) throws InterruptedException {
+    private void awaitEmpty(ProcessCluster fleet, String server) throws InterruptedException {
         long begun = System.currentTimeMillis();
         String left = "nobody leads";
         while (!left.isEmpty() && System.currentTimeMillis() - begun < EMPTY_WITHIN_MILLIS) {
-            Council.State state = fleet.state();
-            left = state == null ? "nobody leads" : Emptied.left(state, server);
+            RaftReplica.ReplicaView state = fleet.state();
+            left = state == null ? "nobody leads" : DrainTracker.left(state, server);
             Thread.sleep(50);
         }
         longestToEmpty = Math.max(longestToEmpty, System.currentTimeMillis() - begun);
@@ -175,17 +176,17 @@
         }
     }
 
-    private static ProcessFleet.Member member(ProcessFleet fleet, Fault fault, Random random)
+    private static ProcessCluster.Member member(ProcessCluster fleet, Fault fault, Random random)
             throws InterruptedException {
         if (fault == Fault.LEADER_DIES) {
-            Council.State state = fleet.state();
+            RaftReplica.ReplicaView state = fleet.state();
             return fleet.members.get(
                     state == null ? 0 : Integer.parseInt(state.self().text().substring(1)));
         }
         return fleet.members.get(VOTERS + random.nextInt(NODES - VOTERS));
     }
 
-    private static void begin(ProcessFleet fleet, Fault fault, ProcessFleet.Member one)
+    private static void begin(ProcessCluster fleet, Fault fault, ProcessCluster.Member one)
             throws InterruptedException, IOException {
         switch (fault) {
             case NODE_DIES_AND_IS_BACK -> {
@@ -194,17 +195,17 @@
                 one.start();
             }
             case LEADER_DIES -> one.kill();
-            case NODE_CUT_OFF -> fleet.link(one, Link::cut);
+            case NODE_CUT_OFF -> fleet.link(one, FaultProxy::cut);
             default -> {}
         }
     }
 
-    private static void end(ProcessFleet fleet, Fault fault, ProcessFleet.Member one)
+    private static void end(ProcessCluster fleet, Fault fault, ProcessCluster.Member one)
             throws IOException {
         if (fault == Fault.LEADER_DIES) {
             one.start();
         } else if (fault == Fault.NODE_CUT_OFF) {
-            fleet.link(one, Link::mend);
+            fleet.link(one, FaultProxy::mend);
         }
     }
 }
--- a/src/main/java/lupinwood/lab/PermitsRun.java
+++ b/src/main/java/lupinwood/experiment/DisruptionPermitsExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -11,25 +11,25 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
-import lupinwood.council.Council;
-import lupinwood.council.Question;
-import lupinwood.fleet.NodeName;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.NodeName;
+import lupinwood.consensus.ClusterQuery;
+import lupinwood.consensus.RaftReplica;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
 
 /**
  * Two operators who ask at once for nodes to go, a supervisor who starts again what went, nodes and
  * voters that are killed, and halts: the auditor counts at the processes who is out, and knows
- * nothing of the book.
+ * nothing of the cluster state.
  */
-final class PermitsRun implements Experiment {
+final class DisruptionPermitsExperiment implements Experiment {
     private static final int VOTERS = 3;
     private static final int NODES = 9;
     private static final long LEASE_MILLIS = 2000;
 
     /**
-     * A node that was let go right before a halt hears of its permit with a beat, and has its drain
-     * before it is gone.
+     * A node that was let go right before a halt hears of its permit with a heartbeat, and has its
+     * drain before it is gone.
      */
     private static final long HALT_BOUND_MILLIS = LEASE_MILLIS + 4000;
 
@@ -50,7 +50,7 @@
     private int went;
     private int mostOut;
 
-    PermitsRun(long seed, int seconds, Log log) {
+    DisruptionPermitsExperiment(long seed, int seconds, Log log) {
         this.seed = seed;
         this.seconds = seconds;
         this.log = log;
@@ -59,20 +59,20 @@
     @Override
     public Outcome run() throws Exception {
         Random random = new Random(seed);
-        try (ProcessFleet fleet =
-                new ProcessFleet(VOTERS, NODES, LEASE_MILLIS, 40, true, seed, log::line)) {
+        try (ProcessCluster fleet =
+                new ProcessCluster(VOTERS, NODES, LEASE_MILLIS, 40, true, seed, log::line)) {
             fleet.startAll();
             Thread.sleep(4 * LEASE_MILLIS);
             for (int operator = 0; operator < 2; operator++) {
                 String name = "operator" + operator;
                 long chance = random.nextLong();
-                Door.daemon(() -> ask(fleet, name, new Random(chance)));
+                LoopbackServer.daemon(() -> ask(fleet, name, new Random(chance)));
             }
             play(fleet, random);
             over = true;
             order(fleet, "resume", null, "end", "end" + seed);
             long end = System.currentTimeMillis() + 10 * LEASE_MILLIS;
-            for (ProcessFleet.Member member : fleet.members) {
+            for (ProcessCluster.Member member : fleet.members) {
                 while (!member.process.isUp() && System.currentTimeMillis() < end) {
                     member.start();
                     Thread.sleep(100);
@@ -93,7 +93,7 @@
                             unanswered.get(),
                             went,
                             mostOut,
-                            ProcessFleet.MOST_OUT,
+                            ProcessCluster.MOST_OUT,
                             fleet.count("sent"),
                             fleet.count("satisfied"),
                             broken.size()),
@@ -101,14 +101,14 @@
         }
     }
 
-    private void ask(ProcessFleet fleet, String name, Random random) {
+    private void ask(ProcessCluster fleet, String name, Random random) {
         try {
             while (!over) {
                 NodeName node = new NodeName("n" + random.nextInt(NODES));
                 String id = name + "-" + random.nextInt(1 << 30);
-                Council.Answer first = order(fleet, "leave", node, name, id);
+                RaftReplica.OrderResult first = order(fleet, "leave", node, name, id);
                 if (first != null && first.done() && random.nextInt(3) == 0) {
-                    Council.Answer again =
+                    RaftReplica.OrderResult again =
                             order(fleet, "leave", node, name, id); // as after a lost answer
                     if (again != null && !again.text().equals(first.text())) {
                         wrong(
@@ -127,13 +127,13 @@
         }
     }
 
-    private Council.Answer order(
-            ProcessFleet fleet, String what, NodeName node, String by, String id)
+    private RaftReplica.OrderResult order(
+            ProcessCluster fleet, String what, NodeName node, String by, String id)
             throws InterruptedException {
-        return Question.order(
+        return ClusterQuery.order(
                 fleet.voterAddresses(),
-                new Council.Order(id, what, node, by),
-                Span.ofSeconds(3),
+                new RaftReplica.OperatorOrder(id, what, node, by),
+                NanoDuration.ofSeconds(3),
                 quiet);
     }
 
@@ -142,11 +142,12 @@
     }
 
     /** The supervisor, the faults, and the count of who is out. */
-    private void play(ProcessFleet fleet, Random random) throws IOException, InterruptedException {
+    private void play(ProcessCluster fleet, Random random)
+            throws IOException, InterruptedException {
         long begun = System.currentTimeMillis();
-        Map<ProcessFleet.Member, Long> goneSince = new HashMap<>();
-        Map<ProcessFleet.Member, Long> startAt = new HashMap<>();
-        List<ProcessFleet.Member> killed = new ArrayList<>();
+        Map<ProcessCluster.Member, Long> goneSince = new HashMap<>();
+        Map<ProcessCluster.Member, Long> startAt = new HashMap<>();
+        List<ProcessCluster.Member> killed = new ArrayList<>();
         long nextFault = begun + 5000;
         int orders = 0;
         for (long now = begun;
@@ -154,7 +155,7 @@
                 now = System.currentTimeMillis()) {
             // Who was let go last still has to go and to come back under the supervisor.
             over = now - begun >= seconds * 1000L;
-            for (ProcessFleet.Member member : fleet.members) {
+            for (ProcessCluster.Member member : fleet.members) {
                 if (!member.process.isUp() && !goneSince.containsKey(member)) {
                     goneSince.put(member, now);
                     startAt.put(member, now + 500 + random.nextInt(3000));
@@ -171,7 +172,7 @@
                 nextFault = now + 3000 + random.nextInt(5000);
                 switch (random.nextInt(3)) {
                     case 0 -> {
-                        ProcessFleet.Member one = fleet.members.get(random.nextInt(NODES));
+                        ProcessCluster.Member one = fleet.members.get(random.nextInt(NODES));
                         if (one.process.isUp()) {
                             log.line(one.process.name() + " is killed");
                             killed.add(one);
@@ -179,7 +180,7 @@
                         }
                     }
                     case 1 -> {
-                        Council.Answer answer =
+                        RaftReplica.OrderResult answer =
                                 order(
                                         fleet,
                                         "halt",
@@ -207,14 +208,14 @@
      * A node went by itself: it had a permit, and with it no more may be out than the files say.
      */
     private void gone(
-            ProcessFleet.Member member, Map<ProcessFleet.Member, Long> goneSince, long now) {
+            ProcessCluster.Member member, Map<ProcessCluster.Member, Long> goneSince, long now) {
         went++;
-        member.heldUp();
-        if (member.audit.openTickets() > 0) {
+        member.stalled();
+        if (member.audit.openRequests() > 0) {
             wrong(member.process.name() + " went with tickets unanswered");
         }
         int out = 0;
-        for (Map.Entry<ProcessFleet.Member, Long> one : goneSince.entrySet()) {
+        for (Map.Entry<ProcessCluster.Member, Long> one : goneSince.entrySet()) {
             // One that was killed just now could not be known of when the permit was given.
             out +=
                     one.getKey() == member
@@ -233,7 +234,7 @@
                                                                         "leaves under permit")))
                         .count();
         mostOut = Math.max(mostOut, (int) byPermit);
-        if (Math.max(out, byPermit) > ProcessFleet.MOST_OUT) {
+        if (Math.max(out, byPermit) > ProcessCluster.MOST_OUT) {
             wrong(member.process.name() + " went as number " + Math.max(out, byPermit));
         }
         if (halted && now - haltedAt > HALT_BOUND_MILLIS) {
--- a/src/main/java/lupinwood/lab/Experiment.java
+++ b/src/main/java/lupinwood/experiment/Experiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.List;
 
--- a/src/main/java/lupinwood/lab/Experiments.java
+++ b/src/main/java/lupinwood/experiment/Experiments.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.PrintStream;
 import lupinwood.log.Log;
@@ -22,82 +22,84 @@
     public static Experiment named(
             String name, long seed, int size, int seconds, String plot, PrintStream out, Log log) {
         return switch (name) {
-            case "tour" -> new Tour(seed, out, log);
-            case "reload-storm" -> new ReloadStorm(seed, size > 0 ? size : 300, log);
+            case "tour" -> new QuickStart(seed, out, log);
+            case "reload-storm" -> new ReloadStormExperiment(seed, size > 0 ? size : 300, log);
             case "config-cost" -> new ConfigCost(size > 0 ? size : 10_000);
-            case "pools" -> new PoolsRun(seed);
-            case "mixed-fronts" -> new MixedFronts(seed, size > 0 ? size : 400, log);
-            case "duties-time" -> new DutiesInTime(seed, size > 0 ? size : 200, out);
+            case "pools" -> new BalancingExperiment(seed);
+            case "mixed-fronts" -> new MixedListenersExperiment(seed, size > 0 ? size : 400, log);
+            case "duties-time" -> new SimulatedLeases(seed, size > 0 ? size : 200, out);
             case "duties" ->
-                    new DutiesRun(
+                    new LeaseFaultsExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? seconds : 60,
-                            DutiesRun.Kind.USUAL,
+                            LeaseFaultsExperiment.Kind.USUAL,
                             log);
             case "duties-no-token" ->
-                    new DutiesRun(
+                    new LeaseFaultsExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? seconds : 60,
-                            DutiesRun.Kind.NO_TOKEN,
+                            LeaseFaultsExperiment.Kind.NO_TOKEN,
                             log);
             case "duties-late" ->
-                    new DutiesRun(
+                    new LeaseFaultsExperiment(
                             seed,
                             size > 0 ? size : 5,
                             seconds > 0 ? seconds : 40,
-                            DutiesRun.Kind.LATE,
+                            LeaseFaultsExperiment.Kind.LATE,
                             log);
             case "duties-no-early-stop" ->
-                    new DutiesRun(
+                    new LeaseFaultsExperiment(
                             seed,
                             size > 0 ? size : 5,
                             seconds > 0 ? seconds : 40,
-                            DutiesRun.Kind.NO_EARLY_STOP,
+                            LeaseFaultsExperiment.Kind.NO_EARLY_STOP,
                             log);
             case "duties-calm" ->
-                    new DutiesRun(
+                    new LeaseFaultsExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? seconds : 1800,
-                            DutiesRun.Kind.CALM,
+                            LeaseFaultsExperiment.Kind.NO_FAULT,
                             log);
-            case "fleet-cost" -> new FleetCost(seed, size, seconds > 0 ? seconds : 60);
-            case "trials" -> new TrialsRun(seed, size > 0 ? size : 12);
-            case "fleet-tour" -> new FleetTour(seed, out);
-            case "hand-overs" -> new HandOvers(seed, size > 0 ? size : 40);
-            case "fleet-on-off" -> new FleetOnOff(seed, seconds > 0 ? seconds : 30);
+            case "fleet-cost" -> new ClusterCostExperiment(seed, size, seconds > 0 ? seconds : 60);
+            case "trials" -> new HealthChecksExperiment(seed, size > 0 ? size : 12);
+            case "fleet-tour" -> new ClusterTour(seed, out);
+            case "hand-overs" -> new LeaseHandoverExperiment(seed, size > 0 ? size : 40);
+            case "fleet-on-off" -> new ClusterOverheadExperiment(seed, seconds > 0 ? seconds : 30);
             case "release" ->
-                    new ReleaseRun(
+                    new RolloutExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? Math.max(1, seconds / 60) : 4,
                             plot,
                             log);
-            case "rest" -> new RestRun(seed, size > 0 ? size : 4, log);
-            case "release-tour" -> new ReleaseTour(seed, out);
-            case "release-ways" -> new ReleaseWays(seed, size > 0 ? size : 300, plot);
-            case "failover-time" -> new FailoverInTime(seed, size > 0 ? size : 12);
-            case "plan-model" -> new PlanModel();
+            case "rest" -> new CordonExperiment(seed, size > 0 ? size : 4, log);
+            case "release-tour" -> new RolloutTour(seed, out);
+            case "release-ways" ->
+                    new RolloutStrategiesExperiment(seed, size > 0 ? size : 300, plot);
+            case "failover-time" -> new SimulatedFailover(seed, size > 0 ? size : 12);
+            case "plan-model" -> new CapacityPlanModel();
             case "failover" ->
-                    new FailoverRun(
+                    new FailoverExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? Math.max(1, seconds / 21) : 6,
                             true,
                             log);
             case "failover-alone" ->
-                    new FailoverRun(
+                    new FailoverExperiment(
                             seed,
                             size > 0 ? size : 12,
                             seconds > 0 ? Math.max(1, seconds / 21) : 6,
                             false,
                             log);
-            case "start-time" -> new StartTime(size > 0 ? size : 30, out);
-            case "class-archive" -> StartTime.archiving(out);
-            case "releases-time" -> new ReleasesInTime(seed, size > 0 ? size : 200, out);
-            case "permits" -> new PermitsRun(seed, seconds > 0 ? seconds : 60, log);
+            case "start-time" -> new StartTimeExperiment(size > 0 ? size : 30, out);
+            case "class-archive" -> StartTimeExperiment.archiving(out);
+            case "releases-time" -> new SimulatedRollouts(seed, size > 0 ? size : 200, out);
+            case "permits" ->
+                    new DisruptionPermitsExperiment(seed, seconds > 0 ? seconds : 60, log);
             default -> null;
         };
     }
--- a/src/main/java/lupinwood/lab/FailoverRun.java
+++ b/src/main/java/lupinwood/experiment/FailoverExperiment.java
@@ -1,25 +1,25 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import lupinwood.council.Council;
+import lupinwood.consensus.RaftReplica;
 import lupinwood.log.Log;
 
 /**
  * Three regions of two zones, each with a place below, and real nodes that share the places by
  * plans in common: places are lost, err and come back, zones are cut off, planners and leaders die.
  * The auditor counts at the places: never more there than they bear by the fleet's doing, and the
- * rules for tickets.
+ * rules for requests.
  */
-final class FailoverRun implements Experiment {
+final class FailoverExperiment implements Experiment {
     private static final int VOTERS = 3;
     private static final int ZONES = 6;
     private static final int REGIONS = 3;
     private static final long LEASE_MILLIS = 1500;
-    private static final int TICKETS_EVERY = 24;
+    private static final int REQUESTS_EVERY = 24;
     private static final int BEARS = 12;
     private static final int NEAR = 2;
     private static final long TAKES_MILLIS = 100;
@@ -39,14 +39,14 @@
     private final boolean planned;
     private final Log log;
     private final List<String> broken = new ArrayList<>();
-    private final List<Bearing> bearings = new ArrayList<>();
+    private final List<ServerBehavior> bearings = new ArrayList<>();
     private final List<StandInServer> servers = new ArrayList<>();
 
     /**
      * @param planned else each node decides for itself, which is for comparison: the places may be
      *     sent too much
      */
-    FailoverRun(long seed, int nodes, int rounds, boolean planned, Log log) {
+    FailoverExperiment(long seed, int nodes, int rounds, boolean planned, Log log) {
         this.seed = seed;
         this.nodes = nodes;
         this.rounds = rounds;
@@ -58,19 +58,19 @@
     public Outcome run() throws Exception {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         StringBuilder more = new StringBuilder();
-        List<Door> doors = new ArrayList<>();
+        List<LoopbackServer> doors = new ArrayList<>();
         for (int zone = 0; zone < ZONES; zone++) {
-            Bearing bearing = new Bearing(BEARS, TAKES_MILLIS);
-            bearings.add(bearing);
+            ServerBehavior behavior = new ServerBehavior(BEARS, TAKES_MILLIS);
+            bearings.add(behavior);
             StandInServer server =
-                    new StandInServer(new Audit(), random.nextLong(), 0).with(bearing);
+                    new StandInServer(new Audit(), random.nextLong(), 0).with(behavior);
             servers.add(server);
-            Door door = new Door(0, server::talk);
-            doors.add(door);
+            LoopbackServer proxy = new LoopbackServer(0, server::talk);
+            doors.add(proxy);
             more.append("server p")
                     .append(zone)
                     .append(" { address \"")
-                    .append(door.address())
+                    .append(proxy.address())
                     .append("\"; tracks history; region r")
                     .append(zone * REGIONS / ZONES)
                     .append("; zone z")
@@ -78,13 +78,13 @@
                     .append(planned ? "; bears " + BEARS + "; near " + NEAR : "")
                     .append(" }\n");
         }
-        try (ProcessFleet fleet =
-                new ProcessFleet(
+        try (ProcessCluster fleet =
+                new ProcessCluster(
                         VOTERS,
                         nodes,
                         nodes,
                         LEASE_MILLIS,
-                        TICKETS_EVERY,
+                        REQUESTS_EVERY,
                         true,
                         seed,
                         log::line,
@@ -102,8 +102,8 @@
                         random);
             }
             broken.addAll(fleet.leaveAll());
-            int most = bearings.stream().mapToInt(Bearing::most).max().orElse(0);
-            int broke = bearings.stream().mapToInt(Bearing::broke).sum();
+            int most = bearings.stream().mapToInt(ServerBehavior::most).max().orElse(0);
+            int broke = bearings.stream().mapToInt(ServerBehavior::broke).sum();
             if (planned && most > BEARS) {
                 broken.add("a place that bears " + BEARS + " had " + most + " tickets at once");
             }
@@ -127,17 +127,17 @@
                             broken.size()),
                     broken);
         } finally {
-            for (Door door : doors) {
-                door.close();
+            for (LoopbackServer proxy : doors) {
+                proxy.close();
             }
         }
     }
 
-    private void round(ProcessFleet fleet, Fault fault, Random random)
+    private void round(ProcessCluster fleet, Fault fault, Random random)
             throws InterruptedException, IOException {
         log.line("fault: " + fault);
         int zone = random.nextInt(ZONES);
-        ProcessFleet.Member one =
+        ProcessCluster.Member one =
                 fault.name().startsWith("PLANNER")
                         ? planner(fleet)
                         : fleet.members.get(nodes - 1 - random.nextInt(nodes / 2));
@@ -147,17 +147,17 @@
                 bearings.get(zone / 2 * 2).errs(true);
                 bearings.get(zone / 2 * 2 + 1).errs(true);
             }
-            case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, Link::cut);
+            case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, FaultProxy::cut);
             case PLANNER_STALLS -> {
-                one.heldUp();
+                one.stalled();
                 one.process.stop();
             }
             default -> one.kill();
         }
         Thread.sleep(6 * LEASE_MILLIS);
         switch (fault) {
-            case PLACE_ERRS, REGION_ERRS -> bearings.forEach(bearing -> bearing.errs(false));
-            case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, Link::mend);
+            case PLACE_ERRS, REGION_ERRS -> bearings.forEach(behavior -> behavior.errs(false));
+            case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, FaultProxy::mend);
             case PLANNER_STALLS -> {
                 one.process.goOn();
                 Thread.sleep(50);
@@ -168,18 +168,18 @@
         Thread.sleep(8 * LEASE_MILLIS);
     }
 
-    private ProcessFleet.Member planner(ProcessFleet fleet) throws InterruptedException {
-        Council.State state = fleet.state();
+    private ProcessCluster.Member planner(ProcessCluster fleet) throws InterruptedException {
+        RaftReplica.ReplicaView state = fleet.state();
         return state == null
                 ? fleet.members.get(0)
                 : state.duties().stream()
-                        .filter(held -> held.duty().text().equals("planner") && !held.isFree())
+                        .filter(lease -> lease.duty().text().equals("planner") && !lease.isFree())
                         .findFirst()
                         .map(
-                                held ->
+                                lease ->
                                         fleet.members.get(
                                                 Integer.parseInt(
-                                                        held.holder().text().substring(1))))
+                                                        lease.holder().text().substring(1))))
                         .orElse(fleet.members.get(0));
     }
 }
