--- a/src/main/java/lupinwood/lab/FailoverPlay.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,34 +9,34 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import lupinwood.failover.Place;
-import lupinwood.failover.Planner;
-import lupinwood.fleet.Allotment;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Rules;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Steward;
-import lupinwood.fleet.Tally;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.pools.Budget;
-import lupinwood.pools.Pool;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.balancing.RetryBudget;
+import lupinwood.balancing.ServerPool;
+import lupinwood.cluster.CapacityLease;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.LeaseManager;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Site;
+import lupinwood.failover.CapacityPlanner;
+import lupinwood.failover.Location;
 
 /**
  * Zones with their nodes and places in made-up time: places die, come back cold, answer errors, and
  * break when they are sent more than they can bear. Nodes choose as they are told to: near only,
  * each for itself, evenly, by the agreed plan, or by a planner that knows the truth. The plan is
- * made by the real book, steward and planner, over words that are late or lost.
+ * made by the real book, lease manager and planner, over words that are late or lost.
  */
-final class FailoverPlay {
+final class FailoverSimulation {
     /** How nodes choose. */
     enum Way {
         NEAR_ONLY,
@@ -59,11 +59,11 @@
     static final int REGIONS = 3;
     static final int ZONES = 6;
     static final double SECONDS = 130;
-    static final Span LEASE = Span.ofSeconds(1.5);
+    static final NanoDuration LEASE = NanoDuration.ofSeconds(1.5);
     private static final int SLOTS_A_NODE = 8;
     private static final double SERVICE = 0.15;
     private static final double ON_TIME = 1;
-    private static final double ABANDON = 2;
+    private static final double TIMEOUT = 2;
     private static final double BREAKS_AT = 1.3;
     private static final double DOWN_WHEN_BROKEN = 6;
     private static final double COLD_FOR = 8;
@@ -74,7 +74,7 @@
     private static final DutyName DUTY = DutyName.PLANNER;
 
     private final class Server {
-        final Place place;
+        final Location place;
         final int index;
         int inHand;
 
@@ -88,7 +88,7 @@
         int broke;
         int life;
 
-        Server(Place place, int index) {
+        Server(Location place, int index) {
             this.place = place;
             this.index = index;
         }
@@ -115,7 +115,7 @@
         }
     }
 
-    private final class Ticket {
+    private final class SimulatedRequest {
         final double came = now();
         final List<Integer> tried = new ArrayList<>();
         boolean over;
@@ -125,14 +125,14 @@
         final NodeName name;
         final Site site;
         final int zone;
-        final Pool pool;
-        final Budget budget = new Budget(0.1, 10);
-        final Deque<Ticket> waiting = new ArrayDeque<>();
-        long asked;
+        final ServerPool pool;
+        final RetryBudget budget = new RetryBudget(0.1, 10);
+        final Deque<SimulatedRequest> waiting = new ArrayDeque<>();
+        long demanded;
         final double[] seconds = new double[ZONES];
         final long[][] ended = new long[ZONES][2];
-        final Allotment share;
-        final Map<Long, Moment> askedAt = new TreeMap<>();
+        final CapacityLease share;
+        final Map<Long, MonotonicTime> requestedAt = new TreeMap<>();
         long number;
         boolean cut;
         int turn;
@@ -142,69 +142,69 @@
             name = new NodeName(String.format("n%03d", place));
             site = site(zone);
             pool =
-                    new Pool(
+                    new ServerPool(
                             servers.stream().map(one -> one.place.name()).toList(),
-                            lupinwood.pools.Rules.USUAL,
+                            lupinwood.balancing.OutlierLimits.USUAL,
                             random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
             servers.forEach(one -> alone.put(one.place.name(), one.place.alone(site)));
-            share = new Allotment(alone);
+            share = new CapacityLease(alone);
         }
 
         void comes() {
             offered++;
-            asked++;
-            Ticket ticket = new Ticket();
+            demanded++;
+            SimulatedRequest request = new SimulatedRequest();
             budget.first();
             time.after(
-                    ABANDON,
+                    TIMEOUT,
                     () -> {
-                        if (!ticket.over) {
-                            ticket.over = true;
-                            waiting.remove(ticket);
+                        if (!request.over) {
+                            request.over = true;
+                            waiting.remove(request);
                         }
                     });
-            send(ticket);
+            send(request);
             time.after(-Math.log(1 - random.nextDouble()) / rate, this::comes);
         }
 
-        private void send(Ticket ticket) {
-            if (now() - ticket.came > ON_TIME - 2 * SERVICE) {
-                ticket.over = true; // it would wait in vain, and is bounced
+        private void send(SimulatedRequest request) {
+            if (now() - request.came > ON_TIME - 2 * SERVICE) {
+                request.over = true; // it would wait in vain, and is rejected
                 return;
             }
-            int server = choose(ticket);
+            int server = choose(request);
             if (server < 0) {
                 if (waiting.size() < MOST_WAITING) {
-                    waiting.add(ticket);
+                    waiting.add(request);
                 } else {
-                    ticket.over = true; // bounced at once
+                    request.over = true; // rejected at once
                 }
                 return;
             }
-            ticket.tried.add(server);
-            carry(ticket, servers.get(server));
+            request.tried.add(server);
+            carry(request, servers.get(server));
         }
 
-        private int choose(Ticket ticket) {
-            Moment at = moment();
+        private int choose(SimulatedRequest request) {
+            MonotonicTime at = time();
             if (way == Way.EACH_FOR_ITSELF) {
-                return pool.send(at, ticket.tried);
+                return pool.send(at, request.tried);
             }
             if (way == Way.NEAR_ONLY) {
-                return pool.send(at, ticket.tried, server -> server == zone);
+                return pool.send(at, request.tried, server -> server == zone);
             }
             if (way == Way.EVENLY) {
                 int one = turn++ % ZONES;
-                int chosen = pool.send(at, ticket.tried, server -> server == one);
-                return chosen >= 0 ? chosen : pool.send(at, ticket.tried);
+                int chosen = pool.send(at, request.tried, server -> server == one);
+                return chosen >= 0 ? chosen : pool.send(at, request.tried);
             }
             for (int distance = 0; distance <= 2; distance++) {
                 int of = distance;
                 int chosen =
                         pool.send(
                                 at,
-                                ticket.tried,
+                                request.tried,
                                 server -> distance(zone, server) == of && may(server));
                 if (chosen >= 0) {
                     return chosen;
@@ -217,10 +217,10 @@
             Server one = servers.get(server);
             return way == Way.TRUTH
                     ? one.up && !one.errors && one.sent < one.place.bears()
-                    : pool.out(server) < share.may(one.place.name(), moment());
+                    : pool.out(server) < share.may(one.place.name(), time());
         }
 
-        private void carry(Ticket ticket, Server server) {
+        private void carry(SimulatedRequest request, Server server) {
             double there = WAY_THERE[distance(zone, server.index)];
             double sentAt = now();
             if (zone == server.index) {
@@ -234,7 +234,12 @@
                         if (!server.up || server.errors) {
                             time.after(
                                     there,
-                                    () -> ended(ticket, server.index, Pool.End.FAILED, sentAt));
+                                    () ->
+                                            ended(
+                                                    request,
+                                                    server.index,
+                                                    ServerPool.AttemptEnd.FAILED,
+                                                    sentAt));
                             return;
                         }
                         server.inHand++;
@@ -263,78 +268,92 @@
                                             there,
                                             () ->
                                                     ended(
-                                                            ticket,
+                                                            request,
                                                             server.index,
-                                                            same ? Pool.End.WELL : Pool.End.FAILED,
+                                                            same
+                                                                    ? ServerPool.AttemptEnd.WELL
+                                                                    : ServerPool.AttemptEnd.FAILED,
                                                             sentAt));
                                 });
                     });
         }
 
-        private void ended(Ticket ticket, int server, Pool.End end, double sentAt) {
+        private void ended(
+                SimulatedRequest request, int server, ServerPool.AttemptEnd end, double sentAt) {
             servers.get(server).sent--;
-            pool.ended(server, end, Span.ofSeconds(now() - sentAt), false, moment());
+            pool.ended(server, end, NanoDuration.ofSeconds(now() - sentAt), false, time());
             ended[server][0]++;
-            seconds[server] += end == Pool.End.WELL ? now() - sentAt : 0;
-            ended[server][1] += end == Pool.End.FAILED ? 1 : 0;
-            if (!ticket.over && end == Pool.End.WELL) {
-                ticket.over = true;
-                inTime += now() - ticket.came <= ON_TIME ? 1 : 0;
-            } else if (!ticket.over && ticket.tried.size() < 3 && budget.again()) {
-                send(ticket);
+            seconds[server] += end == ServerPool.AttemptEnd.WELL ? now() - sentAt : 0;
+            ended[server][1] += end == ServerPool.AttemptEnd.FAILED ? 1 : 0;
+            if (!request.over && end == ServerPool.AttemptEnd.WELL) {
+                request.over = true;
+                inTime += now() - request.came <= ON_TIME ? 1 : 0;
+            } else if (!request.over && request.tried.size() < 3 && budget.again()) {
+                send(request);
             } else {
-                ticket.over = true;
+                request.over = true;
             }
             for (int left = waiting.size(); left > 0; left--) {
                 send(waiting.poll());
             }
         }
 
-        private void beats() {
+        private void heartbeats() {
             number++;
-            askedAt.put(number, moment());
-            askedAt.keySet().removeIf(old -> old < number - 20);
-            List<Report.Use> uses = new ArrayList<>();
+            requestedAt.put(number, time());
+            requestedAt.keySet().removeIf(old -> old < number - 20);
+            List<NodeReport.LocationUse> uses = new ArrayList<>();
             for (Server server : servers) {
                 uses.add(
-                        new Report.Use(
+                        new NodeReport.LocationUse(
                                 server.place.name(),
                                 pool.out(server.index),
-                                asked,
+                                demanded,
                                 ended[server.index][0],
                                 ended[server.index][1],
                                 seconds[server.index],
                                 pool.isLeftOut(server.index)));
             }
-            Beat beat =
-                    new Beat(
-                            Beat.VERSION,
+            Heartbeat heartbeat =
+                    new Heartbeat(
+                            Heartbeat.VERSION,
                             name,
-                            new Life(zone + 1),
+                            new Incarnation(zone + 1),
                             site,
-                            Condition.WARM,
+                            NodeCondition.WARM,
                             number,
                             List.of(),
                             List.of(),
                             List.of(),
                             List.of(),
                             List.of(),
-                            new Report(
-                                    "1", "", null, List.of(), share.plan(), uses, Tally.NOTHING));
+                            new NodeReport(
+                                    "1",
+                                    "",
+                                    null,
+                                    List.of(),
+                                    share.plan(),
+                                    uses,
+                                    RequestCounts.NOTHING));
             talk(
                     () -> {
-                        String trouble = steward.heard(beat, book, moment());
-                        Reply reply = steward.replyTo(beat, trouble, book, name, moment());
+                        String trouble = leaseManager.heard(heartbeat, book, time());
+                        HeartbeatReply reply =
+                                leaseManager.replyTo(heartbeat, trouble, book, name, time());
                         talk(() -> hears(reply));
                     });
-            time.after(rules.beat().seconds() * (0.8 + 0.4 * random.nextDouble()), this::beats);
+            time.after(
+                    rules.heartbeatInterval().seconds() * (0.8 + 0.4 * random.nextDouble()),
+                    this::heartbeats);
         }
 
-        private void hears(Reply reply) {
-            Moment asked = askedAt.get(reply.number());
-            if (asked != null && reply.share() != null) {
-                share.told(
-                        reply.share().plan(), reply.share().slots(), asked.plus(rules.heldFor()));
+        private void hears(HeartbeatReply reply) {
+            MonotonicTime requested = requestedAt.get(reply.number());
+            if (requested != null && reply.share() != null) {
+                share.update(
+                        reply.share().plan(),
+                        reply.share().slots(),
+                        requested.plus(rules.holderLease()));
                 for (int left = waiting.size(); left > 0; left--) {
                     send(waiting.poll());
                 }
@@ -350,15 +369,15 @@
 
     private final Way way;
     private final Random random;
-    private final MadeUpTime time = new MadeUpTime();
-    private final Rules rules = Rules.of(LEASE, 0.01);
-    private final Book book = new Book(4096);
-    private final Steward steward = new Steward(rules, List.of(DUTY));
+    private final SimulatedTime time = new SimulatedTime();
+    private final LeaseTiming rules = LeaseTiming.of(LEASE, 0.01);
+    private final ClusterState book = new ClusterState(4096);
+    private final LeaseManager leaseManager = new LeaseManager(rules, List.of(DUTY));
     private final List<Server> servers = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final double rate;
-    private Planner planner;
+    private CapacityPlanner planner;
     private long offered;
     private long inTime;
     private long went;
@@ -373,7 +392,7 @@
     /**
      * @param load of what all places can do together, how much is asked for
      */
-    FailoverPlay(Way way, int count, double load, long seed) {
+    FailoverSimulation(Way way, int count, double load, long seed) {
         this.way = way;
         random = new Random(seed);
         int aZone = count / ZONES;
@@ -381,7 +400,7 @@
         for (int zone = 0; zone < ZONES; zone++) {
             servers.add(
                     new Server(
-                            new Place(
+                            new Location(
                                     "p" + zone,
                                     site(zone),
                                     SLOTS_A_NODE * aZone,
@@ -393,7 +412,7 @@
         for (int i = 0; i < aZone * ZONES; i++) {
             nodes.add(new Node(i, i % ZONES));
         }
-        planner = new Planner(LEASE);
+        planner = new CapacityPlanner(LEASE);
     }
 
     private static Site site(int zone) {
@@ -408,8 +427,8 @@
         return time.now() / 1e9;
     }
 
-    private Moment moment() {
-        return new Moment(time.now());
+    private MonotonicTime time() {
+        return new MonotonicTime(time.now());
     }
 
     private void breaks(String what) {
@@ -419,10 +438,10 @@
     }
 
     Played play() {
-        book.apply(new Deed.Found(1));
-        steward.leads(book, moment());
+        book.apply(new ClusterCommand.Bootstrap(1));
+        leaseManager.leads(book, time());
         for (Node node : nodes) {
-            time.after(random.nextDouble() * 0.5, node::beats);
+            time.after(random.nextDouble() * 0.5, node::heartbeats);
             time.after(6 + random.nextDouble() / rate, node::comes);
         }
         decides();
@@ -460,19 +479,19 @@
     }
 
     private void decides() {
-        steward.decide(book, 1, moment()).forEach(book::apply);
-        Book.Held held = book.duty(DUTY);
-        if (way == Way.PLANNED && !held.isFree()) {
-            Deed.SetPlan plan =
+        leaseManager.decide(book, 1, time()).forEach(book::apply);
+        ClusterState.DutyLease lease = book.duty(DUTY);
+        if (way == Way.PLANNED && !lease.isFree()) {
+            ClusterCommand.SetCapacityPlan plan =
                     planner.decide(
-                            new Planner.View(
+                            new CapacityPlanner.View(
                                     servers.stream().map(server -> server.place).toList(),
                                     book.members(),
-                                    steward.picture(book, moment()),
+                                    leaseManager.picture(book, time()),
                                     book.livePlans(),
                                     book.lastPlan()),
-                            held.token(),
-                            moment());
+                            lease.token(),
+                            time());
             if (plan != null && !book.apply(plan)) {
                 breaks("a plan did not fit: " + plan);
             } else if (plan != null) {
--- a/src/main/java/lupinwood/lab/Link.java
+++ b/src/main/java/lupinwood/experiment/FaultProxy.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -13,10 +13,10 @@
  * direction or both, and be slow. A cut ends what is open and refuses what comes; what is swallowed
  * is read and lost, as by a broken net.
  */
-final class Link implements Closeable {
+final class FaultProxy implements Closeable {
     private static final int CONNECT_MILLIS = 1000;
 
-    private final Door door;
+    private final LoopbackServer proxy;
     private final int to;
     private volatile boolean cut;
     private volatile boolean swallowsThere;
@@ -24,22 +24,22 @@
     private volatile int delayMillis;
     private volatile int backMillis;
 
-    Link(int to) throws IOException {
+    FaultProxy(int to) throws IOException {
         this.to = to;
-        door = new Door(0, this::lead);
+        proxy = new LoopbackServer(0, this::lead);
     }
 
     int port() {
-        return door.port();
+        return proxy.port();
     }
 
     String address() {
-        return door.address();
+        return proxy.address();
     }
 
     void cut() {
         cut = true;
-        door.cut();
+        proxy.cut();
     }
 
     /** What is said there, back, or both is lost from now on; connections stand. */
@@ -59,13 +59,13 @@
 
     /** As new. A connection on which something was swallowed is spoilt, and ends. */
     void mend() {
-        boolean spoilt = swallowsThere || swallowsBack;
+        boolean corrupted = swallowsThere || swallowsBack;
         cut = false;
         swallow(false, false);
         delayMillis = 0;
         backMillis = 0;
-        if (spoilt) {
-            door.cut();
+        if (corrupted) {
+            proxy.cut();
         }
     }
 
@@ -77,7 +77,7 @@
             there.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), to), CONNECT_MILLIS);
             there.setTcpNoDelay(true);
-            Door.daemon(
+            LoopbackServer.daemon(
                     () -> {
                         try (there) {
                             carry(there.getInputStream(), out, false);
@@ -115,6 +115,6 @@
 
     @Override
     public void close() throws IOException {
-        door.close();
+        proxy.close();
     }
 }
--- a/src/main/java/lupinwood/lab/TrialsRun.java
+++ b/src/main/java/lupinwood/experiment/HealthChecksExperiment.java
@@ -1,20 +1,20 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import lupinwood.node.Moment;
-import lupinwood.pools.Pool;
-import lupinwood.pools.Rules;
-import lupinwood.pools.Trials;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.balancing.HealthChecker;
+import lupinwood.balancing.OutlierLimits;
+import lupinwood.balancing.ServerPool;
 
 /**
  * Many nodes with four servers each in made-up time, of which one dies for a minute: how many
- * tickets are spent on the dead one, and how soon after its return each node sends there again,
+ * requests are spent on the dead one, and how soon after its return each node sends there again,
  * where each tries for itself and where one tries for all.
  */
-final class TrialsRun implements Experiment {
+final class HealthChecksExperiment implements Experiment {
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
     private static final double DIES = 10;
     private static final double RETURNS = 70;
@@ -22,13 +22,13 @@
     private static final double EVERY = 0.05;
     private static final double WORK = 0.02;
 
-    /** A word of the council may be as old as a beat. */
-    private static final double BEAT = 1;
+    /** A word of the consensus group may be as old as a heartbeat. */
+    private static final double HEARTBEAT = 1;
 
     private final long seed;
     private final int nodes;
 
-    TrialsRun(long seed, int nodes) {
+    HealthChecksExperiment(long seed, int nodes) {
         this.seed = seed;
         this.nodes = nodes;
     }
@@ -80,8 +80,8 @@
     private final class Play {
         private final boolean inCommon;
         private final Random random = new Random(seed);
-        private final MadeUpTime time = new MadeUpTime();
-        private final List<Pool> pools = new ArrayList<>();
+        private final SimulatedTime time = new SimulatedTime();
+        private final List<ServerPool> pools = new ArrayList<>();
         private final boolean[] isBack = new boolean[nodes];
         private final Result result = new Result();
 
@@ -89,18 +89,18 @@
             this.inCommon = inCommon;
         }
 
-        private Moment now() {
-            return new Moment(time.now());
+        private MonotonicTime now() {
+            return new MonotonicTime(time.now());
         }
 
         Result play() {
             for (int i = 0; i < nodes; i++) {
-                Pool pool = new Pool(SERVERS, Rules.USUAL, random.nextLong());
+                ServerPool pool = new ServerPool(SERVERS, OutlierLimits.USUAL, random.nextLong());
                 pools.add(pool);
                 int place = i;
                 if (inCommon) {
                     pool.trialsBy(
-                            new Trials() {
+                            new HealthChecker() {
                                 @Override
                                 public boolean mayTry(String server) {
                                     return place == 0;
@@ -114,18 +114,20 @@
                                 }
                             });
                 }
-                time.after(EVERY * random.nextDouble(), () -> ticket(place));
+                time.after(EVERY * random.nextDouble(), () -> request(place));
             }
             time.playUntil(ENDS);
             result.meanBack /= Math.max(1, result.back);
             return result;
         }
 
-        /** The others hear of it with their next beats. */
+        /** The others hear of it with their next heartbeats. */
         private void tell(String server, boolean well) {
-            Moment at = now();
-            for (Pool pool : pools) {
-                time.after(BEAT * random.nextDouble(), () -> pool.told(server, well, at, now()));
+            MonotonicTime at = now();
+            for (ServerPool pool : pools) {
+                time.after(
+                        HEARTBEAT * random.nextDouble(),
+                        () -> pool.onHealthCheckResult(server, well, at, now()));
             }
         }
 
@@ -134,9 +136,9 @@
             return server == 0 && seconds >= DIES && seconds < RETURNS;
         }
 
-        private void ticket(int place) {
-            time.after(EVERY * (0.5 + random.nextDouble()), () -> ticket(place));
-            Pool pool = pools.get(place);
+        private void request(int place) {
+            time.after(EVERY * (0.5 + random.nextDouble()), () -> request(place));
+            ServerPool pool = pools.get(place);
             int server = pool.send(now(), List.of());
             if (server < 0) {
                 return;
@@ -153,13 +155,15 @@
                 result.lastBack = Math.max(result.lastBack, after);
             }
             double takes = dead ? 0.001 : WORK * (0.5 + random.nextDouble());
-            Moment begun = now();
+            MonotonicTime begun = now();
             time.after(
                     takes,
                     () ->
                             pool.ended(
                                     server,
-                                    dead ? Pool.End.FAILED : Pool.End.WELL,
+                                    dead
+                                            ? ServerPool.AttemptEnd.FAILED
+                                            : ServerPool.AttemptEnd.WELL,
                                     now().since(begun),
                                     false,
                                     now()));
--- a/src/main/java/lupinwood/lab/DutiesRun.java
+++ b/src/main/java/lupinwood/experiment/LeaseFaultsExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -10,16 +10,16 @@
 /**
  * Duties among real processes, with faults between them by a schedule that the seed makes: the
  * auditor counts at the sockets, and never finds an act under two tokens, one taken out of order,
- * or a ticket that broke a rule.
+ * or a request that broke a rule.
  */
-final class DutiesRun implements Experiment {
+final class LeaseFaultsExperiment implements Experiment {
     private static final int VOTERS = 3;
     private static final long LEASE_MILLIS = 3000;
     private static final int LATE_MILLIS = 4500;
-    private static final int TICKETS_EVERY = 25;
+    private static final int REQUESTS_EVERY = 25;
     private static final int FULL_LOAD_EVERY = 5;
     private static final long HOUR_MILLIS = 3_600_000;
-    private static final double LEAST_HELD = 0.5;
+    private static final double MIN_LEASED = 0.5;
 
     private interface Job {
         void run() throws IOException, InterruptedException;
@@ -31,7 +31,7 @@
      */
     enum Kind {
         USUAL,
-        CALM,
+        NO_FAULT,
         NO_TOKEN,
         LATE,
         NO_EARLY_STOP
@@ -50,7 +50,7 @@
      * @param seconds how long, beside the start and the end
      * @param kind a safeguard may be left out, to show that the audit finds it, or all faults
      */
-    DutiesRun(long seed, int nodes, int seconds, Kind kind, Log log) {
+    LeaseFaultsExperiment(long seed, int nodes, int seconds, Kind kind, Log log) {
         this.kind = kind;
         this.seed = seed;
         this.nodes = nodes;
@@ -61,12 +61,12 @@
     @Override
     public Outcome run() throws Exception {
         List<String> broken = new ArrayList<>();
-        try (ProcessFleet fleet =
-                new ProcessFleet(
+        try (ProcessCluster fleet =
+                new ProcessCluster(
                         VOTERS,
                         nodes,
                         LEASE_MILLIS,
-                        kind == Kind.CALM ? FULL_LOAD_EVERY : TICKETS_EVERY,
+                        kind == Kind.NO_FAULT ? FULL_LOAD_EVERY : REQUESTS_EVERY,
                         kind.compareTo(Kind.NO_TOKEN) < 0,
                         seed,
                         log::line)) {
@@ -77,7 +77,7 @@
             fleet.startAll();
             await(fleet, 30);
             List<Fault> faults = schedule(fleet);
-            String told =
+            String reported =
                     faults.stream()
                             .map(
                                     one ->
@@ -89,22 +89,22 @@
                                                     one.what()))
                             .toList()
                             .toString();
-            log.line("schedule: " + told);
-            double held = play(fleet, faults);
+            log.line("schedule: " + reported);
+            double leased = play(fleet, faults);
             broken.addAll(fleet.leaveAll());
             broken.addAll(wrong);
-            if (kind == Kind.CALM && fleet.sink.handOvers() > 0) {
+            if (kind == Kind.NO_FAULT && fleet.sink.handOvers() > 0) {
                 broken.add(fleet.sink.handOvers() + " hand-overs without a cause");
             }
             if (fleet.sink.acts() == 0) {
                 broken.add("nobody ever held the duty");
-            } else if (held < LEAST_HELD) {
+            } else if (leased < MIN_LEASED) {
                 broken.add(
                         String.format(
-                                Locale.ROOT, "the duty was done in %.2f of the time only", held));
+                                Locale.ROOT, "the duty was done in %.2f of the time only", leased));
             }
             if (!broken.isEmpty()) {
-                broken.add("the schedule was " + told);
+                broken.add("the schedule was " + reported);
             }
             return new Outcome(
                     String.format(
@@ -114,7 +114,7 @@
                             nodes,
                             faults.size(),
                             fleet.sink.line(LEASE_MILLIS),
-                            held,
+                            leased,
                             fleet.count("sent"),
                             fleet.count("satisfied"),
                             fleet.count("bounced"),
@@ -125,17 +125,17 @@
         }
     }
 
-    private static void await(ProcessFleet fleet, int within) throws InterruptedException {
+    private static void await(ProcessCluster fleet, int within) throws InterruptedException {
         for (int i = 0; i < within * 20 && fleet.sink.acts() == 0; i++) {
             Thread.sleep(50);
         }
     }
 
-    private List<Fault> schedule(ProcessFleet fleet) {
+    private List<Fault> schedule(ProcessCluster fleet) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
         for (double at = 2;
-                at < seconds - 8 && kind != Kind.CALM;
+                at < seconds - 8 && kind != Kind.NO_FAULT;
                 at += 3 + random.nextDouble() * 5) {
             faults.add(kind.compareTo(Kind.LATE) >= 0 ? late(fleet, at) : fault(fleet, random, at));
         }
@@ -143,10 +143,10 @@
     }
 
     /** One at a time: each ends before the next begins to count, or overlaps it by chance. */
-    private Fault fault(ProcessFleet fleet, Random random, double at) {
+    private Fault fault(ProcessCluster fleet, Random random, double at) {
         double lasts = 0.5 + random.nextDouble() * 6;
-        ProcessFleet.Member one = fleet.members.get(random.nextInt(nodes));
-        ProcessFleet.Member[] holder = new ProcessFleet.Member[1];
+        ProcessCluster.Member one = fleet.members.get(random.nextInt(nodes));
+        ProcessCluster.Member[] holder = new ProcessCluster.Member[1];
         return switch (random.nextInt(15)) {
             case 0 ->
                     new Fault(
@@ -175,9 +175,9 @@
                             "the holder is cut from the council",
                             () -> {
                                 holder[0] = holder(fleet, one);
-                                fleet.link(holder[0], Link::cut);
+                                fleet.link(holder[0], FaultProxy::cut);
                             },
-                            () -> fleet.link(holder[0], Link::mend));
+                            () -> fleet.link(holder[0], FaultProxy::mend));
             case 3 ->
                     new Fault(
                             at,
@@ -194,16 +194,24 @@
                             lasts,
                             "what " + one.process.name() + " hears of the council is lost",
                             () -> fleet.link(one, link -> link.swallow(false, true)),
-                            () -> fleet.link(one, Link::mend));
+                            () -> fleet.link(one, FaultProxy::mend));
             case 5 ->
                     new Fault(
                             at,
                             lasts,
-                            "zone " + one.place % ProcessFleet.ZONES + " is cut off",
-                            () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::cut),
-                            () -> fleet.zone(one.place % ProcessFleet.ZONES, VOTERS, Link::mend));
+                            "zone " + one.place % ProcessCluster.ZONES + " is cut off",
+                            () ->
+                                    fleet.zone(
+                                            one.place % ProcessCluster.ZONES,
+                                            VOTERS,
+                                            FaultProxy::cut),
+                            () ->
+                                    fleet.zone(
+                                            one.place % ProcessCluster.ZONES,
+                                            VOTERS,
+                                            FaultProxy::mend));
             case 6 -> {
-                ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
+                ProcessCluster.Member voter = fleet.members.get(random.nextInt(VOTERS));
                 boolean forgets = random.nextInt(3) == 0;
                 yield new Fault(
                         at,
@@ -214,7 +222,7 @@
                         () -> {
                             voter.kill();
                             if (forgets) {
-                                voter.process.forgetFolder();
+                                voter.process.forgetDirectory();
                             }
                         },
                         voter::start);
@@ -252,14 +260,14 @@
                                 holder[0] = holder(fleet, one);
                                 holder[0].slow(lasts + 4, LATE_MILLIS);
                                 Thread.sleep(LEASE_MILLIS / 6);
-                                fleet.link(holder[0], Link::cut);
+                                fleet.link(holder[0], FaultProxy::cut);
                             },
                             () -> {
-                                fleet.link(holder[0], Link::mend);
+                                fleet.link(holder[0], FaultProxy::mend);
                                 holder[0].toSink.mend();
                             });
             case 11 -> {
-                ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
+                ProcessCluster.Member voter = fleet.members.get(random.nextInt(VOTERS));
                 yield new Fault(
                         at,
                         lasts + 4,
@@ -271,7 +279,7 @@
                         });
             }
             case 12 -> {
-                ProcessFleet.Member voter = fleet.members.get(random.nextInt(VOTERS));
+                ProcessCluster.Member voter = fleet.members.get(random.nextInt(VOTERS));
                 yield new Fault(
                         at,
                         lasts + 4,
@@ -308,13 +316,13 @@
                             lasts,
                             "all links of " + one.process.name() + " are slow",
                             () -> fleet.link(one, link -> link.delay(150)),
-                            () -> fleet.link(one, Link::mend));
+                            () -> fleet.link(one, FaultProxy::mend));
         };
     }
 
-    /** The council's word comes to the holder late, and then not at all. */
-    private static Fault late(ProcessFleet fleet, double at) {
-        ProcessFleet.Member[] holder = new ProcessFleet.Member[1];
+    /** The consensus group's word comes to the holder late, and then not at all. */
+    private static Fault late(ProcessCluster fleet, double at) {
+        ProcessCluster.Member[] holder = new ProcessCluster.Member[1];
         return new Fault(
                 at,
                 LEASE_MILLIS / 1000.0 * 4,
@@ -325,35 +333,38 @@
                     Thread.sleep(2 * LEASE_MILLIS);
                     fleet.link(holder[0], link -> link.swallow(true, false));
                 },
-                () -> fleet.link(holder[0], Link::mend));
+                () -> fleet.link(holder[0], FaultProxy::mend));
     }
 
-    private static ProcessFleet.Member holder(ProcessFleet fleet, ProcessFleet.Member otherwise) {
+    private static ProcessCluster.Member holder(
+            ProcessCluster fleet, ProcessCluster.Member otherwise) {
         String name = fleet.sink.holder();
         return name.isEmpty() ? otherwise : fleet.members.get(Integer.parseInt(name.substring(1)));
     }
 
-    private static void stop(ProcessFleet.Member member) throws IOException, InterruptedException {
-        member.heldUp();
+    private static void stop(ProcessCluster.Member member)
+            throws IOException, InterruptedException {
+        member.stalled();
         member.process.stop();
     }
 
-    /** It goes by itself and in good order, whatever the council can do. */
-    private void leaves(ProcessFleet.Member member) throws InterruptedException {
+    /** It goes by itself and in good order, whatever the consensus group can do. */
+    private void leaves(ProcessCluster.Member member) throws InterruptedException {
         String what = member.process.isStopped() ? null : member.leaves();
         if (what != null) {
             wrong.add(what);
         }
     }
 
-    private static void goOn(ProcessFleet.Member member) throws IOException, InterruptedException {
+    private static void goOn(ProcessCluster.Member member)
+            throws IOException, InterruptedException {
         member.process.goOn();
         Thread.sleep(50);
         member.goesOn();
     }
 
     /** The share of time in which the duty was done lately. */
-    private double play(ProcessFleet fleet, List<Fault> faults)
+    private double play(ProcessCluster fleet, List<Fault> faults)
             throws IOException, InterruptedException {
         long begun = System.currentTimeMillis();
         List<Fault> waiting = new ArrayList<>(faults);
@@ -403,8 +414,8 @@
         for (Fault over : open) {
             over.end().run();
         }
-        for (ProcessFleet.Member member : fleet.members) {
-            fleet.link(member, Link::mend);
+        for (ProcessCluster.Member member : fleet.members) {
+            fleet.link(member, FaultProxy::mend);
             member.toSink.mend();
             if (!member.process.isUp()) {
                 member.start();
--- a/src/main/java/lupinwood/lab/HandOvers.java
+++ b/src/main/java/lupinwood/experiment/LeaseHandoverExperiment.java
@@ -1,15 +1,15 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Locale;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Rules;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.LeaseTiming;
 
 /** How long a duty is nobody's after its holder went, by how it went, in made-up time. */
-final class HandOvers implements Experiment {
+final class LeaseHandoverExperiment implements Experiment {
     private enum Way {
         DRAIN,
         KILL,
@@ -29,7 +29,7 @@
     private final long seed;
     private final int plays;
 
-    HandOvers(long seed, int plays) {
+    LeaseHandoverExperiment(long seed, int plays) {
         this.seed = seed;
         this.plays = plays;
     }
@@ -62,17 +62,23 @@
     }
 
     private static double play(Way way, long seed, List<String> broken) {
-        Rules rules = Rules.of(Span.ofSeconds(3), 0.01);
-        TimedFleet fleet =
-                new TimedFleet(
-                        VOTERS, NODES - VOTERS, 3, rules, 0.01, TimedFleet.Without.NOTHING, seed);
+        LeaseTiming rules = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
+        SimulatedCluster fleet =
+                new SimulatedCluster(
+                        VOTERS,
+                        NODES - VOTERS,
+                        3,
+                        rules,
+                        0.01,
+                        SimulatedCluster.Without.NOTHING,
+                        seed);
         fleet.stalls = false;
         fleet.startAll();
-        // Each play loses its holder at another place between two beats.
+        // Each play loses its holder at another place between two heartbeats.
         fleet.time.playUntil(AT + seed % 97 / 97.0);
-        TimedFleet.Node holder =
+        SimulatedCluster.Node holder =
                 fleet.nodes.stream()
-                        .filter(node -> node.holds(DutyName.KEEPER))
+                        .filter(node -> node.holds(DutyName.STATUS_REPORTER))
                         .findFirst()
                         .orElse(null);
         if (holder == null) {
@@ -90,20 +96,21 @@
                                 fleet.links.cut(other.place, holder.place);
                             });
             case KILLED_WITH_THE_LEADER ->
-                    fleet.each(node -> node == holder || node.leads(), TimedFleet.Node::kill);
+                    fleet.each(node -> node == holder || node.leads(), SimulatedCluster.Node::kill);
         }
         double since = fleet.time.now() / 1e9;
         double gap = 0;
         for (double now = since; now < ENDS; now += 0.01) {
             fleet.time.playUntil(now);
-            boolean held =
+            boolean leased =
                     fleet.nodes.stream()
-                            .anyMatch(node -> node != holder && node.holds(DutyName.KEEPER));
-            if (held) {
+                            .anyMatch(
+                                    node -> node != holder && node.holds(DutyName.STATUS_REPORTER));
+            if (leased) {
                 break;
             }
             // One that is cut goes on until its lease ends: that is no gap.
-            gap += holder.holds(DutyName.KEEPER) ? 0 : 0.01;
+            gap += holder.holds(DutyName.STATUS_REPORTER) ? 0 : 0.01;
         }
         broken.addAll(fleet.broken);
         return gap / rules.lease().seconds();
--- a/src/main/java/lupinwood/lab/Door.java
+++ b/src/main/java/lupinwood/experiment/LoopbackServer.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
@@ -12,9 +12,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A loopback address where a stand-in talks to each who connects, on a thread of its own. */
-final class Door implements Closeable {
+final class LoopbackServer implements Closeable {
     /** What is said on one connection; it ends when this returns. */
-    interface Talk {
+    interface Conversation {
         void with(InputStream in, OutputStream out) throws IOException;
     }
 
@@ -24,7 +24,7 @@
     /**
      * @param port 0 for any that is free
      */
-    Door(int port, Talk talk) throws IOException {
+    LoopbackServer(int port, Conversation talk) throws IOException {
         socket = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         daemon(
                 () -> {
@@ -34,13 +34,13 @@
                             open.add(one);
                             daemon(() -> talk(one, talk));
                         } catch (IOException e) {
-                            return; // the door was closed
+                            return; // the listener was closed
                         }
                     }
                 });
     }
 
-    private void talk(Socket one, Talk talk) {
+    private void talk(Socket one, Conversation talk) {
         try (one) {
             one.setTcpNoDelay(true);
             talk.with(new BufferedInputStream(one.getInputStream()), one.getOutputStream());
--- a/src/main/java/lupinwood/lab/MixedFronts.java
+++ b/src/main/java/lupinwood/experiment/MixedListenersExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -9,26 +9,26 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import lupinwood.Brain;
+import lupinwood.admission.AdmissionController;
 import lupinwood.ajp.BackReader;
 import lupinwood.config.Config;
 import lupinwood.config.Reader;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
+import lupinwood.net.NodeServer;
 
 /**
- * One node with both fronts and all kinds of tickets on each: web servers that cut off, leave off
+ * One node with both fronts and all kinds of requests on each: web servers that cut off, leave off
  * and show wrong secrets, unlocks whose mark comes over both fronts at once, and a notice to leave
  * in the middle of it.
  */
-final class MixedFronts implements Experiment {
+final class MixedListenersExperiment implements Experiment {
     private static final int CALLERS = 6;
-    private static final long ABANDON_MILLIS = 6000;
+    private static final long TIMEOUT_MILLIS = 6000;
     private static final String SECRET = "lab secret";
 
     private final Random random;
-    private final int tickets;
+    private final int requests;
     private final Log log;
     private final Audit audit = new Audit();
     private final StandInExecutor executor = new StandInExecutor(3, audit, run -> {});
@@ -38,30 +38,39 @@
     private volatile boolean leaving;
 
     /**
-     * @param tickets how many each caller sends
+     * @param requests how many each caller sends
      */
-    MixedFronts(long seed, int tickets, Log log) {
+    MixedListenersExperiment(long seed, int requests, Log log) {
         random = new Random(seed);
-        this.tickets = tickets;
+        this.requests = requests;
         this.log = log;
     }
 
     @Override
     public Outcome run() throws Exception {
-        try (Door work = new Door(0, executor::talk);
-                Door index = new Door(0, StandIns::index);
-                Door naming = new Door(0, StandIns::naming);
-                Door good = new Door(0, new StandInServer(audit, random.nextLong(), 0)::talk);
-                Door bad = new Door(0, new StandInServer(audit, random.nextLong(), 20)::talk);
-                Door worse = new Door(0, new StandInServer(audit, random.nextLong(), 60)::talk)) {
+        try (LoopbackServer work = new LoopbackServer(0, executor::talk);
+                LoopbackServer dependency = new LoopbackServer(0, StandIns::dependency);
+                LoopbackServer registry = new LoopbackServer(0, StandIns::registry);
+                LoopbackServer good =
+                        new LoopbackServer(
+                                0, new StandInServer(audit, random.nextLong(), 0)::talk);
+                LoopbackServer bad =
+                        new LoopbackServer(
+                                0, new StandInServer(audit, random.nextLong(), 20)::talk);
+                LoopbackServer worse =
+                        new LoopbackServer(
+                                0, new StandInServer(audit, random.nextLong(), 60)::talk)) {
             resp = freePort();
             ajp = freePort();
-            Serving node =
-                    new Serving(config(work, index, naming, good, bad, worse), Brain::new, log);
+            NodeServer node =
+                    new NodeServer(
+                            config(work, dependency, registry, good, bad, worse),
+                            AdmissionController::new,
+                            log);
             node.start();
             await("the executor's WELCOME", () -> node.executorAt() != null);
             play();
-            await("the last answer", () -> audit.openTickets() == 0);
+            await("the last answer", () -> audit.openRequests() == 0);
             await("tables that are level", () -> node.figures().contains("open 0, tickets 0,"));
             leave(node);
             List<String> broken = new ArrayList<>(audit.close());
@@ -75,7 +84,7 @@
     }
 
     private static int freePort() throws IOException {
-        try (Door free = new Door(0, StandIns::mute)) {
+        try (LoopbackServer free = new LoopbackServer(0, StandIns::mute)) {
             return free.port();
         }
     }
@@ -86,8 +95,8 @@
             // Both have the same chance, and with it the same marks: each unlock comes over both
             // fronts at once.
             long seed = random.nextLong();
-            Door.daemon(() -> guarded(() -> callByResp(new Random(seed)), done));
-            Door.daemon(
+            LoopbackServer.daemon(() -> guarded(() -> callByResp(new Random(seed)), done));
+            LoopbackServer.daemon(
                     () -> guarded(() -> callByAjp(new Random(seed), new Random(seed + 1)), done));
         }
         if (!done.await(120, TimeUnit.SECONDS)) {
@@ -117,46 +126,50 @@
         wrong.add(what);
     }
 
-    private record Planned(String track, String body, String mark) {}
+    private record Planned(String className, String body, String mark) {}
 
     /** What two callers with the same chance plan alike. */
     private static Planned plan(Random chance) {
         int kind = chance.nextInt(10);
-        String track =
+        String className =
                 kind < 3
                         ? "history"
                         : kind < 4 ? "quote" : kind < 5 ? "report" : kind < 7 ? "lookup" : "unlock";
         long number = chance.nextLong();
         if (kind == 9) {
-            track = "unlock-far";
+            className = "unlock-far";
         }
-        String mark = track.startsWith("unlock") ? String.format("%016x", number) : null;
-        return new Planned(track, track + " \u00e9\0 " + Long.toHexString(number), mark);
+        String mark = className.startsWith("unlock") ? String.format("%016x", number) : null;
+        return new Planned(className, className + " \u00e9\0 " + Long.toHexString(number), mark);
     }
 
     private void callByResp(Random chance) throws IOException, InterruptedException {
         try (Caller caller = new Caller(resp, audit, (id, words) -> {})) {
-            for (int i = 0; i < tickets; i++) {
+            for (int i = 0; i < requests; i++) {
                 Planned one = plan(chance);
                 caller.send(String.format("%016x", chance.nextLong()), sent(one), "north");
                 Thread.sleep(1 + chance.nextInt(6));
             }
-            await("this caller's last answers", () -> audit.openTickets() == 0);
+            await("this caller's last answers", () -> audit.openRequests() == 0);
         }
     }
 
     private static Audit.Sent sent(Planned one) {
         return new Audit.Sent(
-                one.track(), one.body(), one.mark(), System.currentTimeMillis(), ABANDON_MILLIS);
+                one.className(),
+                one.body(),
+                one.mark(),
+                System.currentTimeMillis(),
+                TIMEOUT_MILLIS);
     }
 
     private void callByAjp(Random chance, Random faults) throws IOException {
         AjpPeer peer = new AjpPeer(ajp, SECRET);
-        for (int i = 0; i < tickets; i++) {
+        for (int i = 0; i < requests; i++) {
             Planned one = plan(chance);
             chance.nextLong();
             chance.nextInt(6);
-            byte[] bytes = peer.bytes("/" + one.track(), "north", one.mark(), one.body());
+            byte[] bytes = peer.bytes("/" + one.className(), "north", one.mark(), one.body());
             switch (faults.nextInt(20)) {
                 case 0 -> {
                     audit.count("ajp cut");
@@ -214,8 +227,8 @@
         return status == 200 ? "ACK" : status == 503 ? "NAK" : "FAIL";
     }
 
-    /** New tickets after the notice are bounced on both fronts, and none of them runs. */
-    private void leave(Serving node) throws Exception {
+    /** New requests after the notice are rejected on both fronts, and none of them runs. */
+    private void leave(NodeServer node) throws Exception {
         leaving = true;
         try (AjpPeer peer = new AjpPeer(ajp, SECRET)) {
             Thread notice =
@@ -228,7 +241,7 @@
                                 }
                             });
             notice.start();
-            Thread.sleep(700); // over the grace, within the time that the door stays open
+            Thread.sleep(700); // over the grace, within the time that the listener stays open
             int runs = audit.of("runs");
             peer.send(peer.bytes("/history", "north", null, "late"), 1);
             BackReader.Answer answer = peer.answer();
@@ -255,8 +268,12 @@
         }
     }
 
-    private NodeConfig config(Door work, Door index, Door naming, Door... servers)
-            throws NodeConfig.Unusable {
+    private NodeConfig config(
+            LoopbackServer work,
+            LoopbackServer dependency,
+            LoopbackServer registry,
+            LoopbackServer... servers)
+            throws NodeConfig.UnusableConfiguration {
         String text =
                 """
                 name mixed
@@ -295,8 +312,8 @@
                         .formatted(
                                 resp,
                                 work.address(),
-                                index.address(),
-                                naming.address(),
+                                dependency.address(),
+                                registry.address(),
                                 ajp,
                                 SECRET,
                                 servers[0].address(),
--- a/src/main/java/lupinwood/lab/NodeProcess.java
+++ b/src/main/java/lupinwood/experiment/NodeProcess.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.BufferedReader;
 import java.io.File;
@@ -20,7 +20,7 @@
  * started again.
  */
 final class NodeProcess {
-    private static final int KEPT_LINES = 400;
+    private static final int RETAINED_LINES = 400;
     private static final List<String> LIMITS =
             List.of(
                     "-XX:-UsePerfData",
@@ -34,7 +34,7 @@
                     "-XX:ReservedCodeCacheSize=16m");
 
     private final String name;
-    private final Path folder;
+    private final Path directory;
     private final Path config;
 
     /** The deploy file's command, for the shell; null for one made up here. */
@@ -56,25 +56,25 @@
     /**
      * @param hears hears each line of its log
      */
-    NodeProcess(String name, Path folder, String config, Consumer<String> hears)
+    NodeProcess(String name, Path directory, String config, Consumer<String> hears)
             throws IOException {
-        this(name, folder, "node.kdl", config, null, hears);
+        this(name, directory, "node.kdl", config, null, hears);
     }
 
     private NodeProcess(
             String name,
-            Path folder,
+            Path directory,
             String file,
             String config,
             String run,
             Consumer<String> hears)
             throws IOException {
         this.name = name;
-        this.folder = folder;
+        this.directory = directory;
         this.run = run;
         this.hears = hears;
-        Files.createDirectories(folder);
-        this.config = folder.resolve(file);
+        Files.createDirectories(directory);
+        this.config = directory.resolve(file);
         Files.writeString(this.config, config);
     }
 
@@ -85,9 +85,9 @@
      * @param config the platform's JSON
      * @param run 'run' of the deploy file
      */
-    static NodeProcess deployed(String name, Path folder, String config, String run)
+    static NodeProcess deployed(String name, Path directory, String config, String run)
             throws IOException {
-        return new NodeProcess(name, folder, "node.json", config, run, line -> {});
+        return new NodeProcess(name, directory, "node.json", config, run, line -> {});
     }
 
     /** From its next start on the JVM has these options too. */
@@ -121,13 +121,13 @@
         process = one;
         // Guards against nodes that outlive the one who plays, should that be ended in the middle.
         Runtime.getRuntime().addShutdownHook(new Thread(one::destroyForcibly));
-        Door.daemon(
+        LoopbackServer.daemon(
                 () -> {
                     try (BufferedReader log = one.errorReader()) {
                         for (String line = log.readLine(); line != null; line = log.readLine()) {
                             synchronized (lines) {
                                 lines.add(line);
-                                if (lines.size() > KEPT_LINES) {
+                                if (lines.size() > RETAINED_LINES) {
                                     lines.poll();
                                 }
                             }
@@ -156,7 +156,7 @@
                                 config.toString()));
         words.addAll(wrong);
         return new ProcessBuilder(java(LIMITS, words.toArray(String[]::new)))
-                .directory(folder.toFile());
+                .directory(directory.toFile());
     }
 
     /** From its next start on it is started so. */
@@ -225,9 +225,9 @@
         return process.waitFor(withinSeconds, TimeUnit.SECONDS) && process.exitValue() == 0;
     }
 
-    void forgetFolder() throws IOException {
-        Path kept = folder.resolve("council").resolve("council.mv");
-        Files.deleteIfExists(kept);
+    void forgetDirectory() throws IOException {
+        Path stored = directory.resolve("council").resolve("council.mv");
+        Files.deleteIfExists(stored);
     }
 
     /** What the process has in memory, in megabytes; zero where that can't be told. */
--- a/src/main/java/lupinwood/lab/ProcessFleet.java
+++ b/src/main/java/lupinwood/experiment/ProcessCluster.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -19,49 +19,49 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import lupinwood.council.Council;
-import lupinwood.council.Question;
+import lupinwood.admission.NanoDuration;
+import lupinwood.consensus.ClusterQuery;
+import lupinwood.consensus.RaftReplica;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
 
 /**
  * Real nodes as processes on loopback, the first of them voters, each with its executor, a caller
- * who sends it tickets, and links of its own to each voter and to where the keeper reports. All
- * stand-ins live here, in the one who plays.
+ * who sends it requests, and links of its own to each voter and to where the status reporter
+ * reports. All stand-ins live here, in the one who plays.
  */
-final class ProcessFleet implements Closeable {
-    private static final int ABANDON_MILLIS = 6000;
+final class ProcessCluster implements Closeable {
+    private static final int TIMEOUT_MILLIS = 6000;
 
     /** One node with all that belongs to it. */
     final class Member {
         final int place;
         final NodeProcess process;
-        final List<Link> toVoters = new ArrayList<>();
-        final Link toSink;
+        final List<FaultProxy> toVoters = new ArrayList<>();
+        final FaultProxy toSink;
         final Audit audit = new Audit();
         private final StandInExecutor executor = new StandInExecutor(workMillis, audit, run -> {});
-        private final Door work = new Door(0, executor::talk);
-        private final Door sinkDoor;
+        private final LoopbackServer work = new LoopbackServer(0, executor::talk);
+        private final LoopbackServer sinkProxy;
         private final int port = freePort();
         private final Random chance;
         private final Map<String, Long> sentAt = new ConcurrentHashMap<>();
         private final List<Long> micros = new ArrayList<>();
         private volatile Caller caller;
-        private volatile long heldUpUntil;
+        private volatile long stalledUntil;
         private volatile long slowUntil;
         private volatile boolean quiet;
         private volatile long shiftMillis;
-        private volatile long heldUpFrom = Long.MAX_VALUE;
+        private volatile long stalledFrom = Long.MAX_VALUE;
 
-        private Member(int place, List<Integer> voterPorts, DutySink sink) throws IOException {
+        private Member(int place, List<Integer> voterPorts, StatusSink sink) throws IOException {
             this.place = place;
             chance = new Random(random.nextLong());
             String name = "n" + place;
             for (int voter : voterPorts) {
-                toVoters.add(new Link(voter));
+                toVoters.add(new FaultProxy(voter));
             }
-            sinkDoor = new Door(0, sink.from(name));
-            toSink = new Link(sinkDoor.port());
+            sinkProxy = new LoopbackServer(0, sink.from(name));
+            toSink = new FaultProxy(sinkProxy.port());
             process =
                     new NodeProcess(
                             name,
@@ -77,8 +77,8 @@
                                     name,
                                     port,
                                     work.address(),
-                                    index.address(),
-                                    naming.address(),
+                                    dependency.address(),
+                                    registry.address(),
                                     1000 + place));
             if (place >= inFleet) {
                 return text.toString();
@@ -104,15 +104,15 @@
         }
 
         /** Held up from now until so long after {@link #goesOn}: what it does late is excused. */
-        void heldUp() {
-            heldUpFrom = Math.min(heldUpFrom, System.currentTimeMillis());
-            heldUpUntil = Long.MAX_VALUE;
+        void stalled() {
+            stalledFrom = Math.min(stalledFrom, System.currentTimeMillis());
+            stalledUntil = Long.MAX_VALUE;
             audit.excuse();
         }
 
         void goesOn() {
             audit.excuse();
-            heldUpUntil = System.currentTimeMillis();
+            stalledUntil = System.currentTimeMillis();
         }
 
         /** What it does outside may arrive so late until then, and a lease more. */
@@ -121,17 +121,17 @@
             toSink.delay(millis);
         }
 
-        boolean wasHeldUp(long since) {
-            return (heldUpFrom <= System.currentTimeMillis() && heldUpUntil >= since)
+        boolean wasStalled(long since) {
+            return (stalledFrom <= System.currentTimeMillis() && stalledUntil >= since)
                     || slowUntil >= since;
         }
 
-        private boolean isHeldUp() {
-            return heldUpUntil == Long.MAX_VALUE;
+        private boolean isStalled() {
+            return stalledUntil == Long.MAX_VALUE;
         }
 
         void kill() throws InterruptedException {
-            heldUp();
+            stalled();
             process.kill();
             audit.excuse();
             Caller gone = caller;
@@ -186,20 +186,20 @@
                     process.leave(8)
                             ? null
                             : process.name() + " did not leave in good order: " + last(process);
-            if (wrong == null && audit.openTickets() > 0) {
+            if (wrong == null && audit.openRequests() > 0) {
                 wrong =
                         process.name()
                                 + " left with "
-                                + audit.openTickets()
+                                + audit.openRequests()
                                 + " tickets unanswered";
             }
             kill();
             return wrong;
         }
 
-        /** Sends a ticket now and then, while the node is there. */
+        /** Sends a request now and then, while the node is there. */
         private void send() {
-            if (!process.isUp() || isHeldUp() || quiet) {
+            if (!process.isUp() || isStalled() || quiet) {
                 return;
             }
             try {
@@ -209,16 +209,16 @@
                 String id = String.format("%016x", chance.nextLong());
                 boolean unlock = chance.nextInt(3) == 0;
                 String mark = unlock ? String.format("%016x", chance.nextLong()) : null;
-                String track = unlock ? "unlock" : chance.nextBoolean() ? "quote" : "history";
+                String className = unlock ? "unlock" : chance.nextBoolean() ? "quote" : "history";
                 sentAt.put(id, System.nanoTime());
                 caller.send(
                         id,
                         new Audit.Sent(
-                                track,
-                                track + " " + id,
+                                className,
+                                className + " " + id,
                                 mark,
                                 System.currentTimeMillis(),
-                                ABANDON_MILLIS),
+                                TIMEOUT_MILLIS),
                         "north",
                         shiftMillis);
             } catch (IOException e) {
@@ -267,7 +267,7 @@
     static final int MOST_OUT = 2;
 
     final List<Member> members = new ArrayList<>();
-    final DutySink sink;
+    final StatusSink sink;
     private final List<Integer> voterPorts = new ArrayList<>();
     private final int inFleet;
     private final String more;
@@ -278,52 +278,52 @@
     private final Random random;
     private final Consumer<String> log;
     private final long leaseMillis;
-    private final Door index = new Door(0, StandIns::index);
-    private final Door naming = new Door(0, StandIns::naming);
+    private final LoopbackServer dependency = new LoopbackServer(0, StandIns::dependency);
+    private final LoopbackServer registry = new LoopbackServer(0, StandIns::registry);
     private final Log quiet = new Log(new PrintStream(new ByteArrayOutputStream()), Instant::now);
     private volatile boolean over;
 
     /**
-     * @param ticketsEvery milliseconds between two tickets at each node; zero for none
+     * @param requestsEvery milliseconds between two requests at each node; zero for none
      */
-    ProcessFleet(
+    ProcessCluster(
             int voters,
             int all,
             long leaseMillis,
-            int ticketsEvery,
+            int requestsEvery,
             boolean refusesLower,
             long seed,
             Consumer<String> log)
             throws IOException {
-        this(voters, all, all, leaseMillis, ticketsEvery, refusesLower, seed, log);
+        this(voters, all, all, leaseMillis, requestsEvery, refusesLower, seed, log);
     }
 
     /**
      * @param inFleet the first so many belong to the fleet, the others stand alone beside it
      */
-    ProcessFleet(
+    ProcessCluster(
             int voters,
             int inFleet,
             int all,
             long leaseMillis,
-            int ticketsEvery,
+            int requestsEvery,
             boolean refusesLower,
             long seed,
             Consumer<String> log)
             throws IOException {
-        this(voters, inFleet, all, leaseMillis, ticketsEvery, refusesLower, seed, log, "", 2);
+        this(voters, inFleet, all, leaseMillis, requestsEvery, refusesLower, seed, log, "", 2);
     }
 
     /**
      * @param more entries that each file of the fleet has besides
      * @param workMillis what a run works, each time
      */
-    ProcessFleet(
+    ProcessCluster(
             int voters,
             int inFleet,
             int all,
             long leaseMillis,
-            int ticketsEvery,
+            int requestsEvery,
             boolean refusesLower,
             long seed,
             Consumer<String> log,
@@ -335,7 +335,7 @@
                 inFleet,
                 all,
                 leaseMillis,
-                ticketsEvery,
+                requestsEvery,
                 refusesLower,
                 seed,
                 log,
@@ -348,12 +348,12 @@
     /**
      * @param zones in all; they are parted among the regions
      */
-    ProcessFleet(
+    ProcessCluster(
             int voters,
             int inFleet,
             int all,
             long leaseMillis,
-            int ticketsEvery,
+            int requestsEvery,
             boolean refusesLower,
             long seed,
             Consumer<String> log,
@@ -372,18 +372,18 @@
         this.log = log;
         at = Files.createTempDirectory("lupinwood-lab");
         sink =
-                new DutySink(
+                new StatusSink(
                         refusesLower,
                         (name, since) ->
-                                members.get(Integer.parseInt(name.substring(1))).wasHeldUp(since));
+                                members.get(Integer.parseInt(name.substring(1))).wasStalled(since));
         for (int i = 0; i < voters; i++) {
             voterPorts.add(freePort());
         }
         for (int i = 0; i < all; i++) {
             members.add(new Member(i, voterPorts, sink));
         }
-        if (ticketsEvery > 0) {
-            Door.daemon(() -> load(ticketsEvery));
+        if (requestsEvery > 0) {
+            LoopbackServer.daemon(() -> load(requestsEvery));
         }
     }
 
@@ -394,7 +394,7 @@
     static int freePort() throws IOException {
         for (int tries = 0; tries < PORTS; tries++) {
             int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORTS);
-            try (Door free = new Door(port, StandIns::mute)) {
+            try (LoopbackServer free = new LoopbackServer(port, StandIns::mute)) {
                 return free.port();
             } catch (IOException e) {
                 // In use; the next one may be free.
@@ -420,8 +420,8 @@
         }
     }
 
-    /** Cuts, or swallows what goes out of, or mends all links of a node to the council. */
-    void link(Member member, Consumer<Link> job) {
+    /** Cuts, or swallows what goes out of, or mends all links of a node to the consensus group. */
+    void link(Member member, Consumer<FaultProxy> job) {
         member.toVoters.forEach(job);
     }
 
@@ -431,7 +431,7 @@
     }
 
     /** The links between two zones, both ways. */
-    void zone(int zone, int voters, Consumer<Link> job) {
+    void zone(int zone, int voters, Consumer<FaultProxy> job) {
         for (Member member : members) {
             for (int voter = 0; voter < voters; voter++) {
                 if (member.place % zones == zone != (voter % zones == zone)) {
@@ -447,12 +447,12 @@
                 .toList();
     }
 
-    /** What the one who leads the council knows; null where nobody does. */
-    Council.State state() throws InterruptedException {
-        return Question.state(voterAddresses(), Span.ofSeconds(2), quiet);
+    /** What the one who leads the consensus group knows; null where nobody does. */
+    RaftReplica.ReplicaView state() throws InterruptedException {
+        return ClusterQuery.state(voterAddresses(), NanoDuration.ofSeconds(2), quiet);
     }
 
-    /** Until somebody leads the council, or for 20 s. */
+    /** Until somebody leads the consensus group, or for 20 s. */
     void awaitLeader() throws InterruptedException {
         for (int i = 0; i < 100 && state() == null; i++) {
             Thread.sleep(200);
@@ -558,12 +558,12 @@
             }
             close(member.caller);
             close(member.work);
-            close(member.sinkDoor);
+            close(member.sinkProxy);
             close(member.toSink);
-            member.toVoters.forEach(ProcessFleet::close);
+            member.toVoters.forEach(ProcessCluster::close);
         }
-        close(index);
-        close(naming);
+        close(dependency);
+        close(registry);
         try (Stream<Path> files = Files.walk(at)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.deleteIfExists(file);
--- a/src/main/java/lupinwood/lab/Tour.java
+++ b/src/main/java/lupinwood/experiment/QuickStart.java
@@ -1,19 +1,21 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lupinwood.Brain;
+import lupinwood.admission.AdmissionController;
 import lupinwood.config.Config;
 import lupinwood.config.Reader;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
+import lupinwood.net.NodeServer;
 
-/** A first look: a node with stand-ins, one ticket of each kind, and what the node says to each. */
-final class Tour implements Experiment {
+/**
+ * A first look: a node with stand-ins, one request of each kind, and what the node says to each.
+ */
+final class QuickStart implements Experiment {
     private static final String NODE =
             """
             name tour
@@ -36,7 +38,7 @@
             track unlock { effect receipted; agreed-time 2s; abandon-time 4s; window 12s; calls #true }
             track report { effect effectful; agreed-time 2s; abandon-time 8s }
             """;
-    private static final String[][] TICKETS = {
+    private static final String[][] REQUESTS = {
         {"history", "my rides", null, "pure: runs, no call"},
         {"quote", "a short ride", null, "pure: runs and calls the index"},
         {"unlock", "scooter 7", "70c7e7", "receipted: runs once"},
@@ -55,7 +57,7 @@
     private final PrintStream out;
     private final Log log;
 
-    Tour(long seed, PrintStream out, Log log) {
+    QuickStart(long seed, PrintStream out, Log log) {
         this.seed = seed;
         this.out = out;
         this.log = log;
@@ -67,30 +69,30 @@
         StandInExecutor executor =
                 new StandInExecutor(50, audit, run -> out.println("    the executor runs " + run));
         int port;
-        try (Door free = new Door(0, StandIns::mute)) {
+        try (LoopbackServer free = new LoopbackServer(0, StandIns::mute)) {
             port = free.port();
         }
-        try (Door work = new Door(0, executor::talk);
-                Door index = new Door(0, StandIns::index);
-                Door naming = new Door(0, StandIns::naming)) {
+        try (LoopbackServer work = new LoopbackServer(0, executor::talk);
+                LoopbackServer dependency = new LoopbackServer(0, StandIns::dependency);
+                LoopbackServer registry = new LoopbackServer(0, StandIns::registry)) {
             String text =
                     NODE.formatted(
                             port,
                             work.address(),
-                            index.address(),
-                            naming.address(),
+                            dependency.address(),
+                            registry.address(),
                             seed & 0xFFFFFF);
             out.println(
                     "A node on 127.0.0.1:"
                             + port
                             + ", with stand-ins for its executor, index and name service:\n");
             text.lines().forEach(line -> out.println("    " + line));
-            Serving node = new Serving(config(text), Brain::new, log);
+            NodeServer node = new NodeServer(config(text), AdmissionController::new, log);
             node.start();
             while (node.executorAt() == null) {
                 Thread.sleep(5);
             }
-            List<String> odd = tickets(port, audit);
+            List<String> odd = requests(port, audit);
             node.leave();
             List<String> broken = new ArrayList<>(audit.close());
             broken.addAll(odd);
@@ -98,21 +100,21 @@
         }
     }
 
-    private List<String> tickets(int port, Audit audit) throws Exception {
+    private List<String> requests(int port, Audit audit) throws Exception {
         List<String> odd = new ArrayList<>();
-        for (int i = 0; i < TICKETS.length; i++) {
-            String[] ticket = TICKETS[i];
+        for (int i = 0; i < REQUESTS.length; i++) {
+            String[] request = REQUESTS[i];
             CountDownLatch answered = new CountDownLatch(1);
             String id = String.format("%016x", seed * 1000 + i);
             out.println(
                     "\n"
-                            + ticket[0]
+                            + request[0]
                             + " '"
-                            + ticket[1]
+                            + request[1]
                             + "'"
-                            + (ticket[2] == null ? "" : " with the mark " + ticket[2])
+                            + (request[2] == null ? "" : " with the mark " + request[2])
                             + "  ("
-                            + ticket[3]
+                            + request[3]
                             + ")");
             try (Caller caller =
                     new Caller(
@@ -135,17 +137,21 @@
                 caller.send(
                         id,
                         new Audit.Sent(
-                                ticket[0], ticket[1], ticket[2], System.currentTimeMillis(), 8000),
+                                request[0],
+                                request[1],
+                                request[2],
+                                System.currentTimeMillis(),
+                                8000),
                         "north");
                 if (!answered.await(10, TimeUnit.SECONDS)) {
-                    odd.add("no answer to " + ticket[0]);
+                    odd.add("no answer to " + request[0]);
                 }
             }
         }
         return odd;
     }
 
-    private static NodeConfig config(String text) throws NodeConfig.Unusable {
+    private static NodeConfig config(String text) throws NodeConfig.UnusableConfiguration {
         Config config = Reader.read(new TextSource(text), "tour");
         if (!config.problems().isEmpty()) {
             throw new IllegalStateException(config.problems().all().toString());
--- a/src/main/java/lupinwood/lab/ReloadStorm.java
+++ b/src/main/java/lupinwood/experiment/ReloadStormExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,24 +9,24 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BooleanSupplier;
-import lupinwood.Brain;
+import lupinwood.admission.AdmissionController;
 import lupinwood.load.Loader;
 import lupinwood.load.Reloader;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
-import lupinwood.reload.Look;
-import lupinwood.reload.Triggers;
+import lupinwood.net.NodeServer;
+import lupinwood.reload.FileFingerprint;
+import lupinwood.reload.ReloadScheduler;
 
 /**
- * One node in this process under a load of all kinds of tickets, while its configuration changes
+ * One node in this process under a load of all kinds of requests, while its configuration changes
  * again and again: valid, broken, half-written, in bursts, to executors at other addresses and to
  * one that never says WELCOME.
  */
-final class ReloadStorm implements Experiment {
+final class ReloadStormExperiment implements Experiment {
     private static final int CALLERS = 4;
-    private static final long PATIENCE_MILLIS = 20_000;
-    private static final long ABANDON_MILLIS = 6000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 20_000;
+    private static final long TIMEOUT_MILLIS = 6000;
 
     private final Random random;
     private final int reloads;
@@ -36,22 +36,22 @@
     private final List<String> wrong = new ArrayList<>();
     private final AtomicBoolean sending = new AtomicBoolean(true);
 
-    /** How long the deciding thread was busy with each reload, in microseconds. */
+    /** How long the event loop thread was busy with each reload, in microseconds. */
     private final List<Long> steps = new ArrayList<>();
 
-    private Door[] executors;
-    private Door[] indexes;
-    private Door[] namings;
-    private Door mute;
+    private LoopbackServer[] executors;
+    private LoopbackServer[] indexes;
+    private LoopbackServer[] namings;
+    private LoopbackServer mute;
     private int listen;
-    private Path folder;
+    private Path directory;
     private Reloader reloader;
-    private Serving node;
+    private NodeServer node;
     private int window = 9000;
     private int quota = 500;
     private int place;
 
-    ReloadStorm(long seed, int reloads, Log log) {
+    ReloadStormExperiment(long seed, int reloads, Log log) {
         random = new Random(seed);
         this.reloads = reloads;
         this.log = log;
@@ -59,27 +59,38 @@
 
     @Override
     public Outcome run() throws Exception {
-        folder = Files.createTempDirectory("lab");
-        executors = new Door[] {new Door(0, executor::talk), new Door(0, executor::talk)};
-        indexes = new Door[] {new Door(0, StandIns::index), new Door(0, StandIns::index)};
-        namings = new Door[] {new Door(0, StandIns::naming), new Door(0, StandIns::naming)};
-        mute = new Door(0, StandIns::mute);
-        try (Door free = new Door(0, StandIns::mute)) {
+        directory = Files.createTempDirectory("lab");
+        executors =
+                new LoopbackServer[] {
+                    new LoopbackServer(0, executor::talk), new LoopbackServer(0, executor::talk)
+                };
+        indexes =
+                new LoopbackServer[] {
+                    new LoopbackServer(0, StandIns::dependency),
+                    new LoopbackServer(0, StandIns::dependency)
+                };
+        namings =
+                new LoopbackServer[] {
+                    new LoopbackServer(0, StandIns::registry),
+                    new LoopbackServer(0, StandIns::registry)
+                };
+        mute = new LoopbackServer(0, StandIns::mute);
+        try (LoopbackServer free = new LoopbackServer(0, StandIns::mute)) {
             listen = free.port();
         }
-        Files.writeString(folder.resolve("rest.kdl"), rest());
+        Files.writeString(directory.resolve("rest.kdl"), rest());
         replace(text(false));
-        Loader loader = new Loader(folder.resolve("node.kdl"), null);
-        Look looked = loader.look();
+        Loader loader = new Loader(directory.resolve("node.kdl"), null);
+        FileFingerprint looked = loader.look();
         Loader.Loaded loaded = loader.load();
-        node = new Serving(loaded.config(), Brain::new, log);
+        node = new NodeServer(loaded.config(), AdmissionController::new, log);
         node.start();
         reloader = new Reloader(loader, loaded, looked, false, node, log);
         reloader.start();
         await("the executor's first WELCOME", () -> node.executorAt() != null);
         for (int i = 0; i < CALLERS; i++) {
             long seed = random.nextLong();
-            Door.daemon(() -> call(new Random(seed)));
+            LoopbackServer.daemon(() -> call(new Random(seed)));
         }
         for (int i = 0; i < reloads; i++) {
             reload(random.nextInt(12));
@@ -88,7 +99,7 @@
         settle();
         Thread.sleep(300); // the load goes on for a while under the last configuration
         sending.set(false);
-        await("the last answer", () -> audit.openTickets() == 0);
+        await("the last answer", () -> audit.openRequests() == 0);
         await("tables that are level", () -> node.figures().contains("open 0, tickets 0,"));
         node.leave();
         List<String> broken = new ArrayList<>(audit.close());
@@ -111,15 +122,16 @@
     }
 
     private void closeAll() throws IOException {
-        for (Door[] doors : new Door[][] {executors, indexes, namings, {mute}}) {
-            for (Door door : doors) {
-                door.close();
+        for (LoopbackServer[] doors :
+                new LoopbackServer[][] {executors, indexes, namings, {mute}}) {
+            for (LoopbackServer proxy : doors) {
+                proxy.close();
             }
         }
         for (String name : List.of("node.kdl", "rest.kdl", "next.kdl")) {
-            Files.deleteIfExists(folder.resolve(name));
+            Files.deleteIfExists(directory.resolve(name));
         }
-        Files.deleteIfExists(folder);
+        Files.deleteIfExists(directory);
     }
 
     // ---- load ----
@@ -131,11 +143,11 @@
             while (sending.get()) {
                 String id = String.format("%016x", chance.nextLong());
                 int kind = chance.nextInt(10);
-                String track =
+                String className =
                         kind < 4 ? "history" : kind < 6 ? "quote" : kind < 7 ? "report" : "unlock";
                 String mark = null;
-                String body = track + " " + id;
-                if (track.equals("unlock")) {
+                String body = className + " " + id;
+                if (className.equals("unlock")) {
                     boolean repeat = lastMark != null && chance.nextInt(3) == 0;
                     mark =
                             repeat
@@ -149,11 +161,11 @@
                 caller.send(
                         id,
                         new Audit.Sent(
-                                track, body, mark, System.currentTimeMillis(), ABANDON_MILLIS),
+                                className, body, mark, System.currentTimeMillis(), TIMEOUT_MILLIS),
                         chance.nextBoolean() ? "north" : "south");
                 Thread.sleep(4 + chance.nextInt(8));
             }
-            await("this caller's last answers", () -> audit.openTickets() == 0);
+            await("this caller's last answers", () -> audit.openRequests() == 0);
         } catch (IOException e) {
             synchronized (wrong) {
                 wrong.add("a caller's connection broke: " + e.getMessage());
@@ -207,7 +219,7 @@
         change();
         String text = text(false);
         int half = text.indexOf("moves {");
-        Path file = folder.resolve("node.kdl");
+        Path file = directory.resolve("node.kdl");
         Files.writeString(file, text.substring(0, half).replaceFirst("quota \\d+/s", "quota 1/s"));
         long begun = System.nanoTime();
         reloader.signal();
@@ -215,7 +227,7 @@
         boolean early = node.goesBy().meaning().value("customer north quota").equals("1");
         Files.writeString(file, text);
         audit.count("half-written");
-        if (early && System.nanoTime() - begun < Triggers.QUIET.nanos()) {
+        if (early && System.nanoTime() - begun < ReloadScheduler.QUIET.nanos()) {
             wrong.add("half of a text was taken over");
         }
         settle();
@@ -264,16 +276,16 @@
     }
 
     private void replace(String text) throws IOException {
-        Path next = Files.writeString(folder.resolve("next.kdl"), text);
+        Path next = Files.writeString(directory.resolve("next.kdl"), text);
         Files.move(
                 next,
-                folder.resolve("node.kdl"),
+                directory.resolve("node.kdl"),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
     private void await(String what, BooleanSupplier done) throws InterruptedException {
-        long end = System.currentTimeMillis() + PATIENCE_MILLIS;
+        long end = System.currentTimeMillis() + RESPONSE_TIMEOUT_MILLIS;
         while (!done.getAsBoolean()) {
             if (System.currentTimeMillis() > end) {
                 synchronized (wrong) {
@@ -309,11 +321,11 @@
                         indexes[place].address(),
                         namings[place].address(),
                         quota,
-                        ABANDON_MILLIS,
-                        ABANDON_MILLIS,
-                        ABANDON_MILLIS,
+                        TIMEOUT_MILLIS,
+                        TIMEOUT_MILLIS,
+                        TIMEOUT_MILLIS,
                         window,
-                        ABANDON_MILLIS);
+                        TIMEOUT_MILLIS);
     }
 
     private static String rest() {
--- a/src/main/java/lupinwood/lab/ReleaseRun.java
+++ b/src/main/java/lupinwood/experiment/RolloutExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -16,21 +16,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import lupinwood.council.Council;
-import lupinwood.council.Question;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Release;
-import lupinwood.load.Common;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.Rollout;
+import lupinwood.consensus.ClusterQuery;
+import lupinwood.consensus.RaftReplica;
+import lupinwood.load.SharedConfig;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.node.Span;
 
 /**
- * Releases through real processes under ticket load, good and bad ones by turns, each with a fault
+ * Releases through real processes under request load, good and bad ones by turns, each with a fault
  * in the middle. The auditor reads what processes do and log: who is out, who runs what, and when;
  * a supervisor starts again what went.
  */
-final class ReleaseRun implements Experiment {
+final class RolloutExperiment implements Experiment {
     /** What is released. */
     private enum What {
         GOOD_TEXT,
@@ -44,18 +44,18 @@
     /** What happens once the first nodes have it. */
     private enum Fault {
         NOTHING,
-        CONDUCTOR_DIES,
-        CONDUCTOR_STALLS,
+        ROLLOUT_CONTROLLER_DIES,
+        ROLLOUT_CONTROLLER_STALLS,
         ZONE_CUT,
         HALTED_FOR_A_WHILE,
-        ANOTHER_ASKED,
+        SECOND_ROLLOUT_REQUESTED,
         NO_MAJORITY,
         NODE_DIES
     }
 
     private static final int VOTERS = 3;
     private static final long LEASE_MILLIS = 1500;
-    private static final int TICKETS_EVERY = 30;
+    private static final int REQUESTS_EVERY = 30;
     private static final String RULES = "release { watch 4s; watch-most 30s; harm 8% }\n";
 
     /** A quote works twice as long, which no bad text gives it. */
@@ -63,7 +63,7 @@
 
     private static final long LONGEST_MILLIS = 150_000;
 
-    /** A node hears of a halt no later than with a beat, and what it began by then it ends. */
+    /** A node hears of a halt no later than with a heartbeat, and what it began by then it ends. */
     private static final long HALT_BOUND_MILLIS = 2 * LEASE_MILLIS + 4000;
 
     private static final Pattern RUNS =
@@ -85,13 +85,13 @@
     private final String plot;
     private final Timeline timeline = new Timeline();
     private final long begun = System.currentTimeMillis();
-    private ProcessFleet fleet;
+    private ProcessCluster fleet;
     private String good = "";
     private volatile String from = "";
     private volatile String to = "";
     private volatile long haltedAt;
     private volatile boolean over;
-    private final Set<String> heldDown = ConcurrentHashMap.newKeySet();
+    private final Set<String> paused = ConcurrentHashMap.newKeySet();
     private int orders;
     private int mostOut;
     private int went;
@@ -99,7 +99,7 @@
     /**
      * @param plot where it is drawn; empty for nowhere
      */
-    ReleaseRun(long seed, int nodes, int rounds, String plot, Log log) {
+    RolloutExperiment(long seed, int nodes, int rounds, String plot, Log log) {
         this.plot = plot;
         this.seed = seed;
         this.nodes = nodes;
@@ -110,13 +110,13 @@
 
     @Override
     public Outcome run() throws Exception {
-        try (ProcessFleet all =
-                new ProcessFleet(
+        try (ProcessCluster all =
+                new ProcessCluster(
                         VOTERS,
                         nodes,
                         nodes,
                         LEASE_MILLIS,
-                        TICKETS_EVERY,
+                        REQUESTS_EVERY,
                         true,
                         seed,
                         this::hears,
@@ -125,7 +125,7 @@
             fleet = all;
             all.startAll();
             all.awaitLeader();
-            Door.daemon(this::supervise);
+            LoopbackServer.daemon(this::supervise);
             Thread.sleep(4 * LEASE_MILLIS);
             for (int round = 0; round < rounds; round++) {
                 What what = What.values()[Math.floorMod(seed + round * 5L, What.values().length)];
@@ -134,7 +134,7 @@
             }
             over = true;
             long end = System.currentTimeMillis() + 20 * LEASE_MILLIS;
-            for (ProcessFleet.Member member : all.members) {
+            for (ProcessCluster.Member member : all.members) {
                 while (!member.process.isUp() && System.currentTimeMillis() < end) {
                     member.start();
                     Thread.sleep(100);
@@ -157,7 +157,7 @@
                             ends,
                             went,
                             mostOut,
-                            ProcessFleet.MOST_OUT,
+                            ProcessCluster.MOST_OUT,
                             all.count("sent"),
                             all.count("satisfied"),
                             all.count("bounced"),
@@ -172,13 +172,13 @@
 
     private void hears(String line) {
         log.line(line);
-        Matcher told = RUNS.matcher(line);
-        if (told.find()) {
-            String digest = told.group(2) == null ? "" : told.group(2);
-            runs.put(told.group(1), digest);
+        Matcher reported = RUNS.matcher(line);
+        if (reported.find()) {
+            String digest = reported.group(2) == null ? "" : reported.group(2);
+            runs.put(reported.group(1), digest);
             if (!digest.equals(from) && !digest.equals(to)) {
                 wrong(
-                        told.group(1)
+                        reported.group(1)
                                 + " runs "
                                 + digest
                                 + ", which is neither "
@@ -190,7 +190,7 @@
                     && System.currentTimeMillis() - haltedAt > HALT_BOUND_MILLIS
                     && line.contains("goes by")) {
                 wrong(
-                        told.group(1)
+                        reported.group(1)
                                 + " changed "
                                 + (System.currentTimeMillis() - haltedAt)
                                 + " ms after a halt");
@@ -202,7 +202,7 @@
             went++;
             goneByPermit.put(goes.group(1), now);
             mostOut = Math.max(mostOut, goneByPermit.size());
-            if (goneByPermit.size() > ProcessFleet.MOST_OUT) {
+            if (goneByPermit.size() > ProcessCluster.MOST_OUT) {
                 wrong(
                         goes.group(1)
                                 + " went as number "
@@ -224,20 +224,20 @@
     private void supervise() {
         try {
             while (!over) {
-                for (ProcessFleet.Member member : fleet.members) {
+                for (ProcessCluster.Member member : fleet.members) {
                     String name = member.process.name();
-                    if (member.process.isUp() || heldDown.contains(name)) {
+                    if (member.process.isUp() || paused.contains(name)) {
                         continue;
                     }
                     if (goneByPermit.containsKey(name)) {
-                        member.heldUp();
+                        member.stalled();
                     }
                     Thread.sleep(200);
-                    Question.Wanted wanted =
-                            Question.wanted(
+                    ClusterQuery.Wanted wanted =
+                            ClusterQuery.wanted(
                                     fleet.voterAddresses(),
                                     new NodeName(name),
-                                    Span.ofSeconds(1),
+                                    NanoDuration.ofSeconds(1),
                                     quiet);
                     String program = wanted == null ? "" : wanted.program();
                     member.process.wrong(
@@ -264,11 +264,13 @@
 
     // ---- what operators do ----
 
-    private Council.Answer order(String what, Council.Wish wish) throws InterruptedException {
-        return Question.order(
+    private RaftReplica.OrderResult order(String what, RaftReplica.RolloutRequest wish)
+            throws InterruptedException {
+        return ClusterQuery.order(
                 fleet.voterAddresses(),
-                new Council.Order("lab" + seed + "." + orders++, what, null, "ann", wish),
-                Span.ofSeconds(5),
+                new RaftReplica.OperatorOrder(
+                        "lab" + seed + "." + orders++, what, null, "ann", wish),
+                NanoDuration.ofSeconds(5),
                 quiet);
     }
 
@@ -287,26 +289,26 @@
     private void round(int round, What what, Fault fault) throws InterruptedException, IOException {
         String text = text(what, round);
         boolean program = what == What.PROGRAM || what == What.BAD_PROGRAM;
-        Council.Wish wish;
+        RaftReplica.RolloutRequest wish;
         try {
             wish =
                     program
-                            ? new Council.Wish(
-                                    Release.Kind.PROGRAM,
+                            ? new RaftReplica.RolloutRequest(
+                                    Rollout.Kind.PROGRAM,
                                     (what == What.PROGRAM ? "p" : "bad") + round,
                                     "",
                                     true)
-                            : new Council.Wish(
-                                    Release.Kind.CONFIGURATION,
-                                    Common.read(text).digest(),
+                            : new RaftReplica.RolloutRequest(
+                                    Rollout.Kind.CONFIGURATION,
+                                    SharedConfig.read(text).digest(),
                                     text,
                                     true);
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             throw new IOException(e);
         }
         from = good;
         to = program ? good : wish.to();
-        Council.Answer begun = order("release", wish);
+        RaftReplica.OrderResult begun = order("release", wish);
         log.line("round " + round + ": " + what + " with " + fault + ": " + begun);
         if (begun == null || !begun.done()) {
             wrong("round " + round + ", " + what + ", did not begin: " + begun);
@@ -315,7 +317,7 @@
         long deadline = System.currentTimeMillis() + LONGEST_MILLIS;
         boolean faulted = false;
         int resumed = 0;
-        Council.State state = fleet.state();
+        RaftReplica.ReplicaView state = fleet.state();
         while (System.currentTimeMillis() < deadline) {
             state = fleet.state();
             draw();
@@ -336,7 +338,7 @@
     }
 
     private void draw() {
-        List<ProcessFleet.Member> up =
+        List<ProcessCluster.Member> up =
                 fleet.members.stream().filter(member -> member.process.isUp()).toList();
         int changed =
                 (int)
@@ -355,7 +357,12 @@
                 nodes - up.size());
     }
 
-    private void ended(int round, What what, Fault fault, Council.State state, Council.Wish wish)
+    private void ended(
+            int round,
+            What what,
+            Fault fault,
+            RaftReplica.ReplicaView state,
+            RaftReplica.RolloutRequest wish)
             throws InterruptedException {
         String last =
                 state == null || state.history().isEmpty()
@@ -409,7 +416,7 @@
                                             Math.max(0, state.history().size() - 6),
                                             state.history().size()));
         }
-        if (done && wish.kind() == Release.Kind.CONFIGURATION) {
+        if (done && wish.kind() == Rollout.Kind.CONFIGURATION) {
             good = wish.to();
         }
         whole(round, what);
@@ -421,18 +428,21 @@
         List<String> others = new ArrayList<>();
         while (System.currentTimeMillis() < end) {
             others.clear();
-            Council.State state = fleet.state();
+            RaftReplica.ReplicaView state = fleet.state();
             if (state != null) {
-                state.seen().stream()
-                        .filter(seen -> seen.report() == null || !seen.report().runs().equals(good))
+                state.nodeViews().stream()
+                        .filter(
+                                nodeView ->
+                                        nodeView.report() == null
+                                                || !nodeView.report().runs().equals(good))
                         .forEach(
-                                seen ->
+                                nodeView ->
                                         others.add(
-                                                seen.name()
+                                                nodeView.name()
                                                         + " runs "
-                                                        + (seen.report() == null
+                                                        + (nodeView.report() == null
                                                                 ? "nothing known"
-                                                                : seen.report().runs())));
+                                                                : nodeView.report().runs())));
                 if (others.isEmpty()) {
                     return;
                 }
@@ -444,23 +454,24 @@
 
     // ---- faults ----
 
-    private ProcessFleet.Member member(NodeName name) {
+    private ProcessCluster.Member member(NodeName name) {
         return fleet.members.get(Integer.parseInt(name.text().substring(1)));
     }
 
-    private void fault(Fault fault, Council.State state) throws InterruptedException, IOException {
-        NodeName conductor =
+    private void fault(Fault fault, RaftReplica.ReplicaView state)
+            throws InterruptedException, IOException {
+        NodeName controllerNode =
                 state.duties().stream()
-                        .filter(held -> held.duty().text().equals("conductor"))
-                        .map(held -> held.holder())
+                        .filter(lease -> lease.duty().text().equals("conductor"))
+                        .map(lease -> lease.holder())
                         .findFirst()
                         .orElse(null);
-        ProcessFleet.Member one =
-                conductor == null ? fleet.members.get(nodes - 1) : member(conductor);
+        ProcessCluster.Member one =
+                controllerNode == null ? fleet.members.get(nodes - 1) : member(controllerNode);
         switch (fault) {
-            case CONDUCTOR_DIES -> one.kill();
-            case CONDUCTOR_STALLS -> {
-                one.heldUp();
+            case ROLLOUT_CONTROLLER_DIES -> one.kill();
+            case ROLLOUT_CONTROLLER_STALLS -> {
+                one.stalled();
                 one.process.stop();
                 Thread.sleep(3 * LEASE_MILLIS);
                 one.process.goOn();
@@ -468,13 +479,13 @@
                 one.goesOn();
             }
             case ZONE_CUT -> {
-                int zone = random.nextInt(ProcessFleet.ZONES);
-                fleet.zone(zone, VOTERS, Link::cut);
+                int zone = random.nextInt(ProcessCluster.ZONES);
+                fleet.zone(zone, VOTERS, FaultProxy::cut);
                 Thread.sleep(2 * LEASE_MILLIS);
-                fleet.zone(zone, VOTERS, Link::mend);
+                fleet.zone(zone, VOTERS, FaultProxy::mend);
             }
             case HALTED_FOR_A_WHILE -> {
-                Council.Answer halted = order("halt", null);
+                RaftReplica.OrderResult halted = order("halt", null);
                 if (halted != null && halted.done()) {
                     haltedAt = System.currentTimeMillis();
                     Thread.sleep(HALT_BOUND_MILLIS + 2 * LEASE_MILLIS);
@@ -482,11 +493,12 @@
                     order("resume", null);
                 }
             }
-            case ANOTHER_ASKED -> {
-                Council.Answer second =
+            case SECOND_ROLLOUT_REQUESTED -> {
+                RaftReplica.OrderResult second =
                         order(
                                 "release",
-                                new Council.Wish(Release.Kind.PROGRAM, "other", "", false));
+                                new RaftReplica.RolloutRequest(
+                                        Rollout.Kind.PROGRAM, "other", "", false));
                 if (second != null && second.done()) {
                     wrong("a second release began while one was open");
                 }
@@ -496,11 +508,11 @@
                 for (int i = 0; i < 2; i++) {
                     down.add(fleet.members.get(i).process.name());
                 }
-                heldDown.addAll(down);
+                paused.addAll(down);
                 fleet.members.get(0).kill();
                 fleet.members.get(1).kill();
                 Thread.sleep(3 * LEASE_MILLIS);
-                heldDown.removeAll(down);
+                paused.removeAll(down);
             }
             case NODE_DIES -> fleet.members.get(nodes - 1 - random.nextInt(nodes / 2)).kill();
             default -> {}
--- a/src/main/java/lupinwood/lab/ReleasePlay.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,48 +6,48 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.OutRules;
-import lupinwood.fleet.Permit;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Rules;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Steward;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.release.Act;
-import lupinwood.release.Conductor;
-import lupinwood.release.Limits;
-import lupinwood.release.Picture;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.DisruptionLimits;
+import lupinwood.cluster.DisruptionPermit;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.LeaseManager;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
+import lupinwood.cluster.Site;
+import lupinwood.rollout.CanaryLimits;
+import lupinwood.rollout.RolloutAction;
+import lupinwood.rollout.RolloutController;
+import lupinwood.rollout.RolloutSnapshot;
 
 /**
- * One release through a fleet in made-up time, by the real book, steward and conductor. Nodes,
- * their tickets and what is wrong with what is released are made up; what may never be is checked
- * at each step, knowing the truth.
+ * One release through a fleet in made-up time, by the real book, lease manager and rollout
+ * controller. Nodes, their requests and what is wrong with what is released are made up; what may
+ * never be is checked at each step, knowing the truth.
  */
-final class ReleasePlay {
+final class RolloutSimulation {
     /** What is released, and what happens meanwhile. The first ones are good. */
     enum Kind {
         GOOD(true, 0),
         GOOD_WITH_ZONE_FAULT(true, 0),
-        GOOD_WITH_FAULT_BELOW(true, 0),
+        GOOD_WITH_FAULT_DOWNSTREAM(true, 0),
         GOOD_LITTLE_TRAFFIC(true, 0),
         GOOD_WITH_CRASHES(true, 0),
-        GOOD_CONDUCTOR_DIES(true, 0),
+        GOOD_ROLLOUT_CONTROLLER_DIES(true, 0),
         GOOD_BY_RESTARTS(true, 0),
         BAD_AT_ONCE(false, 0.10),
         BAD_AFTER_A_MINUTE(false, 0.10),
         BAD_IN_ONE_ZONE(false, 0.15),
-        BAD_FOR_ONE_TRACK(false, 0.35),
+        BAD_FOR_ONE_REQUEST_CLASS(false, 0.35),
         BAD_ONCE_HALF_HAVE_IT(false, 0.10),
         SLOWER(false, 0),
         RESTARTS(false, 0),
@@ -100,25 +100,25 @@
             String why,
             List<String> broken) {}
 
-    static final Span LEASE = Span.ofSeconds(3);
+    static final NanoDuration LEASE = NanoDuration.ofSeconds(3);
     private static final double WATCH = 60;
     private static final double WATCH_MOST = 600;
     private static final double LONGEST = 4 * 3600;
-    private static final Limits BLIND =
-            new Limits(
-                    Span.ofSeconds(WATCH),
-                    Span.ofSeconds(WATCH_MOST),
+    private static final CanaryLimits BLIND =
+            new CanaryLimits(
+                    NanoDuration.ofSeconds(WATCH),
+                    NanoDuration.ofSeconds(WATCH_MOST),
                     100,
                     1e9,
                     LEASE,
-                    Span.ofSeconds(WATCH));
+                    NanoDuration.ofSeconds(WATCH));
     private static final double[] WEIGHTS = {0.55, 0.33, 0.12};
     private static final double WARMS_UP = 6;
     private static final double A_MINUTE = 60;
     private static final double SLOWNESS = 1.9;
     private static final String OLD = "";
     private static final String NEW = "new";
-    private static final DutyName DUTY = DutyName.CONDUCTOR;
+    private static final DutyName DUTY = DutyName.ROLLOUT_CONTROLLER;
 
     private final class Node {
         final NodeName name;
@@ -137,7 +137,7 @@
         double upAt;
         boolean up = true;
         boolean permitted;
-        long beats;
+        long heartbeats;
 
         Node(int place, int zone) {
             this.zone = zone;
@@ -157,7 +157,7 @@
         void comes() {
             up = true;
             life = random.nextLong();
-            beats = 0;
+            heartbeats = 0;
             for (int i = 0; i < WEIGHTS.length; i++) {
                 counts[i] = new long[4];
                 seconds[i] = 0;
@@ -175,26 +175,26 @@
             upAt = time;
         }
 
-        Condition condition() {
-            return time - upAt < WARMS_UP && life != 0 ? Condition.COLD : Condition.WARM;
+        NodeCondition condition() {
+            return time - upAt < WARMS_UP && life != 0 ? NodeCondition.COLD : NodeCondition.WARM;
         }
 
         /** What it answers in this second. */
         void serves() {
-            for (int track = 0; track < WEIGHTS.length; track++) {
-                double expected = rate * WEIGHTS[track];
+            for (int classIndex = 0; classIndex < WEIGHTS.length; classIndex++) {
+                double expected = rate * WEIGHTS[classIndex];
                 long all =
                         Math.max(
                                 0,
                                 Math.round(expected + Math.sqrt(expected) * random.nextGaussian()));
-                double share = Math.min(0.95, base + trouble(zone) + harm(track));
+                double share = Math.min(0.95, base + trouble(zone) + harm(classIndex));
                 double wrong =
                         all * share + Math.sqrt(all * share * (1 - share)) * random.nextGaussian();
                 long bad = Math.max(0, Math.min(all, Math.round(wrong)));
-                counts[track][0] += all - bad;
-                counts[track][3] += bad;
+                counts[classIndex][0] += all - bad;
+                counts[classIndex][3] += bad;
                 boolean slow = kind == Kind.SLOWER && runs.equals(NEW);
-                seconds[track] +=
+                seconds[classIndex] +=
                         (all - bad)
                                 * mean
                                 * (slow ? SLOWNESS : 1)
@@ -202,7 +202,7 @@
             }
         }
 
-        private double harm(int track) {
+        private double harm(int classIndex) {
             if (!runs.equals(NEW)) {
                 return 0;
             }
@@ -210,17 +210,17 @@
                 case BAD_AT_ONCE -> kind.harm;
                 case BAD_AFTER_A_MINUTE -> time - changedAt > A_MINUTE ? kind.harm : 0;
                 case BAD_IN_ONE_ZONE -> zone == 0 ? kind.harm : 0;
-                case BAD_FOR_ONE_TRACK -> track == WEIGHTS.length - 1 ? kind.harm : 0;
+                case BAD_FOR_ONE_REQUEST_CLASS -> classIndex == WEIGHTS.length - 1 ? kind.harm : 0;
                 case BAD_ONCE_HALF_HAVE_IT -> share(NEW) >= 0.5 ? kind.harm : 0;
                 default -> 0;
             };
         }
 
-        Beat beat() {
-            List<Tally.Count> told = new ArrayList<>();
+        Heartbeat heartbeat() {
+            List<RequestCounts.ClassCounts> reported = new ArrayList<>();
             for (int i = 0; i < WEIGHTS.length; i++) {
-                told.add(
-                        new Tally.Count(
+                reported.add(
+                        new RequestCounts.ClassCounts(
                                 "t" + i,
                                 counts[i][0],
                                 counts[i][1],
@@ -229,29 +229,30 @@
                                 seconds[i]));
             }
             String wanted = book.wanted(name).runs();
-            Report.Checked says =
+            NodeReport.ConfigCheck says =
                     kind.byRestarts() && !wanted.equals(runs)
-                            ? new Report.Checked(wanted, true, true, "")
+                            ? new NodeReport.ConfigCheck(wanted, true, true, "")
                             : !checked
                                     ? null
-                                    : new Report.Checked(
+                                    : new NodeReport.ConfigCheck(
                                             NEW,
                                             !refuses(),
                                             kind.byRestarts(),
                                             refuses() ? "no" : "");
-            return new Beat(
-                    Beat.VERSION,
+            return new Heartbeat(
+                    Heartbeat.VERSION,
                     name,
-                    new Life(life),
+                    new Incarnation(life),
                     site,
                     condition(),
-                    ++beats,
+                    ++heartbeats,
                     List.of(),
                     List.of(),
                     List.of(),
                     List.of(),
                     List.of(),
-                    new Report("1", runs, says, List.of(), 0, List.of(), new Tally(told)));
+                    new NodeReport(
+                            "1", runs, says, List.of(), 0, List.of(), new RequestCounts(reported)));
         }
 
         private boolean refuses() {
@@ -266,18 +267,19 @@
     private final Kind kind;
     private final Random random;
     private final double rate;
-    private final OutRules outs;
-    private final Rules rules = Rules.of(LEASE, 0.01);
-    private final Book book = new Book(4096);
-    private final Steward steward = new Steward(rules, List.of(DUTY));
+    private final DisruptionLimits disruptionLimits;
+    private final LeaseTiming rules = LeaseTiming.of(LEASE, 0.01);
+    private final ClusterState book = new ClusterState(4096);
+    private final LeaseManager leaseManager = new LeaseManager(rules, List.of(DUTY));
     private final List<Node> nodes = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final Consumer<String> trace;
-    private final Limits limits =
-            Limits.of(Span.ofSeconds(WATCH), Span.ofSeconds(WATCH_MOST), 0.03, LEASE);
+    private final CanaryLimits limits =
+            CanaryLimits.of(
+                    NanoDuration.ofSeconds(WATCH), NanoDuration.ofSeconds(WATCH_MOST), 0.03, LEASE);
     private double time;
-    private Conductor conductor;
-    private Token token;
+    private RolloutController rolloutController;
+    private FencingToken token;
     private double faultFrom = Double.MAX_VALUE;
     private double faultUntil;
     private double firstWave = -1;
@@ -288,16 +290,18 @@
     private Timeline timeline;
     private Without without = Without.NOTHING;
 
-    /** Of the conductor before, whose last word is still on its way; null where none is. */
-    private Token stalledToken;
+    /**
+     * Of the rollout controller before, whose last word is still on its way; null where none is.
+     */
+    private FencingToken stalledToken;
 
-    private int stepsSeen;
+    private int stepsObserved;
     private double stepAt;
     private double served;
     private double offered;
 
     /** Part of the nodes die so long after the beginning, and are back half a minute later. */
-    ReleasePlay dying(double after, double share) {
+    RolloutSimulation dying(double after, double share) {
         diesAt = after;
         dyingShare = share;
         return this;
@@ -311,13 +315,13 @@
         return served / offered;
     }
 
-    ReleasePlay without(Without leftOut) {
+    RolloutSimulation without(Without leftOut) {
         without = leftOut;
         return this;
     }
 
     /** Writes down who runs what, and who is out, each second from the beginning on. */
-    ReleasePlay drawnBy(Timeline drawn) {
+    RolloutSimulation drawnBy(Timeline drawn) {
         timeline = drawn;
         return this;
     }
@@ -335,9 +339,9 @@
                         .filter(node -> node.up)
                         .mapToDouble(
                                 node ->
-                                        node.condition() == Condition.WARM
+                                        node.condition() == NodeCondition.WARM
                                                 ? 1
-                                                : ReleaseWays.COLD_SPEED)
+                                                : RolloutStrategiesExperiment.COLD_SPEED)
                         .sum();
         if (timeline != null) {
             int old = (int) nodes.stream().filter(node -> node.up && node.runs.equals(OLD)).count();
@@ -346,33 +350,37 @@
             int in =
                     (int)
                             nodes.stream()
-                                    .filter(node -> node.up && node.condition() == Condition.WARM)
+                                    .filter(
+                                            node ->
+                                                    node.up
+                                                            && node.condition()
+                                                                    == NodeCondition.WARM)
                                     .count();
             timeline.add(time - begun, old, changed, nodes.size() - in);
         }
-        offered += nodes.size() * ReleaseWays.LOAD;
-        served += Math.min(nodes.size() * ReleaseWays.LOAD, capacity);
+        offered += nodes.size() * RolloutStrategiesExperiment.LOAD;
+        served += Math.min(nodes.size() * RolloutStrategiesExperiment.LOAD, capacity);
         if (time - begun >= diesAt) {
             diesAt = Double.MAX_VALUE;
             nodes.stream()
                     .filter(node -> node.up && random.nextDouble() < dyingShare)
-                    .forEach(node -> node.goes(ReleaseWays.DEAD_SECONDS));
+                    .forEach(node -> node.goes(RolloutStrategiesExperiment.DEAD_SECONDS));
         }
     }
 
-    ReleasePlay(Kind kind, int count, int zones, long seed, Consumer<String> trace) {
+    RolloutSimulation(Kind kind, int count, int zones, long seed, Consumer<String> trace) {
         this.kind = kind;
         this.trace = trace;
         random = new Random(seed);
         rate = kind == Kind.GOOD_LITTLE_TRAFFIC ? 1 : 8 + random.nextInt(30);
-        outs = new OutRules(Integer.MAX_VALUE, 0.15, Integer.MAX_VALUE, 0.4, 1);
+        disruptionLimits = new DisruptionLimits(Integer.MAX_VALUE, 0.15, Integer.MAX_VALUE, 0.4, 1);
         for (int i = 0; i < count; i++) {
             nodes.add(new Node(i, i % zones));
         }
     }
 
-    private Moment now() {
-        return new Moment(Math.round(time * 1e9));
+    private MonotonicTime now() {
+        return new MonotonicTime(Math.round(time * 1e9));
     }
 
     private double trouble(int zone) {
@@ -386,12 +394,14 @@
     }
 
     Played play() {
-        book.apply(new Deed.Found(1));
-        steward.leads(book, now());
+        book.apply(new ClusterCommand.Bootstrap(1));
+        leaseManager.leads(book, now());
         for (; time < 30; time++) {
             second();
         }
-        book.apply(new Deed.Begin("o1", "ann", Release.Kind.CONFIGURATION, NEW, "text", true, 0));
+        book.apply(
+                new ClusterCommand.BeginRollout(
+                        "o1", "ann", Rollout.Kind.CONFIGURATION, NEW, "text", true, 0));
         begun = time;
         double caught = -1;
         double had = 0;
@@ -400,11 +410,12 @@
         while (end == End.OPEN && time - begun < LONGEST) {
             time++;
             second();
-            Release release = book.release();
+            Rollout release = book.release();
             if (firstWave < 0 && release != null && release.steps() == 1) {
                 firstWave = time;
                 boolean faulty =
-                        kind == Kind.GOOD_WITH_ZONE_FAULT || kind == Kind.GOOD_WITH_FAULT_BELOW;
+                        kind == Kind.GOOD_WITH_ZONE_FAULT
+                                || kind == Kind.GOOD_WITH_FAULT_DOWNSTREAM;
                 faultFrom = faulty ? time + random.nextInt(20) : faultFrom;
                 faultUntil = faultFrom + 100 + random.nextInt(200);
             }
@@ -412,7 +423,7 @@
             if (stops && caught < 0) {
                 caught = time - Math.max(firstWave, begun);
                 had = share(NEW);
-                List<Book.Entry> history = book.history();
+                List<ClusterState.HistoryEntry> history = book.history();
                 why = history.get(history.size() - 1).text();
             }
             if (release == null) {
@@ -463,11 +474,11 @@
             }
             node.serves();
             follow(node);
-            Beat beat = node.beat();
-            String trouble = steward.heard(beat, book, now());
-            steward.replyTo(beat, trouble, book, node.name, now());
+            Heartbeat heartbeat = node.heartbeat();
+            String trouble = leaseManager.heard(heartbeat, book, now());
+            leaseManager.replyTo(heartbeat, trouble, book, node.name, now());
         }
-        steward.decide(book, 1, now()).forEach(book::apply);
+        leaseManager.decide(book, 1, now()).forEach(book::apply);
         conduct();
         audit();
         if (begun >= 0) {
@@ -487,16 +498,19 @@
                 node.goes(3 + random.nextInt(10));
             }
         }
-        if (kind == Kind.GOOD_CONDUCTOR_DIES && !killed && firstWave > 0 && time - firstWave > 40) {
+        if (kind == Kind.GOOD_ROLLOUT_CONTROLLER_DIES
+                && !killed
+                && firstWave > 0
+                && time - firstWave > 40) {
             killed = true;
-            Book.Held held = book.duty(DUTY);
+            ClusterState.DutyLease lease = book.duty(DUTY);
             nodes.stream()
-                    .filter(node -> node.up && node.name.equals(held.holder()))
+                    .filter(node -> node.up && node.name.equals(lease.holder()))
                     .forEach(node -> node.goes(10));
         }
     }
 
-    /** What a node does by the council's word. */
+    /** What a node does by the consensus group's word. */
     private void follow(Node node) {
         String wanted = book.wanted(node.name).runs();
         String checks = book.wanted(node.name).checks();
@@ -521,7 +535,7 @@
                         .anyMatch(
                                 one ->
                                         one.node().equals(node.name)
-                                                && one.life().equals(new Life(node.life)));
+                                                && one.life().equals(new Incarnation(node.life)));
         if (permit && !node.permitted) {
             node.goes(5 + random.nextInt(10));
         }
@@ -529,51 +543,53 @@
     }
 
     private void conduct() {
-        Book.Held held = book.duty(DUTY);
-        if (held.isFree()
-                || nodes.stream().noneMatch(node -> node.up && node.name.equals(held.holder()))) {
+        ClusterState.DutyLease lease = book.duty(DUTY);
+        if (lease.isFree()
+                || nodes.stream().noneMatch(node -> node.up && node.name.equals(lease.holder()))) {
             return;
         }
-        if (!held.token().equals(token)) {
+        if (!lease.token().equals(token)) {
             stalledToken = token;
-            token = held.token();
-            conductor = new Conductor(held.holder(), without == Without.WATCH ? BLIND : limits);
-            trace.accept(time + " " + held.holder() + " leads under " + token);
-        }
-        Picture picture =
-                new Picture(
+            token = lease.token();
+            rolloutController =
+                    new RolloutController(
+                            lease.holder(), without == Without.WATCH ? BLIND : limits);
+            trace.accept(time + " " + lease.holder() + " leads under " + token);
+        }
+        RolloutSnapshot picture =
+                new RolloutSnapshot(
                         book.release(),
                         book.good(),
                         book.haltedBy(),
-                        steward.picture(book, now()),
+                        leaseManager.picture(book, now()),
                         book.permits(),
-                        outs.mostOf(nodes.size()),
+                        disruptionLimits.mostOf(nodes.size()),
                         book.past());
         if (stalledToken != null) {
             lateWord(picture);
         }
-        String before = conductor.says();
-        for (Act act : conductor.decide(picture, token, now())) {
-            if (act instanceof Act.Write write) {
-                boolean fitted = book.apply(write.deed());
-                trace.accept(time + " " + write.deed() + " " + fitted);
-            } else if (act instanceof Act.Let let) {
-                OutRules bounds =
+        String before = rolloutController.says();
+        for (RolloutAction act : rolloutController.decide(picture, token, now())) {
+            if (act instanceof RolloutAction.Propose write) {
+                boolean fitted = book.apply(write.command());
+                trace.accept(time + " " + write.command() + " " + fitted);
+            } else if (act instanceof RolloutAction.PermitRestart let) {
+                DisruptionLimits bounds =
                         without == Without.PERMITS
-                                ? new OutRules(nodes.size(), 1, nodes.size(), 1, 0)
-                                : outs;
+                                ? new DisruptionLimits(nodes.size(), 1, nodes.size(), 1, 0)
+                                : disruptionLimits;
                 book.apply(
-                        new Deed.Allow(
+                        new ClusterCommand.GrantPermit(
                                 let.order(),
                                 let.node(),
                                 "release",
                                 0,
                                 bounds,
-                                steward.seenOut(book, now())));
+                                leaseManager.unavailableNodes(book, now())));
             }
         }
-        if (!conductor.says().equals(before)) {
-            trace.accept(time + " " + conductor.says());
+        if (!rolloutController.says().equals(before)) {
+            trace.accept(time + " " + rolloutController.says());
         }
     }
 
@@ -581,8 +597,8 @@
      * The next wave that the one before had decided on when it was stopped comes late, under its
      * token.
      */
-    private void lateWord(Picture picture) {
-        Release release = picture.release();
+    private void lateWord(RolloutSnapshot picture) {
+        Rollout release = picture.release();
         if (release == null || release.steps() == 0 || release.back()) {
             return;
         }
@@ -592,9 +608,9 @@
                         .filter(name -> !release.isGiven(name))
                         .limit(3)
                         .toList();
-        Token shown = without == Without.TOKEN ? token : stalledToken;
+        FencingToken shown = without == Without.TOKEN ? token : stalledToken;
         book.apply(
-                new Deed.Step(
+                new ClusterCommand.AdvanceRollout(
                         shown, release.number(), release.steps() + 1, false, next, "", null, 0));
         stalledToken = null;
     }
@@ -606,17 +622,21 @@
             breaks("versions " + versions + " at once");
         }
         int permits = book.permits().size();
-        if (permits > outs.mostOf(nodes.size())) {
-            breaks(permits + " nodes out by permits of " + outs.mostOf(nodes.size()) + " allowed");
-        }
-        for (Permit permit : book.permits()) {
+        if (permits > disruptionLimits.mostOf(nodes.size())) {
+            breaks(
+                    permits
+                            + " nodes out by permits of "
+                            + disruptionLimits.mostOf(nodes.size())
+                            + " allowed");
+        }
+        for (DisruptionPermit permit : book.permits()) {
             if (book.member(permit.node()) == null) {
                 breaks("a permit of an unknown node");
             }
         }
-        Release release = book.release();
-        if (release != null && !release.back() && release.steps() != stepsSeen) {
-            if (stepsSeen > 0 && time - stepAt < WATCH) {
+        Rollout release = book.release();
+        if (release != null && !release.back() && release.steps() != stepsObserved) {
+            if (stepsObserved > 0 && time - stepAt < WATCH) {
                 breaks(
                         "step "
                                 + release.steps()
@@ -624,7 +644,7 @@
                                 + (time - stepAt)
                                 + " s after the one before");
             }
-            stepsSeen = release.steps();
+            stepsObserved = release.steps();
             stepAt = time;
         }
         for (Node node : nodes) {
--- a/src/main/java/lupinwood/lab/ReleaseWays.java
+++ b/src/main/java/lupinwood/experiment/RolloutStrategiesExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -12,7 +12,7 @@
  * in batches by a script that asks nobody, and none at all; a fifth of the nodes dies meanwhile.
  * Told is how much of what was offered was done in time.
  */
-final class ReleaseWays implements Experiment {
+final class RolloutStrategiesExperiment implements Experiment {
     /** Of what all nodes can do together, that much is offered. */
     static final double LOAD = 0.85;
 
@@ -35,13 +35,13 @@
     /**
      * @param plot where the agreed one is drawn; empty for nowhere
      */
-    ReleaseWays(long seed, int nodes, String plot) {
+    RolloutStrategiesExperiment(long seed, int nodes, String plot) {
         this.plot = plot;
         this.seed = seed;
         this.nodes = nodes;
     }
 
-    private record Told(double served, double took) {}
+    private record RolloutOutcome(double served, double took) {}
 
     @Override
     public Outcome run() throws IOException {
@@ -49,11 +49,16 @@
         double script = nodes * (RESTART + 2);
         double horizon = Math.max(script, 3600);
         Timeline timeline = new Timeline();
-        ReleasePlay play =
-                new ReleasePlay(ReleasePlay.Kind.GOOD_BY_RESTARTS, nodes, ZONES, seed, text -> {})
+        RolloutSimulation play =
+                new RolloutSimulation(
+                                RolloutSimulation.Kind.GOOD_BY_RESTARTS,
+                                nodes,
+                                ZONES,
+                                seed,
+                                text -> {})
                         .dying(DIES_AFTER, DYING)
                         .drawnBy(timeline);
-        ReleasePlay.Played played = play.play();
+        RolloutSimulation.Played played = play.play();
         if (!plot.isEmpty()) {
             timeline.draw(
                     Path.of(plot),
@@ -65,14 +70,14 @@
         }
         play.playUntil(horizon);
         broken.addAll(played.broken());
-        if (played.end() != ReleasePlay.End.DONE) {
+        if (played.end() != RolloutSimulation.End.DONE) {
             broken.add("it ended as " + played.end() + ": " + played.why());
         }
-        Told none = simple(horizon, 0, 0);
-        Told atOnce = simple(horizon, nodes, 0);
-        Told oneByOne = simple(horizon, 1, RESTART + 2);
-        Told batches = simple(horizon, (int) (nodes * BATCH), RESTART + 2);
-        double agreed = play.servedShare();
+        RolloutOutcome none = simple(horizon, 0, 0);
+        RolloutOutcome atOnce = simple(horizon, nodes, 0);
+        RolloutOutcome oneByOne = simple(horizon, 1, RESTART + 2);
+        RolloutOutcome batches = simple(horizon, (int) (nodes * BATCH), RESTART + 2);
+        double latencyObjective = play.servedShare();
         return new Outcome(
                 String.format(
                         Locale.ROOT,
@@ -82,7 +87,7 @@
                         nodes,
                         horizon,
                         1 - none.served(),
-                        1 - agreed,
+                        1 - latencyObjective,
                         played.seconds(),
                         1 - oneByOne.served(),
                         oneByOne.took(),
@@ -95,7 +100,7 @@
     }
 
     /** So many at once, the next so long after that, whatever else is out. */
-    private Told simple(double horizon, int atOnce, double every) {
+    private RolloutOutcome simple(double horizon, int atOnce, double every) {
         Random random = new Random(seed);
         double[] backAt = new double[nodes];
         double served = 0;
@@ -123,6 +128,6 @@
             }
             served += Math.min(nodes * LOAD, capacity);
         }
-        return new Told(served / (horizon * nodes * LOAD), done);
+        return new RolloutOutcome(served / (horizon * nodes * LOAD), done);
     }
 }
--- a/src/main/java/lupinwood/lab/ReleaseTour.java
+++ b/src/main/java/lupinwood/experiment/RolloutTour.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -11,7 +11,7 @@
  * A first look at releases: a good one, a bad one that goes back by itself, and a rest, as they
  * look in a terminal.
  */
-final class ReleaseTour implements Experiment {
+final class RolloutTour implements Experiment {
     private static final int NODES = 6;
     private static final long LEASE_MILLIS = 1500;
     private static final String RULES = "release { watch 4s; watch-most 1min; harm 8% }\n";
@@ -22,7 +22,7 @@
     private final PrintStream out;
     private final List<String> broken = new ArrayList<>();
 
-    ReleaseTour(long seed, PrintStream out) {
+    RolloutTour(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
@@ -41,8 +41,8 @@
                         "track quote { agreed-time 8ms; abandon-time 16ms }\n");
         Path wrong =
                 Files.writeString(texts.resolve("wrong.kdl"), "track unlock { effect pure }\n");
-        Door one = new Door(0, new StandInServer(new Audit(), seed, 0)::talk);
-        Door two = new Door(0, new StandInServer(new Audit(), seed, 0)::talk);
+        LoopbackServer one = new LoopbackServer(0, new StandInServer(new Audit(), seed, 0)::talk);
+        LoopbackServer two = new LoopbackServer(0, new StandInServer(new Audit(), seed, 0)::talk);
         String servers =
                 "server s1 { address \""
                         + one.address()
@@ -51,8 +51,8 @@
                         + "\"; tracks history }\n";
         try (one;
                 two;
-                ProcessFleet fleet =
-                        new ProcessFleet(
+                ProcessCluster fleet =
+                        new ProcessCluster(
                                 3,
                                 NODES,
                                 NODES,
@@ -120,14 +120,14 @@
         }
     }
 
-    private void say(ProcessFleet fleet, int expected, String... words)
+    private void say(ProcessCluster fleet, int expected, String... words)
             throws IOException, InterruptedException {
         List<String> shown = new ArrayList<>();
         for (String word : words) {
             shown.add(word.startsWith("/") ? Path.of(word).getFileName().toString() : word);
         }
         out.println("\n$ lupinwood " + String.join(" ", shown) + " operator.kdl");
-        ProcessFleet.Said said = fleet.command(words);
+        ProcessCluster.Said said = fleet.command(words);
         said.lines().forEach(line -> out.println("    " + line));
         if (said.status() != expected) {
             broken.add(
--- a/src/main/java/lupinwood/lab/Bearing.java
+++ b/src/main/java/lupinwood/experiment/ServerBehavior.java
@@ -1,10 +1,10 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 /**
  * How much a stand-in server bears: it counts what it has in hand, gets slower past that, and
  * breaks for a while when it is far past it. It knows nothing of who sends.
  */
-final class Bearing {
+final class ServerBehavior {
     private static final double BREAKS_AT = 1.5;
     private static final long DOWN_MILLIS = 4000;
 
@@ -16,13 +16,14 @@
     private long downUntil;
     private boolean errs;
 
-    Bearing(int bears, long takesMillis) {
+    ServerBehavior(int bears, long takesMillis) {
         this.bears = bears;
         this.takesMillis = takesMillis;
     }
 
     /**
-     * Whether the ticket was carried out; it takes its time in any case, unless the server is down.
+     * Whether the request was carried out; it takes its time in any case, unless the server is
+     * down.
      */
     boolean carriesOut() {
         long takes;
--- a/src/main/java/lupinwood/lab/TimedFleet.java
+++ b/src/main/java/lupinwood/experiment/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import com.google.gson.Gson;
 import io.microraft.model.message.RaftMessage;
@@ -11,26 +11,26 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import lupinwood.council.Council;
-import lupinwood.council.Loop;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Reply;
-import lupinwood.fleet.Rules;
-import lupinwood.fleet.Session;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterSession;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.HeartbeatReply;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.LeaseTiming;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.Site;
+import lupinwood.consensus.RaftReplica;
+import lupinwood.consensus.TaskLoop;
 
 /**
- * A fleet in made-up time, with the real council and the real sessions: nodes that stall, die and
- * come back, clocks that run apart, links as {@link MadeUpLinks}. It audits what a node may do
- * against all others, knowing the true time.
+ * A fleet in made-up time, with the real consensus group and the real sessions: nodes that stall,
+ * die and come back, clocks that run apart, links as {@link SimulatedNetwork}. It audits what a
+ * node may do against all others, knowing the true time.
  */
-final class TimedFleet {
+final class SimulatedCluster {
     /** What a run may leave out, to show that the audit finds it. */
     enum Without {
         NOTHING,
@@ -42,23 +42,24 @@
 
     private static final double POLL = 0.03;
     private static final double SAMPLE = 0.05;
-    private static final List<DutyName> DUTIES = List.of(DutyName.TRIAL, DutyName.KEEPER);
+    private static final List<DutyName> DUTIES =
+            List.of(DutyName.HEALTH_CHECK, DutyName.STATUS_REPORTER);
 
     /** One node, which may also vote. Its process can be stopped, go and come back. */
-    final class Node implements Loop {
+    final class Node implements TaskLoop {
         final int place;
         final NodeName name;
         final Site site;
         final boolean votes;
         private final double rate;
         private final long offset;
-        private final MadeUpFolder folder;
+        private final SimulatedStorage storage;
         private int process;
         private boolean up;
         private long stoppedUntil;
-        private Condition condition = Condition.COLD;
-        Session session;
-        private Council council;
+        private NodeCondition condition = NodeCondition.COLD;
+        ClusterSession session;
+        private RaftReplica replica;
 
         private Node(int place, boolean votes, double rate, long offset) {
             this.place = place;
@@ -67,8 +68,8 @@
             this.offset = offset;
             name = new NodeName("n" + place);
             site = new Site("r", "z" + place % zones);
-            folder = new MadeUpFolder(without == Without.DURABLE_VOTE);
-            folder.onVote(
+            storage = new SimulatedStorage(without == Without.DURABLE_VOTE);
+            storage.onVote(
                     () -> {
                         if (time.now() < diesVotingUntil) {
                             // Its vote is on the way; then the process is gone, and back at once.
@@ -79,8 +80,8 @@
         }
 
         @Override
-        public Moment now() {
-            return new Moment(offset + Math.round(time.now() * rate));
+        public MonotonicTime now() {
+            return new MonotonicTime(offset + Math.round(time.now() * rate));
         }
 
         @Override
@@ -89,8 +90,8 @@
         }
 
         @Override
-        public void after(Span span, Runnable job) {
-            later(time.now() + Math.round(span.nanos() / rate), job);
+        public void after(NanoDuration duration, Runnable job) {
+            later(time.now() + Math.round(duration.nanos() / rate), job);
         }
 
         /** A process that is stopped does it once it goes on, one that went never. */
@@ -125,30 +126,30 @@
             process++;
             up = true;
             stoppedUntil = 0;
-            condition = Condition.COLD;
+            condition = NodeCondition.COLD;
             session =
-                    new Session(
+                    new ClusterSession(
                             rules,
                             name,
-                            new Life(random.nextLong()),
+                            new Incarnation(random.nextLong()),
                             site,
                             voterNames,
                             random.nextLong(),
                             now());
             if (votes) {
-                council =
-                        new Council(
+                replica =
+                        new RaftReplica(
                                 name,
                                 name.text(),
                                 voterNames.stream().map(NodeName::text).toList(),
-                                councilRules,
+                                replicaRules,
                                 DUTIES,
                                 1,
-                                new Council.Means(
+                                new RaftReplica.ReplicaContext(
                                         this,
                                         this::post,
-                                        folder,
-                                        folder.restore(),
+                                        storage,
+                                        storage.restore(),
                                         new Random(random.nextLong()),
                                         text ->
                                                 trace.accept(
@@ -157,9 +158,11 @@
                                                                 + name
                                                                 + ": "
                                                                 + text)));
-                execute(council::start);
+                execute(replica::start);
             }
-            after(Span.ofSeconds(rules.lease().seconds() / 2), () -> condition = Condition.WARM);
+            after(
+                    NanoDuration.ofSeconds(rules.lease().seconds() / 2),
+                    () -> condition = NodeCondition.WARM);
             execute(this::talk);
             execute(this::poll);
         }
@@ -168,18 +171,18 @@
             if (up) {
                 up = false;
                 process++;
-                folder.crash();
-                council = null;
+                storage.crash();
+                replica = null;
             }
         }
 
         /** Its folder takes nothing more: it votes no more until it is started anew. */
-        void failFolder() {
-            Council at = council;
-            folder.fail(
+        void failStorage() {
+            RaftReplica at = replica;
+            storage.fail(
                     () -> {
-                        if (at != null && council == at) {
-                            council = null;
+                        if (at != null && replica == at) {
+                            replica = null;
                             at.stop();
                         }
                     });
@@ -188,7 +191,7 @@
         /** The notice to leave: its duties are handed on, then it goes. */
         void leave() {
             if (runs()) {
-                condition = Condition.LEAVING;
+                condition = NodeCondition.LEAVING;
                 session.handOnAll(now());
                 execute(this::say);
                 after(
@@ -210,43 +213,43 @@
                     place,
                     other.place,
                     () -> {
-                        if (other.up && other.council != null) {
-                            Council at = other.council;
+                        if (other.up && other.replica != null) {
+                            RaftReplica at = other.replica;
                             other.execute(() -> at.heard(message));
                         }
                     });
         }
 
         private void say() {
-            Session.Sent sent = session.beat(condition, now());
+            ClusterSession.Sent sent = session.heartbeat(condition, now());
             if (sent != null) {
-                beats++;
-                weigh(sent.beat());
+                heartbeats++;
+                weigh(sent.heartbeat());
                 send(sent);
             }
         }
 
         private void talk() {
             say();
-            Span wait = session.due().since(now()).max(Span.ofSeconds(0.001));
-            after(wait.min(rules.beat()), this::talk);
+            NanoDuration wait = session.due().since(now()).max(NanoDuration.ofSeconds(0.001));
+            after(wait.min(rules.heartbeatInterval()), this::talk);
         }
 
-        private void send(Session.Sent sent) {
+        private void send(ClusterSession.Sent sent) {
             Node voter = byName.get(sent.to());
-            Session mine = session;
+            ClusterSession mine = session;
             links.send(
                     place,
                     voter.place,
                     () -> {
-                        if (!voter.up || voter.council == null) {
+                        if (!voter.up || voter.replica == null) {
                             return;
                         }
-                        Council at = voter.council;
+                        RaftReplica at = voter.replica;
                         voter.execute(
                                 () ->
                                         at.heard(
-                                                sent.beat(),
+                                                sent.heartbeat(),
                                                 reply -> {
                                                     weigh(reply);
                                                     links.send(
@@ -265,7 +268,7 @@
                     });
         }
 
-        private void hears(Session mine, Reply reply) {
+        private void hears(ClusterSession mine, HeartbeatReply reply) {
             if (without == Without.EARLY_STOP) {
                 mine.holding()
                         .asks(reply.number(), now()); // as if a grant counted from when it came
@@ -275,15 +278,15 @@
 
         /** Asks itself, then acts; between the two it may be stopped. */
         private void poll() {
-            if (council != null && council.isLeading()) {
-                int term = council.state(false, false, false).term();
+            if (replica != null && replica.isLeading()) {
+                int term = replica.state(false, false, false).term();
                 NodeName leader = leaders.putIfAbsent(term, name);
                 if (leader != null && !leader.equals(name)) {
                     breaks("two lead the council in term " + term + ": " + leader + " and " + name);
                 }
             }
             for (DutyName duty : DUTIES) {
-                Token token = session.holding().mayAct(duty, now());
+                FencingToken token = session.holding().mayAct(duty, now());
                 if (token != null) {
                     audit(duty, token);
                     links.send(place, SINK, () -> sink(duty, token));
@@ -303,13 +306,13 @@
                     }
                 }
             }
-            after(Span.ofSeconds(POLL), this::poll);
+            after(NanoDuration.ofSeconds(POLL), this::poll);
         }
 
-        private void audit(DutyName duty, Token token) {
+        private void audit(DutyName duty, FencingToken token) {
             for (Node other : nodes) {
                 if (other != this && other.runs()) {
-                    Token also = other.session.holding().mayAct(duty, other.now());
+                    FencingToken also = other.session.holding().mayAct(duty, other.now());
                     if (also != null) {
                         breaks(
                                 "two may do "
@@ -330,7 +333,7 @@
         }
 
         boolean leads() {
-            return up && council != null && council.isLeading();
+            return up && replica != null && replica.isLeading();
         }
 
         boolean holds(DutyName duty) {
@@ -340,17 +343,17 @@
 
     private static final int SINK = 1_000_000;
 
-    final MadeUpTime time = new MadeUpTime();
-    final MadeUpLinks links;
+    final SimulatedTime time = new SimulatedTime();
+    final SimulatedNetwork links;
     final List<Node> nodes = new ArrayList<>();
-    final Rules rules;
-    private final Rules councilRules;
+    final LeaseTiming rules;
+    private final LeaseTiming replicaRules;
     private final Without without;
     private final int zones;
     private final Random random;
     private final Map<NodeName, Node> byName = new HashMap<>();
     private final List<NodeName> voterNames = new ArrayList<>();
-    private final Map<DutyName, Token> highest = new HashMap<>();
+    private final Map<DutyName, FencingToken> highest = new HashMap<>();
     final List<String> broken = new ArrayList<>();
     private final Map<Integer, NodeName> leaders = new HashMap<>();
     private long diesVotingUntil;
@@ -361,42 +364,42 @@
     Consumer<String> trace = text -> {};
 
     long sampled;
-    long held;
+    long leased;
     long acts;
     long refused;
-    long beats;
+    long heartbeats;
 
-    /** Of beats and replies, where they are weighed. */
+    /** Of heartbeats and replies, where they are weighed. */
     long bytes;
 
     /** When a duty was first held; zero before. */
-    long firstHeld;
+    long firstLeased;
 
     /** Whether a process may be stopped between asking itself and acting. */
     boolean stalls = true;
 
     /** Each token under which something was done. */
-    final Set<Token> handOvers = new HashSet<>();
+    final Set<FencingToken> handOvers = new HashSet<>();
 
     private Gson weighs;
 
     /**
      * @param drift how far clocks run apart for certain, as a share
      */
-    TimedFleet(
+    SimulatedCluster(
             int voters,
             int members,
             int zones,
-            Rules rules,
+            LeaseTiming rules,
             double drift,
             Without without,
             long seed) {
         random = new Random(seed);
         this.zones = zones;
         this.without = without;
-        this.rules = without == Without.DRIFT ? Rules.of(rules.lease(), 0) : rules;
-        councilRules = this.rules;
-        links = new MadeUpLinks(time, new Random(random.nextLong()));
+        this.rules = without == Without.DRIFT ? LeaseTiming.of(rules.lease(), 0) : rules;
+        replicaRules = this.rules;
+        links = new SimulatedNetwork(time, new Random(random.nextLong()));
         for (int i = 0; i < voters + members; i++) {
             // Some at the bound itself, fast and slow.
             double rate = 1 + drift / 2 * (i % 3 - 1);
@@ -430,8 +433,8 @@
     }
 
     /** What acts reach: it refuses a token lower than it has seen. */
-    private void sink(DutyName duty, Token token) {
-        Token most = highest.get(duty);
+    private void sink(DutyName duty, FencingToken token) {
+        FencingToken most = highest.get(duty);
         boolean lower = most != null && token.compareTo(most) < 0;
         if (lower && without != Without.TOKEN) {
             refused++;
@@ -439,7 +442,7 @@
         }
         acts++;
         handOvers.add(token);
-        firstHeld = firstHeld == 0 ? time.now() : firstHeld;
+        firstLeased = firstLeased == 0 ? time.now() : firstLeased;
         if (lower) {
             breaks("an act of " + duty + " under " + token + " was taken after one under " + most);
         } else {
@@ -481,14 +484,14 @@
     private void sample() {
         boolean could = couldAgree();
         for (DutyName duty : DUTIES) {
-            boolean isHeld = nodes.stream().anyMatch(node -> node.holds(duty));
+            boolean isLeased = nodes.stream().anyMatch(node -> node.holds(duty));
             if (could) {
                 sampled++;
-                held += isHeld ? 1 : 0;
+                leased += isLeased ? 1 : 0;
             }
-            if (isHeld || !could) {
+            if (isLeased || !could) {
                 Long since = unheldSince.remove(duty);
-                if (since != null && isHeld) {
+                if (since != null && isLeased) {
                     gaps.add((time.now() - since) / 1e9 / rules.lease().seconds());
                 }
             } else {
--- a/src/main/java/lupinwood/lab/FailoverInTime.java
+++ b/src/main/java/lupinwood/experiment/SimulatedFailover.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,31 +8,32 @@
 import java.util.Map;
 
 /** Ways to choose among places, side by side in made-up time, with the same faults. */
-final class FailoverInTime implements Experiment {
+final class SimulatedFailover implements Experiment {
     private static final double LOAD = 0.55;
 
     /**
-     * How far the planned way may lie under the one that knows the truth, in parts of all tickets.
+     * How far the planned way may lie under the one that knows the truth, in parts of all requests.
      */
     private static final double MOST_UNDER = 0.06;
 
     private final long seed;
     private final int nodes;
 
-    FailoverInTime(long seed, int nodes) {
+    SimulatedFailover(long seed, int nodes) {
         this.seed = seed;
         this.nodes = nodes;
     }
 
     @Override
     public Outcome run() {
-        Map<FailoverPlay.Way, FailoverPlay.Played> all = new EnumMap<>(FailoverPlay.Way.class);
-        Arrays.stream(FailoverPlay.Way.values())
+        Map<FailoverSimulation.Way, FailoverSimulation.Played> all =
+                new EnumMap<>(FailoverSimulation.Way.class);
+        Arrays.stream(FailoverSimulation.Way.values())
                 .parallel()
                 .forEach(
                         way -> {
-                            FailoverPlay.Played played =
-                                    new FailoverPlay(way, nodes, LOAD, seed).play();
+                            FailoverSimulation.Played played =
+                                    new FailoverSimulation(way, nodes, LOAD, seed).play();
                             synchronized (all) {
                                 all.put(way, played);
                             }
@@ -52,7 +53,7 @@
                                     played.mostOver()));
                     played.broken().forEach(what -> broken.add(way + ": " + what));
                 });
-        FailoverPlay.Played planned = all.get(FailoverPlay.Way.PLANNED);
+        FailoverSimulation.Played planned = all.get(FailoverSimulation.Way.PLANNED);
         line.append(
                 String.format(
                         Locale.ROOT,
@@ -62,7 +63,7 @@
         if (planned.broke() > 0) {
             broken.add("a place broke under the plan");
         }
-        if (planned.inTime() < all.get(FailoverPlay.Way.TRUTH).inTime() - MOST_UNDER) {
+        if (planned.inTime() < all.get(FailoverSimulation.Way.TRUTH).inTime() - MOST_UNDER) {
             broken.add("the plan lies too far under the truth");
         }
         return new Outcome(line + ", broken " + broken.size(), broken);
--- a/src/main/java/lupinwood/lab/DutiesInTime.java
+++ b/src/main/java/lupinwood/experiment/SimulatedLeases.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -8,34 +8,34 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Rules;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.LeaseTiming;
 
 /**
  * Many schedules of faults in made-up time: at no time may two nodes do one duty, none of their
  * acts is taken out of order. After them each safeguard is left out in turn, and the audit has to
  * find that.
  */
-final class DutiesInTime implements Experiment {
+final class SimulatedLeases implements Experiment {
     private static final double SECONDS = 60;
 
     /** The bound on drift by turns: as clocks are, and far worse. */
     private static final double[] DRIFTS = {0.02, 0.2};
 
-    private static final Span LEASE = Span.ofSeconds(3);
+    private static final NanoDuration LEASE = NanoDuration.ofSeconds(3);
 
     /**
      * The share of time a duty has to be held in which a majority could talk, over all schedules.
      */
-    private static final double LEAST_HELD = 0.6;
+    private static final double MIN_LEASED = 0.6;
 
     private static final int TRIES = 200;
 
     private record Played(
             List<String> broken,
             long sampled,
-            long held,
+            long leasedNanos,
             List<Double> gaps,
             long acts,
             long refused,
@@ -48,7 +48,7 @@
     /**
      * @param schedules how many; one is played by its own seed, and told in full
      */
-    DutiesInTime(long seed, int schedules, PrintStream out) {
+    SimulatedLeases(long seed, int schedules, PrintStream out) {
         this.seed = seed;
         this.out = out;
         this.schedules = schedules;
@@ -57,7 +57,7 @@
     @Override
     public Outcome run() {
         if (schedules == 1) {
-            Played one = play(seed, TimedFleet.Without.NOTHING, out::println);
+            Played one = play(seed, SimulatedCluster.Without.NOTHING, out::println);
             return new Outcome(
                     "duties-time: "
                             + one.schedule()
@@ -74,12 +74,12 @@
                                 i ->
                                         play(
                                                 seed * 1_000_003 + i,
-                                                TimedFleet.Without.NOTHING,
+                                                SimulatedCluster.Without.NOTHING,
                                                 text -> {}))
                         .toList();
         List<String> broken = new ArrayList<>();
         long sampled = 0;
-        long held = 0;
+        long leasedNanos = 0;
         long acts = 0;
         long refused = 0;
         List<Double> gaps = new ArrayList<>();
@@ -87,20 +87,20 @@
             one.broken()
                     .forEach(what -> broken.add(what + "; to play it again: " + one.schedule()));
             sampled += one.sampled();
-            held += one.held();
+            leasedNanos += one.leasedNanos();
             acts += one.acts();
             refused += one.refused();
             gaps.addAll(one.gaps());
         }
-        double share = (double) held / Math.max(1, sampled);
-        if (share < LEAST_HELD) {
+        double share = (double) leasedNanos / Math.max(1, sampled);
+        if (share < MIN_LEASED) {
             broken.add(
                     String.format(
                             Locale.ROOT, "duties were held for %.3f of the time only", share));
         }
         StringBuilder found = new StringBuilder();
-        for (TimedFleet.Without without : TimedFleet.Without.values()) {
-            if (without != TimedFleet.Without.NOTHING) {
+        for (SimulatedCluster.Without without : SimulatedCluster.Without.values()) {
+            if (without != SimulatedCluster.Without.NOTHING) {
                 int tries = firstFound(without);
                 found.append(", without ")
                         .append(without)
@@ -130,7 +130,7 @@
     }
 
     /** In which schedule what was left out is found, or below zero. */
-    private int firstFound(TimedFleet.Without without) {
+    private int firstFound(SimulatedCluster.Without without) {
         return IntStream.range(0, TRIES)
                 .parallel()
                 .filter(i -> !play(seed * 7_000_003 + i, without, text -> {}).broken().isEmpty())
@@ -138,17 +138,21 @@
                 .orElse(-1);
     }
 
-    private static Played play(long seed, TimedFleet.Without without, Consumer<String> trace) {
+    private static Played play(
+            long seed, SimulatedCluster.Without without, Consumer<String> trace) {
         Random random = new Random(seed);
         int voters = random.nextBoolean() ? 3 : 5;
         double drift =
-                DRIFTS[without == TimedFleet.Without.DRIFT ? 1 : random.nextInt(DRIFTS.length)];
-        TimedFleet fleet =
-                new TimedFleet(
+                DRIFTS[
+                        without == SimulatedCluster.Without.DRIFT
+                                ? 1
+                                : random.nextInt(DRIFTS.length)];
+        SimulatedCluster fleet =
+                new SimulatedCluster(
                         voters,
                         3 + random.nextInt(6),
                         3,
-                        Rules.of(LEASE, drift),
+                        LeaseTiming.of(LEASE, drift),
                         drift,
                         without,
                         seed);
@@ -165,7 +169,7 @@
         return new Played(
                 fleet.broken,
                 fleet.sampled,
-                fleet.held,
+                fleet.leased,
                 fleet.gaps,
                 fleet.acts,
                 fleet.refused,
@@ -173,9 +177,10 @@
     }
 
     /** One of the faults, and its end some seconds later. */
-    private static void fault(TimedFleet fleet, Random random, double at, List<String> schedule) {
+    private static void fault(
+            SimulatedCluster fleet, Random random, double at, List<String> schedule) {
         int count = fleet.nodes.size();
-        TimedFleet.Node one = fleet.nodes.get(random.nextInt(count));
+        SimulatedCluster.Node one = fleet.nodes.get(random.nextInt(count));
         double lasts = 0.5 + random.nextDouble() * 10;
         int kind = random.nextInt(13);
         Runnable begin;
@@ -200,28 +205,28 @@
                 end = () -> zone(fleet, zone, false);
             }
             case 5 -> {
-                begin = () -> fleet.each(TimedFleet.Node::isUp, TimedFleet.Node::kill);
-                end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
+                begin = () -> fleet.each(SimulatedCluster.Node::isUp, SimulatedCluster.Node::kill);
+                end = () -> fleet.each(node -> !node.isUp(), SimulatedCluster.Node::start);
             }
             case 6 ->
                     begin =
                             () ->
                                     fleet.each(
-                                            node -> node.holds(DutyName.TRIAL),
+                                            node -> node.holds(DutyName.HEALTH_CHECK),
                                             node -> node.stopFor(lasts));
             case 7 -> {
                 begin =
                         () ->
                                 fleet.each(
                                         node -> node.votes && node.place % 2 == 0,
-                                        TimedFleet.Node::kill);
-                end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
+                                        SimulatedCluster.Node::kill);
+                end = () -> fleet.each(node -> !node.isUp(), SimulatedCluster.Node::start);
             }
             case 8 -> {
                 begin =
                         () ->
                                 fleet.each(
-                                        node -> node.holds(DutyName.KEEPER),
+                                        node -> node.holds(DutyName.STATUS_REPORTER),
                                         node -> around(fleet, node, true, true));
                 end = fleet.links::mendAll;
             }
@@ -230,7 +235,7 @@
                         () ->
                                 fleet.each(
                                         node -> (node.votes && node.leads()) || node == one,
-                                        TimedFleet.Node::failFolder);
+                                        SimulatedCluster.Node::failStorage);
                 end =
                         () ->
                                 fleet.each(
@@ -244,22 +249,23 @@
                 begin =
                         () ->
                                 fleet.each(
-                                        node -> node.holds(DutyName.KEEPER),
-                                        TimedFleet.Node::leave);
-                end = () -> fleet.each(node -> !node.isUp(), TimedFleet.Node::start);
+                                        node -> node.holds(DutyName.STATUS_REPORTER),
+                                        SimulatedCluster.Node::leave);
+                end = () -> fleet.each(node -> !node.isUp(), SimulatedCluster.Node::start);
             }
             case 9 ->
                     begin =
                             () -> {
                                 fleet.dieVoting(lasts);
                                 fleet.each(
-                                        node -> node.votes && node.leads(), TimedFleet.Node::kill);
+                                        node -> node.votes && node.leads(),
+                                        SimulatedCluster.Node::kill);
                                 fleet.time.after(
                                         lasts,
                                         () ->
                                                 fleet.each(
                                                         node -> !node.isUp(),
-                                                        TimedFleet.Node::start));
+                                                        SimulatedCluster.Node::start));
                             };
             default ->
                     begin =
@@ -275,8 +281,9 @@
     }
 
     /** Cuts or mends what goes out of a node, and where both, what comes in. */
-    private static void around(TimedFleet fleet, TimedFleet.Node one, boolean both, boolean cut) {
-        for (TimedFleet.Node other : fleet.nodes) {
+    private static void around(
+            SimulatedCluster fleet, SimulatedCluster.Node one, boolean both, boolean cut) {
+        for (SimulatedCluster.Node other : fleet.nodes) {
             turn(fleet, one.place, other.place, cut);
             if (both) {
                 turn(fleet, other.place, one.place, cut);
@@ -284,9 +291,9 @@
         }
     }
 
-    private static void zone(TimedFleet fleet, int zone, boolean cut) {
-        for (TimedFleet.Node one : fleet.nodes) {
-            for (TimedFleet.Node other : fleet.nodes) {
+    private static void zone(SimulatedCluster fleet, int zone, boolean cut) {
+        for (SimulatedCluster.Node one : fleet.nodes) {
+            for (SimulatedCluster.Node other : fleet.nodes) {
                 if (one.place % 3 == zone && other.place % 3 != zone) {
                     turn(fleet, one.place, other.place, cut);
                     turn(fleet, other.place, one.place, cut);
@@ -295,7 +302,7 @@
         }
     }
 
-    private static void turn(TimedFleet fleet, int from, int to, boolean cut) {
+    private static void turn(SimulatedCluster fleet, int from, int to, boolean cut) {
         if (cut) {
             fleet.links.cut(from, to);
         } else {
--- a/src/main/java/lupinwood/lab/MadeUpLinks.java
+++ b/src/main/java/lupinwood/experiment/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.HashSet;
 import java.util.Random;
@@ -8,8 +8,8 @@
  * Links between numbered parties that lose, delay, repeat and reorder, and can be cut each way by
  * itself.
  */
-final class MadeUpLinks {
-    private final MadeUpTime time;
+final class SimulatedNetwork {
+    private final SimulatedTime time;
     private final Random random;
     private final Set<Long> cut = new HashSet<>();
 
@@ -24,7 +24,7 @@
     double more = 0.003;
     private long messages;
 
-    MadeUpLinks(MadeUpTime time, Random random) {
+    SimulatedNetwork(SimulatedTime time, Random random) {
         this.time = time;
         this.random = random;
     }
--- a/src/main/java/lupinwood/lab/ReleasesInTime.java
+++ b/src/main/java/lupinwood/experiment/SimulatedRollouts.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.PrintStream;
 import java.util.ArrayList;
@@ -15,14 +15,15 @@
  * Many releases in made-up time, good and bad by kinds: which are caught, how fast, and which good
  * ones are stopped in error.
  */
-final class ReleasesInTime implements Experiment {
+final class SimulatedRollouts implements Experiment {
     /** Good releases that may be stopped in error, and bad ones that may get through, as shares. */
     private static final double MOST_IN_ERROR = 0.05;
 
     private static final int TRIES = 10;
     private static final double MOST_MISSED = 0.10;
 
-    private record One(ReleasePlay.Kind kind, int nodes, ReleasePlay.Played played, long seed) {}
+    private record One(
+            RolloutSimulation.Kind kind, int nodes, RolloutSimulation.Played played, long seed) {}
 
     private final long seed;
     private final int releases;
@@ -31,7 +32,7 @@
     /**
      * @param releases how many; one is played by its own seed, and told in full
      */
-    ReleasesInTime(long seed, int releases, PrintStream out) {
+    SimulatedRollouts(long seed, int releases, PrintStream out) {
         this.seed = seed;
         this.releases = releases;
         this.out = out;
@@ -45,18 +46,18 @@
                         .mapToObj(i -> one(releases == 1 ? seed : seed * 1_000_003 + i))
                         .toList();
         List<String> broken = new ArrayList<>();
-        Map<ReleasePlay.Kind, List<One>> kinds = new EnumMap<>(ReleasePlay.Kind.class);
+        Map<RolloutSimulation.Kind, List<One>> kinds = new EnumMap<>(RolloutSimulation.Kind.class);
         all.forEach(one -> kinds.computeIfAbsent(one.kind(), none -> new ArrayList<>()).add(one));
         int good = 0;
         int inError = 0;
         int bad = 0;
         int missed = 0;
         int unsure = 0;
-        for (Map.Entry<ReleasePlay.Kind, List<One>> entry : kinds.entrySet()) {
+        for (Map.Entry<RolloutSimulation.Kind, List<One>> entry : kinds.entrySet()) {
             List<One> plays = entry.getValue();
             long done =
                     plays.stream()
-                            .filter(one -> one.played().end() == ReleasePlay.End.DONE)
+                            .filter(one -> one.played().end() == RolloutSimulation.End.DONE)
                             .count();
             long stopped = plays.stream().filter(one -> one.played().caughtAt() >= 0).count();
             out.println(
@@ -72,11 +73,11 @@
                             100 * median(plays, one -> one.played().hadIt()),
                             median(plays, one -> one.played().seconds())));
             for (One one : plays) {
-                ReleasePlay.Played played = one.played();
+                RolloutSimulation.Played played = one.played();
                 played.broken().forEach(what -> broken.add(what + " (seed " + one.seed() + ")"));
                 boolean error =
                         one.kind().good
-                                ? played.end() != ReleasePlay.End.DONE
+                                ? played.end() != RolloutSimulation.End.DONE
                                 : played.caughtAt() < 0;
                 if (error) {
                     out.println(
@@ -99,9 +100,11 @@
             }
         }
         StringBuilder found = new StringBuilder();
-        for (ReleasePlay.Without without :
-                releases > 1 ? ReleasePlay.Without.values() : new ReleasePlay.Without[0]) {
-            if (without != ReleasePlay.Without.NOTHING) {
+        for (RolloutSimulation.Without without :
+                releases > 1
+                        ? RolloutSimulation.Without.values()
+                        : new RolloutSimulation.Without[0]) {
+            if (without != RolloutSimulation.Without.NOTHING) {
                 int tries = firstFound(without);
                 found.append(", without ").append(without).append(" found in play ").append(tries);
                 if (tries < 0) {
@@ -141,21 +144,21 @@
     }
 
     /** In which play what was left out is found, or below zero; each by a release that shows it. */
-    private int firstFound(ReleasePlay.Without without) {
-        ReleasePlay.Kind kind =
+    private int firstFound(RolloutSimulation.Without without) {
+        RolloutSimulation.Kind kind =
                 switch (without) {
-                    case PERMITS -> ReleasePlay.Kind.GOOD_BY_RESTARTS;
-                    case WATCH -> ReleasePlay.Kind.BAD_AT_ONCE;
-                    case TOKEN -> ReleasePlay.Kind.GOOD_CONDUCTOR_DIES;
-                    default -> ReleasePlay.Kind.REFUSED_BY_ONE;
+                    case PERMITS -> RolloutSimulation.Kind.GOOD_BY_RESTARTS;
+                    case WATCH -> RolloutSimulation.Kind.BAD_AT_ONCE;
+                    case TOKEN -> RolloutSimulation.Kind.GOOD_ROLLOUT_CONTROLLER_DIES;
+                    default -> RolloutSimulation.Kind.REFUSED_BY_ONE;
                 };
         for (int i = 0; i < TRIES; i++) {
-            ReleasePlay.Played played =
-                    new ReleasePlay(kind, 40, 4, seed * 7_000_003 + i, text -> {})
+            RolloutSimulation.Played played =
+                    new RolloutSimulation(kind, 40, 4, seed * 7_000_003 + i, text -> {})
                             .without(without)
                             .play();
             if (!played.broken().isEmpty()
-                    || (!kind.good && played.end() == ReleasePlay.End.DONE)) {
+                    || (!kind.good && played.end() == RolloutSimulation.End.DONE)) {
                 return i;
             }
         }
@@ -164,15 +167,15 @@
 
     private One one(long ofSeed) {
         Random random = new Random(new Random(ofSeed).nextLong() ^ ofSeed * 0x9E3779B97F4A7C15L);
-        ReleasePlay.Kind kind =
-                List.of(ReleasePlay.Kind.values())
-                        .get(random.nextInt(ReleasePlay.Kind.values().length));
+        RolloutSimulation.Kind kind =
+                List.of(RolloutSimulation.Kind.values())
+                        .get(random.nextInt(RolloutSimulation.Kind.values().length));
         int zones = 2 + random.nextInt(4);
         int nodes = zones * (3 + random.nextInt(random.nextBoolean() ? 5 : 40));
         return new One(
                 kind,
                 nodes,
-                new ReleasePlay(
+                new RolloutSimulation(
                                 kind,
                                 nodes,
                                 zones,
--- a/src/main/java/lupinwood/lab/MadeUpFolder.java
+++ b/src/main/java/lupinwood/experiment/SimulatedStorage.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -10,10 +10,10 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.TreeMap;
-import lupinwood.council.Kept;
+import lupinwood.consensus.RestoredState;
 
 /** A voter's folder in memory: what wasn't flushed is lost with the process. */
-final class MadeUpFolder implements RaftStore {
+final class SimulatedStorage implements RaftStore {
     /** All that is kept; copied to make it durable. */
     private static final class Content {
         RaftEndpointPersistentState self;
@@ -43,7 +43,7 @@
     /**
      * @param forgetsVotes a safeguard left out: the term and the vote are never written down
      */
-    MadeUpFolder(boolean forgetsVotes) {
+    SimulatedStorage(boolean forgetsVotes) {
         this.forgetsVotes = forgetsVotes;
     }
 
@@ -72,7 +72,8 @@
     }
 
     RestoredRaftState restore() {
-        return Kept.restore(now.self, now.members, now.term, now.chunks.values(), now.log.values());
+        return RestoredState.restore(
+                now.self, now.members, now.term, now.chunks.values(), now.log.values());
     }
 
     @Override
--- a/src/main/java/lupinwood/lab/MadeUpTime.java
+++ b/src/main/java/lupinwood/experiment/SimulatedTime.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -6,7 +6,7 @@
 /**
  * What happens when, in made-up time: the soonest first, what is at once in the order it was told.
  */
-final class MadeUpTime {
+final class SimulatedTime {
     private record Event(long at, long order, Runnable job) {}
 
     private final PriorityQueue<Event> queue =
--- a/src/main/java/lupinwood/lab/StandInExecutor.java
+++ b/src/main/java/lupinwood/experiment/StandInExecutor.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out tickets: some milliseconds of work, a call in between where the track makes one, more
- * work, the result. It may be reached at several addresses; a new link replaces the one before, and
- * notices are kept for it.
+ * Carries out requests: some milliseconds of work, a call in between where the request class makes
+ * one, more work, the result. It may be reached at several addresses; a new link replaces the one
+ * before, and notices are kept for it.
  */
 final class StandInExecutor {
     /** One run. */
@@ -61,15 +61,15 @@
 
     /** What is said on a link. */
     void talk(InputStream in, OutputStream out) throws IOException {
-        for (String line = Wire.line(in); line != null; line = Wire.line(in)) {
+        for (String line = WireFormat.line(in); line != null; line = WireFormat.line(in)) {
             String[] words = line.split(" ", 0);
             switch (words[0]) {
                 case "JOIN" -> join(out, Integer.parseInt(words[1]));
                 case "METER" -> meter(out, words[1]);
-                case "DIAG" -> Wire.say(out, "DIAGNOSED " + words[1] + " OK", null);
-                case "EXEC" -> run(words[1], words[2], Wire.body(in, words[3]));
+                case "DIAG" -> WireFormat.say(out, "DIAGNOSED " + words[1] + " OK", null);
+                case "EXEC" -> run(words[1], words[2], WireFormat.body(in, words[3]));
                 case "RETURN" -> {
-                    Wire.body(in, words[2]);
+                    WireFormat.body(in, words[2]);
                     reply(words[1]);
                 }
                 default -> throw new IOException("the executor knows no " + words[0]);
@@ -80,27 +80,27 @@
     private synchronized void join(OutputStream out, int last) throws IOException {
         links++;
         link = out;
-        Wire.say(out, "WELCOME WARM " + (System.currentTimeMillis() - started), null);
+        WireFormat.say(out, "WELCOME WARM " + (System.currentTimeMillis() - started), null);
         for (int i = last; i < notices.size(); i++) {
-            Wire.say(out, kinds.get(i), notices.get(i));
+            WireFormat.say(out, kinds.get(i), notices.get(i));
         }
     }
 
     private synchronized void meter(OutputStream out, String tag) throws IOException {
-        Wire.say(out, "METERS " + tag + " 0.5 " + onCores + " 0.1 1", null);
+        WireFormat.say(out, "METERS " + tag + " 0.5 " + onCores + " 0.1 1", null);
     }
 
-    private synchronized void run(String id, String track, byte[] body) {
+    private synchronized void run(String id, String className, byte[] body) {
         if (runs.containsKey(id)) {
             return; // for what runs already nothing happens
         }
         Run run = new Run(body);
         runs.put(id, run);
-        audit.ran(id, track, new String(body, StandardCharsets.ISO_8859_1));
-        said.accept(id + " of " + track);
+        audit.ran(id, className, new String(body, StandardCharsets.ISO_8859_1));
+        said.accept(id + " of " + className);
         work(
                 () -> {
-                    if (track.equals("history")) {
+                    if (className.equals("history")) {
                         end(id, run);
                     } else {
                         run.waitsForReply = true;
@@ -149,7 +149,7 @@
         kinds.add(kind + " " + (notices.size() + 1) + " " + rest);
         notices.add(body);
         try {
-            Wire.say(link, kinds.get(kinds.size() - 1), body);
+            WireFormat.say(link, kinds.get(kinds.size() - 1), body);
         } catch (IOException e) {
             // The next link gets it.
         }
--- a/src/main/java/lupinwood/lab/StandInServer.java
+++ b/src/main/java/lupinwood/experiment/StandInServer.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,20 +12,20 @@
 import lupinwood.ajp.FrontReader;
 import lupinwood.ajp.Replies;
 
-/** A server that speaks AJP and carries out tickets, with faults by chance. */
+/** A server that speaks AJP and carries out requests, with faults by chance. */
 final class StandInServer {
     private static final int PACKET = 8192;
 
     private final Audit audit;
     private final Random random;
 
-    /** So many of a hundred tickets meet a fault. */
+    /** So many of a hundred requests meet a fault. */
     private final int faults;
 
     private final AtomicLong tries = new AtomicLong();
 
     /** Null for one that bears all at once and takes no time. */
-    private Bearing bearing;
+    private ServerBehavior behavior;
 
     StandInServer(Audit audit, long seed, int faults) {
         this.audit = audit;
@@ -33,7 +33,7 @@
         this.faults = faults;
     }
 
-    /** How many tickets came so far. */
+    /** How many requests came so far. */
     long tries() {
         return tries.get();
     }
@@ -43,8 +43,8 @@
     }
 
     /** From now on it takes time, and breaks under too much. */
-    StandInServer with(Bearing by) {
-        bearing = by;
+    StandInServer with(ServerBehavior by) {
+        behavior = by;
         return this;
     }
 
@@ -80,16 +80,16 @@
             return true;
         }
         FrontReader.Whole whole = (FrontReader.Whole) event;
-        String track = whole.request().uri().substring(1);
+        String className = whole.request().uri().substring(1);
         int fault = chance(100) < faults ? chance(7) : -1;
         if (fault == 0) {
             return false; // cut before anything ran, which nobody can know
         }
         audit.ran(
                 "server " + System.identityHashCode(this) + " " + tries.incrementAndGet(),
-                track,
+                className,
                 new String(whole.body(), StandardCharsets.ISO_8859_1));
-        if (bearing != null && !bearing.carriesOut()) {
+        if (behavior != null && !behavior.carriesOut()) {
             return false;
         }
         byte[] answer =
