--- a/src/main/java/lupinwood/lab/StartTime.java
+++ b/src/main/java/lupinwood/experiment/StartTimeExperiment.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -22,35 +22,35 @@
 
 /**
  * Processes started at once by the deploy file's own 'run', each with an executor of its own: how
- * long from the start of each to its first answer to a health check, and to its first satisfied
- * ticket.
+ * long from the start of each to its first answer to a health check, and to its first served
+ * request.
  */
-final class StartTime implements Experiment {
+final class StartTimeExperiment implements Experiment {
     /** Nine in ten have answered by then, as the operators want it. */
     private static final long WANTED_MILLIS = 10_000;
 
     /** Who has not answered by then never does. */
-    private static final long PATIENCE_MILLIS = 60_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 60_000;
 
     private static final long LOOK_AGAIN_MILLIS = 20;
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"([^\"]*)\"");
     private static final Pattern ARCHIVE = Pattern.compile("-XX:SharedArchiveFile=([^ ;]+)");
-    private static final String TRACK = "history";
+    private static final String REQUEST_CLASS = "history";
     private static final Path DEPLOY = Path.of("deploy/balancer.toml");
 
     /** One that is started, with what was measured of it; zero where it did not get there. */
     private static final class Started {
         final NodeProcess process;
         final int port;
-        final Door executor;
+        final LoopbackServer executor;
         long begun;
         long healthMillis;
-        long satisfiedMillis;
+        long servedMillis;
         long cpuMillis;
         long memoryMb;
         boolean gone;
 
-        Started(NodeProcess process, int port, Door executor) {
+        Started(NodeProcess process, int port, LoopbackServer executor) {
             this.process = process;
             this.port = port;
             this.executor = executor;
@@ -67,11 +67,11 @@
     private final List<Started> all = new ArrayList<>();
     private int nextPort = 10_000 + (int) (ProcessHandle.current().pid() % 90) * 200;
 
-    StartTime(int processes, PrintStream out) {
+    StartTimeExperiment(int processes, PrintStream out) {
         this(processes, false, out);
     }
 
-    private StartTime(int processes, boolean archives, PrintStream out) {
+    private StartTimeExperiment(int processes, boolean archives, PrintStream out) {
         this.processes = processes;
         this.archives = archives;
         this.out = out;
@@ -81,8 +81,8 @@
      * Has one process write down the classes that it loaded, into the archive that 'run' names: the
      * next ones map them in place of reading and checking each.
      */
-    static StartTime archiving(PrintStream out) {
-        return new StartTime(1, true, out);
+    static StartTimeExperiment archiving(PrintStream out) {
+        return new StartTimeExperiment(1, true, out);
     }
 
     @Override
@@ -107,7 +107,7 @@
         play(
                 run,
                 one -> one.process.options("-XX:ArchiveClassesAtExit=" + archive),
-                one -> one.process.leave(PATIENCE_MILLIS / 1000));
+                one -> one.process.leave(RESPONSE_TIMEOUT_MILLIS / 1000));
         boolean there = Files.isReadable(archive);
         return new Outcome(
                 "class-archive: "
@@ -132,22 +132,22 @@
 
     /**
      * @param before done with each before it starts
-     * @param after done with each once it has satisfied a ticket
+     * @param after done with each once it has served a request
      */
     private void play(String run, Consumer<Started> before, Step after)
             throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory("lab");
-        try (Door below = new Door(0, StandIns::index);
-                Door naming = new Door(0, StandIns::naming)) {
+        Path directory = Files.createTempDirectory("lab");
+        try (LoopbackServer downstream = new LoopbackServer(0, StandIns::dependency);
+                LoopbackServer registry = new LoopbackServer(0, StandIns::registry)) {
             for (int i = 0; i < processes; i++) {
-                all.add(prepared("n" + i, folder, run, below, naming));
+                all.add(prepared("n" + i, directory, run, downstream, registry));
             }
             CountDownLatch done = new CountDownLatch(processes);
             for (Started one : all) {
                 before.accept(one);
                 one.begun = System.nanoTime();
                 one.process.start();
-                Door.daemon(
+                LoopbackServer.daemon(
                         () -> {
                             try {
                                 follow(one);
@@ -159,13 +159,13 @@
                             }
                         });
             }
-            done.await(2 * PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            done.await(2 * RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } finally {
             for (Started one : all) {
                 one.process.kill();
                 one.executor.close();
             }
-            try (Stream<Path> left = Files.walk(folder)) {
+            try (Stream<Path> left = Files.walk(directory)) {
                 left.sorted((a, b) -> b.compareTo(a)).forEach(path -> path.toFile().delete());
             }
         }
@@ -174,16 +174,17 @@
     private Outcome outcome(double load) {
         List<Long> health =
                 all.stream().map(one -> one.healthMillis).filter(at -> at > 0).sorted().toList();
-        List<Long> satisfied =
-                all.stream().map(one -> one.satisfiedMillis).filter(at -> at > 0).sorted().toList();
-        out.println("first answer to a health check, ms: " + told(health) + " of " + health.size());
-        out.println("first satisfied ticket, ms: " + told(satisfied) + " of " + satisfied.size());
+        List<Long> served =
+                all.stream().map(one -> one.servedMillis).filter(at -> at > 0).sorted().toList();
+        out.println(
+                "first answer to a health check, ms: " + reported(health) + " of " + health.size());
+        out.println("first satisfied ticket, ms: " + reported(served) + " of " + served.size());
         out.println(
                 "core time until then, ms: "
-                        + told(all.stream().map(one -> one.cpuMillis).sorted().toList()));
+                        + reported(all.stream().map(one -> one.cpuMillis).sorted().toList()));
         out.println(
                 "memory then, MB: "
-                        + told(all.stream().map(one -> one.memoryMb).sorted().toList()));
+                        + reported(all.stream().map(one -> one.memoryMb).sorted().toList()));
         long inTime = health.stream().filter(at -> at <= WANTED_MILLIS).count();
         List<String> broken = new ArrayList<>();
         if (inTime * 10 < processes * 9L) {
@@ -200,12 +201,12 @@
         if (gone > 0) {
             broken.add(gone + " ended by themselves");
         }
-        if (satisfied.size() < processes) {
+        if (served.size() < processes) {
             broken.add(
                     processes
-                            - satisfied.size()
+                            - served.size()
                             + " satisfied no ticket within "
-                            + PATIENCE_MILLIS
+                            + RESPONSE_TIMEOUT_MILLIS
                             + " ms");
         }
         return new Outcome(
@@ -219,13 +220,13 @@
                         + inTime
                         + ", "
                         + "health "
-                        + told(health)
+                        + reported(health)
                         + ", satisfied "
-                        + told(satisfied),
+                        + reported(served),
                 broken);
     }
 
-    private static String told(List<Long> sorted) {
+    private static String reported(List<Long> sorted) {
         return sorted.isEmpty()
                 ? "none"
                 : "median "
@@ -237,12 +238,12 @@
     }
 
     /**
-     * Below those that the system hands out by itself: there one who looks whether the door is open
-     * could get the door's own port, and hold it shut.
+     * Below those that the system hands out by itself: there one who looks whether the listener is
+     * open could get the listener's own port, and hold it shut.
      */
     private int freePort() {
         for (; ; nextPort++) {
-            try (Door free = new Door(nextPort, StandIns::mute)) {
+            try (LoopbackServer free = new LoopbackServer(nextPort, StandIns::mute)) {
                 nextPort++;
                 return free.port();
             } catch (IOException e) {
@@ -251,11 +252,17 @@
         }
     }
 
-    private Started prepared(String name, Path folder, String run, Door below, Door naming)
+    private Started prepared(
+            String name,
+            Path directory,
+            String run,
+            LoopbackServer downstream,
+            LoopbackServer registry)
             throws IOException {
         int port = freePort();
         Audit audit = new Audit();
-        Door executor = new Door(0, new StandInExecutor(1, audit, id -> {})::talk);
+        LoopbackServer executor =
+                new LoopbackServer(0, new StandInExecutor(1, audit, id -> {})::talk);
         String config =
                 """
                 {"name": "%s", "listen": "127.0.0.1:%d", "executor": "%s", "index": "%s", "naming": "%s",
@@ -268,39 +275,40 @@
                                 name,
                                 port,
                                 executor.address(),
-                                below.address(),
-                                naming.address(),
-                                TRACK);
+                                downstream.address(),
+                                registry.address(),
+                                REQUEST_CLASS);
         return new Started(
-                NodeProcess.deployed(name, folder.resolve(name), config, run), port, executor);
+                NodeProcess.deployed(name, directory.resolve(name), config, run), port, executor);
     }
 
     private static void follow(Started one) throws InterruptedException {
-        while (one.healthMillis == 0 && one.sinceMillis() < PATIENCE_MILLIS) {
+        while (one.healthMillis == 0 && one.sinceMillis() < RESPONSE_TIMEOUT_MILLIS) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), one.port)) {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                socket.getOutputStream().write(Wire.array("HEALTH", "1"));
-                one.healthMillis = Wire.array(in) == null ? 0 : one.sinceMillis();
+                socket.getOutputStream().write(WireFormat.array("HEALTH", "1"));
+                one.healthMillis = WireFormat.array(in) == null ? 0 : one.sinceMillis();
             } catch (IOException e) {
-                Thread.sleep(LOOK_AGAIN_MILLIS); // the door isn't open yet
+                Thread.sleep(LOOK_AGAIN_MILLIS); // the listener isn't open yet
             }
         }
         // A connection for each: what has no standing and is turned away again and again is asked
         // to close.
-        for (int i = 1; one.satisfiedMillis == 0 && one.sinceMillis() < PATIENCE_MILLIS; i++) {
+        for (int i = 1; one.servedMillis == 0 && one.sinceMillis() < RESPONSE_TIMEOUT_MILLIS; i++) {
             BlockingQueue<String> words = new ArrayBlockingQueue<>(1);
             try (Caller caller =
                     new Caller(one.port, new Audit(), (id, said) -> words.offer(said.get(1)))) {
                 caller.send(
                         String.format("%016x", i),
-                        new Audit.Sent(TRACK, "start", null, System.currentTimeMillis(), 8000),
+                        new Audit.Sent(
+                                REQUEST_CLASS, "start", null, System.currentTimeMillis(), 8000),
                         "north");
-                one.satisfiedMillis =
+                one.servedMillis =
                         "ACK".equals(words.poll(8, TimeUnit.SECONDS)) ? one.sinceMillis() : 0;
             } catch (IOException e) {
                 // It refused or ended the connection; the next try tells more.
             }
-            if (one.satisfiedMillis == 0) {
+            if (one.servedMillis == 0) {
                 Thread.sleep(LOOK_AGAIN_MILLIS);
             }
         }
--- a/src/main/java/lupinwood/lab/DutySink.java
+++ b/src/main/java/lupinwood/experiment/StatusSink.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,21 +10,21 @@
 import java.util.Map;
 
 /**
- * Where the keeper puts its picture: it refuses a token lower than it has seen, and writes down who
- * acted when under which. It knows nothing of the nodes but the link on which each comes.
+ * Where the status reporter puts its picture: it refuses a token lower than it has seen, and writes
+ * down who acted when under which. It knows nothing of the nodes but the link on which each comes.
  */
-final class DutySink {
+final class StatusSink {
     /** What an act may take from being asked for to arriving, on a machine that is busy. */
     private static final long TRANSIT_MILLIS = 400;
 
     /** Whether a node was stopped, or its link slow, at some time from then on. */
     interface Excuse {
-        boolean wasHeldUp(String node, long sinceMillis);
+        boolean wasStalled(String node, long sinceMillis);
     }
 
     private final boolean refusesLower;
     private final Excuse excuse;
-    private final Map<Long, Long> firstSeen = new HashMap<>();
+    private final Map<Long, Long> firstObserved = new HashMap<>();
     private final List<Long> gaps = new ArrayList<>();
     private long most;
     private String holder = "";
@@ -37,22 +37,22 @@
     /**
      * @param refusesLower a safeguard that may be left out
      */
-    DutySink(boolean refusesLower, Excuse excuse) {
+    StatusSink(boolean refusesLower, Excuse excuse) {
         this.refusesLower = refusesLower;
         this.excuse = excuse;
     }
 
-    Door.Talk from(String node) {
+    LoopbackServer.Conversation from(String node) {
         return (in, out) -> talk(node, in, out);
     }
 
     private void talk(String node, InputStream in, OutputStream out) throws IOException {
-        for (String line = Wire.line(in); line != null; line = Wire.line(in)) {
+        for (String line = WireFormat.line(in); line != null; line = WireFormat.line(in)) {
             int length = 0;
             long token = 0;
-            for (String header = Wire.line(in);
+            for (String header = WireFormat.line(in);
                     header != null && !header.isEmpty();
-                    header = Wire.line(in)) {
+                    header = WireFormat.line(in)) {
                 if (header.regionMatches(true, 0, "Content-Length: ", 0, 16)) {
                     length = Integer.parseInt(header.substring(16));
                 } else if (header.regionMatches(true, 0, "Duty-Token: ", 0, 12)) {
@@ -62,7 +62,7 @@
             if (in.readNBytes(length).length < length) {
                 return;
             }
-            Wire.say(
+            WireFormat.say(
                     out,
                     act(node, token, System.currentTimeMillis())
                             ? "HTTP/1.1 204 No Content\r\n"
@@ -72,13 +72,13 @@
     }
 
     synchronized boolean act(String node, long token, long now) {
-        firstSeen.putIfAbsent(token, now);
+        firstObserved.putIfAbsent(token, now);
         if (token < most) {
             // Somebody may have been stopped between asking itself and acting; else it acted beside
             // its successor.
-            long since = firstSeen.get(most);
+            long since = firstObserved.get(most);
             if (now - since > TRANSIT_MILLIS
-                    && !excuse.wasHeldUp(node, since - 2 * TRANSIT_MILLIS)) {
+                    && !excuse.wasStalled(node, since - 2 * TRANSIT_MILLIS)) {
                 broken.add(
                         node
                                 + " acted under "
--- a/src/main/java/lupinwood/lab/TextSource.java
+++ b/src/main/java/lupinwood/experiment/TextSource.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.nio.charset.StandardCharsets;
 import lupinwood.config.Sources;
--- a/src/main/java/lupinwood/lab/Wire.java
+++ b/src/main/java/lupinwood/experiment/WireFormat.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /** Lines, lengths and arrays, as the node's peers write and read them. */
-final class Wire {
-    private Wire() {}
+final class WireFormat {
+    private WireFormat() {}
 
     /** The next line without its end; null at the end of all. */
     static String line(InputStream in) throws IOException {
--- a/src/main/java/lupinwood/failover/Planner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Plan;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.Site;
 
 /**
  * Makes plans for whoever holds the duty. What a zone needs goes near first, then into the region,
@@ -28,11 +28,12 @@
  * and gives at once wouldn't fit while nodes may go by the one before: then what is taken is taken
  * first, and given once that plan is retired.
  */
-public final class Planner {
+public final class CapacityPlanner {
     /** What came of one life of a node when it was looked at last. */
-    private record Asked(Life life, long asked, double seconds, long well, Moment at) {}
+    private record Demand(
+            Incarnation life, long offered, double seconds, long well, MonotonicTime at) {}
 
-    /** Of what is needed on the mean, since tickets come unevenly and nodes have whole slots. */
+    /** Of what is needed on the mean, since requests come unevenly and nodes have whole slots. */
     private static final double ROOM = 1.35;
 
     private static final double LEARNS = 0.3;
@@ -50,14 +51,14 @@
     /** Looks between two plans for no other cause than that it would be tidier. */
     private static final double TIDIES_EVERY = 8;
 
-    private final Health health;
-    private final Span every;
+    private final LocationHealth health;
+    private final NanoDuration every;
     private final Map<String, Double> needs = new TreeMap<>();
     private final Map<String, Double> rates = new TreeMap<>();
-    private final Map<NodeName, Asked> asked = new HashMap<>();
+    private final Map<NodeName, Demand> demand = new HashMap<>();
 
     /**
-     * Seconds that a ticket of a site takes, with its way there: so more are needed in hand where
+     * Seconds that a request of a site takes, with its way there: so more are needed in hand where
      * they go far.
      */
     private final Map<String, Double> takes = new TreeMap<>();
@@ -65,27 +66,27 @@
     /** What is to be given once what it takes has been given back; null for nothing. */
     private Map<String, Map<String, Integer>> pending;
 
-    private Moment lastLook;
-    private Moment plannedAt;
+    private MonotonicTime lastLook;
+    private MonotonicTime plannedAt;
     private Map<String, Double> trustedThen = Map.of();
     private String why = "";
 
-    public Planner(Span lease) {
-        health = new Health(lease);
+    public CapacityPlanner(NanoDuration lease) {
+        health = new LocationHealth(lease);
         every = lease.times(0.5);
     }
 
     /**
      * What the planner goes by.
      *
-     * @param members of the book: a plan counts them all, also those that are out
+     * @param members of the cluster state: a plan counts them all, also those that are out
      * @param live all plans that may be gone by still
      */
     public record View(
-            List<Place> places,
-            Collection<Book.Member> members,
-            List<Seen> seen,
-            List<Plan> live,
+            List<Location> places,
+            Collection<ClusterState.Member> members,
+            List<NodeView> nodeViews,
+            List<CapacityPlan> live,
             long lastPlan) {}
 
     /** Why it planned last what it did, in one line. */
@@ -94,7 +95,7 @@
     }
 
     /** The next plan, or null where the one there is does. */
-    public Deed.SetPlan decide(View view, Token token, Moment now) {
+    public ClusterCommand.SetCapacityPlan decide(View view, FencingToken token, MonotonicTime now) {
         if (view.places().isEmpty()
                 || view.members().isEmpty()
                 || (lastLook != null && now.since(lastLook).compareTo(every) < 0)) {
@@ -105,10 +106,10 @@
                 view.live().size() < 2; // else what was planned last has yet to be heard everywhere
         TreeSet<String> names = new TreeSet<>();
         view.places().forEach(place -> names.add(place.name()));
-        health.look(view.seen(), names, now);
+        health.look(view.nodeViews(), names, now);
         Map<String, Site> sites = new TreeMap<>();
         Map<String, Integer> counts = new TreeMap<>();
-        for (Book.Member member : view.members()) {
+        for (ClusterState.Member member : view.members()) {
             sites.put(member.site().toString(), member.site());
             counts.merge(member.site().toString(), 1, Integer::sum);
         }
@@ -120,14 +121,15 @@
                 whole(allot(view.places(), sites, counts), view.places());
         Map<String, Integer> bears = new TreeMap<>();
         Map<String, Map<String, Integer>> alone = new TreeMap<>();
-        for (Place place : view.places()) {
+        for (Location place : view.places()) {
             bears.put(place.name(), place.bears());
             sites.forEach(
                     (name, site) ->
                             alone.computeIfAbsent(name, none -> new TreeMap<>())
                                     .put(place.name(), place.alone(site)));
         }
-        Plan newest = view.live().isEmpty() ? null : view.live().get(view.live().size() - 1);
+        CapacityPlan newest =
+                view.live().isEmpty() ? null : view.live().get(view.live().size() - 1);
         boolean sameRoster = newest != null && roster(view.members()).equals(newest.roster());
         Map<String, Map<String, Integer>> current = newest == null ? Map.of() : newest.slots();
         if (sameRoster && pending == null && does(target, current, view, now)) {
@@ -147,45 +149,46 @@
         pending = next.equals(target) ? null : target;
         plannedAt = now;
         trustedThen = trusted(view);
-        return new Deed.SetPlan(token, view.lastPlan(), bears, alone, next, why, 0);
+        return new ClusterCommand.SetCapacityPlan(
+                token, view.lastPlan(), bears, alone, next, why, 0);
     }
 
-    private static Map<String, String> roster(Collection<Book.Member> members) {
+    private static Map<String, String> roster(Collection<ClusterState.Member> members) {
         Map<String, String> roster = new TreeMap<>();
         members.forEach(member -> roster.put(member.name().text(), member.site().toString()));
         return roster;
     }
 
     /**
-     * How many tickets at once each site would like to have below: how many come in a second, times
-     * how long one of its own takes. What is out or waits would tell of what it was given, and not
-     * of what it needs.
+     * How many requests at once each site would like to have below: how many come in a second,
+     * times how long one of its own takes. What is out or waits would tell of what it was given,
+     * and not of what it needs.
      */
-    private void need(View view, Map<String, Integer> counts, Moment now) {
+    private void need(View view, Map<String, Integer> counts, MonotonicTime now) {
         Map<String, double[]> took = new TreeMap<>();
         Map<String, Double> came = new TreeMap<>();
-        for (Seen one : view.seen()) {
+        for (NodeView one : view.nodeViews()) {
             if (one.report() == null
-                    || one.standing() == Standing.OUT
-                    || one.standing() == Standing.UNKNOWN) {
-                asked.remove(one.name());
+                    || one.standing() == NodeStatus.OUT
+                    || one.standing() == NodeStatus.UNKNOWN) {
+                demand.remove(one.name());
                 continue;
             }
             long most = 0;
             double seconds = 0;
             long well = 0;
-            for (Report.Use use : one.report().uses()) {
-                most = Math.max(most, use.asked());
+            for (NodeReport.LocationUse use : one.report().uses()) {
+                most = Math.max(most, use.offered());
                 seconds += use.seconds();
                 well += use.ended() - use.failed();
             }
-            Asked last = asked.put(one.name(), new Asked(one.life(), most, seconds, well, now));
+            Demand last = demand.put(one.name(), new Demand(one.life(), most, seconds, well, now));
             if (last != null
                     && last.life().equals(one.life())
                     && now.since(last.at()).isPositive()) {
                 came.merge(
                         one.site().toString(),
-                        (most - last.asked()) / now.since(last.at()).seconds(),
+                        (most - last.offered()) / now.since(last.at()).seconds(),
                         Double::sum);
                 double[] sums = took.computeIfAbsent(one.site().toString(), none -> new double[2]);
                 sums[0] += seconds - last.seconds();
@@ -223,16 +226,16 @@
 
     /** Slots by site and place, before they are parted among nodes. */
     private Map<String, Map<String, Double>> allot(
-            List<Place> places, Map<String, Site> sites, Map<String, Integer> counts) {
+            List<Location> places, Map<String, Site> sites, Map<String, Integer> counts) {
         Map<String, Double> left = new HashMap<>();
-        for (Place place : places) {
+        for (Location place : places) {
             // Standing rights of all nodes come first, and are part of what each gets.
             left.put(place.name(), Math.max(0, place.bears() * health.trust(place.name())));
         }
         Map<String, Map<String, Double>> given = new TreeMap<>();
         Map<String, Double> open = new TreeMap<>(needs);
         sites.forEach((name, site) -> given.put(name, new TreeMap<>()));
-        for (Place place : places) {
+        for (Location place : places) {
             sites.forEach(
                     (name, site) -> {
                         double standing = (double) place.alone(site) * counts.get(name);
@@ -246,7 +249,7 @@
         for (int distance = 0; distance <= 2; distance++) {
             spread(places, sites, distance, open, left, given);
         }
-        for (Place place : places) {
+        for (Location place : places) {
             double spare = left.get(place.name()) * (1 - FREE);
             String own = place.site().toString();
             if (spare > 0 && given.containsKey(own)) {
@@ -261,20 +264,20 @@
      * by room.
      */
     private static void spread(
-            List<Place> places,
+            List<Location> places,
             Map<String, Site> sites,
             int distance,
             Map<String, Double> open,
             Map<String, Double> left,
             Map<String, Map<String, Double>> given) {
         for (int round = 0; round < 4; round++) {
-            Map<String, Double> asked = new HashMap<>();
+            Map<String, Double> demand = new HashMap<>();
             Map<String, Map<String, Double>> asks = new TreeMap<>();
             sites.forEach(
                     (name, site) -> {
                         double room = 0;
-                        List<Place> there = new ArrayList<>();
-                        for (Place place : places) {
+                        List<Location> there = new ArrayList<>();
+                        for (Location place : places) {
                             if (place.distance(site) == distance
                                     && place.mayReach(site)
                                     && left.get(place.name()) > 0) {
@@ -282,21 +285,21 @@
                                 there.add(place);
                             }
                         }
-                        for (Place place : there) {
+                        for (Location place : there) {
                             double part =
                                     Math.max(0, open.getOrDefault(name, 0.0))
                                             * left.get(place.name())
                                             / room;
                             asks.computeIfAbsent(name, none -> new TreeMap<>())
                                     .put(place.name(), part);
-                            asked.merge(place.name(), part, Double::sum);
+                            demand.merge(place.name(), part, Double::sum);
                         }
                     });
             asks.forEach(
                     (name, parts) ->
                             parts.forEach(
                                     (place, part) -> {
-                                        double all = asked.get(place);
+                                        double all = demand.get(place);
                                         double may =
                                                 all <= left.get(place)
                                                         ? part
@@ -304,7 +307,7 @@
                                         given.get(name).merge(place, may, Double::sum);
                                         open.merge(name, -may, Double::sum);
                                     }));
-            asked.forEach(
+            demand.forEach(
                     (place, all) ->
                             left.merge(place, -Math.min(all, left.get(place)), Double::sum));
         }
@@ -316,9 +319,9 @@
      * to nothing.
      */
     private Map<String, Map<String, Integer>> whole(
-            Map<String, Map<String, Double>> given, List<Place> places) {
+            Map<String, Map<String, Double>> given, List<Location> places) {
         Map<String, Double> room = new HashMap<>();
-        for (Place place : places) {
+        for (Location place : places) {
             double sum =
                     given.values().stream()
                             .mapToDouble(
@@ -370,7 +373,7 @@
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
             View view,
-            Moment now) {
+            MonotonicTime now) {
         if (!trusted(view).equals(trustedThen)) {
             return false;
         }
@@ -402,8 +405,8 @@
     private static boolean isNear(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
-            List<Place> places) {
-        for (Place place : places) {
+            List<Location> places) {
+        for (Location place : places) {
             double moved = 0;
             for (String site : target.keySet()) {
                 int next = target.getOrDefault(site, Map.of()).getOrDefault(place.name(), 0);
@@ -422,9 +425,9 @@
             Map<String, Map<String, Integer>> slots,
             Map<String, Integer> bears,
             Map<String, Map<String, Integer>> alone) {
-        List<Plan> all = new ArrayList<>(view.live());
-        all.add(new Plan(view.lastPlan() + 1, roster(view.members()), slots));
-        return Plan.overfull(all, bears, alone) == null;
+        List<CapacityPlan> all = new ArrayList<>(view.live());
+        all.add(new CapacityPlan(view.lastPlan() + 1, roster(view.members()), slots));
+        return CapacityPlan.overfull(all, bears, alone) == null;
     }
 
     /** What is taken now: nobody gets more than by any live plan, and nobody more than wanted. */
@@ -437,7 +440,7 @@
                     parts.forEach(
                             (place, wanted) -> {
                                 int may = wanted;
-                                for (Plan plan : view.live()) {
+                                for (CapacityPlan plan : view.live()) {
                                     may =
                                             Math.min(
                                                     may,
--- a/src/main/java/lupinwood/failover/Place.java
+++ b/src/main/java/lupinwood/failover/Location.java
@@ -1,16 +1,17 @@
 package lupinwood.failover;
 
-import lupinwood.fleet.Site;
+import lupinwood.cluster.Site;
 
 /**
- * Something below that carries out tickets.
+ * Something below that carries out requests.
  *
- * @param bears how many tickets at once it can bear, as the operator says
+ * @param bears how many requests at once it can bear, as the operator says
  * @param near how many a node of its own zone may have there without a plan
  * @param far how many any other node may
  * @param staysInRegion whether nodes of other regions may never send there
  */
-public record Place(String name, Site site, int bears, int near, int far, boolean staysInRegion) {
+public record Location(
+        String name, Site site, int bears, int near, int far, boolean staysInRegion) {
     /** What a node there may have without a plan. */
     public int alone(Site node) {
         return node.equals(site) ? near : mayReach(node) ? far : 0;
--- a/src/main/java/lupinwood/failover/Health.java
+++ b/src/main/java/lupinwood/failover/LocationHealth.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Standing;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
 
 /**
  * What is known of places by what nodes tell: which are sick, and how much each is trusted again
@@ -20,13 +20,13 @@
  * isn't listened to. Where all that anybody tries is sick, nothing is: a fault of the whole moves
  * nothing.
  */
-final class Health {
+final class LocationHealth {
     private static final double SICK = 0.5;
     private static final double WELL = 0.2;
     private static final int ENOUGH = 4;
 
     /** Of what was seen before, that much counts at each look on. */
-    private static final double KEPT = 0.6;
+    private static final double RETAINED = 0.6;
 
     private static final double TRUST_STEP = 0.25;
     private static final double LEAST_STEP = 1.0 / 16;
@@ -52,51 +52,51 @@
         double share = 1;
         double step = TRUST_STEP;
         boolean sick;
-        Moment changed;
-        Moment sickAt;
+        MonotonicTime changed;
+        MonotonicTime sickAt;
     }
 
-    private record Of(NodeName node, String place) {}
+    private record NodeLocation(NodeName node, String place) {}
 
-    private record Before(Life life, long ended, long failed) {}
+    private record PreviousUse(Incarnation life, long ended, long failed) {}
 
-    private final Map<Of, Before> before = new HashMap<>();
+    private final Map<NodeLocation, PreviousUse> before = new HashMap<>();
     private final Map<String, Map<String, Row>> rows = new TreeMap<>();
     private final Map<String, Trust> trusts = new HashMap<>();
-    private final Span lease;
+    private final NanoDuration lease;
 
-    Health(Span lease) {
+    LocationHealth(NanoDuration lease) {
         this.lease = lease;
     }
 
     /** A look at all that nodes tell; what came since the last one counts most. */
-    void look(Iterable<Seen> all, Set<String> places, Moment now) {
+    void look(Iterable<NodeView> all, Set<String> places, MonotonicTime now) {
         rows.values()
                 .forEach(
                         sites ->
                                 sites.values()
                                         .forEach(
                                                 row -> {
-                                                    row.ended *= KEPT;
-                                                    row.failed *= KEPT;
+                                                    row.ended *= RETAINED;
+                                                    row.failed *= RETAINED;
                                                     row.leaveOut = 0;
                                                     row.nodes = 0;
                                                 }));
-        for (Seen seen : all) {
-            if (seen.standing() == Standing.OUT
-                    || seen.standing() == Standing.UNKNOWN
-                    || seen.report() == null) {
+        for (NodeView nodeView : all) {
+            if (nodeView.standing() == NodeStatus.OUT
+                    || nodeView.standing() == NodeStatus.UNKNOWN
+                    || nodeView.report() == null) {
                 continue; // what it said last is old
             }
-            for (Report.Use use : seen.report().uses()) {
-                Before last =
+            for (NodeReport.LocationUse use : nodeView.report().uses()) {
+                PreviousUse last =
                         before.put(
-                                new Of(seen.name(), use.place()),
-                                new Before(seen.life(), use.ended(), use.failed()));
-                boolean same = last != null && last.life().equals(seen.life());
+                                new NodeLocation(nodeView.name(), use.place()),
+                                new PreviousUse(nodeView.life(), use.ended(), use.failed()));
+                boolean same = last != null && last.life().equals(nodeView.life());
                 Row row =
                         rows.computeIfAbsent(use.place(), none -> new TreeMap<>())
-                                .computeIfAbsent(seen.site().toString(), none -> new Row());
+                                .computeIfAbsent(nodeView.site().toString(), none -> new Row());
                 row.nodes++;
                 row.leaveOut += use.leftOut() ? 1 : 0;
                 row.ended += use.ended() - (same ? last.ended() : 0);
@@ -106,7 +106,7 @@
         judge(places, now);
     }
 
-    private void judge(Set<String> places, Moment now) {
+    private void judge(Set<String> places, MonotonicTime now) {
         Set<String> deaf = suffering();
         Set<String> sick = new TreeSet<>();
         Set<String> tried = new TreeSet<>();
@@ -178,7 +178,7 @@
         return suffering;
     }
 
-    private void sicken(Trust trust, Moment now) {
+    private void sicken(Trust trust, MonotonicTime now) {
         if (!trust.sick) {
             // One that falls again soon after it was trusted again gets it back in smaller steps.
             boolean flaps =
@@ -192,7 +192,7 @@
         trust.changed = now;
     }
 
-    private void recover(Trust trust, Moment now) {
+    private void recover(Trust trust, MonotonicTime now) {
         if (trust.share >= 1 || now.since(trust.changed).compareTo(lease.times(STEP_EVERY)) < 0) {
             return;
         }
--- a/src/main/java/lupinwood/load/FileLooks.java
+++ b/src/main/java/lupinwood/load/FileFingerprints.java
@@ -6,15 +6,15 @@
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import lupinwood.node.Moment;
-import lupinwood.reload.Look;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.reload.FileFingerprint;
 
 /** Looks at files: one question to the file system each, and no descriptor kept. */
-final class FileLooks {
-    private FileLooks() {}
+final class FileFingerprints {
+    private FileFingerprints() {}
 
     /** A file that is gone, or can't be looked at, looks like no other. */
-    static Look at(List<Path> files) {
+    static FileFingerprint at(List<Path> files) {
         StringBuilder marks = new StringBuilder();
         long changed = 0;
         for (Path file : files) {
@@ -32,6 +32,6 @@
                 marks.append(e.getClass().getSimpleName()).append('\n');
             }
         }
-        return new Look(marks.toString(), new Moment(changed));
+        return new FileFingerprint(marks.toString(), new MonotonicTime(changed));
     }
 }
--- a/src/main/java/lupinwood/load/FileSources.java
+++ b/src/main/java/lupinwood/load/FileSources.java
@@ -27,8 +27,8 @@
         try {
             Path path = Path.of(included);
             if (from.isEmpty()) {
-                Path folder = path.toAbsolutePath().getParent();
-                root = Files.exists(folder) ? folder.toRealPath() : folder;
+                Path directory = path.toAbsolutePath().getParent();
+                root = Files.exists(directory) ? directory.toRealPath() : directory;
                 return path.toString();
             }
             if (path.isAbsolute()) {
--- a/src/main/java/lupinwood/load/LanguageLoader.java
+++ b/src/main/java/lupinwood/load/LanguageLoader.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import lupinwood.config.Config;
-import lupinwood.config.Problem;
+import lupinwood.config.Diagnostic;
 import lupinwood.config.Reader;
 import lupinwood.net.NodeConfig;
-import lupinwood.settings.Checks;
-import lupinwood.settings.Fault;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.SettingsError;
+import lupinwood.settings.SettingsValidator;
 
 /** Configurations in the language, whole or beside the platform's JSON. */
 final class LanguageLoader {
     private LanguageLoader() {}
 
-    static Loader.Loaded load(Path file, Path operator) throws NodeConfig.Unusable {
+    static Loader.Loaded load(Path file, Path operator) throws NodeConfig.UnusableConfiguration {
         FileSources sources = new FileSources();
         List<Path> files = new ArrayList<>();
         NodeConfig config;
@@ -30,12 +30,12 @@
         }
         if (operator != null) {
             FileSources beside = new FileSources();
-            Meaning part = sound(Reader.readPart(beside, operator.toString()));
+            ParsedSettings part = sound(Reader.readPart(beside, operator.toString()));
             Map<String, String> values = new LinkedHashMap<>(config.meaning().values());
             for (Map.Entry<String, String> each : part.values().entrySet()) {
-                if (Meaning.entry(each.getKey()) == null
-                        || !Meaning.entry(each.getKey()).key().startsWith("operator.")) {
-                    throw new NodeConfig.Unusable(
+                if (ParsedSettings.entry(each.getKey()) == null
+                        || !ParsedSettings.entry(each.getKey()).key().startsWith("operator.")) {
+                    throw new NodeConfig.UnusableConfiguration(
                             operator
                                     + ": "
                                     + each.getKey()
@@ -47,10 +47,10 @@
             for (String list : List.of(Schema.ROUTE, Schema.SERVER, Schema.VOTER)) {
                 lists.put(list, part.items(list));
             }
-            Meaning both = new Meaning(lists, Meaning.ordered(lists, values));
-            List<Fault> faults = Checks.of(both, config.doubts());
+            ParsedSettings both = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
+            List<SettingsError> faults = SettingsValidator.of(both, config.doubts());
             if (!faults.isEmpty()) {
-                throw new NodeConfig.Unusable(
+                throw new NodeConfig.UnusableConfiguration(
                         operator
                                 + ": "
                                 + faults.get(0).text()
@@ -65,11 +65,11 @@
         return new Loader.Loaded(config, files, false);
     }
 
-    private static Meaning sound(Config config) throws NodeConfig.Unusable {
+    private static ParsedSettings sound(Config config) throws NodeConfig.UnusableConfiguration {
         if (!config.problems().isEmpty()) {
-            List<Problem> all = config.problems().all();
-            Problem first = all.get(0);
-            throw new NodeConfig.Unusable(
+            List<Diagnostic> all = config.problems().all();
+            Diagnostic first = all.get(0);
+            throw new NodeConfig.UnusableConfiguration(
                     first.place()
                             + ": "
                             + first.text()
--- a/src/main/java/lupinwood/load/Loader.java
+++ b/src/main/java/lupinwood/load/Loader.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lupinwood.net.NodeConfig;
-import lupinwood.reload.Look;
+import lupinwood.reload.FileFingerprint;
 
 /**
  * Reads a node's configuration from where it stands: the platform's JSON, or the language of the
@@ -25,7 +25,7 @@
     private final Path operator;
 
     /** What all nodes of a fleet have over their own files; null for nothing. */
-    private volatile Common common;
+    private volatile SharedConfig common;
 
     /** As the files alone said it last. */
     private volatile NodeConfig own;
@@ -41,7 +41,7 @@
     }
 
     /** What the files say, with what all nodes of the fleet have over it. */
-    public Loaded load() throws NodeConfig.Unusable {
+    public Loaded load() throws NodeConfig.UnusableConfiguration {
         Loaded read = read();
         own = read.config();
         return common == null
@@ -50,7 +50,7 @@
     }
 
     /** From now on that is laid over the files. */
-    void lay(Common over) {
+    void lay(SharedConfig over) {
         common = over;
     }
 
@@ -59,7 +59,7 @@
         return own;
     }
 
-    private Loaded read() throws NodeConfig.Unusable {
+    private Loaded read() throws NodeConfig.UnusableConfiguration {
         if (!isLanguage(file) && operator == null) {
             return new Loaded(NodeConfig.read(file), List.of(file), true);
         }
@@ -68,11 +68,11 @@
     }
 
     /** What the files look like now, as far as they are known before any is read. */
-    public Look look() {
+    public FileFingerprint look() {
         List<Path> files = new ArrayList<>(List.of(file));
         if (operator != null) {
             files.add(operator);
         }
-        return FileLooks.at(files);
+        return FileFingerprints.at(files);
     }
 }
--- a/src/main/java/lupinwood/load/Reloader.java
+++ b/src/main/java/lupinwood/load/Reloader.java
@@ -6,23 +6,23 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import lupinwood.admission.MonotonicTime;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
-import lupinwood.node.Moment;
-import lupinwood.reload.Look;
-import lupinwood.reload.Triggers;
+import lupinwood.net.NodeServer;
+import lupinwood.reload.FileFingerprint;
+import lupinwood.reload.ReloadScheduler;
 
 /**
  * Reads a node's configuration anew when asked to or when its files change, on a thread of its own.
- * What it does next is said by {@link Triggers}; a burst of signals ends in the newest files, since
- * each reading begins after the signal that it answers.
+ * What it does next is said by {@link ReloadScheduler}; a burst of signals ends in the newest
+ * files, since each reading begins after the signal that it answers.
  */
 public final class Reloader {
     private final Loader loader;
-    private final Serving serving;
+    private final NodeServer serving;
     private final Log log;
-    private final Triggers triggers;
+    private final ReloadScheduler triggers;
 
     /** The files of the configuration read last. */
     private List<Path> files;
@@ -40,9 +40,9 @@
     public Reloader(
             Loader loader,
             Loader.Loaded loaded,
-            Look looked,
+            FileFingerprint looked,
             boolean watches,
-            Serving serving,
+            NodeServer serving,
             Log log) {
         this.loader = loader;
         this.serving = serving;
@@ -51,9 +51,9 @@
         // What the first file includes was not known at that look; it counts as looked at if that
         // file is the same.
         // This order: a change between the two then counts as one that was not seen yet.
-        Look all = FileLooks.at(files);
-        Look atStart = loader.look().equals(looked) ? all : looked;
-        triggers = new Triggers(watches, atStart, clock());
+        FileFingerprint all = FileFingerprints.at(files);
+        FileFingerprint atStart = loader.look().equals(looked) ? all : looked;
+        triggers = new ReloadScheduler(watches, atStart, clock());
     }
 
     public void start() {
@@ -81,7 +81,7 @@
                     job.run();
                     continue;
                 }
-                Look before = FileLooks.at(files);
+                FileFingerprint before = FileFingerprints.at(files);
                 if (triggers.looked(before, clock())) {
                     read(before);
                 }
@@ -102,8 +102,8 @@
             if (!jobs.isEmpty()) {
                 return jobs.poll();
             }
-            Moment next = triggers.next();
-            if (next.equals(Moment.NEVER)) {
+            MonotonicTime next = triggers.next();
+            if (next.equals(MonotonicTime.NEVER)) {
                 wait();
                 continue;
             }
@@ -128,24 +128,26 @@
         notifyAll();
     }
 
-    private void read(Look before) {
+    private void read(FileFingerprint before) {
         Loader.Loaded loaded = null;
         String trouble = "";
         try {
             loaded = loader.load();
             files = loaded.files();
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             trouble = e.getMessage();
         } catch (RuntimeException e) {
             log.problem(
                     "nothing reloaded", e); // a fault of the program must not end all later reloads
             trouble = "a fault of the program";
         }
-        Triggers.Reading reading =
+        ReloadScheduler.Reading reading =
                 loaded == null
-                        ? Triggers.Reading.UNUSABLE
-                        : loaded.provesWhole() ? Triggers.Reading.WHOLE : Triggers.Reading.USABLE;
-        switch (triggers.judge(before, FileLooks.at(files), reading, clock())) {
+                        ? ReloadScheduler.Reading.UNUSABLE
+                        : loaded.provesWhole()
+                                ? ReloadScheduler.Reading.WHOLE
+                                : ReloadScheduler.Reading.USABLE;
+        switch (triggers.judge(before, FileFingerprints.at(files), reading, clock())) {
             case APPLY -> serving.reload(loaded.config());
             case REPORT ->
                     log.line(
@@ -156,8 +158,8 @@
         }
     }
 
-    private static Moment clock() {
+    private static MonotonicTime clock() {
         Instant instant = Instant.now();
-        return new Moment(instant.getEpochSecond() * 1_000_000_000L + instant.getNano());
+        return new MonotonicTime(instant.getEpochSecond() * 1_000_000_000L + instant.getNano());
     }
 }
--- a/src/main/java/lupinwood/load/Common.java
+++ b/src/main/java/lupinwood/load/SharedConfig.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import lupinwood.config.Config;
-import lupinwood.config.Problem;
+import lupinwood.config.Diagnostic;
 import lupinwood.config.Reader;
 import lupinwood.config.Sources;
 import lupinwood.net.NodeConfig;
-import lupinwood.settings.Checks;
-import lupinwood.settings.Fault;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.SettingsError;
+import lupinwood.settings.SettingsValidator;
 
 /**
  * Entries that all nodes of a fleet have alike, over what each one's own files say. It is known by
@@ -23,16 +23,16 @@
  *
  * @param digest empty for no entries
  */
-public record Common(String digest, Meaning part) {
+public record SharedConfig(String digest, ParsedSettings part) {
     private static final String NAME = "the fleet's text";
     private static final int DIGITS = 16;
     private static final List<String> A_NODES_OWN = List.of("name", "listen", "seed");
     private static final List<String> SECTIONS_OF_ITS_OWN = List.of("fleet ", "limits ", "ajp ");
 
     /** A text that can't be a fleet's is told by the exception, in one line. */
-    public static Common read(String text) throws NodeConfig.Unusable {
+    public static SharedConfig read(String text) throws NodeConfig.UnusableConfiguration {
         if (text.isEmpty()) {
-            return new Common("", new Meaning(Map.of(), Map.of()));
+            return new SharedConfig("", new ParsedSettings(Map.of(), Map.of()));
         }
         Config config =
                 Reader.readPart(
@@ -53,28 +53,28 @@
                         },
                         NAME);
         if (!config.problems().isEmpty()) {
-            Problem first = config.problems().all().get(0);
-            throw new NodeConfig.Unusable(
+            Diagnostic first = config.problems().all().get(0);
+            throw new NodeConfig.UnusableConfiguration(
                     first.place()
                             + ": "
                             + first.text()
                             + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")"));
         }
-        Meaning part = config.meaning();
+        ParsedSettings part = config.meaning();
         if (!part.items(Schema.VOTER).isEmpty()) {
-            throw new NodeConfig.Unusable("voters are named in each node's own file");
+            throw new NodeConfig.UnusableConfiguration("voters are named in each node's own file");
         }
         for (String name : part.values().keySet()) {
             if (A_NODES_OWN.contains(name)
                     || SECTIONS_OF_ITS_OWN.stream().anyMatch(name::startsWith)) {
-                throw new NodeConfig.Unusable(
+                throw new NodeConfig.UnusableConfiguration(
                         name + " is each node's own, and no fleet's text says it");
             }
         }
-        return new Common(digest(part), part);
+        return new SharedConfig(digest(part), part);
     }
 
-    private static String digest(Meaning part) {
+    private static String digest(ParsedSettings part) {
         StringBuilder text = new StringBuilder();
         part.lists().forEach((list, items) -> text.append(list).append(items).append('\n'));
         part.values()
@@ -90,26 +90,28 @@
     }
 
     /** What a node with these files of its own goes by. */
-    public NodeConfig onto(NodeConfig own) throws NodeConfig.Unusable {
+    public NodeConfig onto(NodeConfig own) throws NodeConfig.UnusableConfiguration {
         if (digest.isEmpty()) {
             return own;
         }
-        Meaning meaning = own.meaning();
+        ParsedSettings meaning = own.meaning();
         Map<String, List<String>> lists = new LinkedHashMap<>(meaning.lists());
         for (String list : Schema.LISTS) {
             for (String item : part.items(list)) {
                 if (!meaning.items(list).contains(item)) {
-                    throw new NodeConfig.Unusable("there is no " + list + " " + item + " here");
+                    throw new NodeConfig.UnusableConfiguration(
+                            "there is no " + list + " " + item + " here");
                 }
             }
         }
         Map<String, String> values = new LinkedHashMap<>(meaning.values());
         values.putAll(part.values());
-        Meaning both = new Meaning(lists, Meaning.ordered(lists, values));
-        List<Fault> faults = Checks.of(both, List.of());
-        for (Fault fault : faults) {
+        ParsedSettings both = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
+        List<SettingsError> faults = SettingsValidator.of(both, List.of());
+        for (SettingsError fault : faults) {
             if (fault.certain()) {
-                throw new NodeConfig.Unusable(fault.text() + " (" + fault.instead() + ")");
+                throw new NodeConfig.UnusableConfiguration(
+                        fault.text() + " (" + fault.instead() + ")");
             }
         }
         return own.with(both);
--- a/src/main/java/lupinwood/load/TextHands.java
+++ b/src/main/java/lupinwood/load/SharedConfigApplier.java
@@ -4,27 +4,27 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import lupinwood.council.Hands;
-import lupinwood.fleet.Report;
+import lupinwood.cluster.NodeReport;
+import lupinwood.consensus.ConfigApplier;
 import lupinwood.log.Log;
 import lupinwood.net.NodeConfig;
-import lupinwood.net.Serving;
-import lupinwood.reload.Plan;
-import lupinwood.settings.Change;
+import lupinwood.net.NodeServer;
+import lupinwood.reload.ConfigDiff;
+import lupinwood.settings.ChangeEffect;
 
 /**
  * Lays the fleet's text over a node's own files, as far as its own plan allows: wholly while it
  * runs, or wholly with its next start, or not at all. All on the thread that reads configurations.
  */
-public final class TextHands implements Hands {
+public final class SharedConfigApplier implements ConfigApplier {
     private final Loader loader;
     private final Reloader reloader;
-    private final Serving serving;
-    private final TextAtStart atStart;
+    private final NodeServer serving;
+    private final StartupConfig atStart;
     private final Log log;
 
-    private TextHands(
-            Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
+    private SharedConfigApplier(
+            Loader loader, Reloader reloader, NodeServer serving, StartupConfig atStart, Log log) {
         this.loader = loader;
         this.reloader = reloader;
         this.serving = serving;
@@ -39,9 +39,9 @@
      *
      * @param atStart what was agreed before the node started
      */
-    public static Supplier<Hands> of(
-            Loader loader, Reloader reloader, Serving serving, TextAtStart atStart, Log log) {
-        return () -> new TextHands(loader, reloader, serving, atStart, log);
+    public static Supplier<ConfigApplier> of(
+            Loader loader, Reloader reloader, NodeServer serving, StartupConfig atStart, Log log) {
+        return () -> new SharedConfigApplier(loader, reloader, serving, atStart, log);
     }
 
     @Override
@@ -55,47 +55,48 @@
     }
 
     @Override
-    public void check(String digest, String text, Consumer<Report.Checked> done) {
+    public void check(String digest, String text, Consumer<NodeReport.ConfigCheck> done) {
         reloader.job(() -> done.accept(check(digest, text)));
     }
 
-    private Report.Checked check(String digest, String text) {
+    private NodeReport.ConfigCheck check(String digest, String text) {
         try {
-            Plan plan = plan(read(digest, text));
+            ConfigDiff plan = plan(read(digest, text));
             if (plan.isRefused()) {
-                return new Report.Checked(
+                return new NodeReport.ConfigCheck(
                         digest,
                         false,
                         false,
                         plan.steps().stream()
-                                .filter(step -> step.change() == Change.REFUSED)
+                                .filter(step -> step.change() == ChangeEffect.REFUSED)
                                 .map(step -> step.name() + ": " + step.because())
                                 .collect(Collectors.joining("; ")));
             }
-            return new Report.Checked(digest, true, restarts(plan), "");
-        } catch (NodeConfig.Unusable e) {
-            return new Report.Checked(digest, false, false, e.getMessage());
+            return new NodeReport.ConfigCheck(digest, true, restarts(plan), "");
+        } catch (NodeConfig.UnusableConfiguration e) {
+            return new NodeReport.ConfigCheck(digest, false, false, e.getMessage());
         } catch (RuntimeException e) {
             log.problem("the fleet's text can't be checked", e);
-            return new Report.Checked(digest, false, false, "a fault of the program");
+            return new NodeReport.ConfigCheck(digest, false, false, "a fault of the program");
         }
     }
 
-    private static Common read(String digest, String text) throws NodeConfig.Unusable {
-        Common common = Common.read(text);
+    private static SharedConfig read(String digest, String text)
+            throws NodeConfig.UnusableConfiguration {
+        SharedConfig common = SharedConfig.read(text);
         if (!common.digest().equals(digest)) {
-            throw new NodeConfig.Unusable(
+            throw new NodeConfig.UnusableConfiguration(
                     "this build reads the text as " + common.digest() + ", not as " + digest);
         }
         return common;
     }
 
-    private Plan plan(Common common) throws NodeConfig.Unusable {
-        return Plan.between(serving.goesBy().meaning(), common.onto(loader.own()).meaning());
+    private ConfigDiff plan(SharedConfig common) throws NodeConfig.UnusableConfiguration {
+        return ConfigDiff.between(serving.goesBy().meaning(), common.onto(loader.own()).meaning());
     }
 
-    private static boolean restarts(Plan plan) {
-        return plan.steps().stream().anyMatch(step -> step.change() == Change.RESTART);
+    private static boolean restarts(ConfigDiff plan) {
+        return plan.steps().stream().anyMatch(step -> step.change() == ChangeEffect.RESTART);
     }
 
     @Override
@@ -104,20 +105,20 @@
     }
 
     private String take(String digest, String text) {
-        Report.Checked checked = check(digest, text);
+        NodeReport.ConfigCheck checked = check(digest, text);
         if (!checked.fits() || checked.restarts()) {
             return checked.fits() ? "it counts after a restart" : checked.why();
         }
         try {
-            Common common = read(digest, text);
+            SharedConfig common = read(digest, text);
             NodeConfig next = common.onto(loader.own());
             serving.reload(next);
-            if (!Plan.between(serving.goesBy().meaning(), next.meaning()).isEmpty()) {
+            if (!ConfigDiff.between(serving.goesBy().meaning(), next.meaning()).isEmpty()) {
                 return "the node was told to leave";
             }
             loader.lay(common);
             return "";
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             return e.getMessage();
         }
     }
--- a/src/main/java/lupinwood/net/Acceptor.java
+++ b/src/main/java/lupinwood/net/Acceptor.java
@@ -9,7 +9,7 @@
 /**
  * A listening socket that leaves nobody behind when it closes. The system completes connections
  * before the program accepts them; closing the socket resets those that still wait, with the
- * tickets already written to them. It takes no more of them than there are descriptors for.
+ * requests already written to them. It takes no more of them than there are descriptors for.
  */
 class Acceptor extends NioSocketAcceptor {
     /** Without a place for so long, it looks whether it was told to close meanwhile. */
--- a/src/main/java/lupinwood/net/AjpServers.java
+++ b/src/main/java/lupinwood/net/AjpExecutor.java
@@ -14,81 +14,85 @@
 import java.util.Set;
 import java.util.function.IntUnaryOperator;
 import java.util.function.Supplier;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import lupinwood.ajp.BackReader;
 import lupinwood.ajp.BadPacket;
 import lupinwood.ajp.Requests;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Ending;
-import lupinwood.core.Host;
-import lupinwood.core.TryId;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.pools.Budget;
-import lupinwood.pools.Pool;
-import lupinwood.pools.Rules;
-import lupinwood.settings.Meaning;
+import lupinwood.balancing.OutlierLimits;
+import lupinwood.balancing.RetryBudget;
+import lupinwood.balancing.ServerPool;
+import lupinwood.processing.AttemptId;
+import lupinwood.processing.Completion;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /**
- * Servers that speak AJP and carry out tickets. Which one gets which, and out of what budget a try
- * is made again, is decided by {@link Pool} and {@link Budget}. A ticket goes to another server
- * only where nothing ran for certain, or where its track is pure. Belongs to the deciding thread.
+ * Servers that speak AJP and carry out requests. Which one gets which, and out of what budget a try
+ * is made again, is decided by {@link ServerPool} and {@link RetryBudget}. A request goes to
+ * another server only where nothing ran for certain, or where its request class is pure. Belongs to
+ * the event loop thread.
  */
-final class AjpServers {
+final class AjpExecutor {
     private static final int PACKET = 8192;
     private static final int MOST_RESULT = 64 * 1024;
 
-    /** Tickets that no server may have now; past that they end without having run. */
+    /** Requests that no server may have now; past that they end without having run. */
     private static final int MOST_WAITING = 256;
 
     private static final int FARTHEST = 2;
     private static final double SAVED_UP = 10;
 
     /** A connection at rest for longer is asked first whether anybody is there. */
-    private static final Span JUST_USED = Span.ofSeconds(0.5);
+    private static final NanoDuration JUST_USED = NanoDuration.ofSeconds(0.5);
 
-    private static final Span PONG_WAIT = Span.ofSeconds(0.25);
-    private static final Span LONGEST_REST = Span.ofSeconds(5);
+    private static final NanoDuration PONG_WAIT = NanoDuration.ofSeconds(0.25);
+    private static final NanoDuration LONGEST_REST = NanoDuration.ofSeconds(5);
 
     private record Server(
-            InetSocketAddress address, String secret, Set<String> tracks, Deque<Line> resting) {}
+            InetSocketAddress address,
+            String secret,
+            Set<String> requestClasses,
+            Deque<ServerConnection> resting) {}
 
-    /** A ticket that servers are to carry out. */
+    /** A request that servers are to carry out. */
     private static final class Run {
-        final TryId id;
-        final String track;
+        final AttemptId id;
+        final String className;
         final byte[] body;
-        final Moment began;
+        final MonotonicTime began;
         final List<Integer> tried = new ArrayList<>();
 
-        Run(TryId id, String track, byte[] body, Moment began) {
+        Run(AttemptId id, String className, byte[] body, MonotonicTime began) {
             this.id = id;
-            this.track = track;
+            this.className = className;
             this.body = body;
             this.began = began;
         }
     }
 
-    private final Means means;
+    private final LinkContext means;
     private final List<Server> servers = new ArrayList<>();
-    private final Set<String> tracks = new HashSet<>();
-    private final Set<String> pure = new HashSet<>();
-    private final Map<String, Span> abandon = new HashMap<>();
-    private final Pool pool;
+    private final Set<String> requestClasses = new HashSet<>();
+    private final Set<String> safe = new HashSet<>();
+    private final Map<String, NanoDuration> timeout = new HashMap<>();
+    private final ServerPool pool;
 
     /** How long a run whose connection is gone may go on. */
-    private final Span linger;
+    private final NanoDuration linger;
 
-    private final Budget budget = new Budget(Rules.USUAL.repeatShare(), SAVED_UP);
+    private final RetryBudget budget = new RetryBudget(OutlierLimits.USUAL.repeatShare(), SAVED_UP);
     private final Deque<Run> waiting = new ArrayDeque<>();
-    private final Set<Line> toFlush = new HashSet<>();
-    private Deadlines.Deadline back;
+    private final Set<ServerConnection> toFlush = new HashSet<>();
+    private TimerService.Timer back;
 
     /**
-     * By servers: tickets that might have gone there, that ended, that failed, and what the others
+     * By servers: requests that might have gone there, that ended, that failed, and what the others
      * took.
      */
-    private final long[] asked;
+    private final long[] offered;
 
     private final long[] endedThere;
     private final long[] failedThere;
@@ -109,14 +113,14 @@
     private int[] distance;
 
     /**
-     * What a ticket that tries a server for all nodes carries besides; null where each tries for
+     * What a request that tries a server for all nodes carries besides; null where each tries for
      * itself.
      */
     private Supplier<Map<String, String>> mark;
 
-    private Host host;
+    private RequestProcessor processor;
 
-    AjpServers(Meaning meaning, long seed, Means means) {
+    AjpExecutor(ParsedSettings meaning, long seed, LinkContext means) {
         this.means = means;
         for (String name : meaning.items(Schema.SERVER)) {
             String at = "server " + name + " ";
@@ -127,36 +131,39 @@
                             meaning.value(at + "secret"),
                             carried,
                             new ArrayDeque<>()));
-            tracks.addAll(carried);
+            requestClasses.addAll(carried);
         }
-        for (String track : tracks) {
-            abandon.put(
-                    track,
-                    new Span(Long.parseLong(meaning.value("track " + track + " abandon-time"))));
-            if (meaning.value("track " + track + " effect").equals("pure")) {
-                pure.add(track);
+        for (String className : requestClasses) {
+            timeout.put(
+                    className,
+                    new NanoDuration(
+                            Long.parseLong(meaning.value("track " + className + " abandon-time"))));
+            if (meaning.value("track " + className + " effect").equals("pure")) {
+                safe.add(className);
             }
         }
-        linger = new Span(Long.parseLong(meaning.values().getOrDefault("machine linger", "0")));
-        pool = new Pool(meaning.items(Schema.SERVER), Rules.USUAL, seed);
+        linger =
+                new NanoDuration(
+                        Long.parseLong(meaning.values().getOrDefault("machine linger", "0")));
+        pool = new ServerPool(meaning.items(Schema.SERVER), OutlierLimits.USUAL, seed);
         mostOpen = mostConnections();
-        asked = new long[servers.size()];
+        offered = new long[servers.size()];
         endedThere = new long[servers.size()];
         failedThere = new long[servers.size()];
         tookThere = new double[servers.size()];
-        means.decider().addWriter(this::flush);
+        means.eventLoop().addWriter(this::flush);
     }
 
-    void serve(Host served) {
-        host = served;
+    void serve(RequestProcessor served) {
+        processor = served;
     }
 
     /** As many as the pool can use at once. */
     int mostConnections() {
-        return servers.size() * Rules.USUAL.mostOut();
+        return servers.size() * OutlierLimits.USUAL.mostOut();
     }
 
-    /** From now on no more connections at once; tickets past that wait. */
+    /** From now on no more connections at once; requests past that wait. */
     void allow(int connections) {
         mostOpen = connections;
     }
@@ -173,21 +180,21 @@
     }
 
     /** The pool that chooses among them, for who decides in common with other nodes. */
-    Pool pool() {
+    ServerPool pool() {
         return pool;
     }
 
-    boolean carriesOut(String track) {
-        return tracks.contains(track);
+    boolean carriesOut(String className) {
+        return requestClasses.contains(className);
     }
 
     /** It will end, by itself; so there is always somebody to ask. */
-    boolean run(TryId id, String track, byte[] body) {
+    boolean run(AttemptId id, String className, byte[] body) {
         budget.first();
         for (int i = 0; i < servers.size(); i++) {
-            asked[i] += servers.get(i).tracks().contains(track) ? 1 : 0;
+            offered[i] += servers.get(i).requestClasses().contains(className) ? 1 : 0;
         }
-        send(new Run(id, track, body, host.now()));
+        send(new Run(id, className, body, processor.now()));
         return true;
     }
 
@@ -197,23 +204,27 @@
             run.tried.add(server);
             begin(run, server);
         } else if (waiting.size() >= MOST_WAITING) {
-            host.exited(run.id, Ending.NOTHING_STARTED, Span.ZERO, null);
+            processor.exited(run.id, Completion.NOTHING_STARTED, NanoDuration.ZERO, null);
         } else {
             waiting.add(run);
             means.deadlines()
-                    .at(
-                            run.began.plus(abandon.get(run.track)),
+                    .schedule(
+                            run.began.plus(timeout.get(run.className)),
                             () -> {
                                 if (waiting.remove(run)) {
-                                    host.exited(run.id, Ending.NOTHING_STARTED, Span.ZERO, null);
+                                    processor.exited(
+                                            run.id,
+                                            Completion.NOTHING_STARTED,
+                                            NanoDuration.ZERO,
+                                            null);
                                 }
                             });
             watchForBack();
         }
     }
 
-    /** A connection that carries no ticket, or null. */
-    private Line resting() {
+    /** A connection that carries no request, or null. */
+    private ServerConnection resting() {
         return servers.stream()
                 .map(server -> server.resting().peekLast())
                 .filter(Objects::nonNull)
@@ -224,16 +235,18 @@
     private int choose(Run run) {
         if (most == null) {
             return pool.send(
-                    host.now(), run.tried, one -> servers.get(one).tracks().contains(run.track));
+                    processor.now(),
+                    run.tried,
+                    one -> servers.get(one).requestClasses().contains(run.className));
         }
         for (int away = 0; away <= FARTHEST; away++) {
             int of = away;
             int server =
                     pool.send(
-                            host.now(),
+                            processor.now(),
                             run.tried,
                             one ->
-                                    servers.get(one).tracks().contains(run.track)
+                                    servers.get(one).requestClasses().contains(run.className)
                                             && distance[one] == of
                                             && pool.out(one) < most.applyAsInt(one));
             if (server >= 0) {
@@ -246,7 +259,7 @@
     /**
      * By agreement with other nodes, from now on.
      *
-     * @param away how far each server is: 0, 1 or 2; nearer ones get a ticket first
+     * @param away how far each server is: 0, 1 or 2; nearer ones get a request first
      * @param may how many may be out at a server now
      */
     void share(int[] away, IntUnaryOperator may) {
@@ -259,8 +272,8 @@
         sendWaiting();
     }
 
-    long asked(int server) {
-        return asked[server];
+    long offered(int server) {
+        return offered[server];
     }
 
     long ended(int server) {
@@ -277,15 +290,16 @@
     }
 
     /**
-     * Guards against tickets that wait while nothing ends: a server that may be tried again is
+     * Guards against requests that wait while nothing ends: a server that may be tried again is
      * reason enough.
      */
     private void watchForBack() {
-        means.deadlines().callOff(back);
+        means.deadlines().cancel(back);
         back =
-                waiting.isEmpty() || pool.nextBack(host.now()).equals(Moment.NEVER)
+                waiting.isEmpty() || pool.nextBack(processor.now()).equals(MonotonicTime.NEVER)
                         ? null
-                        : means.deadlines().at(pool.nextBack(host.now()), this::sendWaiting);
+                        : means.deadlines()
+                                .schedule(pool.nextBack(processor.now()), this::sendWaiting);
     }
 
     private void sendWaiting() {
@@ -295,13 +309,13 @@
     }
 
     private void begin(Run run, int server) {
-        Deque<Line> resting = servers.get(server).resting();
-        Line line = resting.poll();
+        Deque<ServerConnection> resting = servers.get(server).resting();
+        ServerConnection line = resting.poll();
         if (line == null) {
             if (open >= mostOpen && resting() != null) {
                 resting().close(); // another server's gives its place
             }
-            line = new Line(server);
+            line = new ServerConnection(server);
             open++;
             line.run = run;
             line.connect(means.sockets(), servers.get(server).address());
@@ -316,56 +330,60 @@
         toFlush.clear();
     }
 
-    /** One connection to a server, with one ticket at a time. */
-    private final class Line extends Outbound<BackReader.Event> {
+    /** One connection to a server, with one request at a time. */
+    private final class ServerConnection extends OutboundConnection<BackReader.Event> {
         private final int server;
 
-        /** The ticket that is out on it, or null. */
+        /** The request that is out on it, or null. */
         private Run run;
 
-        private Moment sentAt = host.now();
+        private MonotonicTime sentAt = processor.now();
         private boolean written;
-        private boolean asked;
+        private boolean requested;
         private boolean slow;
         private int bodyFrom;
-        private Moment restsSince;
-        private Deadlines.Deadline rest;
-        private Deadlines.Deadline pong;
-        private Deadlines.Deadline target;
-        private Deadlines.Deadline cap;
+        private MonotonicTime restsSince;
+        private TimerService.Timer rest;
+        private TimerService.Timer pong;
+        private TimerService.Timer target;
+        private TimerService.Timer cap;
         private boolean over;
 
         /** It holds no descriptor any more. */
         private boolean gone;
 
-        Line(int server) {
-            super(means.decider(), new AnswerParser());
+        ServerConnection(int server) {
+            super(means.eventLoop(), new ResponseParser());
             this.server = server;
         }
 
         private void take(Run next) {
             run = next;
-            sentAt = host.now();
-            means.deadlines().callOff(rest);
-            if (JUST_USED.compareTo(host.now().since(restsSince)) < 0) {
-                asked = true;
+            sentAt = processor.now();
+            means.deadlines().cancel(rest);
+            if (JUST_USED.compareTo(processor.now().since(restsSince)) < 0) {
+                requested = true;
                 outbox().add(Requests.ping());
                 toFlush.add(this);
-                pong = means.deadlines().at(host.now().plus(PONG_WAIT), () -> end(Ending.NO_PONG));
+                pong =
+                        means.deadlines()
+                                .schedule(
+                                        processor.now().plus(PONG_WAIT),
+                                        () -> end(Completion.NO_PONG));
             } else {
                 write();
             }
         }
 
-        /** From now on it is out there: slow past the target, given up at its abandon time. */
+        /** From now on it is out there: slow past the target, given up at its timeout. */
         private void watch() {
             slow = false;
-            Span most = pool.target();
+            NanoDuration most = pool.target();
             if (most.isPositive()) {
                 target =
                         means.deadlines()
-                                .at(
-                                        host.now().plus(most),
+                                .schedule(
+                                        processor.now().plus(most),
                                         () -> {
                                             slow = true;
                                             pool.slow(server);
@@ -373,7 +391,9 @@
             }
             cap =
                     means.deadlines()
-                            .at(run.began.plus(abandon.get(run.track)), () -> end(Ending.GIVEN_UP));
+                            .schedule(
+                                    run.began.plus(timeout.get(run.className)),
+                                    () -> end(Completion.GIVEN_UP));
         }
 
         private void write() {
@@ -387,7 +407,7 @@
             outbox().add(
                             Requests.forward(
                                     "POST",
-                                    "/" + run.track,
+                                    "/" + run.className,
                                     headers,
                                     run.body.length,
                                     servers.get(server).secret()));
@@ -421,16 +441,17 @@
                 if (over) {
                     return;
                 }
-                if (event instanceof BackReader.Pong && asked) {
-                    asked = false;
-                    means.deadlines().callOff(pong);
+                if (event instanceof BackReader.Pong && requested) {
+                    requested = false;
+                    means.deadlines().cancel(pong);
                     write();
                 } else if (event instanceof BackReader.More more && written) {
                     part(more.most());
                 } else if (event instanceof BackReader.Answer answer && written) {
                     answered(answer);
                 } else {
-                    end(Ending.MALFORMED); // it goes on after its end, or answers what nobody asked
+                    end(Completion.MALFORMED); // it goes on after its end, or answers what nobody
+                    // asked
                 }
             };
         }
@@ -440,62 +461,62 @@
             boolean well = answer.status() / 100 == 2 && answer.body() != null;
             boolean reusable = answer.reuse() && bodyFrom >= done.body.length;
             written = false; // it answered, so it runs no more
-            release(well ? Pool.End.WELL : Pool.End.FAILED);
+            release(well ? ServerPool.AttemptEnd.WELL : ServerPool.AttemptEnd.FAILED);
             if (reusable) {
-                restsSince = host.now();
+                restsSince = processor.now();
                 servers.get(server).resting().addFirst(this);
-                rest = means.deadlines().at(host.now().plus(LONGEST_REST), this::close);
+                rest = means.deadlines().schedule(processor.now().plus(LONGEST_REST), this::close);
             } else {
                 close();
             }
-            conclude(done, well ? Ending.WELL : Ending.FAILED, answer.body());
+            conclude(done, well ? Completion.WELL : Completion.FAILED, answer.body());
             sendWaiting();
             watchForBack();
         }
 
-        /** The ticket is no longer out on this connection. */
-        private void release(Pool.End end) {
-            means.deadlines().callOff(pong);
-            means.deadlines().callOff(target);
-            means.deadlines().callOff(cap);
-            Span took = host.now().since(sentAt);
+        /** The request is no longer out on this connection. */
+        private void release(ServerPool.AttemptEnd end) {
+            means.deadlines().cancel(pong);
+            means.deadlines().cancel(target);
+            means.deadlines().cancel(cap);
+            NanoDuration took = processor.now().since(sentAt);
             boolean wasSlow = slow;
             endedThere[server]++;
-            failedThere[server] += end == Pool.End.WELL ? 0 : 1;
-            tookThere[server] += end == Pool.End.WELL ? took.seconds() : 0;
-            if (end == Pool.End.FAILED && written && linger.isPositive()) {
+            failedThere[server] += end == ServerPool.AttemptEnd.WELL ? 0 : 1;
+            tookThere[server] += end == ServerPool.AttemptEnd.WELL ? took.seconds() : 0;
+            if (end == ServerPool.AttemptEnd.FAILED && written && linger.isPositive()) {
                 // AJP can't stop a run: it may go on there, and counts as out for as long.
                 means.deadlines()
-                        .at(
-                                host.now().plus(linger),
+                        .schedule(
+                                processor.now().plus(linger),
                                 () -> {
-                                    pool.ended(server, end, took, wasSlow, host.now());
+                                    pool.ended(server, end, took, wasSlow, processor.now());
                                     sendWaiting();
                                 });
             } else {
-                pool.ended(server, end, took, wasSlow, host.now());
+                pool.ended(server, end, took, wasSlow, processor.now());
             }
             run = null;
             written = false;
-            asked = false;
+            requested = false;
         }
 
         private void close() {
             over = true;
             servers.get(server).resting().remove(this);
-            means.deadlines().callOff(rest);
+            means.deadlines().cancel(rest);
             toFlush.remove(this);
             hangUp();
         }
 
-        private void end(Ending why) {
+        private void end(Completion why) {
             Run lost = run;
             boolean wasWritten = written;
             close();
             if (lost != null) {
-                release(Pool.End.FAILED);
-                Ending ending =
-                        wasWritten || why.outcome().provesNeverRan() ? why : Ending.NOT_WRITTEN;
+                release(ServerPool.AttemptEnd.FAILED);
+                Completion ending =
+                        wasWritten || why.outcome().provesNeverRan() ? why : Completion.NOT_WRITTEN;
                 means.log()
                         .line("a ticket at the server " + pool.name(server) + " ended: " + ending);
                 conclude(lost, ending, null);
@@ -505,7 +526,7 @@
         }
 
         @Override
-        void ended(Ending ending) {
+        void ended(Completion ending) {
             open -= gone ? 0 : 1;
             gone = true;
             if (!over) {
@@ -517,31 +538,31 @@
     }
 
     /**
-     * The ticket ends, unless nothing ran, or running it again does no harm, and the budget has a
+     * The request ends, unless nothing ran, or running it again does no harm, and the budget has a
      * try left.
      */
-    private void conclude(Run run, Ending ending, byte[] result) {
+    private void conclude(Run run, Completion ending, byte[] result) {
         boolean mayAgain =
-                ending != Ending.WELL
-                        && ending != Ending.GIVEN_UP
-                        && (ending.outcome().provesNeverRan() || pure.contains(run.track));
+                ending != Completion.WELL
+                        && ending != Completion.GIVEN_UP
+                        && (ending.outcome().provesNeverRan() || safe.contains(run.className));
         if (mayAgain && budget.again()) {
             send(run);
         } else {
-            host.exited(run.id, ending, host.now().since(run.began), result);
+            processor.exited(run.id, ending, processor.now().since(run.began), result);
         }
     }
 
     /** Answers as messages of a connection. */
-    private static final class AnswerParser implements Parser<BackReader.Event> {
+    private static final class ResponseParser implements Parser<BackReader.Event> {
         private final BackReader reader = new BackReader(PACKET, MOST_RESULT);
 
         @Override
-        public BackReader.Event next(ByteBuffer in) throws Malformed {
+        public BackReader.Event next(ByteBuffer in) throws ProtocolException {
             try {
                 return reader.next(in);
             } catch (BadPacket e) {
-                throw new Malformed("AJP: " + e.getMessage());
+                throw new ProtocolException("AJP: " + e.getMessage());
             }
         }
     }
--- a/src/main/java/lupinwood/net/AjpFront.java
+++ b/src/main/java/lupinwood/net/AjpListener.java
@@ -8,33 +8,33 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.SettingsMap;
+import lupinwood.admission.SubjectId;
+import lupinwood.admission.UpstreamId;
 import lupinwood.ajp.BadPacket;
 import lupinwood.ajp.FrontReader;
 import lupinwood.ajp.Replies;
 import lupinwood.ajp.Request;
-import lupinwood.core.Answer;
-import lupinwood.core.Arrival;
-import lupinwood.core.ConnectionId;
-import lupinwood.core.Deadlines;
-import lupinwood.core.ReceiptKey;
-import lupinwood.core.TryId;
 import lupinwood.log.Log;
-import lupinwood.node.CallerId;
-import lupinwood.node.Moment;
-import lupinwood.node.Settings;
-import lupinwood.node.SubjectId;
-import lupinwood.routes.Asked;
+import lupinwood.processing.AttemptId;
+import lupinwood.processing.ConnectionId;
+import lupinwood.processing.IdempotencyKey;
+import lupinwood.processing.IncomingRequest;
+import lupinwood.processing.Response;
+import lupinwood.processing.TimerService;
+import lupinwood.routes.RequestMatchInput;
 import lupinwood.routes.Routes;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 
 /**
- * Web servers that speak AJP/1.3: each request that a route knows is a ticket, one at a time on a
+ * Web servers that speak AJP/1.3: each request that a route knows is a request, one at a time on a
  * connection. A connection that ends is the caller leaving.
  */
-final class AjpFront extends Front<FrontReader.Event> {
+final class AjpListener extends UpstreamListener<FrontReader.Event> {
     private static final int MOST_BODY = 2048;
 
-    /** An answer later than this part of the abandon time came because the time ran out. */
+    /** An answer later than this part of the timeout came because the time ran out. */
     private static final double NEARLY_ALL = 0.9;
 
     private static final int CALLERS = 1 << 16;
@@ -47,28 +47,28 @@
      * Ids of tries, which no two of this node's lives share: it begins at the clock and grows
      * slower than that.
      */
-    private final AtomicLong ids = new AtomicLong(Decider.clock().nanos());
+    private final AtomicLong ids = new AtomicLong(EventLoop.clock().nanos());
 
-    AjpFront(Meaning meaning, Decider decider, Deadlines deadlines, Log log) {
-        super(decider, deadlines, log);
+    AjpListener(ParsedSettings meaning, EventLoop eventLoop, TimerService deadlines, Log log) {
+        super(eventLoop, deadlines, log);
         routes = new Routes(meaning);
-        String told = meaning.value("ajp secret");
-        secret = told == null ? null : told.getBytes(StandardCharsets.ISO_8859_1);
+        String reported = meaning.value("ajp secret");
+        secret = reported == null ? null : reported.getBytes(StandardCharsets.ISO_8859_1);
         packet = Integer.parseInt(meaning.values().getOrDefault("ajp packet-bytes", "8192"));
     }
 
     @Override
     Peer newPeer() {
-        return new AjpCaller();
+        return new AjpConnection();
     }
 
     // ---- out ----
 
     @Override
-    public void answer(ConnectionId connection, long tag, Answer answer) {
-        if (caller(connection) instanceof AjpCaller caller && !caller.isEnded()) {
+    public void answer(ConnectionId connection, long tag, Response answer) {
+        if (caller(connection) instanceof AjpConnection caller && !caller.isEnded()) {
             switch (answer.word()) {
-                case GOOD, NOT_GOOD -> caller.outbox().add(Replies.pong());
+                case HEALTHY, UNHEALTHY -> caller.outbox().add(Replies.pong());
                 default -> caller.answer(answer);
             }
             flushSoon(caller);
@@ -81,10 +81,10 @@
      */
     @Override
     public void sayNoMore(ConnectionId connection) {
-        if (caller(connection) instanceof AjpCaller caller) {
+        if (caller(connection) instanceof AjpConnection caller) {
             caller.last = true;
             if (!caller.open && caller.answered > 0) {
-                host().halfClosed(connection);
+                processor().halfClosed(connection);
             }
         }
     }
@@ -94,7 +94,7 @@
         return switch (refusal) {
             case NO_ROUTE -> 404;
             case OTHER_METHOD -> 405;
-            case NO_CUSTOMER, NO_MARK, BAD_MARK, MARK_WHERE_NONE_BELONGS -> 400;
+            case NO_TENANT, NO_MARK, BAD_MARK, MARK_WHERE_NONE_BELONGS -> 400;
         };
     }
 
@@ -103,7 +103,7 @@
         return switch (refusal) {
             case NO_ROUTE -> "NO_ROUTE";
             case OTHER_METHOD -> "OTHER_METHOD";
-            case NO_CUSTOMER -> "NO_CUSTOMER";
+            case NO_TENANT -> "NO_CUSTOMER";
             case NO_MARK -> "NO_MARK";
             case BAD_MARK -> "BAD_MARK";
             case MARK_WHERE_NONE_BELONGS -> "MARK_WHERE_NONE_BELONGS";
@@ -127,7 +127,7 @@
     // ---- in ----
 
     /** One web server's connection. */
-    private final class AjpCaller extends Caller {
+    private final class AjpConnection extends UpstreamConnection {
         private final FrontReader reader = new FrontReader(packet, MOST_BODY);
 
         /** A request is open; a second one then is an offence. */
@@ -140,19 +140,19 @@
         private long answered;
         private long tag;
 
-        /** Why what is open is no ticket, as a status; 0 for a ticket. */
+        /** Why what is open is no request, as a status; 0 for a request. */
         private int refused;
 
         private String why = "";
-        private Moment reached;
+        private MonotonicTime reached;
         private Routes.Match match;
 
         @Override
-        FrontReader.Event next(ByteBuffer bytes) throws Malformed {
+        FrontReader.Event next(ByteBuffer bytes) throws ProtocolException {
             try {
                 return reader.next(bytes);
             } catch (BadPacket e) {
-                throw new Malformed("AJP: " + e.getMessage());
+                throw new ProtocolException("AJP: " + e.getMessage());
             }
         }
 
@@ -163,13 +163,13 @@
 
         @Override
         Runnable read(FrontReader.Event event) {
-            Moment now = Decider.clock();
+            MonotonicTime now = EventLoop.clock();
             return () -> {
                 if (offended) {
                     return;
                 }
                 if (event instanceof FrontReader.Ping) {
-                    host().checked(id(), ++tag, false);
+                    processor().checked(id(), ++tag, false);
                 } else if (open) {
                     offended = true;
                     last = true;
@@ -184,16 +184,19 @@
             };
         }
 
-        /** What is no ticket is told to the host all the same: it counts who sends such. */
-        private void request(FrontReader.Whole whole, Moment now) {
+        /**
+         * What is no request is told to the request processor all the same: it counts who sends
+         * such.
+         */
+        private void request(FrontReader.Whole whole, MonotonicTime now) {
             open = true;
             reached = now;
             refused = 0;
-            Arrival arrival = arrival(whole);
-            host().arrived(id(), ++tag, arrival);
+            IncomingRequest incomingRequest = arrival(whole);
+            processor().arrived(id(), ++tag, incomingRequest);
         }
 
-        private Arrival arrival(FrontReader.Whole whole) {
+        private IncomingRequest arrival(FrontReader.Whole whole) {
             Request request = whole.request();
             if (secret != null && !isSecret(request.secret())) {
                 last = true;
@@ -201,7 +204,7 @@
             }
             match =
                     routes.match(
-                            new Asked() {
+                            new RequestMatchInput() {
                                 @Override
                                 public String method() {
                                     return request.method();
@@ -230,20 +233,20 @@
                     request.remote() == null
                             ? 0
                             : Math.floorMod(request.remote().hashCode(), CALLERS);
-            return new Arrival(
-                    new TryId(String.format("%016x", ids.incrementAndGet())),
-                    match.track(),
-                    Settings.word(match.customer()),
+            return new IncomingRequest(
+                    new AttemptId(String.format("%016x", ids.incrementAndGet())),
+                    match.className(),
+                    SettingsMap.word(match.tenant()),
                     new SubjectId(0),
-                    new CallerId(caller),
+                    new UpstreamId(caller),
                     reached,
                     match.memoryKb(),
                     0.5,
-                    match.mark() == null ? null : new ReceiptKey(match.mark()),
+                    match.mark() == null ? null : new IdempotencyKey(match.mark()),
                     whole.body());
         }
 
-        private Arrival refuse(int status, String text) {
+        private IncomingRequest refuse(int status, String text) {
             refused = status;
             why = text;
             return null;
@@ -255,28 +258,28 @@
                     secret, (shown == null ? "" : shown).getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        private void answer(Answer answer) {
+        private void answer(Response answer) {
             int status =
                     switch (answer.word()) {
-                        case SATISFIED -> 200;
-                        case BOUNCED -> 503;
+                        case SERVED -> 200;
+                        case REJECTED -> 503;
                         default -> refused != 0 ? refused : ranOut() ? 504 : 500;
                     };
             Map<String, String> headers = new LinkedHashMap<>();
-            if (answer.advice() >= 0 && answer.advice() < Double.MAX_VALUE) {
+            if (answer.availableCapacity() >= 0 && answer.availableCapacity() < Double.MAX_VALUE) {
                 headers.put(
                         "X-Advice",
-                        BigDecimal.valueOf(answer.advice())
+                        BigDecimal.valueOf(answer.availableCapacity())
                                 .setScale(4, RoundingMode.HALF_UP)
                                 .stripTrailingZeros()
                                 .toPlainString());
             }
-            if (answer.comeBackAfter().isPositive()) {
-                long millis = (answer.comeBackAfter().nanos() + 999_999) / 1_000_000;
+            if (answer.retryAfter().isPositive()) {
+                long millis = (answer.retryAfter().nanos() + 999_999) / 1_000_000;
                 headers.put("Retry-After", Long.toString((millis + 999) / 1000));
                 headers.put("X-Retry-After-Ms", Long.toString(millis));
             }
-            if (answer.askNoOther()) {
+            if (answer.doNotRetryElsewhere()) {
                 headers.put("X-Ask-No-Other", "1");
             }
             if (refused != 0) {
@@ -293,14 +296,14 @@
                                     packet,
                                     !last));
             if (last) {
-                host().halfClosed(id());
+                processor().halfClosed(id());
             }
         }
 
         private boolean ranOut() {
             return match != null
                     && match.refusal() == null
-                    && match.abandon().times(NEARLY_ALL).compareTo(Decider.clock().since(reached))
+                    && match.timeout().times(NEARLY_ALL).compareTo(EventLoop.clock().since(reached))
                             <= 0;
         }
     }
--- a/src/main/java/lupinwood/net/IndexLink.java
+++ b/src/main/java/lupinwood/net/DependencyClient.java
@@ -9,26 +9,26 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Ending;
-import lupinwood.core.Host;
-import lupinwood.core.Index;
-import lupinwood.core.TryId;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.processing.AttemptId;
+import lupinwood.processing.Completion;
+import lupinwood.processing.Dependency;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
 
 /**
  * Calls to the shared index: a small pool of connections with one call at a time on each, so that
  * whatever comes in place of a reply costs that call alone. The one used last is used first; the
  * others soon go.
  */
-final class IndexLink implements Index {
+final class DependencyClient implements Dependency {
     /**
      * An idle connection is used again within this. The other side may forget idle ones without a
      * word, and a reset then looks like that of a call that ran; one that carried a reply just now
      * is no such risk.
      */
-    private static final Span JUST_USED = Span.ofSeconds(0.5);
+    private static final NanoDuration JUST_USED = NanoDuration.ofSeconds(0.5);
 
     /**
      * A connection carries as many calls: their ids are remembered, so that none comes twice on it.
@@ -36,9 +36,9 @@
     private static final int MOST_CALLS = 64;
 
     @SuppressWarnings("ArrayRecordComponent") // never compared
-    private record Call(TryId id, Span cap, byte[] body) {}
+    private record Call(AttemptId id, NanoDuration cap, byte[] body) {}
 
-    private final Means means;
+    private final LinkContext means;
 
     /** Connections at once; calls past that wait for one, within their caps. */
     private final int most;
@@ -46,7 +46,7 @@
     /** Null where there is nothing below to call. */
     private InetSocketAddress address;
 
-    private final Map<TryId, Line> lines = new HashMap<>();
+    private final Map<AttemptId, DependencyConnection> lines = new HashMap<>();
 
     /**
      * All that may hold a descriptor: those that connect, stand, or were closed and have not ended
@@ -55,39 +55,39 @@
     private int open;
 
     /** Those without a call, the one used last first. */
-    private final Deque<Line> idle = new ArrayDeque<>();
+    private final Deque<DependencyConnection> idle = new ArrayDeque<>();
 
     private final Deque<Call> waiting = new ArrayDeque<>();
-    private final Set<Line> toFlush = new HashSet<>();
-    private Host host;
+    private final Set<DependencyConnection> toFlush = new HashSet<>();
+    private RequestProcessor processor;
 
-    IndexLink(InetSocketAddress address, int most, Means means) {
+    DependencyClient(InetSocketAddress address, int most, LinkContext means) {
         this.most = most;
         this.address = address;
         this.means = means;
-        means.decider().addWriter(this::flush);
+        means.eventLoop().addWriter(this::flush);
     }
 
-    void serve(Host served) {
-        host = served;
+    void serve(RequestProcessor served) {
+        processor = served;
     }
 
     /** New calls go there; those under way may still come back where they are. */
     void moveTo(InetSocketAddress next) {
         if (!Objects.equals(next, address)) {
             address = next;
-            List.copyOf(idle).forEach(Line::close);
+            List.copyOf(idle).forEach(DependencyConnection::close);
         }
     }
 
     @Override
-    public void call(TryId id, Span cap, byte[] body) {
+    public void call(AttemptId id, NanoDuration cap, byte[] body) {
         if (address == null) {
-            means.decider().tell(() -> host.callEnded(id, Ending.NEVER_CONNECTED, null));
+            means.eventLoop().tell(() -> processor.callEnded(id, Completion.NEVER_CONNECTED, null));
             return;
         }
         // A reply names only the try: a late copy of an earlier one must not pass for this call's.
-        Line line =
+        DependencyConnection line =
                 idle.stream().filter(free -> !free.carried.contains(id)).findFirst().orElse(null);
         if (line == null && open >= most) {
             waiting.add(new Call(id, cap, body));
@@ -98,7 +98,7 @@
             return;
         }
         if (line == null) {
-            line = new Line();
+            line = new DependencyConnection();
             open++;
             line.connect(means.sockets(), address);
         }
@@ -107,8 +107,8 @@
     }
 
     @Override
-    public void giveUp(TryId id) {
-        Line line = lines.remove(id);
+    public void giveUp(AttemptId id) {
+        DependencyConnection line = lines.remove(id);
         if (line == null) {
             waiting.removeIf(call -> call.id().equals(id));
         } else {
@@ -132,34 +132,34 @@
         toFlush.clear();
     }
 
-    private final class Line extends Outbound<LineParser.Message> {
+    private final class DependencyConnection extends OutboundConnection<LineParser.Message> {
         private final InetSocketAddress to = address;
-        private final Set<TryId> carried = new HashSet<>();
+        private final Set<AttemptId> carried = new HashSet<>();
 
         /** The call that is out, or null. */
         private Call call;
 
-        private Deadlines.Deadline tooOld;
-        private Moment idleSince;
+        private TimerService.Timer tooOld;
+        private MonotonicTime idleSince;
 
         /** How long it was idle before the call that is out; null if it is its first. */
-        private Span idleFor;
+        private NanoDuration idleFor;
 
         /** It takes no new call. */
         private boolean closing;
 
         private boolean over;
 
-        Line() {
+        DependencyConnection() {
             super(
-                    means.decider(),
+                    means.eventLoop(),
                     new LineParser(words -> words.length == 3 && words[1].equals("HIT")));
         }
 
         void begin(Call begun) {
             idle.remove(this);
-            means.deadlines().callOff(tooOld);
-            idleFor = idleSince == null ? null : host.now().since(idleSince);
+            means.deadlines().cancel(tooOld);
+            idleFor = idleSince == null ? null : processor.now().since(idleSince);
             call = begun;
             carried.add(call.id());
             if (outbox() != null) {
@@ -185,7 +185,7 @@
         private void close() {
             closing = true;
             idle.remove(this);
-            means.deadlines().callOff(tooOld);
+            means.deadlines().cancel(tooOld);
             toFlush.remove(this);
             hangUp();
         }
@@ -200,23 +200,23 @@
         }
 
         @Override
-        Runnable read(LineParser.Message message) throws Malformed {
+        Runnable read(LineParser.Message message) throws ProtocolException {
             String[] words = message.words();
-            if (words.length < 2 || !TryId.isValid(words[0])) {
-                throw new Malformed("no reply of the index");
+            if (words.length < 2 || !AttemptId.isValid(words[0])) {
+                throw new ProtocolException("no reply of the index");
             }
-            TryId id = new TryId(words[0]);
-            Ending ending = ending(words[1]);
+            AttemptId id = new AttemptId(words[0]);
+            Completion ending = ending(words[1]);
             // Guards against a good reply cut short before its length: it must not pass for an
             // empty one.
-            if (words.length != (ending == Ending.WELL ? 3 : 2)) {
-                throw new Malformed("a reply of the index with " + words.length + " words");
+            if (words.length != (ending == Completion.WELL ? 3 : 2)) {
+                throw new ProtocolException("a reply of the index with " + words.length + " words");
             }
             return () -> reply(id, ending, message.body());
         }
 
         /** What is not for the call that is out is passed over: a second copy, or another's. */
-        private void reply(TryId id, Ending ending, byte[] body) {
+        private void reply(AttemptId id, Completion ending, byte[] body) {
             if (closing || call == null || !call.id().equals(id)) {
                 return;
             }
@@ -225,11 +225,11 @@
                 close();
             } else {
                 idle.addFirst(this);
-                idleSince = host.now();
-                tooOld = means.deadlines().at(host.now().plus(JUST_USED), this::close);
+                idleSince = processor.now();
+                tooOld = means.deadlines().schedule(processor.now().plus(JUST_USED), this::close);
             }
-            host.callEnded(id, ending, body);
-            IndexLink.this.next();
+            processor.callEnded(id, ending, body);
+            DependencyClient.this.next();
         }
 
         private void release() {
@@ -238,15 +238,15 @@
         }
 
         @Override
-        void ended(Ending ending) {
+        void ended(Completion ending) {
             if (over) {
                 return; // called off in the moment in which it came about
             }
             over = true;
-            TryId id = call == null ? null : call.id();
+            AttemptId id = call == null ? null : call.id();
             closing = true;
             idle.remove(this);
-            means.deadlines().callOff(tooOld);
+            means.deadlines().cancel(tooOld);
             toFlush.remove(this);
             open--;
             if (id != null) {
@@ -259,20 +259,20 @@
                                                 ? ", fresh"
                                                 : ", idle before for ms: "
                                                         + idleFor.nanos() / 1_000_000));
-                host.callEnded(id, ending, null);
+                processor.callEnded(id, ending, null);
             }
-            IndexLink.this.next();
+            DependencyClient.this.next();
         }
     }
 
-    private static Ending ending(String word) throws Malformed {
+    private static Completion ending(String word) throws ProtocolException {
         return switch (word) {
-            case "HIT" -> Ending.WELL;
-            case "SHED" -> Ending.SHED;
-            case "BROKEN" -> Ending.FAILED_BELOW;
-            case "SLOW" -> Ending.SLOW_BELOW;
-            case "NOBODY" -> Ending.NOBODY_WAITS;
-            default -> throw new Malformed("no such end of a call");
+            case "HIT" -> Completion.WELL;
+            case "SHED" -> Completion.SHED;
+            case "BROKEN" -> Completion.FAILED_DOWNSTREAM;
+            case "SLOW" -> Completion.TIMED_OUT_DOWNSTREAM;
+            case "NOBODY" -> Completion.NOBODY_WAITS;
+            default -> throw new ProtocolException("no such end of a call");
         };
     }
 }
--- a/src/main/java/lupinwood/net/Decider.java
+++ b/src/main/java/lupinwood/net/EventLoop.java
@@ -11,18 +11,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.LongSupplier;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Host;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import lupinwood.log.Log;
 import lupinwood.log.WallClock;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
 
 /**
- * The one deciding thread: it takes in what came, tells the host, settles once, then lets the
- * writes go. Nothing else touches the host, the deadlines or the adapters' own state.
+ * The one event loop thread: it takes in what came, tells the request processor, settles once, then
+ * lets the writes go. Nothing else touches the request processor, the deadlines or the adapters'
+ * own state.
  */
-final class Decider {
+final class EventLoop {
     /**
      * Where socket threads wait when deciding falls behind, which in turn lets the senders wait.
      */
@@ -52,36 +53,36 @@
 
     private final Semaphore room = new Semaphore(MOST_BYTES);
     private final List<Runnable> writers = new ArrayList<>();
-    private final Moment begun = clock();
+    private final MonotonicTime begun = clock();
     private final LongSupplier steady;
     private final long begunAt;
-    private final Deadlines deadlines;
+    private final TimerService deadlines;
     private final Log log;
     private final Thread thread = new Thread(this::decide, "decider");
-    private Host host;
+    private RequestProcessor processor;
     private boolean stopped;
 
-    Decider(Deadlines deadlines, LongSupplier steady, Log log) {
+    EventLoop(TimerService deadlines, LongSupplier steady, Log log) {
         this.steady = steady;
         begunAt = steady.getAsLong();
         this.deadlines = deadlines;
         this.log = log;
     }
 
-    /** What the machine's clock shows, by which tickets are stamped. It may be set, either way. */
-    static Moment clock() {
+    /** What the machine's clock shows, by which requests are stamped. It may be set, either way. */
+    static MonotonicTime clock() {
         Instant instant = WallClock.now();
-        return new Moment(instant.getEpochSecond() * 1_000_000_000L + instant.getNano());
+        return new MonotonicTime(instant.getEpochSecond() * 1_000_000_000L + instant.getNano());
     }
 
     /** The time by which all is due: it began as the machine's clock stood, and never steps. */
-    Moment time() {
-        return begun.plus(new Span(steady.getAsLong() - begunAt));
+    MonotonicTime time() {
+        return begun.plus(new NanoDuration(steady.getAsLong() - begunAt));
     }
 
     private void advance() {
-        host.advance(time());
-        host.clockShows(clock());
+        processor.advance(time());
+        processor.clockShows(clock());
     }
 
     /** Called after each round, to write what gathered in it. */
@@ -89,8 +90,8 @@
         writers.add(writer);
     }
 
-    void start(Host decidesFor) {
-        host = decidesFor;
+    void start(RequestProcessor decidesFor) {
+        processor = decidesFor;
         // Guards against a node that listens and no longer decides: it is better gone, and started
         // anew.
         thread.setUncaughtExceptionHandler(
@@ -175,20 +176,22 @@
         if (!own.isEmpty()) {
             return own.poll();
         }
-        long wait = Math.min(LONGEST_WAIT, deadlines.soonest().nanos() - time().nanos());
+        long wait = Math.min(LONGEST_WAIT, deadlines.earliest().nanos() - time().nanos());
         return wait > 0 ? inbox.poll(wait, TimeUnit.NANOSECONDS) : inbox.poll();
     }
 
     private void round(Runnable first) {
-        int told = 0;
+        int reported = 0;
         advance();
-        for (Runnable news = first; news != null; news = ++told < MOST_AT_ONCE ? next() : null) {
+        for (Runnable news = first;
+                news != null;
+                news = ++reported < MOST_AT_ONCE ? next() : null) {
             // Guards against a long round: what came during it must not look as if from the future.
             advance();
             guarded(news);
         }
-        guarded(() -> deadlines.ring(host.now()));
-        guarded(host::settle);
+        guarded(() -> deadlines.runDue(processor.now()));
+        guarded(processor::settle);
         writers.forEach(this::guarded);
     }
 
--- a/src/main/java/lupinwood/net/ExecutorLink.java
+++ b/src/main/java/lupinwood/net/ExecutorClient.java
@@ -3,72 +3,74 @@
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.function.Consumer;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Ending;
-import lupinwood.core.Executor;
-import lupinwood.core.Host;
-import lupinwood.core.TryId;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.reload.Move;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.processing.AttemptId;
+import lupinwood.processing.Completion;
+import lupinwood.processing.Executor;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
+import lupinwood.reload.ExecutorMigration;
 
 /**
  * The link to the executor, kept open; a lost one is replaced, and the notices missed come once
- * each. To move to another address the new link is made first; the old one is asked for gauges,
- * whose coming proves that all before was read, and only then does the new one take its place.
+ * each. To move to another address the new link is made first; the old one is asked for resource
+ * usage, whose coming proves that all before was read, and only then does the new one take its
+ * place.
  */
-final class ExecutorLink implements Executor {
-    private static final Span TRY_AGAIN = Span.ofSeconds(0.05);
+final class ExecutorClient implements Executor {
+    private static final NanoDuration TRY_AGAIN = NanoDuration.ofSeconds(0.05);
 
     /** A link that stood for longer is replaced without a pause. */
-    private static final Span SETTLED = Span.ofSeconds(0.5);
+    private static final NanoDuration SETTLED = NanoDuration.ofSeconds(0.5);
 
     /** A link that is to be replaced has this long to tell that it has read all. */
-    private static final Span HANDOVER = Span.ofSeconds(0.05);
+    private static final NanoDuration HANDOVER = NanoDuration.ofSeconds(0.05);
 
     /** An executor that leaves more than this unread is stuck; the link is made anew. */
     private static final long MOST_WAITING = 4 * 1024 * 1024;
 
-    private final Means means;
+    private final LinkContext means;
 
     /** Where to connect, and whether a move there is kept. */
-    private final Move<InetSocketAddress> move;
+    private final ExecutorMigration<InetSocketAddress> move;
 
     /** Hears of the address that the link went back to, or on to. */
     private final Consumer<InetSocketAddress> moved;
 
-    private Host host;
+    private RequestProcessor processor;
 
     /** The number of the last notice read. */
     private long last;
 
     /** The link that commands go to, or null. */
-    private Link link;
+    private ExecutorConnection link;
 
     /** The link made last; it stands in for the other once it has joined. */
-    private Link newest;
+    private ExecutorConnection newest;
 
-    private Deadlines.Deadline again;
+    private TimerService.Timer again;
 
     /**
      * What the executor last told of its age, and when; and when a link was lost after that, or
      * null.
      */
-    private Span toldAge;
+    private NanoDuration announcedAge;
 
-    private Moment toldAt;
-    private Moment lostAt;
+    private MonotonicTime announcedAt;
+    private MonotonicTime lostAt;
     private boolean failing;
 
-    ExecutorLink(InetSocketAddress address, Consumer<InetSocketAddress> moved, Means means) {
-        move = new Move<>(address);
+    ExecutorClient(
+            InetSocketAddress address, Consumer<InetSocketAddress> moved, LinkContext means) {
+        move = new ExecutorMigration<>(address);
         this.moved = moved;
         this.means = means;
-        means.decider().addWriter(this::flush);
+        means.eventLoop().addWriter(this::flush);
     }
 
-    void serve(Host served) {
-        host = served;
+    void serve(RequestProcessor served) {
+        processor = served;
         connect();
     }
 
@@ -76,24 +78,24 @@
      * A new configuration names this address; it has so long to say WELCOME, zero for as long as it
      * takes.
      */
-    void moveTo(InetSocketAddress next, Span within) {
-        if (move.to(next, within, host.now())) {
+    void moveTo(InetSocketAddress next, NanoDuration within) {
+        if (move.to(next, within, processor.now())) {
             connect();
             watch();
         }
     }
 
     private void watch() {
-        if (!move.due().equals(Moment.NEVER)) {
+        if (!move.due().equals(MonotonicTime.NEVER)) {
             means.deadlines()
-                    .at(
+                    .schedule(
                             move.due(),
                             () -> {
-                                Move.Next next = move.look(host.now());
-                                if (next != Move.Next.NOTHING) {
+                                ExecutorMigration.Step next = move.look(processor.now());
+                                if (next != ExecutorMigration.Step.NOTHING) {
                                     means.log()
                                             .line(
-                                                    (next == Move.Next.GO_BACK
+                                                    (next == ExecutorMigration.Step.GO_BACK
                                                                     ? "the new executor said no WELCOME in time, back to "
                                                                     : "the executor before says no WELCOME either, once more to ")
                                                             + move.current());
@@ -110,7 +112,7 @@
      * more.
      */
     private void leaveNewest() {
-        Link given = newest;
+        ExecutorConnection given = newest;
         newest = null;
         if (given == link) {
             // It joined and was never welcomed, so nothing was written to it; the one before may
@@ -119,7 +121,7 @@
             given.before = null;
         }
         if (link != null) {
-            link.handsOver = 0;
+            link.handovers = 0;
         }
         if (given.outbox() != null) {
             given.outbox().closeNow();
@@ -127,33 +129,33 @@
     }
 
     private void connect() {
-        means.deadlines().callOff(again);
-        newest = new Link();
+        means.deadlines().cancel(again);
+        newest = new ExecutorConnection();
         newest.connect(means.sockets(), move.current());
     }
 
     @Override
-    public boolean run(TryId id, String track, byte[] body) {
-        return say("EXEC " + id.digits() + " " + track + " " + body.length, body);
+    public boolean run(AttemptId id, String className, byte[] body) {
+        return say("EXEC " + id.digits() + " " + className + " " + body.length, body);
     }
 
     @Override
-    public boolean giveReply(TryId id, byte[] reply) {
+    public boolean giveReply(AttemptId id, byte[] reply) {
         return say("RETURN " + id.digits() + " " + reply.length, reply);
     }
 
     @Override
-    public boolean stop(TryId id) {
+    public boolean stop(AttemptId id) {
         return say("KILL " + id.digits(), null);
     }
 
     @Override
-    public boolean skipCall(TryId id) {
+    public boolean skipCall(AttemptId id) {
         return say("BYPASS " + id.digits(), null);
     }
 
     @Override
-    public void askGauges(long tag) {
+    public void askResourceUsage(long tag) {
         say("METER " + tag, null);
     }
 
@@ -163,7 +165,7 @@
     }
 
     private boolean say(String line, byte[] body) {
-        if (link == null || !link.welcomed || link.handsOver != 0) {
+        if (link == null || !link.welcomed || link.handovers != 0) {
             return false;
         }
         link.outbox().add(line).add("\r\n");
@@ -177,25 +179,25 @@
         if (link != null) {
             link.outbox().flush();
             if (link.outbox().waiting() > MOST_WAITING) {
-                means.log().line("the executor doesn't read: " + Ending.SLOW_READER);
+                means.log().line("the executor doesn't read: " + Completion.SLOW_READER);
                 link.outbox().closeNow();
             }
         }
     }
 
-    private final class Link extends Outbound<LineParser.Message> {
+    private final class ExecutorConnection extends OutboundConnection<LineParser.Message> {
         private boolean welcomed;
-        private Moment joinedAt;
+        private MonotonicTime joinedAt;
 
         /** The link that this one replaced. */
-        private Link before;
+        private ExecutorConnection before;
 
-        /** The tag whose gauges tell that this one can be replaced, or 0. */
-        private long handsOver;
+        /** The tag whose resource usage tell that this one can be replaced, or 0. */
+        private long handovers;
 
-        Link() {
+        ExecutorConnection() {
             super(
-                    means.decider(),
+                    means.eventLoop(),
                     new LineParser(
                             words ->
                                     switch (words[0]) {
@@ -212,8 +214,8 @@
             } else if (link == null || !link.welcomed) {
                 join();
             } else {
-                link.handsOver = host.askGauges();
-                means.deadlines().at(host.now().plus(HANDOVER), this::join);
+                link.handovers = processor.askResourceUsage();
+                means.deadlines().schedule(processor.now().plus(HANDOVER), this::join);
             }
         }
 
@@ -222,16 +224,16 @@
             if (this == newest && joinedAt == null) {
                 before = link;
                 link = this;
-                joinedAt = host.now();
+                joinedAt = processor.now();
                 outbox().add("JOIN " + last + "\r\n");
             }
         }
 
         @Override
-        void ended(Ending ending) {
+        void ended(Completion ending) {
             if (link == this) {
                 link = null;
-                lostAt = lostAt == null ? host.now() : lostAt;
+                lostAt = lostAt == null ? processor.now() : lostAt;
                 means.log().line("the link to the executor is lost: " + ending);
                 if (newest.outbox() != null) {
                     newest.join();
@@ -241,14 +243,17 @@
             }
             if (this == newest) {
                 if (link != null) {
-                    link.handsOver = 0;
+                    link.handovers = 0;
                 }
-                boolean settled = welcomed && SETTLED.compareTo(host.now().since(joinedAt)) < 0;
+                boolean settled =
+                        welcomed && SETTLED.compareTo(processor.now().since(joinedAt)) < 0;
                 again =
                         means.deadlines()
-                                .at(
-                                        host.now().plus(settled ? Span.ZERO : TRY_AGAIN),
-                                        ExecutorLink.this::connect);
+                                .schedule(
+                                        processor
+                                                .now()
+                                                .plus(settled ? NanoDuration.ZERO : TRY_AGAIN),
+                                        ExecutorClient.this::connect);
                 failing = true;
             }
         }
@@ -256,7 +261,7 @@
         /**
          * Its notices begin anew with each start, and of the runs of the one before none will end.
          */
-        private void welcome(boolean cold, Span age) {
+        private void welcome(boolean cold, NanoDuration age) {
             welcomed = true;
             failing = false;
             move.welcomed();
@@ -265,14 +270,14 @@
                 before.outbox().closeNow();
                 before = null;
             }
-            if (toldAge != null && startedAnew(age)) {
+            if (announcedAge != null && startedAnew(age)) {
                 last = 0;
-                host.executorStartedAnew();
+                processor.executorStartedAnew();
             }
-            toldAge = age;
-            toldAt = host.now();
+            announcedAge = age;
+            announcedAt = processor.now();
             lostAt = null;
-            host.welcomed(cold, age);
+            processor.welcomed(cold, age);
         }
 
         /**
@@ -281,41 +286,41 @@
          * and ours may drift as far, by pauses of one of the machines or by counting in coarse
          * steps.
          */
-        private boolean startedAnew(Span age) {
-            Moment away = lostAt == null ? joinedAt : lostAt;
-            Span life = toldAge.plus(away.since(toldAt));
+        private boolean startedAnew(NanoDuration age) {
+            MonotonicTime away = lostAt == null ? joinedAt : lostAt;
+            NanoDuration life = announcedAge.plus(away.since(announcedAt));
             return age.compareTo(joinedAt.since(away).plus(life.times(0.5))) < 0;
         }
 
         @Override
-        Runnable read(LineParser.Message message) throws Malformed {
+        Runnable read(LineParser.Message message) throws ProtocolException {
             String[] words = message.words();
             byte[] body = message.body();
             int most = words.length - 1;
             switch (words[0] + " " + most) {
                 case "WELCOME 2" -> {
                     boolean cold = words[1].equals("COLD");
-                    Span age = millis(words[2]);
+                    NanoDuration age = millis(words[2]);
                     return () -> welcome(cold, age);
                 }
                 case "EXIT 4", "EXIT 5" -> {
-                    TryId id = id(words[2]);
-                    Ending ending = ending(words[3]);
-                    Span took = millis(words[4]);
-                    return notice(words[1], () -> host.exited(id, ending, took, body));
+                    AttemptId id = id(words[2]);
+                    Completion ending = ending(words[3]);
+                    NanoDuration took = millis(words[4]);
+                    return notice(words[1], () -> processor.exited(id, ending, took, body));
                 }
                 case "CALLOUT 3" -> {
-                    TryId id = id(words[2]);
-                    return notice(words[1], () -> host.calledOut(id, body));
+                    AttemptId id = id(words[2]);
+                    return notice(words[1], () -> processor.calledOut(id, body));
                 }
                 case "DIAGNOSED 2" -> {
                     long tag = LineParser.number(words[1]);
-                    return () -> host.diagnosed(tag, words[2].equals("OK"));
+                    return () -> processor.diagnosed(tag, words[2].equals("OK"));
                 }
                 case "BAD 2" -> {
                     // The id of a command without one is its tag.
-                    TryId id = new TryId(words[2]);
-                    return () -> host.notCarriedOut(words[1], id);
+                    AttemptId id = new AttemptId(words[2]);
+                    return () -> processor.notCarriedOut(words[1], id);
                 }
                 default -> {
                     return other(words);
@@ -323,7 +328,7 @@
             }
         }
 
-        private Runnable other(String[] words) throws Malformed {
+        private Runnable other(String[] words) throws ProtocolException {
             if (words[0].equals("METERS") && words.length > 1) {
                 long tag = LineParser.number(words[1]);
                 double[] values = new double[words.length - 2];
@@ -331,8 +336,8 @@
                     values[i] = decimal(words[i + 2]);
                 }
                 return () -> {
-                    host.gaugesRead(tag, values);
-                    if (tag == handsOver) {
+                    processor.resourceUsageRead(tag, values);
+                    if (tag == handovers) {
                         newest.join();
                     }
                 };
@@ -347,7 +352,7 @@
         }
 
         /** Guards against a notice read twice, on a link and again on the one that replaced it. */
-        private Runnable notice(String number, Runnable news) throws Malformed {
+        private Runnable notice(String number, Runnable news) throws ProtocolException {
             long n = LineParser.number(number);
             return () -> {
                 if (n > last) {
@@ -367,32 +372,32 @@
         }
     }
 
-    private static TryId id(String word) throws Malformed {
-        if (!TryId.isValid(word)) {
-            throw new Malformed("no id of a try");
+    private static AttemptId id(String word) throws ProtocolException {
+        if (!AttemptId.isValid(word)) {
+            throw new ProtocolException("no id of a try");
         }
-        return new TryId(word);
+        return new AttemptId(word);
     }
 
-    private static Span millis(String word) throws Malformed {
-        return Span.ofSeconds(decimal(word) / 1000);
+    private static NanoDuration millis(String word) throws ProtocolException {
+        return NanoDuration.ofSeconds(decimal(word) / 1000);
     }
 
-    private static double decimal(String word) throws Malformed {
+    private static double decimal(String word) throws ProtocolException {
         try {
             return Double.parseDouble(word);
         } catch (NumberFormatException e) {
-            throw new Malformed("no number where one should stand");
+            throw new ProtocolException("no number where one should stand");
         }
     }
 
-    private static Ending ending(String word) throws Malformed {
+    private static Completion ending(String word) throws ProtocolException {
         return switch (word) {
-            case "OK" -> Ending.WELL;
-            case "ERROR" -> Ending.FAILED;
-            case "STOPPED" -> Ending.STOPPED;
-            case "MOOT" -> Ending.NOTHING_STARTED;
-            default -> throw new Malformed("no such end of a run");
+            case "OK" -> Completion.WELL;
+            case "ERROR" -> Completion.FAILED;
+            case "STOPPED" -> Completion.STOPPED;
+            case "MOOT" -> Completion.NOTHING_STARTED;
+            default -> throw new ProtocolException("no such end of a run");
         };
     }
 }
--- a/src/main/java/lupinwood/net/HttpReplyParser.java
+++ b/src/main/java/lupinwood/net/HttpResponseParser.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /** Reads HTTP/1.1 replies, however they are split; their bodies are passed over. */
-final class HttpReplyParser implements Parser<HttpReplyParser.Reply> {
+final class HttpResponseParser implements Parser<HttpResponseParser.HttpResponse> {
     /** One reply, and whether the connection may be used again. */
-    record Reply(int status, boolean keepsOpen) {}
+    record HttpResponse(int status, boolean keepsOpen) {}
 
     private static final int MOST_HEAD = 8192;
     private static final int MOST_BODY = 1 << 16;
 
     private final StringBuilder head = new StringBuilder();
-    private Reply reply;
+    private HttpResponse reply;
     private int left;
 
     @Override
-    public Reply next(ByteBuffer in) throws Malformed {
+    public HttpResponse next(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining() || (reply != null && left == 0)) {
             if (reply != null) {
                 int part = Math.min(left, in.remaining());
                 in.position(in.position() + part);
                 left -= part;
                 if (left == 0) {
-                    Reply whole = reply;
+                    HttpResponse whole = reply;
                     reply = null;
                     return whole;
                 }
@@ -31,7 +31,7 @@
             }
             head.append((char) (in.get() & 0xff));
             if (head.length() > MOST_HEAD) {
-                throw new Malformed("a reply with a head of over " + MOST_HEAD + " bytes");
+                throw new ProtocolException("a reply with a head of over " + MOST_HEAD + " bytes");
             }
             int length = head.length();
             if (length >= 4
@@ -44,39 +44,39 @@
         return null;
     }
 
-    private Reply read(String text) throws Malformed {
+    private HttpResponse read(String text) throws ProtocolException {
         String[] lines = text.split("\r\n", 0);
         String[] status = lines[0].split(" ", 0);
         if (status.length < 2
                 || !status[0].startsWith("HTTP/1.")
                 || !status[1].matches("[1-5][0-9][0-9]")) {
-            throw new Malformed("no status line");
+            throw new ProtocolException("no status line");
         }
         int code = Integer.parseInt(status[1]);
         boolean keeps = status[0].equals("HTTP/1.1");
         left = 0;
-        boolean lengthTold = code == 204 || code == 304 || code < 200;
+        boolean lengthReported = code == 204 || code == 304 || code < 200;
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             if (colon < 1) {
-                throw new Malformed("a header without a name");
+                throw new ProtocolException("a header without a name");
             }
             String value = lines[i].substring(colon + 1).strip().toLowerCase(Locale.ROOT);
             switch (lines[i].substring(0, colon).toLowerCase(Locale.ROOT)) {
                 case "content-length" -> {
                     long length = LineParser.number(value);
                     if (length > MOST_BODY) {
-                        throw new Malformed(
+                        throw new ProtocolException(
                                 "a body of " + length + " bytes, " + MOST_BODY + " at most");
                     }
-                    left = lengthTold ? 0 : (int) length;
-                    lengthTold = true;
+                    left = lengthReported ? 0 : (int) length;
+                    lengthReported = true;
                 }
                 case "connection" -> keeps &= !value.equals("close");
                 default -> {}
             }
         }
         // A body whose length isn't told ends with the connection.
-        return new Reply(code, keeps && lengthTold);
+        return new HttpResponse(code, keeps && lengthReported);
     }
 }
--- a/src/main/java/lupinwood/net/LineParser.java
+++ b/src/main/java/lupinwood/net/LineParser.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public Message next(ByteBuffer in) throws Malformed {
+    public Message next(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
             if (body != null && filled < body.length) {
                 int part = Math.min(in.remaining(), body.length - filled);
@@ -41,17 +41,17 @@
             }
             byte b = in.get();
             if (returned != (b == '\n')) {
-                throw new Malformed("a line end that is not CR LF");
+                throw new ProtocolException("a line end that is not CR LF");
             }
             if (b == '\r') {
                 returned = true;
             } else if (b != '\n') {
                 if (body != null) {
-                    throw new Malformed("bytes run past their length");
+                    throw new ProtocolException("bytes run past their length");
                 }
                 line.write(b);
                 if (line.size() > MOST_LINE) {
-                    throw new Malformed("a line of over " + MOST_LINE + " bytes");
+                    throw new ProtocolException("a line of over " + MOST_LINE + " bytes");
                 }
             } else {
                 returned = false;
@@ -64,7 +64,7 @@
         return null;
     }
 
-    private Message lineEnd() throws Malformed {
+    private Message lineEnd() throws ProtocolException {
         if (body != null) {
             Message whole = new Message(words, body);
             body = null;
@@ -77,7 +77,7 @@
         }
         long length = number(words[words.length - 1]);
         if (length > MOST_BODY) {
-            throw new Malformed(length + " bytes, " + MOST_BODY + " at most");
+            throw new ProtocolException(length + " bytes, " + MOST_BODY + " at most");
         }
         body = new byte[(int) length];
         filled = 0;
@@ -85,9 +85,9 @@
     }
 
     /** A whole number from 0 up. */
-    static long number(String word) throws Malformed {
+    static long number(String word) throws ProtocolException {
         if (!NUMBER.matcher(word).matches()) {
-            throw new Malformed("no whole number where one should stand");
+            throw new ProtocolException("no whole number where one should stand");
         }
         return Long.parseLong(word);
     }
--- a/src/main/java/lupinwood/net/NodeConfig.java
+++ b/src/main/java/lupinwood/net/NodeConfig.java
@@ -18,18 +18,18 @@
 import java.util.TreeMap;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import lupinwood.node.Settings;
-import lupinwood.node.Span;
-import lupinwood.settings.Checks;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.SettingsMap;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Fault;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.SettingsError;
+import lupinwood.settings.SettingsValidator;
 
 /**
  * What a node is told at its start.
  *
- * @param index where calls go; null where there is nothing below to call
+ * @param dependency where calls go; null where there is nothing below to call
  * @param stop how long after the notice the process is killed
  * @param sockets how many descriptors it may hold
  * @param settings what the node decides by, as the plain map that the simulator gives too
@@ -40,14 +40,14 @@
         String name,
         InetSocketAddress listen,
         InetSocketAddress executor,
-        InetSocketAddress index,
-        InetSocketAddress naming,
+        InetSocketAddress dependency,
+        InetSocketAddress registryAddress,
         long seed,
-        Span stop,
+        NanoDuration stop,
         int sockets,
         Map<String, String> settings,
-        Meaning meaning,
-        List<Fault> doubts) {
+        ParsedSettings meaning,
+        List<SettingsError> doubts) {
 
     private static final String SETTINGS = "settings.";
     private static final String STEP = "step_ns";
@@ -55,38 +55,38 @@
     private static final Pattern PLACE = Pattern.compile("\\.\\d{1,6}\\.");
 
     /** The configuration can't be used; the message is one line. */
-    public static final class Unusable extends Exception {
+    public static final class UnusableConfiguration extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Unusable(String message) {
+        public UnusableConfiguration(String message) {
             super(message);
         }
     }
 
-    public static NodeConfig read(Path file) throws Unusable {
+    public static NodeConfig read(Path file) throws UnusableConfiguration {
         JsonElement read;
         try (Reader reader = Files.newBufferedReader(file)) {
             read = JsonParser.parseReader(reader);
         } catch (IOException e) {
-            throw new Unusable(
+            throw new UnusableConfiguration(
                     "can't read the configuration " + file + ": " + e.getClass().getSimpleName());
         } catch (JsonParseException e) {
-            throw new Unusable("the configuration " + file + " is no JSON");
+            throw new UnusableConfiguration("the configuration " + file + " is no JSON");
         }
         if (!read.isJsonObject()) {
-            throw new Unusable("the configuration " + file + " is no JSON object");
+            throw new UnusableConfiguration("the configuration " + file + " is no JSON object");
         }
         Map<String, String> flat = new TreeMap<>();
         flatten("", read, flat);
-        List<Fault> faults = new ArrayList<>();
-        Meaning meaning = Meaning.of(flat, faults);
-        faults.addAll(Checks.of(meaning, faults));
+        List<SettingsError> faults = new ArrayList<>();
+        ParsedSettings meaning = ParsedSettings.of(flat, faults);
+        faults.addAll(SettingsValidator.of(meaning, faults));
         faults.addAll(unknown(flat));
         return of(flat, meaning, faults);
     }
 
     /** Of one that is right in all its entries. */
-    public static NodeConfig of(Meaning meaning) throws Unusable {
+    public static NodeConfig of(ParsedSettings meaning) throws UnusableConfiguration {
         return of(meaning.flat(), meaning, List.of());
     }
 
@@ -94,9 +94,9 @@
      * This one with other values, where they differ; what is the same keeps the form in which it
      * came.
      */
-    public NodeConfig with(Meaning next) throws Unusable {
+    public NodeConfig with(ParsedSettings next) throws UnusableConfiguration {
         Map<String, String> flat = new TreeMap<>(meaning.flat());
-        settings.forEach((key, kept) -> flat.put("settings." + key, kept));
+        settings.forEach((key, stored) -> flat.put("settings." + key, stored));
         for (Entry entry : Schema.all()) {
             for (String name : next.named(entry)) {
                 String value = next.value(name);
@@ -104,7 +104,7 @@
                     if (value == null) {
                         flat.remove(meaning.key(name));
                     } else {
-                        flat.put(meaning.key(name), Meaning.kept(name, value));
+                        flat.put(meaning.key(name), ParsedSettings.stored(name, value));
                     }
                 }
             }
@@ -112,18 +112,19 @@
         return of(flat, next, doubts);
     }
 
-    private static NodeConfig of(Map<String, String> flat, Meaning meaning, List<Fault> faults)
-            throws Unusable {
+    private static NodeConfig of(
+            Map<String, String> flat, ParsedSettings meaning, List<SettingsError> faults)
+            throws UnusableConfiguration {
         StringJoiner certain = new StringJoiner("; ");
-        faults.stream().filter(Fault::certain).forEach(fault -> certain.add(said(fault)));
+        faults.stream().filter(SettingsError::certain).forEach(fault -> certain.add(said(fault)));
         if (certain.length() > 0) {
-            throw new Unusable("the configuration can't be used: " + certain);
+            throw new UnusableConfiguration("the configuration can't be used: " + certain);
         }
         Map<String, String> settings = new TreeMap<>();
         flat.forEach(
-                (key, kept) -> {
+                (key, stored) -> {
                     if (key.startsWith(SETTINGS)) {
-                        settings.put(key.substring(SETTINGS.length()), kept);
+                        settings.put(key.substring(SETTINGS.length()), stored);
                     }
                 });
         settings.put(STEP, Long.toString(step(meaning)));
@@ -134,7 +135,7 @@
                 address(flat, "index"),
                 address(flat, "naming"),
                 Long.parseUnsignedLong(flat.get("seed"), 16),
-                new Span(meaning.number("stop", null).longValue()),
+                new NanoDuration(meaning.number("stop", null).longValue()),
                 meaning.number("limits descriptors", null).min(MOST_SOCKETS).intValue(),
                 settings,
                 meaning,
@@ -142,26 +143,29 @@
     }
 
     /**
-     * The step in nanoseconds. Sockets have one of their own, which is fine enough for any ticket:
-     * it stands in for one that isn't told, or that would leave a ticket of this deployment no
+     * The step in nanoseconds. Sockets have one of their own, which is fine enough for any request:
+     * it stands in for one that isn't told, or that would leave a request of this deployment no
      * time.
      */
-    private static long step(Meaning meaning) {
+    private static long step(ParsedSettings meaning) {
         Entry entry = Schema.named("step");
         BigDecimal shortest =
-                meaning.tracks().stream()
-                        .map(track -> meaning.number("track " + track + " abandon-time", null))
+                meaning.requestClasses().stream()
+                        .map(
+                                className ->
+                                        meaning.number(
+                                                "track " + className + " abandon-time", null))
                         .min(Comparator.naturalOrder())
                         .orElse(entry.most());
-        BigDecimal told = meaning.number("step", BigDecimal.ZERO);
+        BigDecimal reported = meaning.number("step", BigDecimal.ZERO);
         boolean fits =
-                told.compareTo(entry.least()) >= 0
-                        && told.multiply(new BigDecimal(4)).compareTo(shortest) <= 0;
-        return fits ? told.longValue() : Math.min(Decider.PACE, shortest.longValue() / 8);
+                reported.compareTo(entry.least()) >= 0
+                        && reported.multiply(new BigDecimal(4)).compareTo(shortest) <= 0;
+        return fits ? reported.longValue() : Math.min(EventLoop.PACE, shortest.longValue() / 8);
     }
 
     /** A fault of a JSON file, whose entries have no place in lines. */
-    private static String said(Fault fault) {
+    private static String said(SettingsError fault) {
         return fault.text() + (fault.instead().isEmpty() ? "" : " (" + fault.instead() + ")");
     }
 
@@ -173,8 +177,8 @@
     }
 
     /** Entries that no node reads: a later platform may have more, or a name is misspelled. */
-    private static List<Fault> unknown(Map<String, String> flat) {
-        List<Fault> unknown = new ArrayList<>();
+    private static List<SettingsError> unknown(Map<String, String> flat) {
+        List<SettingsError> unknown = new ArrayList<>();
         for (String key : flat.keySet()) {
             String general = PLACE.matcher(key).replaceFirst(".#.");
             boolean known =
@@ -184,7 +188,7 @@
                             || key.endsWith(".count")
                             || general.endsWith(".#.name");
             if (!known && !Schema.isNotNeeded(key)) {
-                unknown.add(new Fault(key, "nothing reads the entry " + key, "", false));
+                unknown.add(new SettingsError(key, "nothing reads the entry " + key, "", false));
             }
         }
         return unknown;
@@ -198,14 +202,14 @@
     }
 
     private static InetSocketAddress address(Map<String, String> flat, String name)
-            throws Unusable {
+            throws UnusableConfiguration {
         String text = flat.get(name);
         if (text == null) {
             return null; // only of an entry that isn't needed
         }
         InetSocketAddress address = address(text);
         if (address.isUnresolved()) {
-            throw new Unusable(
+            throw new UnusableConfiguration(
                     "'" + name + "' in the configuration names a host that isn't known: " + text);
         }
         return address;
@@ -227,7 +231,7 @@
                     .entrySet()
                     .forEach(e -> flatten(prefix + e.getKey(), e.getValue(), into));
         } else if (!value.isJsonArray()) {
-            // The name service knows the node by its name as it stands.
+            // The service registry knows the node by its name as it stands.
             into.put(
                     path,
                     path.equals("name") && value.isJsonPrimitive()
@@ -246,6 +250,6 @@
     }
 
     private static String plain(JsonElement value) {
-        return value.isJsonPrimitive() ? Settings.word(value.getAsString()) : "";
+        return value.isJsonPrimitive() ? SettingsMap.word(value.getAsString()) : "";
     }
 }
--- a/src/main/java/lupinwood/net/Serving.java
+++ b/src/main/java/lupinwood/net/NodeServer.java
@@ -10,30 +10,30 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Host;
-import lupinwood.council.Hands;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.SettingsMap;
+import lupinwood.consensus.ConfigApplier;
 import lupinwood.log.Log;
-import lupinwood.node.Moment;
-import lupinwood.node.Settings;
-import lupinwood.node.Span;
-import lupinwood.reload.Plan;
-import lupinwood.settings.Change;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
+import lupinwood.reload.ConfigDiff;
+import lupinwood.settings.ChangeEffect;
 import lupinwood.settings.Schema;
 
-/** One real node: its sockets, its deciding thread, and how it leaves. */
-public final class Serving {
+/** One real node: its sockets, its event loop thread, and how it leaves. */
+public final class NodeServer {
     /**
      * What the descriptors are for. What the process itself and its links need comes first, so that
-     * no crowd can take it; dispatchers may have half of all in any case; of the rest what goes
-     * below gets what it needs, half at the most.
+     * no crowd can take it; upstream load balancers may have half of all in any case; of the rest
+     * what goes below gets what it needs, half at the most.
      *
-     * @param dispatchers how many of their connections have a place at once
+     * @param upstreams how many of their connections have a place at once
      * @param closing how many more may be open that come in, or make room and are closed
-     * @param calls connections to the index
-     * @param runs connections to servers that carry out tickets
+     * @param calls connections to the shared dependency
+     * @param runs connections to servers that carry out requests
      */
-    record Descriptors(int dispatchers, int closing, int calls, int runs) {
+    record Descriptors(int upstreams, int closing, int calls, int runs) {
         /**
          * Opened while the node runs: a file read again, a name looked up, and one more of each
          * kind.
@@ -59,7 +59,7 @@
          * @param voters of the fleet, each with a connection and the next one
          */
         static int own(int open, int doors, int voters) {
-            return open + LATER + doors + EXECUTOR + NamingReporter.MOST_AT_ONCE + 2 * voters;
+            return open + LATER + doors + EXECUTOR + RegistryClient.MOST_AT_ONCE + 2 * voters;
         }
 
         /**
@@ -67,10 +67,10 @@
          * so far.
          */
         static int callsOf(NodeConfig config) {
-            if (config.index() == null) {
+            if (config.dependency() == null) {
                 return 0;
             }
-            Settings settings = new Settings(config.settings());
+            SettingsMap settings = new SettingsMap(config.settings());
             return settings.is("domain.below", "one_for_all")
                     ? (int)
                             Math.max(
@@ -100,44 +100,46 @@
         }
     }
 
-    private static final Span LOOK_AGAIN = Span.ofSeconds(0.02);
+    private static final NanoDuration LOOK_AGAIN = NanoDuration.ofSeconds(0.02);
 
-    /** Without a ticket for so long, dispatchers have learned that this node leaves. */
-    private static final Span QUIET = Span.ofSeconds(1);
+    /**
+     * Without a request for so long, upstream load balancers have learned that this node leaves.
+     */
+    private static final NanoDuration QUIET = NanoDuration.ofSeconds(1);
 
     /**
      * How the time to the stop is spent: by the first all is answered. The end after it has three
-     * parts of one length: dispatchers close their connections, as they are asked to; those that
-     * rest until this side ends them see the end; and the process is gone by itself. Where the stop
-     * comes soon each is a twelfth of the time to it.
+     * parts of one length: upstream load balancers close their connections, as they are asked to;
+     * those that rest until this side ends them see the end; and the process is gone by itself.
+     * Where the stop comes soon each is a twelfth of the time to it.
      */
-    record Leaving(Span answered, Span part) {
-        private static final Span LONGEST_PART = Span.ofSeconds(0.2);
+    record DrainSequence(NanoDuration answered, NanoDuration part) {
+        private static final NanoDuration LONGEST_PART = NanoDuration.ofSeconds(0.2);
 
-        static Leaving within(Span stop) {
-            Span part = stop.times(1.0 / 12).min(LONGEST_PART);
-            return new Leaving(stop.minus(part.times(3)), part);
+        static DrainSequence within(NanoDuration stop) {
+            NanoDuration part = stop.times(1.0 / 12).min(LONGEST_PART);
+            return new DrainSequence(stop.minus(part.times(3)), part);
         }
     }
 
-    /** The deciding thread takes a step well within this many seconds; past it, it is stuck. */
+    /** The event loop thread takes a step well within this many seconds; past it, it is stuck. */
     private static final long LONGEST_STEP = 30;
 
-    private static final Span FIGURES_EVERY = Span.ofSeconds(10);
+    private static final NanoDuration FIGURES_EVERY = NanoDuration.ofSeconds(10);
 
-    /** What the node goes by. Changed by one reload at a time, never by the deciding thread. */
+    /** What the node goes by. Changed by one reload at a time, never by the event loop thread. */
     private volatile NodeConfig config;
 
-    /** How long the deciding thread was busy with the latest reload; zero before the first. */
-    public Span latestStep() {
+    /** How long the event loop thread was busy with the latest reload; zero before the first. */
+    public NanoDuration latestStep() {
         return latestStep;
     }
 
-    /** What stands open, told by the deciding thread. */
+    /** What stands open, told by the event loop thread. */
     public String figures() {
-        CompletableFuture<String> told = new CompletableFuture<>();
-        decider.tell(() -> told.complete(host.figures()));
-        return told.completeOnTimeout("", LONGEST_STEP, TimeUnit.SECONDS).join();
+        CompletableFuture<String> reported = new CompletableFuture<>();
+        eventLoop.tell(() -> reported.complete(processor.figures()));
+        return reported.completeOnTimeout("", LONGEST_STEP, TimeUnit.SECONDS).join();
     }
 
     /**
@@ -146,77 +148,78 @@
      */
     private volatile InetSocketAddress executorAt;
 
-    private volatile Span latestStep = Span.ZERO;
-    private final Host.Maker maker;
+    private volatile NanoDuration latestStep = NanoDuration.ZERO;
+    private final RequestProcessor.PolicyFactory maker;
     private final Log log;
-    private final Deadlines deadlines = new Deadlines();
-    private final Decider decider;
+    private final TimerService deadlines = new TimerService();
+    private final EventLoop eventLoop;
     private final Sockets sockets;
-    private final DispatcherListener listener;
+    private final RespListener listener;
 
     /** Null where the configuration has none, which then loads nothing of it. */
-    private final AjpFront ajp;
+    private final AjpListener ajp;
 
-    private final ExecutorLink executor;
+    private final ExecutorClient executor;
 
-    /** Null where no server carries out tickets, which then loads nothing of it. */
-    private final AjpServers servers;
+    /** Null where no server carries out requests, which then loads nothing of it. */
+    private final AjpExecutor servers;
 
     /** Null where the configuration names no voters, which then loads nothing of it. */
-    private final FleetPart fleet;
+    private final ClusterMembership fleet;
 
-    private volatile Runnable leaveAsked = () -> {};
+    private volatile Runnable drainRequested = () -> {};
 
     /** Null until told; a node without a fleet never loads it. */
-    private volatile Supplier<Hands> hands;
+    private volatile Supplier<ConfigApplier> configApplier;
 
-    private final IndexLink index;
-    private final NamingReporter naming;
-    private final Host host;
+    private final DependencyClient dependencyClient;
+    private final RegistryClient registryClient;
+    private final RequestProcessor processor;
     private final CountDownLatch quiet = new CountDownLatch(1);
     private final CountDownLatch left = new CountDownLatch(1);
 
     /**
-     * Whether the door was opened, and whether the notice to leave has come; under this object's
-     * lock.
+     * Whether the listener was opened, and whether the notice to leave has come; under this
+     * object's lock.
      */
     private boolean open;
 
-    private boolean told;
+    private boolean drainNotified;
 
-    public Serving(NodeConfig config, Host.Maker maker, Log log) {
+    public NodeServer(NodeConfig config, RequestProcessor.PolicyFactory maker, Log log) {
         this(config, maker, log, System::nanoTime);
     }
 
     /** With a clock of the caller's, in nanoseconds, which never goes back. */
-    Serving(NodeConfig config, Host.Maker maker, Log log, LongSupplier steady) {
+    NodeServer(
+            NodeConfig config, RequestProcessor.PolicyFactory maker, Log log, LongSupplier steady) {
         this.config = config;
         this.maker = maker;
         this.log = log;
-        decider = new Decider(deadlines, steady, log);
+        eventLoop = new EventLoop(deadlines, steady, log);
         sockets = new Sockets(log);
-        listener = new DispatcherListener(decider, deadlines, log);
+        listener = new RespListener(eventLoop, deadlines, log);
         ajp =
                 config.meaning().value("ajp listen") == null
                         ? null
-                        : new AjpFront(config.meaning(), decider, deadlines, log);
-        Means means = new Means(sockets, decider, deadlines, log);
-        executor = new ExecutorLink(config.executor(), at -> executorAt = at, means);
+                        : new AjpListener(config.meaning(), eventLoop, deadlines, log);
+        LinkContext means = new LinkContext(sockets, eventLoop, deadlines, log);
+        executor = new ExecutorClient(config.executor(), at -> executorAt = at, means);
         servers =
                 config.meaning().items(Schema.SERVER).isEmpty()
                         ? null
-                        : new AjpServers(config.meaning(), config.seed(), means);
+                        : new AjpExecutor(config.meaning(), config.seed(), means);
         fleet =
                 config.meaning().items(Schema.VOTER).isEmpty()
                         ? null
-                        : new FleetPart(
+                        : new ClusterMembership(
                                 config.meaning(),
                                 servers,
                                 deadlines,
-                                () -> hands == null ? null : hands.get(),
-                                () -> leaveAsked.run(),
+                                () -> configApplier == null ? null : configApplier.get(),
+                                () -> drainRequested.run(),
                                 log);
-        Tables tables = Tables.of(Tables.share(1));
+        TableSizes tables = TableSizes.of(TableSizes.share(1));
         int all = Math.min(config.sockets(), OpenFiles.limit());
         int voters = config.meaning().items(Schema.VOTER).size();
         int own =
@@ -231,12 +234,12 @@
         if (servers != null) {
             servers.allow(descriptors.runs());
         }
-        sockets.allow(descriptors.dispatchers() + descriptors.closing());
+        sockets.allow(descriptors.upstreams() + descriptors.closing());
         log.line(
                 "descriptors "
                         + all
                         + ": dispatchers "
-                        + descriptors.dispatchers()
+                        + descriptors.upstreams()
                         + " and "
                         + descriptors.closing()
                         + ", calls "
@@ -246,46 +249,46 @@
                         + ", own "
                         + own
                         + "; tickets "
-                        + tables.tickets()
+                        + tables.requests()
                         + ", receipts "
-                        + tables.receipts()
+                        + tables.idempotencyRecords()
                         + " with "
-                        + tables.receiptBytes() / 1024
+                        + tables.idempotencyBytes() / 1024
                         + " KB");
-        index = new IndexLink(config.index(), descriptors.calls(), means);
-        naming = new NamingReporter(config.naming(), config.name(), means);
-        host =
-                new Host(
+        dependencyClient = new DependencyClient(config.dependency(), descriptors.calls(), means);
+        registryClient = new RegistryClient(config.registryAddress(), config.name(), means);
+        processor =
+                new RequestProcessor(
                         config.settings(),
                         config.seed(),
                         maker,
-                        new Host.Ports(
-                                ajp == null ? listener : new Fronts(listener, ajp),
-                                servers == null ? executor : new Works(executor, servers),
-                                index,
+                        new RequestProcessor.Ports(
+                                ajp == null ? listener : new UpstreamListeners(listener, ajp),
+                                servers == null ? executor : new ExecutorRouter(executor, servers),
+                                dependencyClient,
                                 log::line),
                         deadlines,
-                        new Host.Bounds(
-                                descriptors.dispatchers(),
-                                tables.tickets(),
-                                tables.receipts(),
-                                tables.receiptBytes()),
-                        decider.time());
+                        new RequestProcessor.TableLimits(
+                                descriptors.upstreams(),
+                                tables.requests(),
+                                tables.idempotencyRecords(),
+                                tables.idempotencyBytes()),
+                        eventLoop.time());
     }
 
     /** What the fleet's word to leave sets going; to be set before {@link #start}. */
-    public void onLeaveAsked(Runnable job) {
-        leaveAsked = job;
+    public void onDrainRequested(Runnable job) {
+        drainRequested = job;
     }
 
     /** Who checks and takes the fleet's text; to be set before {@link #start}. */
-    public void onText(Supplier<Hands> who) {
-        hands = who;
+    public void onText(Supplier<ConfigApplier> who) {
+        configApplier = who;
     }
 
     /**
      * Listens and serves until told to leave; an address in use is told by the exception. Told
-     * before the door opens, it never opens it, and returns false.
+     * before the listener opens, it never opens it, and returns false.
      */
     public boolean start() throws IOException {
         try {
@@ -298,26 +301,26 @@
         if (fleet != null) {
             fleet.start();
         }
-        // Before the door opens: what comes through it at once must find who is to take it.
-        decider.tell(
+        // Before the listener opens: what comes through it at once must find who is to take it.
+        eventLoop.tell(
                 () -> {
-                    listener.serve(host);
+                    listener.serve(processor);
                     if (ajp != null) {
-                        ajp.serve(host);
+                        ajp.serve(processor);
                     }
-                    index.serve(host);
+                    dependencyClient.serve(processor);
                     if (servers != null) {
-                        servers.serve(host);
+                        servers.serve(processor);
                     }
-                    executor.serve(host);
-                    naming.serve(host);
+                    executor.serve(processor);
+                    registryClient.serve(processor);
                     if (fleet != null) {
-                        fleet.serve(host);
+                        fleet.serve(processor);
                     }
                     tellFigures();
                 });
         synchronized (this) {
-            if (told) {
+            if (drainNotified) {
                 return false;
             }
             sockets.listen(config.listen(), listener::newPeer);
@@ -327,18 +330,18 @@
                 sockets.listenAlso(also, ajp::newPeer);
                 log.line(config.name() + " listens for AJP on " + also);
             }
-            decider.start(host);
+            eventLoop.start(processor);
             open = true;
         }
         return true;
     }
 
     private void tellFigures() {
-        log.line(host.figures());
+        log.line(processor.figures());
         if (fleet != null) {
             log.line(fleet.figures());
         }
-        deadlines.at(host.now().plus(FIGURES_EVERY), this::tellFigures);
+        deadlines.schedule(processor.now().plus(FIGURES_EVERY), this::tellFigures);
     }
 
     /**
@@ -346,23 +349,23 @@
      * happens before the step, on the caller's thread; the step itself is one of the deciding
      * thread, and tells whether it was taken. One caller at a time.
      */
-    public Plan reload(NodeConfig next) {
-        Plan plan = Plan.between(config.meaning(), next.meaning());
+    public ConfigDiff reload(NodeConfig next) {
+        ConfigDiff plan = ConfigDiff.between(config.meaning(), next.meaning());
         plan.steps()
                 .forEach(
                         step ->
                                 log.line(
                                         (plan.isRefused() ? "not reloaded: " : "reload: ")
                                                 + step.said()
-                                                + (step.change() == Change.REFUSED
+                                                + (step.change() == ChangeEffect.REFUSED
                                                         ? ", since " + step.because()
                                                         : "")));
         if (plan.isRefused()) {
             log.line(
                     "nothing reloaded: "
                             + plan.steps().stream()
-                                    .filter(s -> s.change() == Change.REFUSED)
-                                    .map(Plan.Step::name)
+                                    .filter(s -> s.change() == ChangeEffect.REFUSED)
+                                    .map(ConfigDiff.Step::name)
                                     .collect(Collectors.joining(", "))
                             + " can't change while the node runs");
             return plan;
@@ -370,18 +373,19 @@
         NodeConfig now;
         try {
             now = config.with(plan.result());
-        } catch (NodeConfig.Unusable e) {
+        } catch (NodeConfig.UnusableConfiguration e) {
             log.line("nothing reloaded: " + e.getMessage());
             return plan;
         }
-        Host.Tuning tuning = new Host.Tuning(now.settings());
+        RequestProcessor.ReloadableSettings tuning =
+                new RequestProcessor.ReloadableSettings(now.settings());
         CompletableFuture<Boolean> step = new CompletableFuture<>();
-        decider.tell(
+        eventLoop.tell(
                 () -> {
                     long begun = System.nanoTime();
                     try {
                         boolean took = takeOver(now, tuning);
-                        latestStep = new Span(System.nanoTime() - begun);
+                        latestStep = new NanoDuration(System.nanoTime() - begun);
                         step.complete(took);
                     } finally {
                         step.complete(false); // counts only where the line before didn't get there
@@ -396,8 +400,8 @@
         }
         String stays =
                 plan.steps().stream()
-                        .filter(s -> s.change() == Change.RESTART)
-                        .map(Plan.Step::name)
+                        .filter(s -> s.change() == ChangeEffect.RESTART)
+                        .map(ConfigDiff.Step::name)
                         .collect(Collectors.joining(", "));
         if (!stays.isEmpty()) {
             log.line("can't change while the node runs, and stays as it was: " + stays);
@@ -407,29 +411,29 @@
                         ? "reloaded: executor "
                                 + now.executor()
                                 + ", index "
-                                + (now.index() == null ? "none" : now.index())
+                                + (now.dependency() == null ? "none" : now.dependency())
                                 + ", naming "
-                                + now.naming()
+                                + now.registryAddress()
                                 + (plan.isEmpty() ? "; nothing changed" : "")
                         : "nothing reloaded: the node was told to leave");
         return plan;
     }
 
     /** The step. Nothing in it can fail for what the configuration says. */
-    private boolean takeOver(NodeConfig now, Host.Tuning tuning) {
-        if (!host.retune(tuning)) {
+    private boolean takeOver(NodeConfig now, RequestProcessor.ReloadableSettings tuning) {
+        if (!processor.retune(tuning)) {
             return false;
         }
         long within = now.meaning().number("moves welcome-within", BigDecimal.ZERO).longValue();
-        executor.moveTo(now.executor(), new Span(within));
-        index.moveTo(now.index());
-        naming.moveTo(now.naming());
+        executor.moveTo(now.executor(), new NanoDuration(within));
+        dependencyClient.moveTo(now.dependency());
+        registryClient.moveTo(now.registryAddress());
         return true;
     }
 
     /** For who has to hold the order of events. */
-    Decider decider() {
-        return decider;
+    EventLoop eventLoop() {
+        return eventLoop;
     }
 
     /**
@@ -447,14 +451,14 @@
 
     /**
      * The notice to leave: returns once everything read is answered, or just before the stop. The
-     * door stays open while dispatchers that have not learned of it still come: they hear when to
-     * come back, which a refused connection can't tell.
+     * door stays open while upstream load balancers that have not learned of it still come: they
+     * hear when to come back, which a refused connection can't tell.
      */
     public void leave() throws InterruptedException {
         boolean again;
         synchronized (this) {
-            again = told;
-            told = true;
+            again = drainNotified;
+            drainNotified = true;
             if (!open) {
                 log.line("left before the door opened");
                 return;
@@ -465,36 +469,38 @@
             return;
         }
         log.line("told to leave");
-        Span stop = config.stop();
-        Leaving parts = Leaving.within(stop);
+        NanoDuration stop = config.stop();
+        DrainSequence parts = DrainSequence.within(stop);
         if (fleet != null) {
             fleet.leave();
         }
-        decider.tell(
+        eventLoop.tell(
                 () -> {
-                    host.leave(parts.answered());
-                    naming.leave();
+                    processor.leave(parts.answered());
+                    registryClient.leave();
                     lookUntil(
-                            host.now().plus(parts.answered()),
-                            () -> host.isAnswered() && QUIET.compareTo(host.sinceLastTicket()) < 0,
+                            processor.now().plus(parts.answered()),
+                            () ->
+                                    processor.isAnswered()
+                                            && QUIET.compareTo(processor.sinceLastRequest()) < 0,
                             quiet);
                 });
         quiet.await(stop.nanos(), TimeUnit.NANOSECONDS);
         sockets.stopListening();
         CountDownLatch closed = new CountDownLatch(1);
-        decider.tell(
+        eventLoop.tell(
                 () -> {
-                    host.closeConnections();
-                    lookUntil(host.now().plus(parts.part()), this::isEmpty, closed);
+                    processor.closeConnections();
+                    lookUntil(processor.now().plus(parts.part()), this::isEmpty, closed);
                 });
         closed.await(stop.nanos(), TimeUnit.NANOSECONDS);
-        decider.tell(
+        eventLoop.tell(
                 () -> {
-                    host.endConnections();
-                    lookUntil(host.now().plus(parts.part()), this::isEmpty, left);
+                    processor.endConnections();
+                    lookUntil(processor.now().plus(parts.part()), this::isEmpty, left);
                 });
         left.await(stop.nanos(), TimeUnit.NANOSECONDS);
-        decider.stop();
+        eventLoop.stop();
         sockets.dispose();
         if (fleet != null) {
             fleet.end();
@@ -503,20 +509,21 @@
     }
 
     /**
-     * Guards against a connection that was accepted and not yet told here: its ticket would end
+     * Guards against a connection that was accepted and not yet told here: its request would end
      * with the process.
      */
     private boolean isEmpty() {
-        return host.isAnswered()
-                && host.connectionCount() == 0
-                && host.connectionsEver() == sockets.accepted();
+        return processor.isAnswered()
+                && processor.connectionCount() == 0
+                && processor.connectionsEver() == sockets.accepted();
     }
 
-    private void lookUntil(Moment last, BooleanSupplier done, CountDownLatch told) {
-        if (done.getAsBoolean() || !host.now().isBefore(last)) {
-            told.countDown();
+    private void lookUntil(MonotonicTime last, BooleanSupplier done, CountDownLatch reported) {
+        if (done.getAsBoolean() || !processor.now().isBefore(last)) {
+            reported.countDown();
         } else {
-            deadlines.at(host.now().plus(LOOK_AGAIN), () -> lookUntil(last, done, told));
+            deadlines.schedule(
+                    processor.now().plus(LOOK_AGAIN), () -> lookUntil(last, done, reported));
         }
     }
 }
--- a/src/main/java/lupinwood/net/Outbound.java
+++ b/src/main/java/lupinwood/net/OutboundConnection.java
@@ -4,35 +4,35 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import lupinwood.core.Ending;
+import lupinwood.processing.Completion;
 import org.apache.mina.core.session.IoSession;
 
-/** A connection that this node makes. All but {@link #read} happens on the deciding thread. */
-abstract class Outbound<T> implements Peer {
-    private final Decider decider;
+/** A connection that this node makes. All but {@link #read} happens on the event loop thread. */
+abstract class OutboundConnection<T> implements Peer {
+    private final EventLoop eventLoop;
     private final Parser<T> parser;
 
     /** Null until it stands. */
-    private Outbox outbox;
+    private WriteBuffer outbox;
 
     private Runnable calledOff = () -> {};
 
-    Outbound(Decider decider, Parser<T> parser) {
-        this.decider = decider;
+    OutboundConnection(EventLoop eventLoop, Parser<T> parser) {
+        this.eventLoop = eventLoop;
         this.parser = parser;
     }
 
     /** What a message tells. */
-    abstract Runnable read(T message) throws Malformed;
+    abstract Runnable read(T message) throws ProtocolException;
 
     /** It stands and can be written to. */
     abstract void stands();
 
     /** It ended, or never came about. */
-    abstract void ended(Ending ending);
+    abstract void ended(Completion ending);
 
     final void connect(Sockets sockets, InetSocketAddress address) {
-        calledOff = sockets.connect(address, this, ending -> decider.tell(() -> ended(ending)));
+        calledOff = sockets.connect(address, this, ending -> eventLoop.tell(() -> ended(ending)));
     }
 
     /**
@@ -47,21 +47,21 @@
         }
     }
 
-    final Outbox outbox() {
+    final WriteBuffer outbox() {
         return outbox;
     }
 
     @Override
     public final void opened(IoSession session) {
-        decider.tell(
+        eventLoop.tell(
                 () -> {
-                    outbox = new Outbox(session);
+                    outbox = new WriteBuffer(session);
                     stands();
                 });
     }
 
     @Override
-    public final void received(ByteBuffer bytes) throws Malformed {
+    public final void received(ByteBuffer bytes) throws ProtocolException {
         int length = bytes.remaining();
         List<Runnable> news = new ArrayList<>();
         try {
@@ -69,7 +69,7 @@
                 news.add(read(message));
             }
         } finally {
-            decider.tell(news, length);
+            eventLoop.tell(news, length);
         }
     }
 
@@ -85,6 +85,6 @@
 
     @Override
     public final void closed(boolean malformed) {
-        decider.tell(() -> ended(malformed ? Ending.MALFORMED : Ending.CLOSED_BY_PEER));
+        eventLoop.tell(() -> ended(malformed ? Completion.MALFORMED : Completion.CLOSED_BY_PEER));
     }
 }
--- a/src/main/java/lupinwood/net/Peer.java
+++ b/src/main/java/lupinwood/net/Peer.java
@@ -7,7 +7,7 @@
 interface Peer {
     void opened(IoSession session);
 
-    void received(ByteBuffer bytes) throws Malformed;
+    void received(ByteBuffer bytes) throws ProtocolException;
 
     /** The other side sends no more. */
     void inputClosed(IoSession session);
--- a/src/main/java/lupinwood/net/Malformed.java
+++ b/src/main/java/lupinwood/net/ProtocolException.java
@@ -1,10 +1,10 @@
 package lupinwood.net;
 
 /** What came in can't be read as what it should be; only its connection ends. */
-final class Malformed extends Exception {
+final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String message) {
+    ProtocolException(String message) {
         super(message);
     }
 }
--- a/src/main/java/lupinwood/net/NamingReporter.java
+++ b/src/main/java/lupinwood/net/RegistryClient.java
@@ -8,25 +8,25 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Ending;
-import lupinwood.core.Host;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.processing.Completion;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
 
-/** Tells the name service again and again that this node serves, so that it stays listed. */
-final class NamingReporter {
+/** Tells the service registry again and again that this node serves, so that it stays listed. */
+final class RegistryClient {
     /** A third of the time after which a silent node is taken off the list. */
-    private static final Span EVERY = Span.ofSeconds(1);
+    private static final NanoDuration EVERY = NanoDuration.ofSeconds(1);
 
     /**
      * A report that isn't answered by then no longer keeps the node listed; its connection is given
      * up.
      */
-    private static final Span PATIENCE = Span.ofSeconds(3);
+    private static final NanoDuration RESPONSE_TIMEOUT = NanoDuration.ofSeconds(3);
 
     /**
-     * As many as can be out within the patience: a service that answers none must not silence the
-     * reports.
+     * As many as can be out within the client timeout: a service that answers none must not silence
+     * the reports.
      */
     static final int MOST_AT_ONCE = 4;
 
@@ -34,11 +34,11 @@
 
     private InetSocketAddress address;
     private final String path;
-    private final Means means;
-    private final Deque<Line> free = new ArrayDeque<>();
+    private final LinkContext means;
+    private final Deque<RegistryConnection> free = new ArrayDeque<>();
 
     /** Those with a report under way, the oldest first. */
-    private final Set<Line> under = new LinkedHashSet<>();
+    private final Set<RegistryConnection> under = new LinkedHashSet<>();
 
     private boolean failing;
     private boolean leaving;
@@ -46,24 +46,24 @@
     /** The service took the last report, and no other was under way beside it. */
     private boolean lastTaken;
 
-    private Host host;
+    private RequestProcessor processor;
 
-    NamingReporter(InetSocketAddress address, String name, Means means) {
+    RegistryClient(InetSocketAddress address, String name, LinkContext means) {
         this.address = address;
         path = "/ns/hosts/" + URLEncoder.encode(name, StandardCharsets.UTF_8).replace("+", "%20");
         this.means = means;
     }
 
-    void serve(Host served) {
-        host = served;
-        beat();
+    void serve(RequestProcessor served) {
+        processor = served;
+        sendHeartbeat();
     }
 
     /** The next reports go there; those under way may still be answered. */
     void moveTo(InetSocketAddress next) {
         if (!next.equals(address)) {
             address = next;
-            List<Line> before = List.copyOf(free);
+            List<RegistryConnection> before = List.copyOf(free);
             free.clear();
             before.forEach(line -> line.outbox().closeNow());
             report();
@@ -84,9 +84,9 @@
         report();
     }
 
-    private void beat() {
+    private void sendHeartbeat() {
         if (!leaving) {
-            means.deadlines().at(host.now().plus(EVERY), this::beat);
+            means.deadlines().schedule(processor.now().plus(EVERY), this::sendHeartbeat);
             report();
         }
     }
@@ -102,9 +102,10 @@
             return;
         }
         boolean fresh = free.isEmpty();
-        Line line = fresh ? new Line() : free.poll();
+        RegistryConnection line = fresh ? new RegistryConnection() : free.poll();
         under.add(line);
-        line.deadline = means.deadlines().at(host.now().plus(PATIENCE), line::giveUp);
+        line.deadline =
+                means.deadlines().schedule(processor.now().plus(RESPONSE_TIMEOUT), line::giveUp);
         if (fresh) {
             line.connect(means.sockets(), address);
         } else {
@@ -123,22 +124,23 @@
         }
     }
 
-    private final class Line extends Outbound<HttpReplyParser.Reply> {
+    private final class RegistryConnection
+            extends OutboundConnection<HttpResponseParser.HttpResponse> {
         private final InetSocketAddress to = address;
-        private Deadlines.Deadline deadline;
-        private boolean asked = true;
+        private TimerService.Timer deadline;
+        private boolean requested = true;
 
         /** What it says last is that the node leaves, and no report was under way beside it. */
         private boolean isLast;
 
         private boolean over;
 
-        Line() {
-            super(means.decider(), new HttpReplyParser());
+        RegistryConnection() {
+            super(means.eventLoop(), new HttpResponseParser());
         }
 
         void say() {
-            asked = true;
+            requested = true;
             isLast = leaving && under.size() == 1;
             String body = "{\"serving\":\"" + (leaving ? "no" : "yes") + "\"}";
             outbox().add(
@@ -163,12 +165,12 @@
         }
 
         @Override
-        Runnable read(HttpReplyParser.Reply reply) {
+        Runnable read(HttpResponseParser.HttpResponse reply) {
             return () -> replied(reply);
         }
 
-        private void replied(HttpReplyParser.Reply reply) {
-            if (over || !asked || reply.status() < 200) {
+        private void replied(HttpResponseParser.HttpResponse reply) {
+            if (over || !requested || reply.status() < 200) {
                 return;
             }
             boolean taken = reply.status() == NO_CONTENT;
@@ -178,36 +180,38 @@
             if (reply.keepsOpen() && to.equals(address)) {
                 free.add(this);
             } else {
-                ended(Ending.CLOSED_HERE);
+                ended(Completion.CLOSED_HERE);
                 outbox().closeNow();
             }
             if (!taken) {
-                means.deadlines().at(host.now().plus(EVERY), NamingReporter.this::lastAgain);
+                means.deadlines()
+                        .schedule(processor.now().plus(EVERY), RegistryClient.this::lastAgain);
             } else {
                 lastAgain();
             }
         }
 
         private void rest() {
-            if (asked) {
-                asked = false;
+            if (requested) {
+                requested = false;
                 under.remove(this);
-                means.deadlines().callOff(deadline);
+                means.deadlines().cancel(deadline);
             }
         }
 
         private void giveUp() {
-            ended(Ending.GIVEN_UP);
+            ended(Completion.GIVEN_UP);
             hangUp();
         }
 
         @Override
-        void ended(Ending ending) {
+        void ended(Completion ending) {
             if (!over) {
                 over = true;
-                if (asked) {
+                if (requested) {
                     heard(ending.toString());
-                    means.deadlines().at(host.now().plus(EVERY), NamingReporter.this::lastAgain);
+                    means.deadlines()
+                            .schedule(processor.now().plus(EVERY), RegistryClient.this::lastAgain);
                 }
                 rest();
                 free.remove(this);
