--- a/src/main/java/lupinwood/net/DispatcherListener.java
+++ b/src/main/java/lupinwood/net/RespListener.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import lupinwood.core.Answer;
-import lupinwood.core.Arrival;
-import lupinwood.core.ConnectionId;
-import lupinwood.core.Deadlines;
-import lupinwood.core.ReceiptKey;
-import lupinwood.core.TryId;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.SettingsMap;
+import lupinwood.admission.SubjectId;
+import lupinwood.admission.UpstreamId;
 import lupinwood.log.Log;
-import lupinwood.node.CallerId;
-import lupinwood.node.Moment;
-import lupinwood.node.Settings;
-import lupinwood.node.Span;
-import lupinwood.node.SubjectId;
-
-/** The dispatchers' side: RESP arrays in, answers out. */
-final class DispatcherListener extends Front<List<byte[]>> {
+import lupinwood.processing.AttemptId;
+import lupinwood.processing.ConnectionId;
+import lupinwood.processing.IdempotencyKey;
+import lupinwood.processing.IncomingRequest;
+import lupinwood.processing.Response;
+import lupinwood.processing.TimerService;
+
+/** The upstream load balancers' side: RESP arrays in, answers out. */
+final class RespListener extends UpstreamListener<List<byte[]>> {
     private static final int MOST_DIGITS = 18;
 
     /** As many signs as any figure written to its last place may take. */
@@ -31,33 +31,33 @@
     private static final byte[] NOTHING = {};
 
     /**
-     * No caller waits and no work takes longer than the longest abandon time that a configuration
-     * may name.
+     * No caller waits and no work takes longer than the longest timeout that a configuration may
+     * name.
      */
-    private static final Span LONGEST_TOLD = Span.ofSeconds(86_400);
+    private static final NanoDuration MAX_RETRY_AFTER = NanoDuration.ofSeconds(86_400);
 
     /** The advice said last, and how; it seldom changes. */
     private double said = -1;
 
     private String signal;
 
-    DispatcherListener(Decider decider, Deadlines deadlines, Log log) {
-        super(decider, deadlines, log);
+    RespListener(EventLoop eventLoop, TimerService deadlines, Log log) {
+        super(eventLoop, deadlines, log);
     }
 
     @Override
     Peer newPeer() {
-        return new RespCaller();
+        return new RespConnection();
     }
 
     // ---- out ----
 
     @Override
-    public void answer(ConnectionId connection, long tag, Answer answer) {
+    public void answer(ConnectionId connection, long tag, Response answer) {
         StringJoiner fields = new StringJoiner(",");
-        if (answer.advice() >= 0 && answer.advice() < Double.MAX_VALUE) {
-            if (answer.advice() != said) {
-                said = answer.advice();
+        if (answer.availableCapacity() >= 0 && answer.availableCapacity() < Double.MAX_VALUE) {
+            if (answer.availableCapacity() != said) {
+                said = answer.availableCapacity();
                 signal =
                         "signal="
                                 + BigDecimal.valueOf(said)
@@ -67,19 +67,19 @@
             }
             fields.add(signal);
         }
-        if (answer.comeBackAfter().isPositive()) {
-            fields.add("holdoff=" + (answer.comeBackAfter().nanos() + 999_999) / 1_000_000);
+        if (answer.retryAfter().isPositive()) {
+            fields.add("holdoff=" + (answer.retryAfter().nanos() + 999_999) / 1_000_000);
         }
-        if (answer.askNoOther()) {
+        if (answer.doNotRetryElsewhere()) {
             fields.add("nomore=1");
         }
         String word =
                 switch (answer.word()) {
-                    case SATISFIED -> "ACK";
-                    case BOUNCED -> "NAK";
-                    case ABANDONED -> "FAIL";
-                    case GOOD -> "GREEN";
-                    case NOT_GOOD -> "RED";
+                    case SERVED -> "ACK";
+                    case REJECTED -> "NAK";
+                    case FAILED -> "FAIL";
+                    case HEALTHY -> "GREEN";
+                    case UNHEALTHY -> "RED";
                 };
         send(connection, Long.toString(tag), word, fields.toString(), answer.result());
     }
@@ -91,7 +91,7 @@
 
     private void send(
             ConnectionId connection, String tag, String word, String fields, byte[] result) {
-        Caller caller = caller(connection);
+        UpstreamConnection caller = caller(connection);
         if (caller == null || caller.isEnded()) {
             return;
         }
@@ -112,12 +112,12 @@
 
     // ---- in ----
 
-    /** One dispatcher's connection. */
-    private final class RespCaller extends Caller {
+    /** One upstream load balancer's connection. */
+    private final class RespConnection extends UpstreamConnection {
         private final RespParser parser = new RespParser();
 
         @Override
-        List<byte[]> next(ByteBuffer bytes) throws Malformed {
+        List<byte[]> next(ByteBuffer bytes) throws ProtocolException {
             return parser.next(bytes);
         }
 
@@ -127,65 +127,66 @@
         }
 
         @Override
-        Runnable read(List<byte[]> items) throws Malformed {
+        Runnable read(List<byte[]> items) throws ProtocolException {
             String verb = text(items.get(0));
             if (items.size() < 2) {
-                throw new Malformed("an array without a tag");
+                throw new ProtocolException("an array without a tag");
             }
             long tag = LineParser.number(text(items.get(1)));
             if (tag < 1) {
-                throw new Malformed("no tag is 0");
+                throw new ProtocolException("no tag is 0");
             }
             switch (verb) {
                 case "REQ" -> {
-                    Arrival arrival = arrival(items);
+                    IncomingRequest incomingRequest = arrival(items);
                     return () -> {
-                        if (!host().arrived(id(), tag, arrival)) {
+                        if (!processor().arrived(id(), tag, incomingRequest)) {
                             log().line(
                                             "closing a dispatcher's connection: a tag that is still open came again");
-                            host().malformed(id());
+                            processor().malformed(id());
                         }
                     };
                 }
                 case "ABORT" -> {
-                    return () -> host().aborted(id(), tag);
+                    return () -> processor().aborted(id(), tag);
                 }
                 case "HEALTH" -> {
                     boolean real =
                             items.size() > 2 && "1".equals(fields(text(items.get(2))).get("real"));
-                    return () -> host().checked(id(), tag, real);
+                    return () -> processor().checked(id(), tag, real);
                 }
-                default -> throw new Malformed("an unknown verb");
+                default -> throw new ProtocolException("an unknown verb");
             }
         }
     }
 
-    /** Null where the fields don't make a ticket. */
-    static Arrival arrival(List<byte[]> items) {
+    /** Null where the fields don't make a request. */
+    static IncomingRequest arrival(List<byte[]> items) {
         if (items.size() < 4 || items.size() > 5) {
             return null;
         }
         Map<String, String> fields = fields(text(items.get(3)));
         String id = fields.get("req");
-        if (!TryId.isValid(id) || !fields.getOrDefault("opkey", "").matches("[0-9a-fA-F]{0,64}")) {
+        if (!AttemptId.isValid(id)
+                || !fields.getOrDefault("opkey", "").matches("[0-9a-fA-F]{0,64}")) {
             return null;
         }
         try {
             String subject = fields.getOrDefault("subject", "");
-            String receipt = fields.getOrDefault("opkey", "");
-            return new Arrival(
-                    new TryId(id),
+            String idempotencyKey = fields.getOrDefault("opkey", "");
+            return new IncomingRequest(
+                    new AttemptId(id),
                     text(items.get(2)),
-                    Settings.word(fields.getOrDefault("owner", "")),
+                    SettingsMap.word(fields.getOrDefault("owner", "")),
                     new SubjectId(subject.isEmpty() ? 0 : Long.parseUnsignedLong(subject, 16)),
-                    new CallerId(Math.toIntExact(whole(fields.get("via")))),
+                    new UpstreamId(Math.toIntExact(whole(fields.get("via")))),
                     millis(fields.get("timeout")),
                     millis(fields.get("ms")),
                     "1".equals(fields.get("resent")),
-                    new Moment(Math.multiplyExact(whole(fields.get("ts")), 1_000_000L)),
+                    new MonotonicTime(Math.multiplyExact(whole(fields.get("ts")), 1_000_000L)),
                     decimal(fields.get("need")),
                     decimal(fields.get("level")),
-                    receipt.isEmpty() ? null : new ReceiptKey(receipt),
+                    idempotencyKey.isEmpty() ? null : new IdempotencyKey(idempotencyKey),
                     items.size() > 4 ? items.get(4) : NOTHING);
         } catch (ArithmeticException | NumberFormatException e) {
             return null;
@@ -193,15 +194,17 @@
     }
 
     /** A time in milliseconds; zero where none is told. */
-    private static Span millis(String text) {
+    private static NanoDuration millis(String text) {
         if (text == null) {
-            return Span.ZERO;
+            return NanoDuration.ZERO;
         }
         try {
-            Span told = Span.ofSeconds(decimal(text) / 1000);
-            return told.isPositive() && told.compareTo(LONGEST_TOLD) <= 0 ? told : Arrival.NO_TIME;
+            NanoDuration reported = NanoDuration.ofSeconds(decimal(text) / 1000);
+            return reported.isPositive() && reported.compareTo(MAX_RETRY_AFTER) <= 0
+                    ? reported
+                    : IncomingRequest.NO_TIME;
         } catch (NumberFormatException e) {
-            return Arrival.NO_TIME;
+            return IncomingRequest.NO_TIME;
         }
     }
 
--- a/src/main/java/lupinwood/net/RespParser.java
+++ b/src/main/java/lupinwood/net/RespParser.java
@@ -35,13 +35,13 @@
     }
 
     @Override
-    public List<byte[]> next(ByteBuffer in) throws Malformed {
+    public List<byte[]> next(ByteBuffer in) throws ProtocolException {
         while (in.hasRemaining()) {
             switch (at) {
                 case ARRAY -> {
                     int count = number(in, '*', MOST_ITEMS);
                     if (count == 0) {
-                        throw new Malformed("an empty array");
+                        throw new ProtocolException("an empty array");
                     }
                     if (count > 0) {
                         wanted = count;
@@ -67,7 +67,7 @@
                 default -> {
                     byte expected = (byte) (filled == item.length ? '\r' : '\n');
                     if (in.get() != expected) {
-                        throw new Malformed("a string runs past its length");
+                        throw new ProtocolException("a string runs past its length");
                     }
                     if (expected == '\r') {
                         filled++;
@@ -88,7 +88,7 @@
     }
 
     /** A line of one sign and a number, or -1 where more bytes are needed. */
-    private int number(ByteBuffer in, char sign, int most) throws Malformed {
+    private int number(ByteBuffer in, char sign, int most) throws ProtocolException {
         while (in.hasRemaining()) {
             char c = (char) (in.get() & 0xff);
             if (digits.isEmpty()
@@ -96,19 +96,19 @@
                     : digits.charAt(digits.length() - 1) == '\r'
                             ? c != '\n'
                             : c == '\r' ? digits.length() < 2 : c < '0' || c > '9') {
-                throw new Malformed("no " + sign + " and number where one should stand");
+                throw new ProtocolException("no " + sign + " and number where one should stand");
             }
             if (c == '\n') {
                 long value = Long.parseLong(digits.substring(1, digits.length() - 1));
                 digits.setLength(0);
                 if (value > most) {
-                    throw new Malformed("a length of " + value + ", " + most + " at most");
+                    throw new ProtocolException("a length of " + value + ", " + most + " at most");
                 }
                 return (int) value;
             }
             digits.append(c);
             if (digits.length() > MOST_DIGITS) {
-                throw new Malformed("a length with too many digits");
+                throw new ProtocolException("a length with too many digits");
             }
         }
         return -1;
--- a/src/main/java/lupinwood/net/Processor.java
+++ b/src/main/java/lupinwood/net/SelectorProcessor.java
@@ -9,7 +9,7 @@
  * channel that is closed keeps it until the selector has let go of the channel, with its next
  * selection.
  */
-final class Processor extends NioProcessor {
+final class SelectorProcessor extends NioProcessor {
     private static final String FREED = "freed";
 
     private final AcceptLimit limit;
@@ -17,7 +17,7 @@
     /** Closed, and not let go of yet; of the thread that reads and writes. */
     private int closed;
 
-    Processor(Executor executor, AcceptLimit limit) {
+    SelectorProcessor(Executor executor, AcceptLimit limit) {
         super(executor);
         this.limit = limit;
     }
--- a/src/main/java/lupinwood/net/Sockets.java
+++ b/src/main/java/lupinwood/net/Sockets.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import lupinwood.core.Ending;
 import lupinwood.log.Log;
+import lupinwood.processing.Completion;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
@@ -48,7 +48,7 @@
      */
     Sockets(Log log, long connectMs) {
         this.log = log;
-        processor = new Processor(threads, limit);
+        processor = new SelectorProcessor(threads, limit);
         acceptor = new Acceptor(processor, limit);
         connector = new NioSocketConnector(processor);
         prepare(acceptor);
@@ -116,7 +116,7 @@
      * Exactly one of the peer's opened and this failure is told. What is returned calls it off,
      * where that still can be.
      */
-    Runnable connect(InetSocketAddress address, Peer peer, Consumer<Ending> failure) {
+    Runnable connect(InetSocketAddress address, Peer peer, Consumer<Completion> failure) {
         ConnectFuture future =
                 connector.connect(
                         address, (session, connecting) -> session.setAttribute(PEER, peer));
@@ -125,8 +125,8 @@
                     if (!future.isConnected()) {
                         failure.accept(
                                 future.getException() instanceof ConnectException
-                                        ? Ending.CONNECTION_REFUSED
-                                        : Ending.NEVER_CONNECTED);
+                                        ? Completion.CONNECTION_REFUSED
+                                        : Completion.NEVER_CONNECTED);
                     }
                 });
         return future::cancel;
@@ -158,7 +158,7 @@
             }
             try {
                 peer(session).received(((IoBuffer) message).buf());
-            } catch (Malformed e) {
+            } catch (ProtocolException e) {
                 log.line(
                         "closing the connection with "
                                 + session.getRemoteAddress()
--- a/src/main/java/lupinwood/net/Front.java
+++ b/src/main/java/lupinwood/net/UpstreamListener.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lupinwood.core.ConnectionId;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Dispatchers;
-import lupinwood.core.Ending;
-import lupinwood.core.Host;
+import lupinwood.admission.NanoDuration;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
+import lupinwood.processing.Completion;
+import lupinwood.processing.ConnectionId;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
+import lupinwood.processing.UpstreamConnections;
 import org.apache.mina.core.session.IoSession;
 
 /**
- * What all fronts have in common: connections that tell the host what comes on them, answers that
- * go out once a round, and the bounds on what may wait for who doesn't read. A connection that
- * isn't of this front is passed over.
+ * What all fronts have in common: connections that tell the request processor what comes on them,
+ * answers that go out once a round, and the bounds on what may wait for who doesn't read. A
+ * connection that isn't of this front is passed over.
  */
-abstract class Front<T> implements Dispatchers {
+abstract class UpstreamListener<T> implements UpstreamConnections {
     /** What may wait for one caller to read: a whole set of the longest answers. */
     private static final long MOST_WAITING = 160 * 1024;
 
@@ -29,7 +29,7 @@
      * What may wait for all together; past it whoever has more than a few answers waiting is cut
      * off.
      */
-    private static final long MOST_WAITING_ALL = Tables.share(0.3);
+    private static final long MOST_WAITING_ALL = TableSizes.share(0.3);
 
     private static final long FEW = 16 * 1024;
 
@@ -38,36 +38,36 @@
      * was seen to be over: after a pause, the rest of it has still to be read here, so a pause
      * counts once.
      */
-    private static final Span SILENCE = Span.ofSeconds(0.25);
+    private static final NanoDuration SILENCE = NanoDuration.ofSeconds(0.25);
 
     private static final int MOST_SILENCES = 6;
 
     /**
-     * A ticket may cross the wish to close for so long; one that crosses a close for less is sent
+     * A request may cross the wish to close for so long; one that crosses a close for less is sent
      * again.
      */
-    private static final Span CROSSING = Span.ofSeconds(0.05);
+    private static final NanoDuration CROSSING = NanoDuration.ofSeconds(0.05);
 
-    private final Decider decider;
-    private final Deadlines deadlines;
+    private final EventLoop eventLoop;
+    private final TimerService deadlines;
     private final Log log;
-    private final Map<ConnectionId, Caller> callers = new HashMap<>();
-    private final Set<Caller> toFlush = new LinkedHashSet<>();
-    private Host host;
+    private final Map<ConnectionId, UpstreamConnection> callers = new HashMap<>();
+    private final Set<UpstreamConnection> toFlush = new LinkedHashSet<>();
+    private RequestProcessor processor;
 
-    Front(Decider decider, Deadlines deadlines, Log log) {
-        this.decider = decider;
+    UpstreamListener(EventLoop eventLoop, TimerService deadlines, Log log) {
+        this.eventLoop = eventLoop;
         this.deadlines = deadlines;
         this.log = log;
-        decider.addWriter(this::flush);
+        eventLoop.addWriter(this::flush);
     }
 
-    final void serve(Host served) {
-        host = served;
+    final void serve(RequestProcessor served) {
+        processor = served;
     }
 
-    final Host host() {
-        return host;
+    final RequestProcessor processor() {
+        return processor;
     }
 
     final Log log() {
@@ -79,17 +79,17 @@
     // ---- out ----
 
     /** The connection's place here, or null where it is another front's or gone. */
-    final Caller caller(ConnectionId connection) {
+    final UpstreamConnection caller(ConnectionId connection) {
         return callers.get(connection);
     }
 
-    final void flushSoon(Caller caller) {
+    final void flushSoon(UpstreamConnection caller) {
         toFlush.add(caller);
     }
 
     @Override
     public final void readNoMore(ConnectionId connection) {
-        Caller caller = callers.get(connection);
+        UpstreamConnection caller = callers.get(connection);
         if (caller != null) {
             caller.over = true;
             caller.outbox.readNoMore();
@@ -97,11 +97,11 @@
     }
 
     @Override
-    public final void close(ConnectionId connection, Ending why) {
-        Caller caller = callers.get(connection);
+    public final void close(ConnectionId connection, Completion why) {
+        UpstreamConnection caller = callers.get(connection);
         if (caller != null) {
             // Of what can't be read the log has told, with the cause.
-            if (why != Ending.CLOSED_BY_PEER && why != Ending.MALFORMED) {
+            if (why != Completion.CLOSED_BY_PEER && why != Completion.MALFORMED) {
                 log.line("closing a dispatcher's connection: " + why);
             }
             switch (why) {
@@ -117,7 +117,7 @@
 
     private void flush() {
         long waitingForAll = -1;
-        for (Caller caller : toFlush) {
+        for (UpstreamConnection caller : toFlush) {
             caller.outbox.flush();
             long waiting = caller.outbox.waiting();
             // Guards against a round whose work grows with the square of those that don't read.
@@ -125,7 +125,7 @@
             // Guards against callers that don't read: their answers must not fill the memory.
             if (waiting > MOST_WAITING || (waiting > FEW && waitingForAll > MOST_WAITING_ALL)) {
                 waitingForAll -= waiting;
-                close(caller.id, Ending.SLOW_READER);
+                close(caller.id, Completion.SLOW_READER);
             } else if (caller.ends && !caller.ended) {
                 caller.end();
             }
@@ -143,11 +143,11 @@
      * One connection. What is read of it is made whole by the socket thread and told to the
      * deciding one.
      */
-    abstract class Caller implements Peer {
-        private Outbox outbox;
+    abstract class UpstreamConnection implements Peer {
+        private WriteBuffer outbox;
         private ConnectionId id;
 
-        /** Nothing more is read from it; set by the deciding thread. */
+        /** Nothing more is read from it; set by the event loop thread. */
         private volatile boolean over;
 
         /** How many messages came, and whether one is begun, as told by the socket thread. */
@@ -172,18 +172,18 @@
         private boolean inputOver;
 
         /** The next whole message, or null where more bytes are needed. */
-        abstract T next(ByteBuffer bytes) throws Malformed;
+        abstract T next(ByteBuffer bytes) throws ProtocolException;
 
         abstract boolean isMidway();
 
         /** What a message tells. */
-        abstract Runnable read(T message) throws Malformed;
+        abstract Runnable read(T message) throws ProtocolException;
 
         final ConnectionId id() {
             return id;
         }
 
-        final Outbox outbox() {
+        final WriteBuffer outbox() {
             return outbox;
         }
 
@@ -201,56 +201,56 @@
             over = true;
             outbox.onceWritten(
                     () ->
-                            decider.tell(
+                            eventLoop.tell(
                                     () -> {
                                         outputOver = true;
                                         if (inputOver) {
                                             outbox.closeNow();
                                         } else {
                                             outbox.endOutput();
-                                            host.written(id);
+                                            processor.written(id);
                                         }
                                     }));
         }
 
         /**
-         * It was asked to close, and the host turns away what crosses that; if nothing does it
-         * goes.
+         * It was asked to close, and the request processor turns away what crosses that; if nothing
+         * does it goes.
          */
         private void closeSoon() {
             long before = messages;
-            deadlines.at(
-                    host.now().plus(CROSSING),
+            deadlines.schedule(
+                    processor.now().plus(CROSSING),
                     () -> {
                         if (messages == before) {
                             outbox.closeNow();
                         } else {
                             ends = true;
                             flushSoon(this);
-                            deadlines.at(host.now().plus(CROSSING), outbox::closeNow);
+                            deadlines.schedule(processor.now().plus(CROSSING), outbox::closeNow);
                         }
                     });
         }
 
         @Override
         public void opened(IoSession session) {
-            decider.tell(
+            eventLoop.tell(
                     () -> {
-                        outbox = new Outbox(session);
-                        id = host.connected();
+                        outbox = new WriteBuffer(session);
+                        id = processor.connected();
                         if (id == null) {
                             log.line("no room for one more dispatcher's connection");
                             outbox.closeNow();
                         } else {
                             callers.put(id, this);
                             // It may have been told to send no more before it could be found.
-                            host.greet(id);
+                            processor.greet(id);
                         }
                     });
         }
 
         @Override
-        public void received(ByteBuffer bytes) throws Malformed {
+        public void received(ByteBuffer bytes) throws ProtocolException {
             int length = bytes.remaining();
             if (over) {
                 return;
@@ -274,7 +274,7 @@
                     news.add(this::watch);
                 }
             } finally {
-                decider.tell(news, length);
+                eventLoop.tell(news, length);
             }
         }
 
@@ -287,8 +287,8 @@
         }
 
         private void awaitEnd(long before, int left) {
-            deadlines.at(
-                    host.now().plus(SILENCE),
+            deadlines.schedule(
+                    processor.now().plus(SILENCE),
                     () -> {
                         if (!midway || messages != before || id == null) {
                             watched = false;
@@ -297,7 +297,7 @@
                             awaitEnd(before, left - 1);
                         } else {
                             watched = false;
-                            host.leftOff(id);
+                            processor.leftOff(id);
                             if (!over) {
                                 watch(); // it may be slow
                             }
@@ -308,34 +308,34 @@
         @Override
         public void inputClosed(IoSession session) {
             session.suspendRead();
-            decider.tell(
+            eventLoop.tell(
                     () -> {
                         inputOver = true;
                         if (outputOver) {
                             outbox.closeNow();
                         } else if (id != null) {
-                            host.halfClosed(id);
+                            processor.halfClosed(id);
                         }
                     });
         }
 
         @Override
         public void malformed(IoSession session) {
-            decider.tell(
+            eventLoop.tell(
                     () -> {
                         if (id != null) {
-                            host.malformed(id);
+                            processor.malformed(id);
                         }
                     });
         }
 
         @Override
         public void closed(boolean malformed) {
-            decider.tell(
+            eventLoop.tell(
                     () -> {
                         if (id != null) {
                             callers.remove(id);
-                            host.disconnected(id);
+                            processor.disconnected(id);
                         }
                     });
         }
--- a/src/main/java/lupinwood/net/Fronts.java
+++ b/src/main/java/lupinwood/net/UpstreamListeners.java
@@ -1,17 +1,18 @@
 package lupinwood.net;
 
-import lupinwood.core.Answer;
-import lupinwood.core.ConnectionId;
-import lupinwood.core.Dispatchers;
-import lupinwood.core.Ending;
+import lupinwood.processing.Completion;
+import lupinwood.processing.ConnectionId;
+import lupinwood.processing.Response;
+import lupinwood.processing.UpstreamConnections;
 
 /**
  * Several fronts as one: each connection is one front's, and the others pass over what is said to
  * it.
  */
-record Fronts(Dispatchers one, Dispatchers other) implements Dispatchers {
+record UpstreamListeners(UpstreamConnections one, UpstreamConnections other)
+        implements UpstreamConnections {
     @Override
-    public void answer(ConnectionId connection, long tag, Answer answer) {
+    public void answer(ConnectionId connection, long tag, Response answer) {
         one.answer(connection, tag, answer);
         other.answer(connection, tag, answer);
     }
@@ -29,7 +30,7 @@
     }
 
     @Override
-    public void close(ConnectionId connection, Ending why) {
+    public void close(ConnectionId connection, Completion why) {
         one.close(connection, why);
         other.close(connection, why);
     }
--- a/src/main/java/lupinwood/net/Outbox.java
+++ b/src/main/java/lupinwood/net/WriteBuffer.java
@@ -7,23 +7,23 @@
 import org.apache.mina.core.session.IoSession;
 
 /** What gathers for one connection in a round of deciding; it goes out in one write. */
-final class Outbox {
+final class WriteBuffer {
     private final IoSession session;
     private final ByteArrayOutputStream gathered = new ByteArrayOutputStream(256);
 
     /** The latest that went to the socket thread; null before the first. */
     private WriteFuture latest;
 
-    Outbox(IoSession session) {
+    WriteBuffer(IoSession session) {
         this.session = session;
     }
 
-    Outbox add(byte[] bytes) {
+    WriteBuffer add(byte[] bytes) {
         gathered.write(bytes, 0, bytes.length);
         return this;
     }
 
-    Outbox add(String text) {
+    WriteBuffer add(String text) {
         return add(text.getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/lupinwood/node/TrackId.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package lupinwood.node;
-
-/** A track, by its place in the settings. */
-public record TrackId(int number) {}
--- a/src/main/java/lupinwood/core/Taken.java
+++ b/src/main/java/lupinwood/processing/ActiveRequest.java
@@ -1,19 +1,19 @@
-package lupinwood.core;
+package lupinwood.processing;
 
-import lupinwood.node.Handle;
-import lupinwood.node.Moment;
-import lupinwood.node.TicketId;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.RequestId;
+import lupinwood.admission.RequestListener;
 
-/** A ticket in the table: where its answer goes, and how far its run and its call are. */
-final class Taken {
+/** A request in the table: where its answer goes, and how far its run and its call are. */
+final class ActiveRequest {
     final ConnectionId connection;
     final long tag;
-    final Arrival arrival;
-    TicketId id;
-    Handle handle;
+    final IncomingRequest incomingRequest;
+    RequestId id;
+    RequestListener handle;
 
-    /** The receipt of an earlier try, or null. */
-    Receipts.Receipt original;
+    /** The idempotency record of an earlier try, or null. */
+    IdempotencyStore.IdempotencyRecord original;
 
     /** An answer was given, or none is owed any more. */
     boolean answered;
@@ -53,13 +53,13 @@
     boolean replySent;
 
     /** When the call that is out was made; null while none is. */
-    Moment calledAt;
+    MonotonicTime calledAt;
 
-    Deadlines.Deadline callCap;
+    TimerService.Timer callCap;
 
-    Taken(ConnectionId connection, long tag, Arrival arrival) {
+    ActiveRequest(ConnectionId connection, long tag, IncomingRequest incomingRequest) {
         this.connection = connection;
         this.tag = tag;
-        this.arrival = arrival;
+        this.incomingRequest = incomingRequest;
     }
 }
--- a/src/main/java/lupinwood/core/TryId.java
+++ b/src/main/java/lupinwood/processing/AttemptId.java
@@ -1,7 +1,10 @@
-package lupinwood.core;
+package lupinwood.processing;
 
-/** The name that a dispatcher gives one try of a ticket: 16 hex digits, new with every try. */
-public record TryId(String digits) {
+/**
+ * The name that an upstream load balancer gives one try of a request: 16 hex digits, new with every
+ * try.
+ */
+public record AttemptId(String digits) {
     private static final int LENGTH = 16;
 
     public static boolean isValid(String text) {
--- a/src/main/java/lupinwood/core/Ending.java
+++ b/src/main/java/lupinwood/processing/Completion.java
@@ -1,12 +1,12 @@
-package lupinwood.core;
+package lupinwood.processing;
 
-import lupinwood.node.Outcome;
+import lupinwood.admission.Outcome;
 
 /**
  * Every way in which a run, a call or a connection can end. The outcome that the node hears is
  * settled here and nowhere else, and with it what proves that nothing ran.
  */
-public enum Ending {
+public enum Completion {
     /** The run or the call went well. */
     WELL(Outcome.OK),
     /** The run failed. */
@@ -15,16 +15,16 @@
     EXECUTOR_GONE(Outcome.ERROR),
     /** The executor would not carry out the command to run it: nothing ran. */
     NOT_CARRIED_OUT(Outcome.MOOT),
-    /** The run was stopped, or ended at a call since its ticket is over. */
+    /** The run was stopped, or ended at a call since its request is over. */
     STOPPED(Outcome.CANCELLED),
-    /** Nothing was started: the ticket was over. */
+    /** Nothing was started: the request was over. */
     NOTHING_STARTED(Outcome.MOOT),
-    /** The index turned the call away unseen. */
+    /** The shared dependency turned the call away unseen. */
     SHED(Outcome.REFUSED),
-    /** The index failed the call; it may have had its effect. */
-    FAILED_BELOW(Outcome.BROKEN),
-    /** The index gave the call up; it may have had its effect. */
-    SLOW_BELOW(Outcome.TIMED_OUT),
+    /** The shared dependency failed the call; it may have had its effect. */
+    FAILED_DOWNSTREAM(Outcome.BROKEN),
+    /** The shared dependency gave the call up; it may have had its effect. */
+    TIMED_OUT_DOWNSTREAM(Outcome.TIMED_OUT),
     /** No run waits for the call: it never ran. */
     NOBODY_WAITS(Outcome.MOOT),
     /** This node gave the call up at its cap. */
@@ -56,7 +56,7 @@
 
     private final Outcome outcome;
 
-    Ending(Outcome outcome) {
+    Completion(Outcome outcome) {
         this.outcome = outcome;
     }
 
--- a/src/main/java/lupinwood/core/Connections.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -1,4 +1,4 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -9,55 +9,59 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.node.TicketId;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.RequestId;
 
 /**
- * The dispatchers' connections: what is open on each, which were idle for too long, and which are
- * no dispatcher's. A connection has a standing once the executor carried out a ticket of it.
- * Without one it goes for its first unsound ticket, and is asked to close where one after the other
- * is turned away; who sends on all the same errs.
+ * The upstream load balancers' connections: what is open on each, which were idle for too long, and
+ * which are no upstream load balancer's. A connection has a standing once the executor carried out
+ * a request of it. Without one it goes for its first unsound request, and is asked to close where
+ * one after the other is turned away; who sends on all the same errs.
  */
-final class Connections {
-    /** The protocol's bound on open tickets of one connection. */
+final class ConnectionTable {
+    /** The protocol's bound on open requests of one connection. */
     static final int MOST_OPEN = 32;
 
-    /** A dispatcher that was asked to close an idle connection and doesn't is cut off then. */
-    private static final Span TIME_TO_CLOSE = Span.ofSeconds(5);
+    /**
+     * An upstream load balancer that was asked to close an idle connection and doesn't is cut off
+     * then.
+     */
+    private static final NanoDuration TIME_TO_CLOSE = NanoDuration.ofSeconds(5);
 
     /**
-     * Who connects speaks within so many of these; dispatchers connect to send at once. Each begins
-     * when the one before was seen to be over: after a pause, what was said meanwhile has still to
-     * be read here, so a pause counts once.
+     * Who connects speaks within so many of these; upstream load balancers connect to send at once.
+     * Each begins when the one before was seen to be over: after a pause, what was said meanwhile
+     * has still to be read here, so a pause counts once.
      */
-    private static final Span SILENCE = Span.ofSeconds(0.25);
+    private static final NanoDuration SILENCE = NanoDuration.ofSeconds(0.25);
 
     private static final int MOST_SILENCES = 6;
 
     /** Who has taken its last answers, and the end behind them, closes its side by then. */
-    private static final Span TIME_TO_END = Span.ofSeconds(0.5);
+    private static final NanoDuration TIME_TO_END = NanoDuration.ofSeconds(0.5);
 
-    /** So many unsound tickets in a row are forgiven to one with a standing. */
+    /** So many unsound requests in a row are forgiven to one with a standing. */
     private static final int MOST_STRIKES = 16;
 
     /** One without a standing for so long, and turned away as often, is asked to close. */
-    private static final Span NEW = Span.ofSeconds(1);
+    private static final NanoDuration NEW = NanoDuration.ofSeconds(1);
 
     private static final int MOST_UNWANTED = 32;
 
-    /** A ticket may cross the wish to close for as long, by a pause of either machine. */
-    private static final Span CROSSING = Span.ofSeconds(2);
+    /** A request may cross the wish to close for as long, by a pause of either machine. */
+    private static final NanoDuration CROSSING = NanoDuration.ofSeconds(2);
 
     /**
-     * What stands without an open ticket; each kind is kept in the order in which it came to be so.
+     * What stands without an open request; each kind is kept in the order in which it came to be
+     * so.
      */
-    private enum Rest {
+    private enum IdleState {
         /** Its last answers and the end behind them have gone out. */
         ENDED,
         /** It never spoke. */
         SILENT,
-        ASKED_TO_CLOSE,
+        CLOSE_REQUESTED,
         RESTING,
         /** Its last answers are on their way. */
         OWED
@@ -65,12 +69,12 @@
 
     private static final class Connection {
         ConnectionId id;
-        final Map<Long, TicketId> open = new HashMap<>();
-        Deadlines.Deadline idle;
-        Moment idleSince;
+        final Map<Long, RequestId> open = new HashMap<>();
+        TimerService.Timer idle;
+        MonotonicTime idleSince;
 
-        /** Null while a ticket is open on it. */
-        Rest rest;
+        /** Null while a request is open on it. */
+        IdleState rest;
 
         boolean spoke;
 
@@ -80,58 +84,60 @@
         boolean standing;
         int strikes;
         int unwanted;
-        Moment openedAt;
+        MonotonicTime openedAt;
 
         /** Since when a message on it is known to be unfinished; null where none is. */
-        Moment unfinishedSince;
+        MonotonicTime unfinishedSince;
 
         /** When it was asked to close, or null. */
-        Moment finishedAt;
+        MonotonicTime finishedAt;
 
         boolean closing;
         boolean written;
-        Ending why;
+        Completion why;
 
-        Rest restsAs() {
+        IdleState restsAs() {
             return !open.isEmpty()
                     ? null
                     : closing
-                            ? written ? Rest.ENDED : Rest.OWED
+                            ? written ? IdleState.ENDED : IdleState.OWED
                             : !spoke
-                                    ? Rest.SILENT
-                                    : finishedAt != null ? Rest.ASKED_TO_CLOSE : Rest.RESTING;
+                                    ? IdleState.SILENT
+                                    : finishedAt != null
+                                            ? IdleState.CLOSE_REQUESTED
+                                            : IdleState.RESTING;
         }
     }
 
-    private final Slots<Connection> table;
-    private final Map<Rest, Set<Connection>> resting = new EnumMap<>(Rest.class);
+    private final SlotTable<Connection> table;
+    private final Map<IdleState, Set<Connection>> resting = new EnumMap<>(IdleState.class);
 
     /** Past so many that spoke and were not asked to close, those that rest are asked to. */
     private final int many;
 
-    private final Dispatchers dispatchers;
-    private final Deadlines deadlines;
-    private final Supplier<Moment> clock;
-    private final Span timeToRead;
-    private Span longestIdle;
+    private final UpstreamConnections upstreams;
+    private final TimerService deadlines;
+    private final Supplier<MonotonicTime> clock;
+    private final NanoDuration timeToRead;
+    private NanoDuration longestIdle;
     private boolean leaving;
     private int open;
 
-    Connections(
+    ConnectionTable(
             int most,
-            Span longestIdle,
-            Span timeToRead,
-            Dispatchers dispatchers,
-            Deadlines deadlines,
-            Supplier<Moment> clock) {
+            NanoDuration longestIdle,
+            NanoDuration timeToRead,
+            UpstreamConnections upstreams,
+            TimerService deadlines,
+            Supplier<MonotonicTime> clock) {
         this.longestIdle = longestIdle;
         this.timeToRead = timeToRead;
-        table = new Slots<>(most);
+        table = new SlotTable<>(most);
         many = most - most / 8;
-        for (Rest rest : Rest.values()) {
+        for (IdleState rest : IdleState.values()) {
             resting.put(rest, new LinkedHashSet<>());
         }
-        this.dispatchers = dispatchers;
+        this.upstreams = upstreams;
         this.deadlines = deadlines;
         this.clock = clock;
     }
@@ -140,11 +146,11 @@
         return table.size();
     }
 
-    int openTickets() {
+    int openRequests() {
         return open;
     }
 
-    /** A place for a new connection, or null where the table is full of such with open tickets. */
+    /** A place for a new connection, or null where the table is full of such with open requests. */
     ConnectionId add() {
         if (table.isFull() && !makeRoom()) {
             return null;
@@ -166,25 +172,25 @@
         List<Connection> going =
                 first(
                         Stream.of(
-                                of(Rest.ENDED),
-                                of(Rest.SILENT).takeWhile(c -> c.silences > 0),
-                                of(Rest.ASKED_TO_CLOSE),
-                                of(Rest.RESTING)
+                                of(IdleState.ENDED),
+                                of(IdleState.SILENT).takeWhile(c -> c.silences > 0),
+                                of(IdleState.CLOSE_REQUESTED),
+                                of(IdleState.RESTING)
                                         .takeWhile(
                                                 c ->
                                                         c.idleSince
                                                                 .plus(SILENCE)
                                                                 .isBefore(clock.get())),
-                                of(Rest.SILENT),
-                                of(Rest.RESTING),
-                                of(Rest.OWED)));
+                                of(IdleState.SILENT),
+                                of(IdleState.RESTING),
+                                of(IdleState.OWED)));
         for (Connection connection : going) {
             remove(connection.id);
             boolean unused = isLeftUnused(connection);
-            if (connection.rest == Rest.RESTING) {
-                dispatchers.sayNoMore(connection.id);
+            if (connection.rest == IdleState.RESTING) {
+                upstreams.sayNoMore(connection.id);
             }
-            dispatchers.close(connection.id, unused ? Ending.LEFT_UNUSED : Ending.MADE_ROOM);
+            upstreams.close(connection.id, unused ? Completion.LEFT_UNUSED : Completion.MADE_ROOM);
         }
         return !going.isEmpty();
     }
@@ -194,12 +200,12 @@
      * silence.
      */
     private boolean isLeftUnused(Connection connection) {
-        return connection.rest == Rest.ENDED
+        return connection.rest == IdleState.ENDED
                 || connection.silences > 1
-                || (connection.rest == Rest.ASKED_TO_CLOSE && isStubborn(connection));
+                || (connection.rest == IdleState.CLOSE_REQUESTED && isStubborn(connection));
     }
 
-    private Stream<Connection> of(Rest rest) {
+    private Stream<Connection> of(IdleState rest) {
         return resting.get(rest).stream();
     }
 
@@ -210,12 +216,14 @@
 
     /**
      * Guards against a table that fills with those that rest: asked in time they close by
-     * themselves, and no ticket crosses a close from here.
+     * themselves, and no request crosses a close from here.
      */
     private void askInTime() {
-        if (table.size() - resting.get(Rest.SILENT).size() - resting.get(Rest.ASKED_TO_CLOSE).size()
+        if (table.size()
+                        - resting.get(IdleState.SILENT).size()
+                        - resting.get(IdleState.CLOSE_REQUESTED).size()
                 > many) {
-            first(Stream.of(of(Rest.RESTING))).forEach(this::finish);
+            first(Stream.of(of(IdleState.RESTING))).forEach(this::finish);
         }
     }
 
@@ -247,13 +255,13 @@
         }
     }
 
-    /** The tickets that were still open on it. */
-    List<TicketId> remove(ConnectionId id) {
+    /** The requests that were still open on it. */
+    List<RequestId> remove(ConnectionId id) {
         Connection connection = table.remove(id.number());
         if (connection == null) {
             return List.of();
         }
-        deadlines.callOff(connection.idle);
+        deadlines.cancel(connection.idle);
         if (connection.rest != null) {
             resting.get(connection.rest).remove(connection);
         }
@@ -277,23 +285,23 @@
     }
 
     private boolean isStubborn(Connection connection) {
-        Moment asked = connection.finishedAt;
-        return asked != null && asked.plus(CROSSING).isBefore(clock.get());
+        MonotonicTime requested = connection.finishedAt;
+        return requested != null && requested.plus(CROSSING).isBefore(clock.get());
     }
 
-    TicketId open(ConnectionId id, long tag) {
+    RequestId open(ConnectionId id, long tag) {
         Connection connection = table.get(id.number());
         return connection == null ? null : connection.open.get(tag);
     }
 
-    void begin(ConnectionId id, long tag, TicketId ticket) {
+    void begin(ConnectionId id, long tag, RequestId requestId) {
         Connection connection = table.get(id.number());
         connection.spoke = true;
         connection.unfinishedSince = null;
-        connection.open.put(tag, ticket);
+        connection.open.put(tag, requestId);
         open++;
         sort(connection);
-        deadlines.callOff(connection.idle);
+        deadlines.cancel(connection.idle);
         connection.idle = null;
     }
 
@@ -311,7 +319,7 @@
         }
     }
 
-    /** The executor carried out a ticket of it. */
+    /** The executor carried out a request of it. */
     void trust(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null) {
@@ -327,24 +335,24 @@
     void fault(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null && !connection.standing) {
-            end(connection, Ending.UNSOUND);
+            end(connection, Completion.UNSOUND);
         } else {
             strike(id);
         }
     }
 
     /**
-     * A ticket of it was unsound in a figure of its own; only many in a row tell of who errs in
+     * A request of it was unsound in a figure of its own; only many in a row tell of who errs in
      * all.
      */
     void strike(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null && !connection.closing && ++connection.strikes >= MOST_STRIKES) {
-            end(connection, Ending.UNSOUND);
+            end(connection, Completion.UNSOUND);
         }
     }
 
-    /** A ticket of it was turned away or withdrawn, which alone is nothing bad. */
+    /** A request of it was turned away or withdrawn, which alone is nothing bad. */
     void unwanted(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null
@@ -356,16 +364,16 @@
     }
 
     /** Nothing more counts that comes on it; it is closed once what is open is answered. */
-    void end(ConnectionId id, Ending why) {
+    void end(ConnectionId id, Completion why) {
         Connection connection = table.get(id.number());
-        if (connection != null && (why != Ending.SAID_NOTHING || !maySayIt(connection))) {
+        if (connection != null && (why != Completion.SAID_NOTHING || !maySayIt(connection))) {
             end(connection, why);
         }
     }
 
     /**
-     * A dispatcher may be slow to write, and somebody waits for what it began until the longest
-     * abandon time is over.
+     * An upstream load balancer may be slow to write, and somebody waits for what it began until
+     * the longest timeout is over.
      */
     private boolean maySayIt(Connection connection) {
         if (connection.unfinishedSince == null) {
@@ -376,25 +384,23 @@
     }
 
     /** Nothing more is read from it, and it is closed once what is open is answered. */
-    private void end(Connection connection, Ending why) {
+    private void end(Connection connection, Completion why) {
         if (connection.closing) {
             return;
         }
         connection.closing = true;
         connection.why = why;
-        dispatchers.readNoMore(connection.id);
+        upstreams.readNoMore(connection.id);
         if (connection.open.isEmpty()) {
             close(connection);
         }
     }
 
-    /**
-     * Its last answers go out first; nobody waits for them longer than the longest abandon time.
-     */
+    /** Its last answers go out first; nobody waits for them longer than the longest timeout. */
     private void close(Connection connection) {
         sort(connection);
         cutOffIn(connection, timeToRead);
-        dispatchers.close(connection.id, connection.why);
+        upstreams.close(connection.id, connection.why);
     }
 
     /** All that was written to it has gone out. */
@@ -407,15 +413,15 @@
         }
     }
 
-    private void cutOffIn(Connection connection, Span wait) {
-        deadlines.callOff(connection.idle);
+    private void cutOffIn(Connection connection, NanoDuration wait) {
+        deadlines.cancel(connection.idle);
         connection.idle =
-                deadlines.at(
+                deadlines.schedule(
                         clock.get().plus(wait),
-                        () -> dispatchers.close(connection.id, Ending.SLOW_READER));
+                        () -> upstreams.close(connection.id, Completion.SLOW_READER));
     }
 
-    void closeIdle(Span idle) {
+    void closeIdle(NanoDuration idle) {
         longestIdle = idle;
         table.forEach(this::watch);
     }
@@ -427,7 +433,7 @@
 
     /** Some rest until this side ends them. */
     void end() {
-        table.forEach(connection -> end(connection, Ending.CLOSED_HERE));
+        table.forEach(connection -> end(connection, Completion.CLOSED_HERE));
     }
 
     /** It carries nothing from now on. */
@@ -445,37 +451,38 @@
                 }
                 return;
             }
-            deadlines.callOff(connection.idle);
-            Moment since = connection.idleSince;
+            deadlines.cancel(connection.idle);
+            MonotonicTime since = connection.idleSince;
             connection.idle =
                     connection.finishedAt != null
-                            ? deadlines.at(
+                            ? deadlines.schedule(
                                     since.plus(TIME_TO_CLOSE),
-                                    () -> end(connection, Ending.CLOSED_HERE))
-                            : deadlines.at(since.plus(longestIdle), () -> finish(connection));
+                                    () -> end(connection, Completion.CLOSED_HERE))
+                            : deadlines.schedule(since.plus(longestIdle), () -> finish(connection));
         }
     }
 
     private void awaitWord(Connection connection) {
         connection.idle =
-                deadlines.at(
+                deadlines.schedule(
                         clock.get().plus(SILENCE),
                         () -> {
                             if (++connection.silences < MOST_SILENCES) {
                                 awaitWord(connection);
                             } else {
-                                end(connection, Ending.SAID_NOTHING);
+                                end(connection, Completion.SAID_NOTHING);
                             }
                         });
     }
 
     /**
-     * Closing at once could cross a ticket that is on its way; so the dispatcher is asked to close.
+     * Closing at once could cross a request that is on its way; so the upstream load balancer is
+     * asked to close.
      */
     private void finish(Connection connection) {
         if (connection.finishedAt == null) {
             connection.finishedAt = clock.get();
-            dispatchers.sayNoMore(connection.id);
+            upstreams.sayNoMore(connection.id);
             rest(connection);
         }
     }
--- a/src/main/java/lupinwood/core/HealthChecks.java
+++ b/src/main/java/lupinwood/processing/HealthChecks.java
@@ -1,31 +1,31 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Supplier;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 
 /** Health checks under way by real work, and what the others hear. */
 final class HealthChecks {
     /** Says what a check hears. */
-    interface Reply {
+    interface Responder {
         void say(ConnectionId connection, long tag, boolean well);
     }
 
-    private record Deep(ConnectionId connection, long tag, Deadlines.Deadline deadline) {}
+    private record DeepCheck(ConnectionId connection, long tag, TimerService.Timer deadline) {}
 
-    /** A dispatcher that asked for a deep check hears by then at the latest. */
-    private static final Span DEEP_WAIT = Span.ofSeconds(1);
+    /** An upstream load balancer that asked for a deep check hears by then at the latest. */
+    private static final NanoDuration DEEP_WAIT = NanoDuration.ofSeconds(1);
 
     private static final int MOST_DEEP = 64;
 
-    private final Deadlines deadlines;
+    private final TimerService deadlines;
     private final Executor executor;
-    private final Tags tags;
-    private final Supplier<Moment> clock;
-    private final Reply reply;
-    private final Map<Long, Deep> deep = new HashMap<>();
+    private final TagSequence tags;
+    private final Supplier<MonotonicTime> clock;
+    private final Responder reply;
+    private final Map<Long, DeepCheck> deep = new HashMap<>();
 
     /** Until there is a node, none is well. */
     private boolean good;
@@ -33,11 +33,11 @@
     private boolean fromStore = true;
 
     HealthChecks(
-            Deadlines deadlines,
+            TimerService deadlines,
             Executor executor,
-            Tags tags,
-            Supplier<Moment> clock,
-            Reply reply) {
+            TagSequence tags,
+            Supplier<MonotonicTime> clock,
+            Responder reply) {
         this.deadlines = deadlines;
         this.executor = executor;
         this.tags = tags;
@@ -55,17 +55,17 @@
             reply.say(connection, tag, good);
             return;
         }
-        long asked = tags.next();
-        Deadlines.Deadline late =
-                deadlines.at(clock.get().plus(DEEP_WAIT), () -> diagnosed(asked, false));
-        deep.put(asked, new Deep(connection, tag, late));
-        executor.checkDeep(asked);
+        long requested = tags.next();
+        TimerService.Timer late =
+                deadlines.schedule(clock.get().plus(DEEP_WAIT), () -> diagnosed(requested, false));
+        deep.put(requested, new DeepCheck(connection, tag, late));
+        executor.checkDeep(requested);
     }
 
     void diagnosed(long tag, boolean well) {
-        Deep check = deep.remove(tag);
+        DeepCheck check = deep.remove(tag);
         if (check != null) {
-            deadlines.callOff(check.deadline());
+            deadlines.cancel(check.deadline());
             reply.say(check.connection(), check.tag(), well && good);
         }
     }
--- /dev/null
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -0,0 +1,1022 @@
+package lupinwood.processing;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import lupinwood.admission.AdmissionPolicy;
+import lupinwood.admission.Idempotency;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.Request;
+import lupinwood.admission.RequestClass;
+import lupinwood.admission.RequestClassId;
+import lupinwood.admission.RequestId;
+import lupinwood.admission.ResourceUsage;
+import lupinwood.admission.ServerActions;
+import lupinwood.admission.SettingsMap;
+
+/**
+ * The machine as its node sees it. News is told to this by one thread, which sets the time first
+ * with {@link #advance} and ends each round of news with {@link #settle}.
+ */
+public final class RequestProcessor implements ServerActions {
+    /** Makes the node once the executor is up. */
+    public interface PolicyFactory {
+        AdmissionPolicy make(ServerActions server, long seed, Map<String, String> settings);
+    }
+
+    /** How much this may keep; none of it is the node's own reckoning of memory. */
+    public record TableLimits(
+            int connections, int requests, int idempotencyRecords, long idempotencyBytes) {}
+
+    /** Where results go. */
+    public record Ports(
+            UpstreamConnections upstreams,
+            Executor executor,
+            Dependency dependency,
+            Consumer<String> log) {}
+
+    /** How long a connection may be idle where the settings don't tell. */
+    private static final NanoDuration ALWAYS_IDLE = NanoDuration.ofSeconds(3600);
+
+    /**
+     * On sockets the window of an idempotent request is longer by this; a repeat so late is not
+     * run.
+     */
+    private static final NanoDuration WINDOW_SLACK = NanoDuration.ofSeconds(0.05);
+
+    private static final NanoDuration ASK_AGAIN = NanoDuration.ofSeconds(0.004);
+
+    /**
+     * What stands for a command that was not carried out, seen in answer to calls to be left out.
+     */
+    private static final String UNNAMED = "-";
+
+    private Map<String, String> settings;
+    private final long seed;
+    private final PolicyFactory maker;
+    private final Ports ports;
+    private final TimerService deadlines;
+    private final ConnectionTable connections;
+    private final SlotTable<ActiveRequest> activeRequests;
+    private final Map<AttemptId, ActiveRequest> byTry = new HashMap<>();
+
+    /**
+     * Those that were given to run: what goes through these must not grow with all that are held.
+     */
+    private final Set<ActiveRequest> started = new LinkedHashSet<>();
+
+    private final IdempotencyStore idempotencyStore;
+    private RequestValidator admission;
+    private final TagSequence tags = new TagSequence();
+    private final List<String> resourceUsageNames;
+    private final WakeUpScheduler wakeUps;
+    private final HealthChecks checks;
+
+    /**
+     * News of the request processor's own making, told once the node has said all it has to say.
+     */
+    private final Deque<Runnable> news = new ArrayDeque<>();
+
+    /** Null while nobody asks for it. */
+    private ResponseListener answers;
+
+    private MonotonicTime now;
+
+    /**
+     * How far the machine's clock stands ahead of the time told here; less than nothing where it
+     * stands behind.
+     */
+    private NanoDuration clockAhead = NanoDuration.ZERO;
+
+    private AdmissionPolicy node;
+
+    /** When the executor was started; null before its first word. */
+    private MonotonicTime bornAt;
+
+    /** Whether the executor was cold when the node was made. */
+    private boolean bornCold;
+
+    private double availableCapacity = -1;
+    private boolean leaving;
+    private MonotonicTime lastRequestAt;
+    private long connectionsEver;
+
+    /**
+     * The tag whose resource usage, when they come, prove that all commands before were read; by
+     * link.
+     */
+    private long replayTag;
+
+    /**
+     * Whether the executor may stop runs, and let them go on without a call; so until it says
+     * otherwise.
+     */
+    private boolean stops = true;
+
+    private boolean skips = true;
+
+    /** When resource usage are asked for to settle doubts, or null. */
+    private TimerService.Timer doubts;
+
+    public RequestProcessor(
+            Map<String, String> settings,
+            long seed,
+            PolicyFactory maker,
+            Ports ports,
+            TimerService deadlines,
+            TableLimits bounds,
+            MonotonicTime now) {
+        this.settings = settings;
+        this.seed = seed;
+        this.maker = maker;
+        this.ports = ports;
+        this.deadlines = deadlines;
+        this.now = now;
+        lastRequestAt = now;
+        // Upstream load balancers close idle connections by then; what is left was forgotten.
+        SettingsMap read = new SettingsMap(settings);
+        NanoDuration longestIdle = read.duration("domain.keepalive_max_ns");
+        admission = new RequestValidator(read);
+        connections =
+                new ConnectionTable(
+                        bounds.connections(),
+                        longestIdle.isPositive() ? longestIdle : ALWAYS_IDLE,
+                        admission.longestTimeout(),
+                        ports.upstreams(),
+                        deadlines,
+                        this::now);
+        activeRequests = new SlotTable<>(bounds.requests());
+        idempotencyStore =
+                new IdempotencyStore(bounds.idempotencyRecords(), bounds.idempotencyBytes());
+        String resourceUsage = read.text("domain.gauges");
+        resourceUsageNames =
+                resourceUsage.isEmpty() ? List.of() : List.of(resourceUsage.split(","));
+        wakeUps =
+                new WakeUpScheduler(
+                        resourceUsageNames,
+                        deadlines,
+                        ports.executor(),
+                        tags,
+                        this::now,
+                        known -> node.wake(known));
+        checks = new HealthChecks(deadlines, ports.executor(), tags, this::now, this::sayHealth);
+    }
+
+    /** From now on each final answer is told, or that its caller left before it. */
+    public void answersTo(ResponseListener reported) {
+        answers = reported;
+    }
+
+    private void tell(IncomingRequest incomingRequest, Response.Kind word) {
+        if (answers != null) {
+            NanoDuration took = now.since(incomingRequest.reached()).max(NanoDuration.ZERO);
+            answers.answered(
+                    incomingRequest.className(),
+                    word,
+                    took,
+                    admission.says(incomingRequest).latencyObjective().compareTo(took) < 0);
+        }
+    }
+
+    // ---- time ----
+
+    /** Sets the time; a clock that was set back stands still until it is caught up with. */
+    public void advance(MonotonicTime time) {
+        now = now.isBefore(time) ? time : now;
+    }
+
+    /**
+     * What the machine's clock, by which requests are stamped, shows at this time; it may step
+     * either way.
+     */
+    public void clockShows(MonotonicTime time) {
+        clockAhead = time.since(now);
+    }
+
+    /** All that came in at this moment has been told. */
+    public void settle() {
+        if (node != null) {
+            node.decide();
+            while (!news.isEmpty()) {
+                news.poll().run();
+                if (news.isEmpty()) {
+                    node.decide();
+                }
+            }
+        }
+    }
+
+    // ---- upstream load balancers ----
+
+    /** A place for a new connection, or null where there is none. */
+    public ConnectionId connected() {
+        connectionsEver++;
+        return connections.add();
+    }
+
+    /** The connection can be written to now. */
+    public void greet(ConnectionId connection) {
+        connections.greet(connection);
+    }
+
+    public void halfClosed(ConnectionId connection) {
+        connections.end(connection, Completion.CLOSED_BY_PEER);
+    }
+
+    /** All that was written to a connection that ends has gone out. */
+    public void written(ConnectionId connection) {
+        connections.written(connection);
+    }
+
+    /** Nobody waits any more for what was open on it. */
+    public void disconnected(ConnectionId connection) {
+        connections.remove(connection).forEach(this::left);
+    }
+
+    /**
+     * A request came; null where it can't be read. False where the tag is still open: the upstream
+     * load balancer has lost count, and no answer could be told apart.
+     */
+    public boolean arrived(ConnectionId connection, long tag, IncomingRequest stamped) {
+        if (connections.isClosing(connection)) {
+            // Guards against a request read with what ended its connection: it is owed an answer,
+            // and must not run.
+            if (connections.open(connection, tag) == null) {
+                ports.upstreams()
+                        .answer(
+                                connection,
+                                tag,
+                                Response.rejected(availableCapacity, NanoDuration.ZERO, false));
+            }
+            return true;
+        }
+        lastRequestAt = now;
+        if (connections.open(connection, tag) != null) {
+            return false;
+        }
+        boolean tooMany = connections.isFull(connection);
+        if (node == null || tooMany || activeRequests.isFull()) {
+            String why = node == null ? "before the executor was up" : "beyond what may be open";
+            ports.log().accept("bounced a ticket that came " + why);
+            NanoDuration pause = NanoDuration.ofSeconds(node == null ? 1 : 0);
+            ports.upstreams()
+                    .answer(connection, tag, Response.rejected(availableCapacity, pause, false));
+            if (tooMany) {
+                connections.fault(connection);
+            }
+            return true;
+        }
+        // The window counts in the clock by which requests are stamped, all else in one that never
+        // steps.
+        IdempotencyStore.IdempotencyRecord idempotencyRecord =
+                stamped == null
+                        ? null
+                        : idempotencyStore.find(stamped.idempotencyKey(), stamped.reached());
+        IncomingRequest incomingRequest =
+                stamped == null ? null : stamped.reachedAt(stamped.reached().minus(clockAhead));
+        if (idempotencyRecord == null
+                && incomingRequest != null
+                && incomingRequest.idempotencyKey() != null
+                && idempotencyStore.isFull()) {
+            // Guards against a flood of marks that are seen once: what could not be remembered must
+            // not run.
+            ports.log().accept("bounced a ticket whose mark there is no room to remember");
+            ports.upstreams()
+                    .answer(
+                            connection,
+                            tag,
+                            Response.rejected(availableCapacity, NanoDuration.ofSeconds(1), false));
+            connections.unwanted(connection);
+            return true;
+        }
+        boolean idInUse = incomingRequest != null && byTry.containsKey(incomingRequest.tryId());
+        String fault =
+                connections.isStubborn(connection)
+                        ? "on a connection asked to close"
+                        : admission.fault(incomingRequest, idempotencyRecord, idInUse, now);
+        if (fault != null) {
+            ports.log().accept("abandoned a ticket " + fault);
+            ports.upstreams()
+                    .answer(
+                            connection,
+                            tag,
+                            Response.plain(Response.Kind.FAILED, availableCapacity));
+            if (fault.equals(RequestValidator.TOO_LATE)) {
+                tell(incomingRequest, Response.Kind.FAILED);
+                connections.unwanted(connection);
+            } else if (fault.equals(RequestValidator.NO_TIME)) {
+                connections.strike(connection);
+            } else {
+                connections.fault(connection);
+            }
+            return true;
+        }
+        ActiveRequest activeRequest = new ActiveRequest(connection, tag, incomingRequest);
+        activeRequest.id = new RequestId(activeRequests.put(activeRequest));
+        byTry.put(incomingRequest.tryId(), activeRequest);
+        connections.begin(connection, tag, activeRequest.id);
+        take(activeRequest, idempotencyRecord);
+        return true;
+    }
+
+    private void take(ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord original) {
+        IncomingRequest incomingRequest = activeRequest.incomingRequest;
+        activeRequest.original = original;
+        NanoDuration waited = now.since(incomingRequest.reached()).max(NanoDuration.ZERO);
+        activeRequest.handle =
+                node.admit(
+                        new Request(
+                                activeRequest.id,
+                                admission.requestClass(incomingRequest),
+                                admission.tenant(incomingRequest),
+                                incomingRequest.subject(),
+                                incomingRequest.upstreamId(),
+                                incomingRequest.clientTimeout().isPositive()
+                                        ? admission.waits(incomingRequest).minus(waited)
+                                        : NanoDuration.ZERO,
+                                incomingRequest.work(),
+                                incomingRequest.memoryKb(),
+                                incomingRequest.rank(),
+                                incomingRequest.repeat(),
+                                waited,
+                                original == null ? null : original.requestId));
+    }
+
+    /** The upstream load balancer waits no more for it. */
+    public void aborted(ConnectionId connection, long tag) {
+        RequestId requestId = connections.open(connection, tag);
+        if (requestId != null) {
+            connections.end(connection, tag);
+            connections.unwanted(connection);
+            left(requestId);
+        }
+    }
+
+    /**
+     * What can't be read came on it: nothing more is, and it ends once all that is open on it is
+     * answered.
+     */
+    public void malformed(ConnectionId connection) {
+        connections.end(connection, Completion.MALFORMED);
+    }
+
+    /** A message on it was begun and never ended. */
+    public void leftOff(ConnectionId connection) {
+        connections.end(connection, Completion.SAID_NOTHING);
+    }
+
+    private void left(RequestId id) {
+        ActiveRequest activeRequest = activeRequests.get(id.number());
+        if (activeRequest != null && !activeRequest.answered) {
+            activeRequest.answered = true;
+            tell(activeRequest.incomingRequest, Response.Kind.FAILED);
+            askIfUnsure(activeRequest);
+            activeRequest.handle.onClientGone();
+        }
+    }
+
+    public void checked(ConnectionId connection, long tag, boolean real) {
+        connections.touch(connection);
+        checks.check(connection, tag, real);
+    }
+
+    private void sayHealth(ConnectionId connection, long tag, boolean well) {
+        ports.upstreams()
+                .answer(
+                        connection,
+                        tag,
+                        Response.plain(
+                                well ? Response.Kind.HEALTHY : Response.Kind.UNHEALTHY,
+                                availableCapacity));
+    }
+
+    private void answer(ActiveRequest activeRequest, Response answer) {
+        if (!activeRequest.answered) {
+            activeRequest.answered = true;
+            tell(activeRequest.incomingRequest, answer.word());
+            ports.upstreams().answer(activeRequest.connection, activeRequest.tag, answer);
+            connections.end(activeRequest.connection, activeRequest.tag);
+        }
+    }
+
+    // ---- executor ----
+
+    /** A link stands. The first makes the node, whose life began when the executor's did. */
+    public void welcomed(boolean cold, NanoDuration age) {
+        if (node != null) {
+            // Resource usage asked for now come after all notices that were missed.
+            replayTag = tags.next();
+            ports.executor().askResourceUsage(replayTag);
+            return;
+        }
+        if (leaving) {
+            return; // a node that leaves before it had an executor begins nothing
+        }
+        bornCold = cold;
+        MonotonicTime present = now;
+        now = now.minus(age);
+        bornAt = now;
+        node = maker.make(this, seed, settingsForPolicy(settings));
+        now = present;
+        ports.log().accept("the executor is up, " + (cold ? "cold" : "warm"));
+    }
+
+    /** Whether the executor is there, and warm, or started so long ago that it is. */
+    public boolean isWarm(NanoDuration warmAfter) {
+        return bornAt != null && (!bornCold || now.since(bornAt).compareTo(warmAfter) >= 0);
+    }
+
+    private Map<String, String> settingsForPolicy(Map<String, String> from) {
+        Map<String, String> settings = new HashMap<>(from);
+        settings.put("domain.cold", Boolean.toString(bornCold));
+        if (!skips) {
+            settings.remove("domain.class_skip_worth");
+        }
+        return settings;
+    }
+
+    /** Settings that may be taken over in one step, made outside of the event loop thread. */
+    public static final class ReloadableSettings {
+        private final Map<String, String> settings;
+        private final RequestValidator admission;
+
+        public ReloadableSettings(Map<String, String> settings) {
+            this.settings = Map.copyOf(settings);
+            admission = new RequestValidator(new SettingsMap(settings));
+        }
+    }
+
+    /**
+     * Takes over settings that differ only in what may change while the node runs; false once it
+     * leaves, since the notice to leave was given under the old ones.
+     */
+    public boolean retune(ReloadableSettings tuning) {
+        if (leaving) {
+            return false;
+        }
+        if (node != null) {
+            node.updateSettings(settingsForPolicy(tuning.settings));
+        }
+        settings = tuning.settings;
+        admission = tuning.admission;
+        return true;
+    }
+
+    /** What ran there will never end, and may have had its effect. */
+    public void executorStartedAnew() {
+        ports.log().accept("the executor was started anew, its runs are lost");
+        List.copyOf(started)
+                .forEach(
+                        activeRequest -> {
+                            if (!activeRequest.elsewhere) {
+                                lost(
+                                        activeRequest.incomingRequest.tryId(),
+                                        Completion.EXECUTOR_GONE);
+                            }
+                        });
+    }
+
+    /**
+     * After a lost link: what was sent last may not have been read. What was never written is
+     * written now, and a pure request's run may be asked for twice, since a run that goes on
+     * ignores it. All else is in doubt.
+     */
+    private void sendAgain() {
+        started.forEach(
+                activeRequest -> {
+                    if (activeRequest.elsewhere) {
+                        return;
+                    }
+                    if (!activeRequest.startKnown) {
+                        if (activeRequest.sent
+                                && requestClass(activeRequest).idempotency() != Idempotency.SAFE) {
+                            activeRequest.unsure = true;
+                        } else {
+                            askToRun(activeRequest);
+                        }
+                    } else if (activeRequest.unreadReply != null && !activeRequest.answered) {
+                        activeRequest.unsure = activeRequest.replySent;
+                        if (!activeRequest.unsure) {
+                            giveReply(activeRequest);
+                        }
+                    }
+                });
+    }
+
+    private void giveReply(ActiveRequest activeRequest) {
+        activeRequest.repliedAfter = tags.last();
+        AttemptId id = activeRequest.incomingRequest.tryId();
+        activeRequest.replySent =
+                activeRequest.unreadReply == ActiveRequest.NO_CALL
+                        ? ports.executor().skipCall(id)
+                        : ports.executor().giveReply(id, activeRequest.unreadReply);
+    }
+
+    /**
+     * Commands in doubt must not simply be given again: an idempotent run might have ended just now
+     * and run twice, and a run that has its reply would take the same for that to its next call.
+     * The gauge of requests on the cores tells: it counts every run there (and what else uses
+     * them), and all notices up to it were read before. Where it counts no more than the runs that
+     * are there for certain, none of those in doubt is, so none of the commands was read. Until it
+     * does it is asked for again.
+     */
+    private void settleDoubts(double onCores) {
+        int[] certain = {0};
+        List<ActiveRequest> doubtful = new ArrayList<>();
+        started.forEach(
+                activeRequest -> {
+                    if (activeRequest.unsure) {
+                        doubtful.add(activeRequest);
+                    } else if (!activeRequest.elsewhere
+                            && activeRequest.startKnown
+                            && activeRequest.callBody == null
+                            && activeRequest.unreadReply == null) {
+                        certain[0]++;
+                    }
+                });
+        if (doubtful.isEmpty() || Double.isNaN(onCores)) {
+            return;
+        }
+        if (onCores <= certain[0]) {
+            ports.log().accept("commands lost with a link, given again: " + doubtful.size());
+            for (ActiveRequest activeRequest : doubtful) {
+                activeRequest.unsure = false;
+                if (!activeRequest.startKnown) {
+                    askToRun(activeRequest);
+                } else if (!activeRequest.answered) {
+                    giveReply(activeRequest);
+                }
+            }
+        } else if (doubts == null) {
+            doubts =
+                    deadlines.schedule(
+                            now.plus(ASK_AGAIN),
+                            () -> {
+                                doubts = null;
+                                ports.executor().askResourceUsage(tags.next());
+                            });
+        }
+    }
+
+    private RequestClass requestClass(ActiveRequest activeRequest) {
+        return admission.says(activeRequest.incomingRequest);
+    }
+
+    public void exited(AttemptId id, Completion ending, NanoDuration took, byte[] result) {
+        ActiveRequest activeRequest = byTry.get(id);
+        if (activeRequest == null || !activeRequest.started) {
+            return;
+        }
+        dropCall(activeRequest);
+        if (!ending.outcome().provesNeverRan()) {
+            connections.trust(activeRequest.connection);
+        }
+        IdempotencyStore.IdempotencyRecord idempotencyRecord =
+                idempotencyStore.of(activeRequest.id);
+        if (ending == Completion.WELL && idempotencyRecord != null) {
+            idempotencyStore.keepResult(idempotencyRecord, result);
+        }
+        conclude(activeRequest, ending, took, result);
+        if (ending == Completion.WELL && idempotencyRecord != null) {
+            idempotencyStore.over(idempotencyRecord);
+            answerWaiting(idempotencyRecord, result);
+        }
+    }
+
+    /** A run ended of which the executor tells nothing. */
+    private void lost(AttemptId id, Completion ending) {
+        exited(id, ending, NanoDuration.ZERO, null);
+    }
+
+    /**
+     * The final answer of a run, or of a repeat, unless one was given; and the node hears of the
+     * end.
+     */
+    private void conclude(
+            ActiveRequest activeRequest, Completion ending, NanoDuration took, byte[] result) {
+        answer(
+                activeRequest,
+                ending == Completion.WELL
+                        ? Response.served(availableCapacity, result)
+                        : Response.plain(Response.Kind.FAILED, availableCapacity));
+        activeRequest.handle.onCompleted(ending.outcome(), took);
+    }
+
+    private void answerWaiting(
+            IdempotencyStore.IdempotencyRecord idempotencyRecord, byte[] result) {
+        List<RequestId> waiting = new ArrayList<>(idempotencyRecord.waiting);
+        idempotencyRecord.waiting.clear();
+        waiting.forEach(id -> reused(id, result));
+    }
+
+    /** A repeat has its original's result, or null where there is none to be had. */
+    private void reused(RequestId id, byte[] result) {
+        ActiveRequest activeRequest = activeRequests.get(id.number());
+        if (activeRequest != null) {
+            conclude(
+                    activeRequest,
+                    result == null ? Completion.FAILED : Completion.WELL,
+                    NanoDuration.ZERO,
+                    result);
+        }
+    }
+
+    public void calledOut(AttemptId id, byte[] body) {
+        ActiveRequest activeRequest = byTry.get(id);
+        if (activeRequest != null && activeRequest.started) {
+            connections.trust(activeRequest.connection);
+            activeRequest.startKnown = true;
+            activeRequest.unsure = false;
+            activeRequest.unreadReply = null;
+            activeRequest.callBody = body;
+            activeRequest.handle.onCallNeeded();
+        }
+    }
+
+    /**
+     * The executor would not run it: that ends it. Stopping runs and going on without a call are
+     * tried where the settings speak of them, and given up for good at the first of this. Of other
+     * commands only the log tells.
+     */
+    public void notCarriedOut(String command, AttemptId id) {
+        ports.log().accept("the executor did not carry out " + command + " " + id.digits());
+        ActiveRequest activeRequest = byTry.get(id);
+        switch (command) {
+            case "EXEC" -> {
+                if (activeRequest != null) {
+                    lost(id, Completion.NOT_CARRIED_OUT);
+                    connections.fault(activeRequest.connection);
+                }
+            }
+            case "KILL" -> stops = false; // the run goes on to its end, as it would have
+            // Where the answer names neither, it can be only to those whose call was to be left
+            // out.
+            case "BYPASS", UNNAMED ->
+                    started.stream()
+                            .filter(
+                                    one ->
+                                            one.unreadReply == ActiveRequest.NO_CALL
+                                                    && (one == activeRequest
+                                                            || command.equals(UNNAMED)))
+                            .toList()
+                            .forEach(this::mustCall);
+            default -> {}
+        }
+    }
+
+    /**
+     * No call can be left out here: its run still waits for one, which is made now where that does
+     * no harm.
+     */
+    private void mustCall(ActiveRequest activeRequest) {
+        if (skips) {
+            skips = false;
+            node.updateSettings(settingsForPolicy(settings));
+        }
+        activeRequest.unreadReply = null;
+        if (requestClass(activeRequest).idempotency() != Idempotency.SAFE) {
+            lost(activeRequest.incomingRequest.tryId(), Completion.FAILED);
+        } else if (!activeRequest.answered) {
+            activeRequest.handle.onCallNeeded();
+        }
+    }
+
+    public void resourceUsageRead(long tag, double[] values) {
+        if (replayTag != 0 && tag == replayTag) {
+            replayTag = 0;
+            sendAgain();
+        } else if (replayTag == 0) {
+            started.forEach(
+                    activeRequest -> {
+                        activeRequest.startKnown |=
+                                activeRequest.sent
+                                        && !activeRequest.unsure
+                                        && tag > activeRequest.startedAfter;
+                        if (activeRequest.replySent
+                                && !activeRequest.unsure
+                                && tag > activeRequest.repliedAfter) {
+                            activeRequest.callBody =
+                                    activeRequest.unreadReply == ActiveRequest.NO_CALL
+                                            ? null
+                                            : activeRequest.callBody;
+                            activeRequest.unreadReply = null;
+                        }
+                    });
+        }
+        if (replayTag == 0) {
+            settleDoubts(ResourceUsage.named(resourceUsageNames, values).wantingCore());
+        }
+        wakeUps.read(tag, values);
+    }
+
+    /** Asks for resource usage; when those of this tag come, all commands before were read. */
+    public long askResourceUsage() {
+        long tag = tags.next();
+        ports.executor().askResourceUsage(tag);
+        return tag;
+    }
+
+    public void diagnosed(long tag, boolean well) {
+        checks.diagnosed(tag, well);
+    }
+
+    // ---- index ----
+
+    public void callEnded(AttemptId id, Completion ending, byte[] reply) {
+        ActiveRequest activeRequest = byTry.get(id);
+        if (activeRequest == null || activeRequest.calledAt == null) {
+            return;
+        }
+        NanoDuration took = now.since(activeRequest.calledAt);
+        endCall(activeRequest);
+        if (ending == Completion.WELL) {
+            activeRequest.callBody = null;
+            activeRequest.unreadReply = reply;
+            giveReply(activeRequest);
+        }
+        activeRequest.handle.onCallCompleted(ending.outcome(), took);
+    }
+
+    private void endCall(ActiveRequest activeRequest) {
+        deadlines.cancel(activeRequest.callCap);
+        activeRequest.callCap = null;
+        activeRequest.calledAt = null;
+    }
+
+    private void dropCall(ActiveRequest activeRequest) {
+        if (activeRequest.calledAt != null) {
+            ports.dependency().giveUp(activeRequest.incomingRequest.tryId());
+            endCall(activeRequest);
+        }
+    }
+
+    private void askToRun(ActiveRequest activeRequest) {
+        activeRequest.startedAfter = tags.last();
+        activeRequest.elsewhere =
+                !ports.executor().isOnLink(activeRequest.incomingRequest.className());
+        activeRequest.sent =
+                ports.executor()
+                        .run(
+                                activeRequest.incomingRequest.tryId(),
+                                activeRequest.incomingRequest.className(),
+                                activeRequest.incomingRequest.body());
+    }
+
+    /** Once answered nothing can start any more, so asking is safe, and tells whether it runs. */
+    private void askIfUnsure(ActiveRequest activeRequest) {
+        if (activeRequest.unsure && !activeRequest.startKnown) {
+            activeRequest.unsure = false;
+            askToRun(activeRequest);
+        }
+    }
+
+    // ---- what the node asks ----
+
+    @Override
+    public MonotonicTime now() {
+        return now;
+    }
+
+    @Override
+    public void run(RequestId requestId) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest != null) {
+            activeRequest.started = true;
+            started.add(activeRequest);
+            askToRun(activeRequest);
+        }
+    }
+
+    /** What can't be stopped goes on to its end, and its request is over then. */
+    @Override
+    public void stop(RequestId requestId) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (stops && activeRequest != null && activeRequest.started && !activeRequest.elsewhere) {
+            ports.executor().stop(activeRequest.incomingRequest.tryId());
+        }
+    }
+
+    @Override
+    public void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest != null) {
+            answer(
+                    activeRequest,
+                    Response.rejected(availableCapacity, retryAfter, doNotRetryElsewhere));
+            connections.unwanted(activeRequest.connection);
+        }
+    }
+
+    @Override
+    public void fail(RequestId requestId) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest != null) {
+            dropCall(activeRequest);
+            answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
+            askIfUnsure(activeRequest);
+        }
+    }
+
+    @Override
+    public void call(RequestId requestId, NanoDuration cap) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest != null && activeRequest.callBody != null) {
+            dropCall(activeRequest); // a second call gives up the first
+            AttemptId id = activeRequest.incomingRequest.tryId();
+            activeRequest.calledAt = now;
+            activeRequest.callCap =
+                    deadlines.schedule(
+                            now.plus(cap),
+                            () -> {
+                                ports.dependency().giveUp(id);
+                                callEnded(id, Completion.GIVEN_UP, null);
+                            });
+            ports.dependency().call(id, cap, activeRequest.callBody);
+        }
+    }
+
+    /** Where no run can go on without its call the request can only fail. */
+    @Override
+    public void skipCall(RequestId requestId) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest == null) {
+            return;
+        }
+        if (skips && !activeRequest.elsewhere) {
+            activeRequest.unreadReply = ActiveRequest.NO_CALL;
+            giveReply(activeRequest);
+        } else {
+            news.add(() -> lost(activeRequest.incomingRequest.tryId(), Completion.FAILED));
+        }
+    }
+
+    @Override
+    public void answerFromOriginal(RequestId requestId) {
+        news.add(
+                () -> {
+                    ActiveRequest activeRequest = activeRequests.get(requestId.number());
+                    if (activeRequest == null) {
+                        return;
+                    }
+                    IdempotencyStore.IdempotencyRecord original = activeRequest.original;
+                    // Guards against one mark on two bodies: the other's result must not be handed
+                    // out for this one.
+                    boolean same =
+                            original != null
+                                    && Arrays.equals(
+                                            original.body, activeRequest.incomingRequest.body());
+                    if (same && original.result == null && !original.over) {
+                        original.waiting.add(requestId);
+                    } else {
+                        reused(requestId, same ? original.result : null);
+                    }
+                });
+    }
+
+    @Override
+    public void remember(RequestId requestId, NanoDuration duration) {
+        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        if (activeRequest == null || activeRequest.incomingRequest.idempotencyKey() == null) {
+            return;
+        }
+        MonotonicTime ends = now.plus(duration).plus(WINDOW_SLACK).plus(clockAhead);
+        IdempotencyStore.IdempotencyRecord idempotencyRecord =
+                idempotencyStore.remember(
+                        activeRequest.incomingRequest.idempotencyKey(),
+                        requestId,
+                        ends,
+                        activeRequest.incomingRequest.body());
+        dropOnceOver(idempotencyRecord, admission.requestClass(activeRequest.incomingRequest));
+    }
+
+    /**
+     * A repeat that came in time may be read up to its timeout later; that time may grow meanwhile,
+     * by a configuration, and the idempotency record must outlive it all the same.
+     */
+    private void dropOnceOver(
+            IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId classId) {
+        MonotonicTime over =
+                idempotencyRecord.ends.plus(admission.says(classId).timeout()).minus(clockAhead);
+        if (now.isBefore(over)) {
+            deadlines.schedule(over, () -> dropOnceOver(idempotencyRecord, classId));
+        } else {
+            idempotencyStore.drop(idempotencyRecord);
+        }
+    }
+
+    @Override
+    public void forget(RequestId requestId) {
+        IdempotencyStore.IdempotencyRecord idempotencyRecord = idempotencyStore.of(requestId);
+        if (idempotencyRecord != null) {
+            idempotencyStore.drop(idempotencyRecord);
+            news.add(() -> answerWaiting(idempotencyRecord, null));
+        }
+    }
+
+    @Override
+    public void reportHealth(boolean good, boolean fromStore) {
+        checks.set(good, fromStore);
+    }
+
+    @Override
+    public void reportAvailableCapacity(double value) {
+        availableCapacity = value;
+    }
+
+    @Override
+    public void closeIdleConnections(NanoDuration idle) {
+        connections.closeIdle(idle);
+    }
+
+    @Override
+    public void wakeAt(MonotonicTime time) {
+        wakeUps.at(time);
+    }
+
+    @Override
+    public void release(RequestId requestId) {
+        ActiveRequest activeRequest = activeRequests.remove(requestId.number());
+        if (activeRequest == null) {
+            return;
+        }
+        byTry.remove(activeRequest.incomingRequest.tryId(), activeRequest);
+        started.remove(activeRequest);
+        dropCall(activeRequest);
+        // Guards against a request that is over and yet owed an answer; none should be.
+        answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
+        IdempotencyStore.IdempotencyRecord idempotencyRecord = idempotencyStore.of(requestId);
+        if (idempotencyRecord != null && idempotencyRecord.result == null) {
+            idempotencyStore.over(idempotencyRecord);
+            news.add(() -> answerWaiting(idempotencyRecord, null));
+        }
+    }
+
+    @Override
+    public void log(String line) {
+        ports.log().accept(line);
+    }
+
+    // ---- leaving ----
+
+    /** The machine will be stopped after this long. */
+    public void leave(NanoDuration until) {
+        if (!leaving) {
+            leaving = true;
+            wakeUps.leave();
+            lastRequestAt = now;
+            if (node != null) {
+                node.drain(until);
+            }
+        }
+    }
+
+    /** Asks for no more on every connection. */
+    public void closeConnections() {
+        connections.leave();
+    }
+
+    /** Ends those that still stand; what is open on them is answered first. */
+    public void endConnections() {
+        connections.end();
+    }
+
+    public NanoDuration sinceLastRequest() {
+        return now.since(lastRequestAt);
+    }
+
+    /** Whether everything read has its answer. */
+    public boolean isAnswered() {
+        return connections.openRequests() == 0 && checks.isIdle();
+    }
+
+    public int connectionCount() {
+        return connections.size();
+    }
+
+    /** How many came so far, those without a place among them. */
+    public long connectionsEver() {
+        return connectionsEver;
+    }
+
+    /** What stands open, for the log. */
+    public String figures() {
+        return "connections "
+                + connections.size()
+                + ", open "
+                + connections.openRequests()
+                + ", tickets "
+                + activeRequests.size()
+                + ", receipts "
+                + idempotencyStore.size()
+                + ", deadlines "
+                + deadlines.size();
+    }
+}
--- a/src/main/java/lupinwood/core/Slots.java
+++ b/src/main/java/lupinwood/processing/SlotTable.java
@@ -1,4 +1,4 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,7 +8,7 @@
  * A table of numbered slots. An id is a slot and the generation of its use, so that late news of
  * what stood there before never hits what stands there now.
  */
-public final class Slots<T> {
+public final class SlotTable<T> {
     private static final int SLOT_BITS = 20;
 
     private final List<T> slots = new ArrayList<>();
@@ -16,7 +16,7 @@
     private final List<Integer> free = new ArrayList<>();
     private final int most;
 
-    public Slots(int most) {
+    public SlotTable(int most) {
         if (most < 1 || most > 1 << SLOT_BITS) {
             throw new IllegalArgumentException("no table has " + most + " slots");
         }
--- a/src/main/java/lupinwood/core/Tags.java
+++ b/src/main/java/lupinwood/processing/TagSequence.java
@@ -1,7 +1,7 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 /** The tags by which answers of the executor are told apart; a later question has a higher one. */
-final class Tags {
+final class TagSequence {
     private long last;
 
     long next() {
--- /dev/null
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -0,0 +1,109 @@
+package lupinwood.processing;
+
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.ResourceUsage;
+
+/**
+ * The node's wake-ups, each with resource usage just read, or read anew where the executor gives
+ * them in time.
+ */
+final class WakeUpScheduler {
+    /** A wake-up waits so long for resource usage before it does without. */
+    private static final NanoDuration RESOURCE_USAGE_WAIT = NanoDuration.ofSeconds(0.02);
+
+    /**
+     * Resource usage count as just read for as long: each reading costs two messages and two rounds
+     * of deciding.
+     */
+    private static final NanoDuration FRESH = NanoDuration.ofSeconds(0.02);
+
+    private final List<String> names;
+    private final TimerService deadlines;
+    private final Executor executor;
+    private final TagSequence tags;
+    private final Supplier<MonotonicTime> clock;
+    private final Consumer<ResourceUsage> wake;
+
+    /** The tag under which resource usage were asked for a wake-up, or 0. */
+    private long requestedTag;
+
+    private boolean leaving;
+    private TimerService.Timer next;
+    private TimerService.Timer anyway;
+    private ResourceUsage resourceUsage = ResourceUsage.UNKNOWN;
+    private MonotonicTime readAt = new MonotonicTime(0);
+
+    WakeUpScheduler(
+            List<String> names,
+            TimerService deadlines,
+            Executor executor,
+            TagSequence tags,
+            Supplier<MonotonicTime> clock,
+            Consumer<ResourceUsage> wake) {
+        this.names = names;
+        this.deadlines = deadlines;
+        this.executor = executor;
+        this.tags = tags;
+        this.clock = clock;
+        this.wake = wake;
+    }
+
+    /** The node asks for one wake-up at a time; a later word replaces the one before. */
+    void at(MonotonicTime time) {
+        deadlines.cancel(next);
+        next = deadlines.schedule(time, this::due);
+    }
+
+    /**
+     * From now on wake-ups wait for no resource usage, which are read beside them. Guards against
+     * the last answers of a node that leaves: what comes after them by its own deadline, as the
+     * wish to send no more, must not overtake them in a stall.
+     */
+    void leave() {
+        leaving = true;
+    }
+
+    private void due() {
+        // Where the settings name no resource usage there are none to wait for, and an answer that
+        // is due
+        // must not wait.
+        if (leaving && !names.isEmpty()) {
+            executor.askResourceUsage(tags.next());
+        }
+        if (names.isEmpty() || leaving || clock.get().since(readAt).compareTo(FRESH) < 0) {
+            wake.accept(resourceUsage);
+        } else if (requestedTag == 0) {
+            requestedTag = tags.next();
+            // Guards against a link that is lost or slow: the node's alarms must not wait for it.
+            anyway =
+                    deadlines.schedule(
+                            clock.get().plus(RESOURCE_USAGE_WAIT),
+                            () ->
+                                    ring(
+                                            new ResourceUsage(
+                                                    Double.NaN,
+                                                    Double.NaN,
+                                                    resourceUsage.memoryShare(),
+                                                    resourceUsage.connections())));
+            executor.askResourceUsage(requestedTag);
+        }
+    }
+
+    void read(long tag, double[] values) {
+        resourceUsage = ResourceUsage.named(names, values);
+        readAt = clock.get();
+        if (tag == requestedTag) {
+            ring(resourceUsage);
+        }
+    }
+
+    private void ring(ResourceUsage known) {
+        requestedTag = 0;
+        deadlines.cancel(anyway);
+        wake.accept(known);
+    }
+}
--- a/src/main/java/lupinwood/reload/Plan.java
+++ b/src/main/java/lupinwood/reload/ConfigDiff.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import lupinwood.settings.Change;
+import lupinwood.settings.ChangeEffect;
 import lupinwood.settings.Entry;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /**
@@ -21,16 +21,17 @@
  * @param result what the node goes by once the steps that count while it runs are taken; the old
  *     meaning where one of them is refused
  */
-public record Plan(List<Step> steps, Meaning result) {
+public record ConfigDiff(List<Step> steps, ParsedSettings result) {
     /**
      * One difference.
      *
-     * @param name the entry, or a whole track or customer that came or went
+     * @param name the entry, or a whole request class or tenant that came or went
      * @param before null where it came
      * @param after null where it went
      * @param because why no sooner, or why it is safe
      */
-    public record Step(String name, String before, String after, Change change, String because) {
+    public record Step(
+            String name, String before, String after, ChangeEffect change, String because) {
         /** For people, in one line. */
         public String said() {
             String what;
@@ -39,25 +40,30 @@
             } else if (after == null) {
                 what = "removed " + name + said(before);
             } else {
-                what = name + " " + Meaning.said(name, before) + " -> " + Meaning.said(name, after);
+                what =
+                        name
+                                + " "
+                                + ParsedSettings.said(name, before)
+                                + " -> "
+                                + ParsedSettings.said(name, after);
             }
             return what + ", " + change.said();
         }
 
         private String said(String value) {
-            return value.isEmpty() ? "" : " " + Meaning.said(name, value);
+            return value.isEmpty() ? "" : " " + ParsedSettings.said(name, value);
         }
     }
 
     private static final String LAID_OUT = "the node's tables are laid out for it at the start";
 
     /** What changes from the old to the next. */
-    public static Plan between(Meaning old, Meaning next) {
+    public static ConfigDiff between(ParsedSettings old, ParsedSettings next) {
         List<Step> steps = new ArrayList<>();
         Set<String> names = new LinkedHashSet<>(old.values().keySet());
         names.addAll(next.values().keySet());
         Schema.LISTS.forEach(list -> lists(list, old.items(list), next.items(list), steps));
-        for (String name : Meaning.ordered(old.lists(), all(names)).keySet()) {
+        for (String name : ParsedSettings.ordered(old.lists(), all(names)).keySet()) {
             String before = old.value(name);
             String after = next.value(name);
             if (!Objects.equals(before, after) && isInBoth(name, old, next)) {
@@ -66,16 +72,19 @@
         }
         Map<String, String> values = new LinkedHashMap<>(old.values());
         for (Step step : steps) {
-            if (step.change() != Change.RESTART && step.after() != null) {
+            if (step.change() != ChangeEffect.RESTART && step.after() != null) {
                 values.put(step.name(), step.after());
-            } else if (step.change() != Change.RESTART) {
+            } else if (step.change() != ChangeEffect.RESTART) {
                 values.remove(step.name());
             }
         }
-        boolean refused = steps.stream().anyMatch(step -> step.change() == Change.REFUSED);
-        Meaning result =
-                refused ? old : new Meaning(old.lists(), Meaning.ordered(old.lists(), values));
-        return new Plan(List.copyOf(steps), result);
+        boolean refused = steps.stream().anyMatch(step -> step.change() == ChangeEffect.REFUSED);
+        ParsedSettings result =
+                refused
+                        ? old
+                        : new ParsedSettings(
+                                old.lists(), ParsedSettings.ordered(old.lists(), values));
+        return new ConfigDiff(List.copyOf(steps), result);
     }
 
     private static Map<String, String> all(Set<String> names) {
@@ -90,18 +99,18 @@
         Set<String> after = Set.copyOf(next);
         for (String item : old) {
             if (!after.contains(item)) {
-                steps.add(new Step(list + " " + item, "", null, Change.RESTART, LAID_OUT));
+                steps.add(new Step(list + " " + item, "", null, ChangeEffect.RESTART, LAID_OUT));
             }
         }
         for (String item : next) {
             if (!before.contains(item)) {
-                steps.add(new Step(list + " " + item, null, "", Change.RESTART, LAID_OUT));
+                steps.add(new Step(list + " " + item, null, "", ChangeEffect.RESTART, LAID_OUT));
             }
         }
     }
 
-    private static boolean isInBoth(String name, Meaning old, Meaning next) {
-        Entry entry = Meaning.entry(name);
+    private static boolean isInBoth(String name, ParsedSettings old, ParsedSettings next) {
+        Entry entry = ParsedSettings.entry(name);
         if (entry == null || entry.list().isEmpty()) {
             return true;
         }
@@ -110,9 +119,10 @@
     }
 
     private static Step step(String name, String before, String after) {
-        Entry entry = Meaning.entry(name);
+        Entry entry = ParsedSettings.entry(name);
         return entry == null
-                ? new Step(name, before, after, Change.RESTART, "this build knows nothing of it")
+                ? new Step(
+                        name, before, after, ChangeEffect.RESTART, "this build knows nothing of it")
                 : new Step(name, before, after, entry.change(), entry.because());
     }
 
@@ -121,11 +131,12 @@
     }
 
     public boolean isRefused() {
-        return steps.stream().anyMatch(step -> step.change() == Change.REFUSED);
+        return steps.stream().anyMatch(step -> step.change() == ChangeEffect.REFUSED);
     }
 
     /** Whether anything counts without a restart. */
     public boolean takesEffect() {
-        return !isRefused() && steps.stream().anyMatch(step -> step.change() != Change.RESTART);
+        return !isRefused()
+                && steps.stream().anyMatch(step -> step.change() != ChangeEffect.RESTART);
     }
 }
--- a/src/main/java/lupinwood/reload/Move.java
+++ b/src/main/java/lupinwood/reload/ExecutorMigration.java
@@ -1,8 +1,8 @@
 package lupinwood.reload;
 
 import java.util.Objects;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 
 /**
  * Whether a move to another executor is kept. The new address has so long to say WELCOME; then the
@@ -12,9 +12,9 @@
  *
  * @param <A> an address
  */
-public final class Move<A> {
+public final class ExecutorMigration<A> {
     /** What to do now. */
-    public enum Next {
+    public enum Step {
         NOTHING,
         GO_BACK,
         TRY_AGAIN
@@ -31,11 +31,11 @@
     /**
      * Until when the current one may say WELCOME; never, where it did, or where there is no other.
      */
-    private Moment until = Moment.NEVER;
+    private MonotonicTime until = MonotonicTime.NEVER;
 
-    private Span patience = Span.ZERO;
+    private NanoDuration clientTimeout = NanoDuration.ZERO;
 
-    public Move(A first) {
+    public ExecutorMigration(A first) {
         wanted = first;
         current = first;
     }
@@ -46,8 +46,8 @@
      * @param within how long it has to say WELCOME; zero for as long as it takes
      * @return whether the node is to connect there
      */
-    public boolean to(A next, Span within, Moment now) {
-        patience = within;
+    public boolean to(A next, NanoDuration within, MonotonicTime now) {
+        clientTimeout = within;
         boolean moves = !next.equals(current);
         wanted = next;
         current = next;
@@ -60,28 +60,31 @@
     /** The current one said WELCOME. */
     public void welcomed() {
         good = current;
-        until = Moment.NEVER;
+        until = MonotonicTime.NEVER;
     }
 
     /** When {@link #look} may have something to say. */
-    public Moment due() {
+    public MonotonicTime due() {
         return until;
     }
 
     /** What the passing of time asks for; after it, {@link #current} is where to connect. */
-    public Next look(Moment now) {
+    public Step look(MonotonicTime now) {
         if (now.isBefore(until)) {
-            return Next.NOTHING;
+            return Step.NOTHING;
         }
         boolean back = current.equals(wanted);
         current = back ? good : wanted;
         wait(now);
-        return back ? Next.GO_BACK : Next.TRY_AGAIN;
+        return back ? Step.GO_BACK : Step.TRY_AGAIN;
     }
 
-    private void wait(Moment now) {
+    private void wait(MonotonicTime now) {
         boolean hasOther = good != null && !Objects.equals(good, wanted);
-        until = hasOther && patience.isPositive() ? now.plus(patience) : Moment.NEVER;
+        until =
+                hasOther && clientTimeout.isPositive()
+                        ? now.plus(clientTimeout)
+                        : MonotonicTime.NEVER;
     }
 
     public A current() {
--- a/src/main/java/lupinwood/reload/Look.java
+++ b/src/main/java/lupinwood/reload/FileFingerprint.java
@@ -1,6 +1,6 @@
 package lupinwood.reload;
 
-import lupinwood.node.Moment;
+import lupinwood.admission.MonotonicTime;
 
 /**
  * What a look at the files of a configuration showed, without reading them.
@@ -8,6 +8,6 @@
  * @param marks changes whenever one of the files was written to or replaced; compared, never read
  * @param changed when the latest of them says that it was written to last
  */
-public record Look(String marks, Moment changed) {
-    public static final Look NOTHING = new Look("", new Moment(0));
+public record FileFingerprint(String marks, MonotonicTime changed) {
+    public static final FileFingerprint NOTHING = new FileFingerprint("", new MonotonicTime(0));
 }
--- a/src/main/java/lupinwood/reload/Triggers.java
+++ b/src/main/java/lupinwood/reload/ReloadScheduler.java
@@ -1,7 +1,7 @@
 package lupinwood.reload;
 
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 
 /**
  * Decides when a configuration is read anew and whether what was read counts. It is told of
@@ -11,24 +11,24 @@
  * <p>Two triggers may come for one change: each leads to a reading, but what was read and applied
  * once is not read again until the files look different or a signal asks for it. A file that is
  * being written is never half applied: what changed while it was read doesn't count, what can't be
- * used is read again until the files have been still for {@link #PATIENCE}, and what can't prove by
- * its form that it is whole counts only once they have been still for {@link #QUIET}.
+ * used is read again until the files have been still for {@link #RESPONSE_TIMEOUT}, and what can't
+ * prove by its form that it is whole counts only once they have been still for {@link #QUIET}.
  */
-public final class Triggers {
+public final class ReloadScheduler {
     /** Files that can't be used may be unfinished until they have been still for as long. */
-    public static final Span PATIENCE = Span.ofSeconds(1);
+    public static final NanoDuration RESPONSE_TIMEOUT = NanoDuration.ofSeconds(1);
 
     /** Files whose form can't prove that they are whole are taken for finished after as long. */
-    public static final Span QUIET = Span.ofSeconds(0.1);
+    public static final NanoDuration QUIET = NanoDuration.ofSeconds(0.1);
 
     /** How often unfinished files are looked at. */
-    public static final Span AGAIN = Span.ofSeconds(0.05);
+    public static final NanoDuration AGAIN = NanoDuration.ofSeconds(0.05);
 
     /** How often files at rest are looked at. */
-    public static final Span EVERY = Span.ofSeconds(0.25);
+    public static final NanoDuration EVERY = NanoDuration.ofSeconds(0.25);
 
     /** A writer that never stops keeps nobody waiting for longer. */
-    public static final Span LONGEST = Span.ofSeconds(10);
+    public static final NanoDuration LONGEST = NanoDuration.ofSeconds(10);
 
     /** What one reading came to. */
     public enum Reading {
@@ -50,54 +50,54 @@
     private final boolean watches;
 
     /** What the files looked like when they were read to an end, for better or worse. */
-    private Look settled;
+    private FileFingerprint settled;
 
-    private Look seen;
-    private Moment seenAt;
+    private FileFingerprint observed;
+    private MonotonicTime observedAt;
 
     /** A signal came that no reading has answered. */
-    private boolean asked;
+    private boolean requested;
 
-    private Moment askedAt;
-    private Moment next;
+    private MonotonicTime requestedAt;
+    private MonotonicTime next;
 
     /**
      * @param watches whether a changed file is reason enough to read it
      */
-    public Triggers(boolean watches, Look atStart, Moment now) {
+    public ReloadScheduler(boolean watches, FileFingerprint atStart, MonotonicTime now) {
         this.watches = watches;
         settled = atStart;
-        seen = atStart;
-        seenAt = now;
-        next = watches ? now.plus(EVERY) : Moment.NEVER;
+        observed = atStart;
+        observedAt = now;
+        next = watches ? now.plus(EVERY) : MonotonicTime.NEVER;
     }
 
     /** A signal asks for a reading; several before it starts ask for one. */
-    public void signalled(Moment now) {
-        if (!asked) {
-            asked = true;
-            askedAt = now;
+    public void signalled(MonotonicTime now) {
+        if (!requested) {
+            requested = true;
+            requestedAt = now;
         }
         next = now;
     }
 
     /** Whether no signal waits for its answer. */
     public boolean isAtRest() {
-        return !asked;
+        return !requested;
     }
 
-    /** When to look next; {@link Moment#NEVER} where only a signal can be the reason. */
-    public Moment next() {
+    /** When to look next; {@link MonotonicTime#NEVER} where only a signal can be the reason. */
+    public MonotonicTime next() {
         return next;
     }
 
     /** The files were looked at: whether to read them now. */
-    public boolean looked(Look look, Moment now) {
-        if (!look.equals(seen)) {
-            seen = look;
-            seenAt = now;
+    public boolean looked(FileFingerprint look, MonotonicTime now) {
+        if (!look.equals(observed)) {
+            observed = look;
+            observedAt = now;
         }
-        boolean due = asked || (watches && !look.equals(settled));
+        boolean due = requested || (watches && !look.equals(settled));
         if (!due) {
             rest(now);
         }
@@ -110,21 +110,23 @@
      * @param before the look just before the reading
      * @param after the look just after it
      */
-    public Verdict judge(Look before, Look after, Reading reading, Moment now) {
-        if (!after.equals(seen)) {
-            seen = after;
-            seenAt = now;
+    public Verdict judge(
+            FileFingerprint before, FileFingerprint after, Reading reading, MonotonicTime now) {
+        if (!after.equals(observed)) {
+            observed = after;
+            observedAt = now;
         }
         boolean changing = !before.equals(after);
         boolean usable = reading != Reading.UNUSABLE;
-        Span needed = reading == Reading.WHOLE ? Span.ZERO : usable ? QUIET : PATIENCE;
-        boolean tiredOf = asked && LONGEST.compareTo(now.since(askedAt)) < 0;
+        NanoDuration needed =
+                reading == Reading.WHOLE ? NanoDuration.ZERO : usable ? QUIET : RESPONSE_TIMEOUT;
+        boolean tiredOf = requested && LONGEST.compareTo(now.since(requestedAt)) < 0;
         if ((changing || stillFor(after, now).compareTo(needed) < 0) && !tiredOf) {
             next = now.plus(AGAIN);
             return Verdict.READ_AGAIN;
         }
         settled = after;
-        asked = false;
+        requested = false;
         rest(now);
         return usable && !changing ? Verdict.APPLY : Verdict.REPORT;
     }
@@ -133,12 +135,12 @@
      * By the files' own word, or by how long they have looked the same where that lies in the
      * future.
      */
-    private Span stillFor(Look look, Moment now) {
-        Span watched = now.since(seenAt);
+    private NanoDuration stillFor(FileFingerprint look, MonotonicTime now) {
+        NanoDuration watched = now.since(observedAt);
         return look.changed().isBefore(now) ? now.since(look.changed()).max(watched) : watched;
     }
 
-    private void rest(Moment now) {
-        next = watches ? now.plus(EVERY) : Moment.NEVER;
+    private void rest(MonotonicTime now) {
+        next = watches ? now.plus(EVERY) : MonotonicTime.NEVER;
     }
 }
--- a/src/main/java/lupinwood/release/Watch.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -1,4 +1,4 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
-import lupinwood.fleet.Tally;
+import lupinwood.cluster.RequestCounts;
 
 /**
  * Judges nodes that have what is released beside those that haven't, in the same zone and time,
@@ -16,10 +16,10 @@
  * blamed on nothing. No figure is compared with a fixed number but the harm that the operator
  * wouldn't bear.
  *
- * <p>All nodes and each zone are looked at, all tracks together and each by itself; the more looks,
- * and they are taken again and again, the surer each has to be.
+ * <p>All nodes and each zone are looked at, all request classes together and each by itself; the
+ * more looks, and they are taken again and again, the surer each has to be.
  */
-public final class Watch {
+public final class CanaryAnalysis {
     /**
      * In standard errors: to call it worse, which is looked for again and again, and to call it
      * well.
@@ -40,74 +40,80 @@
 
     private static final double CHANCE_OF_RESTARTS = 0.002;
 
-    /** Tickets that a node must have had for its figures to count. */
+    /** Requests that a node must have had for its figures to count. */
     private static final int ENOUGH = 20;
 
     private static final double MOST_KNOWN = 0.6;
 
-    private Watch() {}
+    private CanaryAnalysis() {}
 
-    public static Verdict judge(List<Sample> samples, Limits limits) {
-        Verdict gone = losses(samples);
+    public static CanaryVerdict judge(List<NodeSample> samples, CanaryLimits limits) {
+        CanaryVerdict gone = losses(samples);
         if (gone != null) {
             return gone;
         }
         List<String> zones =
                 new ArrayList<>(
                         new TreeSet<>(samples.stream().map(one -> one.site().toString()).toList()));
-        Set<String> tracks = new LinkedHashSet<>();
-        samples.forEach(one -> one.after().counts().forEach(count -> tracks.add(count.track())));
-        Look whole = new Look(samples, "", limits.harm(), SURE_WORSE);
+        Set<String> requestClasses = new LinkedHashSet<>();
+        samples.forEach(
+                one ->
+                        one.after()
+                                .counts()
+                                .forEach(count -> requestClasses.add(count.className())));
+        Comparison whole = new Comparison(samples, "", limits.harm(), SURE_WORSE);
         if (whole.isWorse()) {
-            return new Verdict(Verdict.Kind.WORSE, whole.text("worse"));
+            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, whole.text("worse"));
         }
-        Look slow = Look.ofTime(samples, Math.log1p(limits.slower()), SURE_WORSE);
+        Comparison slow = Comparison.ofTime(samples, Math.log1p(limits.slower()), SURE_WORSE);
         if (slow.isWorse()) {
-            return new Verdict(Verdict.Kind.WORSE, slow.text("slower"));
+            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, slow.text("slower"));
         }
-        for (String track : tracks) {
-            Look look = new Look(samples, track, limits.harm(), SURE_WORSE_IN_PART);
+        for (String className : requestClasses) {
+            Comparison look = new Comparison(samples, className, limits.harm(), SURE_WORSE_IN_PART);
             if (look.isWorse()) {
-                return new Verdict(Verdict.Kind.WORSE, look.text("worse"));
+                return new CanaryVerdict(CanaryVerdict.Kind.WORSE, look.text("worse"));
             }
         }
         for (String zone : zones) {
-            List<Sample> there =
+            List<NodeSample> there =
                     samples.stream().filter(one -> one.site().toString().equals(zone)).toList();
-            Look look = new Look(there, "", limits.harm(), SURE_WORSE_IN_PART);
+            Comparison look = new Comparison(there, "", limits.harm(), SURE_WORSE_IN_PART);
             if (look.isWorse()) {
-                return new Verdict(Verdict.Kind.WORSE, "in " + zone + ": " + look.text("worse"));
+                return new CanaryVerdict(
+                        CanaryVerdict.Kind.WORSE, "in " + zone + ": " + look.text("worse"));
             }
         }
         if (whole.estimate == null) {
             boolean beside =
                     samples.stream().anyMatch(one -> !one.changed())
-                            && samples.stream().anyMatch(Sample::changed);
-            return new Verdict(
-                    beside ? Verdict.Kind.UNSURE : Verdict.Kind.WELL,
+                            && samples.stream().anyMatch(NodeSample::changed);
+            return new CanaryVerdict(
+                    beside ? CanaryVerdict.Kind.UNSURE : CanaryVerdict.Kind.WELL,
                     beside
                             ? "too few tickets to tell"
                             : "no unchanged node is left to compare with");
         }
         if (!whole.isWell()) {
-            return new Verdict(Verdict.Kind.UNSURE, whole.text("not sure yet"));
+            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, whole.text("not sure yet"));
         }
         if (slow.estimate != null && !slow.isWell()) {
-            return new Verdict(Verdict.Kind.UNSURE, slow.text("not sure yet"));
+            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, slow.text("not sure yet"));
         }
-        for (String track : tracks) {
-            Look look = new Look(samples, track, limits.harm() * PART, SURE_WORSE_IN_PART);
+        for (String className : requestClasses) {
+            Comparison look =
+                    new Comparison(samples, className, limits.harm() * PART, SURE_WORSE_IN_PART);
             if (look.estimate != null && !look.isWell()) {
-                return new Verdict(Verdict.Kind.UNSURE, look.text("not sure yet"));
+                return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, look.text("not sure yet"));
             }
         }
-        return new Verdict(Verdict.Kind.WELL, whole.text("well"));
+        return new CanaryVerdict(CanaryVerdict.Kind.WELL, whole.text("well"));
     }
 
     /** Null where nodes that have it don't go missing, or start anew, more than the others do. */
-    static Verdict losses(List<Sample> samples) {
-        int changed = (int) samples.stream().filter(Sample::changed).count();
-        int lost = (int) samples.stream().filter(Sample::lost).count();
+    static CanaryVerdict losses(List<NodeSample> samples) {
+        int changed = (int) samples.stream().filter(NodeSample::changed).count();
+        int lost = (int) samples.stream().filter(NodeSample::lost).count();
         int lostChanged = (int) samples.stream().filter(one -> one.changed() && one.lost()).count();
         if (changed == 0) {
             return null;
@@ -117,8 +123,8 @@
                 && (allOfThem
                         || atLeast(lostChanged, lost, changed, samples.size())
                                 < CHANCE_OF_LOSSES)) {
-            return new Verdict(
-                    Verdict.Kind.WORSE,
+            return new CanaryVerdict(
+                    CanaryVerdict.Kind.WORSE,
                     lostChanged
                             + " of "
                             + changed
@@ -128,15 +134,15 @@
                             + (samples.size() - changed)
                             + " others");
         }
-        int restarts = samples.stream().mapToInt(Sample::restarts).sum();
+        int restarts = samples.stream().mapToInt(NodeSample::restarts).sum();
         int restartsChanged =
-                samples.stream().filter(Sample::changed).mapToInt(Sample::restarts).sum();
+                samples.stream().filter(NodeSample::changed).mapToInt(NodeSample::restarts).sum();
         // Each restart falls on a node by chance, so it falls on a changed one by their share.
         if (restartsChanged > 1
                 && tail(restartsChanged, restarts, (double) changed / samples.size())
                         < CHANCE_OF_RESTARTS) {
-            return new Verdict(
-                    Verdict.Kind.WORSE,
+            return new CanaryVerdict(
+                    CanaryVerdict.Kind.WORSE,
                     restartsChanged
                             + " restarts at "
                             + changed
@@ -189,83 +195,82 @@
     }
 
     /** One figure of some nodes. */
-    private static final class Look {
+    private static final class Comparison {
         private final String what;
         private final double bound;
         private final double sure;
         private final boolean inTime;
-        final Estimate estimate;
+        final EffectEstimate estimate;
 
-        /** What goes wrong, as a share; of a track, or with an empty name of all. */
-        Look(List<Sample> samples, String track, double harm, double sure) {
+        /** What goes wrong, as a share; of a request class, or with an empty name of all. */
+        Comparison(List<NodeSample> samples, String className, double harm, double sure) {
             this(
-                    track.isEmpty() ? "of all tickets" : "of " + track,
+                    className.isEmpty() ? "of all tickets" : "of " + className,
                     harm,
                     sure,
                     false,
-                    points(samples, track));
+                    points(samples, className));
         }
 
-        private Look(
+        private Comparison(
                 String what,
                 double bound,
                 double sure,
                 boolean inTime,
-                List<Estimate.Point> points) {
+                List<EffectEstimate.Point> points) {
             this.what = what;
             this.bound = bound;
             this.sure = sure;
             this.inTime = inTime;
-            estimate = Estimate.of(points);
+            estimate = EffectEstimate.of(points);
         }
 
         /** The mean time to answer, as a logarithm. */
-        static Look ofTime(List<Sample> samples, double bound, double sure) {
-            List<Estimate.Point> points = new ArrayList<>();
+        static Comparison ofTime(List<NodeSample> samples, double bound, double sure) {
+            List<EffectEstimate.Point> points = new ArrayList<>();
             boolean pasts =
                     known(
                             samples,
-                            one ->
-                                    one.before() != null
-                                            && one.before().all().satisfied() >= ENOUGH);
-            for (Sample one : samples) {
-                if (pasts && (one.before() == null || one.before().all().satisfied() < ENOUGH)) {
+                            one -> one.before() != null && one.before().all().served() >= ENOUGH);
+            for (NodeSample one : samples) {
+                if (pasts && (one.before() == null || one.before().all().served() < ENOUGH)) {
                     continue;
                 }
-                Tally.Count after = one.after().all();
-                if (after.satisfied() >= ENOUGH
+                RequestCounts.ClassCounts after = one.after().all();
+                if (after.served() >= ENOUGH
                         && after.seconds() > 0
                         && (!pasts || one.before().all().seconds() > 0)) {
                     double past = pasts ? log(one.before().all()) : 0;
                     double variance =
-                            1.0 / after.satisfied()
-                                    + (pasts ? 1.0 / one.before().all().satisfied() : 0);
+                            1.0 / after.served() + (pasts ? 1.0 / one.before().all().served() : 0);
                     points.add(
-                            new Estimate.Point(
+                            new EffectEstimate.Point(
                                     one.site(), one.changed(), log(after) - past, variance));
                 }
             }
-            return new Look("of the time to answer", bound, sure, true, points);
+            return new Comparison("of the time to answer", bound, sure, true, points);
         }
 
-        private static double log(Tally.Count count) {
-            return Math.log(Math.max(1e-6, count.seconds() / count.satisfied()));
+        private static double log(RequestCounts.ClassCounts count) {
+            return Math.log(Math.max(1e-6, count.seconds() / count.served()));
         }
 
-        private static List<Estimate.Point> points(List<Sample> samples, String track) {
-            ToDoubleFunction<Tally.Count> share = count -> (double) count.bad() / count.all();
-            boolean pasts = known(samples, one -> enough(one.before(), track));
-            List<Estimate.Point> points = new ArrayList<>();
-            for (Sample one : samples) {
-                Tally.Count after = of(one.after(), track);
+        private static List<EffectEstimate.Point> points(
+                List<NodeSample> samples, String className) {
+            ToDoubleFunction<RequestCounts.ClassCounts> share =
+                    count -> (double) count.bad() / count.all();
+            boolean pasts = known(samples, one -> enough(one.before(), className));
+            List<EffectEstimate.Point> points = new ArrayList<>();
+            for (NodeSample one : samples) {
+                RequestCounts.ClassCounts after = of(one.after(), className);
                 if (after != null
                         && after.all() >= ENOUGH
-                        && (!pasts || enough(one.before(), track))) {
-                    Tally.Count before = pasts ? of(one.before(), track) : null;
+                        && (!pasts || enough(one.before(), className))) {
+                    RequestCounts.ClassCounts before = pasts ? of(one.before(), className) : null;
                     double past = before == null ? 0 : share.applyAsDouble(before);
                     double variance = variance(after) + (before == null ? 0 : variance(before));
                     points.add(
-                            new Estimate.Point(
+                            new EffectEstimate.Point(
                                     one.site(),
                                     one.changed(),
                                     share.applyAsDouble(after) - past,
@@ -279,7 +284,7 @@
          * Whether most of both sides have a past; the few others are then left aside. Else levels
          * are compared.
          */
-        private static boolean known(List<Sample> samples, Predicate<Sample> has) {
+        private static boolean known(List<NodeSample> samples, Predicate<NodeSample> has) {
             for (boolean side : new boolean[] {true, false}) {
                 long all = samples.stream().filter(one -> one.changed() == side).count();
                 long with =
@@ -293,20 +298,20 @@
             return true;
         }
 
-        private static boolean enough(Tally tally, String track) {
-            Tally.Count count = tally == null ? null : of(tally, track);
+        private static boolean enough(RequestCounts tally, String className) {
+            RequestCounts.ClassCounts count = tally == null ? null : of(tally, className);
             return count != null && count.all() >= ENOUGH;
         }
 
-        private static Tally.Count of(Tally tally, String track) {
-            return track.isEmpty() ? tally.all() : tally.of(track);
+        private static RequestCounts.ClassCounts of(RequestCounts tally, String className) {
+            return className.isEmpty() ? tally.all() : tally.of(className);
         }
 
         /**
          * Of a share of so many; one and a half more of each end guard against shares of nothing
          * and of all.
          */
-        private static double variance(Tally.Count count) {
+        private static double variance(RequestCounts.ClassCounts count) {
             double share = (count.bad() + 1.5) / (count.all() + 3);
             return share * (1 - share) / count.all();
         }
@@ -319,7 +324,7 @@
         }
 
         boolean isWell() {
-            return estimate.isBelow(bound, SURE_WELL);
+            return estimate.isDownstream(bound, SURE_WELL);
         }
 
         String text(String word) {
--- a/src/main/java/lupinwood/release/Verdict.java
+++ b/src/main/java/lupinwood/rollout/CanaryVerdict.java
@@ -1,11 +1,11 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 /**
  * What a watch came to.
  *
  * @param text why, with figures, in one line
  */
-public record Verdict(Kind kind, String text) {
+public record CanaryVerdict(Kind kind, String text) {
     /** How sure it is. */
     public enum Kind {
         /** Those that have it surely do no worse than allowed. */
--- a/src/main/java/lupinwood/release/Estimate.java
+++ b/src/main/java/lupinwood/rollout/EffectEstimate.java
@@ -1,18 +1,18 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinwood.fleet.Site;
+import lupinwood.cluster.Site;
 
 /**
  * By how much one figure is higher at changed nodes than at unchanged ones of the same zone, with
- * its standard error. A node counts as one observation, since its tickets share its machine; how
+ * its standard error. A node counts as one observation, since its requests share its machine; how
  * far nodes lie apart is taken from both sides within their zones, and is never taken for less than
- * chance alone gives with so few tickets.
+ * chance alone gives with so few requests.
  */
-final class Estimate {
+final class EffectEstimate {
     /** A node's figure; the variance is what chance alone does to it. */
     record Point(Site site, boolean changed, double value, double variance) {}
 
@@ -20,14 +20,14 @@
     private final double error;
     private final int freedom;
 
-    private Estimate(double difference, double error, int freedom) {
+    private EffectEstimate(double difference, double error, int freedom) {
         this.difference = difference;
         this.error = error;
         this.freedom = freedom;
     }
 
     /** Null where no zone has nodes of both sides. */
-    static Estimate of(List<Point> points) {
+    static EffectEstimate of(List<Point> points) {
         Map<String, List<Point>> zones = new TreeMap<>();
         points.forEach(
                 point ->
@@ -81,7 +81,7 @@
             sum += weight * (there - beside);
             weights += weight;
         }
-        return new Estimate(sum / weights, Math.sqrt(spread / weights), Math.max(1, freedom));
+        return new EffectEstimate(sum / weights, Math.sqrt(spread / weights), Math.max(1, freedom));
     }
 
     double difference() {
@@ -96,7 +96,7 @@
         return difference - widened(errors) * error > bound;
     }
 
-    boolean isBelow(double bound, double errors) {
+    boolean isDownstream(double bound, double errors) {
         return difference + widened(errors) * error < bound;
     }
 
--- a/src/main/java/lupinwood/release/History.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -1,67 +1,67 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
 
 /**
  * What one node told lately, as far as the one who leads the release heard it. A node's counts
- * begin anew with each life; here they go on over lives, so that a stretch of time has its tickets
+ * begin anew with each life; here they go on over lives, so that a stretch of time has its requests
  * whatever happened in it.
  */
-final class History {
+final class NodeHistory {
     /** What is kept of the latest watch, so that memory stays bounded with hundreds of nodes. */
     static final int POINTS_A_WATCH = 24;
 
-    private record Point(Moment at, Tally total) {}
+    private record Point(MonotonicTime at, RequestCounts total) {}
 
     private final Deque<Point> points = new ArrayDeque<>();
-    private Life life;
-    private Tally ofLife = Tally.NOTHING;
-    private Tally before = Tally.NOTHING;
+    private Incarnation life;
+    private RequestCounts ofLife = RequestCounts.NOTHING;
+    private RequestCounts before = RequestCounts.NOTHING;
     private int lives;
-    private Tally marked = Tally.NOTHING;
+    private RequestCounts marked = RequestCounts.NOTHING;
     private int livesMarked;
 
     /**
      * What it answered over a watch before the release, on the old; null where that wasn't seen.
      */
-    private Tally past;
+    private RequestCounts past;
 
     /** Since when it has been well; null while it isn't. */
-    private Moment wellSince;
+    private MonotonicTime wellSince;
 
-    private Moment lastWell;
+    private MonotonicTime lastWell;
 
     /** What it runs, and since when it has been seen to. */
     private String version = "";
 
-    private Moment versionSince;
+    private MonotonicTime versionSince;
 
     /**
      * @param every how far apart kept points are at the least
      */
-    void heard(Seen seen, Moment now, Span every) {
-        boolean well = seen.standing() == Standing.WARM;
-        boolean another = !seen.life().equals(life);
+    void heard(NodeView nodeView, MonotonicTime now, NanoDuration every) {
+        boolean well = nodeView.standing() == NodeStatus.WARM;
+        boolean another = !nodeView.life().equals(life);
         wellSince = !well ? null : wellSince == null || another ? now : wellSince;
         lastWell = well ? now : lastWell;
         if (another) {
             before = before.plus(ofLife);
-            ofLife = Tally.NOTHING;
-            life = seen.life();
+            ofLife = RequestCounts.NOTHING;
+            life = nodeView.life();
             lives++;
         }
-        if (seen.report() == null || seen.report().tally() == null) {
+        if (nodeView.report() == null || nodeView.report().tally() == null) {
             return;
         }
-        ofLife = seen.report().tally();
-        String runs = seen.report().runs() + " " + seen.report().program();
+        ofLife = nodeView.report().tally();
+        String runs = nodeView.report().runs() + " " + nodeView.report().program();
         if (!runs.equals(version)) {
             version = runs;
             versionSince = now;
@@ -75,7 +75,7 @@
     }
 
     /** What it answered over the latest watch; null where that isn't known whole. */
-    Tally latest(Span watch, Moment now) {
+    RequestCounts latest(NanoDuration watch, MonotonicTime now) {
         boolean whole =
                 !points.isEmpty()
                         && now.since(points.peekFirst().at()).compareTo(watch.times(0.8)) >= 0;
@@ -83,11 +83,11 @@
     }
 
     /** That is what this node is compared with from now on. */
-    void past(Tally known) {
+    void past(RequestCounts known) {
         past = known;
     }
 
-    Tally past() {
+    RequestCounts past() {
         return past;
     }
 
@@ -97,7 +97,7 @@
         livesMarked = lives;
     }
 
-    Tally sinceMark() {
+    RequestCounts sinceMark() {
         return before.plus(ofLife).since(marked);
     }
 
@@ -106,16 +106,16 @@
     }
 
     /** With what it runs now. */
-    boolean isWellFor(Span span, Moment now) {
+    boolean isWellFor(NanoDuration duration, MonotonicTime now) {
         return wellSince != null
                 && versionSince != null
-                && now.since(wellSince).compareTo(span) >= 0
-                && now.since(versionSince).compareTo(span) >= 0;
+                && now.since(wellSince).compareTo(duration) >= 0
+                && now.since(versionSince).compareTo(duration) >= 0;
     }
 
     /** Whether it was ever well, and isn't for so long. */
-    boolean isLost(Span span, Moment now) {
-        return lastWell != null && now.since(lastWell).compareTo(span) >= 0;
+    boolean isLost(NanoDuration duration, MonotonicTime now) {
+        return lastWell != null && now.since(lastWell).compareTo(duration) >= 0;
     }
 
     boolean wasEverWell() {
--- a/src/main/java/lupinwood/release/Sample.java
+++ b/src/main/java/lupinwood/rollout/NodeSample.java
@@ -1,8 +1,8 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Tally;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Site;
 
 /**
  * One node over a watch.
@@ -14,11 +14,11 @@
  * @param restarts how often it was started anew during the watch without having been let go
  * @param lost whether it isn't well, and hasn't been for a while
  */
-public record Sample(
+public record NodeSample(
         NodeName node,
         Site site,
         boolean changed,
-        Tally before,
-        Tally after,
+        RequestCounts before,
+        RequestCounts after,
         int restarts,
         boolean lost) {}
--- a/src/main/java/lupinwood/release/Conductor.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -1,4 +1,4 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,24 +9,24 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
 
 /**
  * Leads a release for whoever holds the duty: checks it first, gives it to one node a zone, then to
- * waves that grow, and watches after each. What it has decided is in the book; what it has seen it
- * learns anew when another begins, which then watches the wave under way from its own start. It
- * never resumes what was halted.
+ * waves that grow, and watches after each. What it has decided is in the cluster state; what it has
+ * seen it learns anew when another begins, which then watches the wave under way from its own
+ * start. It never resumes what was halted.
  */
-public final class Conductor {
+public final class RolloutController {
     private static final double GROWTH = 3;
 
     /**
@@ -35,7 +35,7 @@
     private static final double MOST_OF_THE_REST = 0.6;
 
     /** Askings for permits at once. */
-    private static final int MOST_ASKED = 8;
+    private static final int MAX_REQUESTED = 8;
 
     /**
      * Counts of the past that are kept: what is written has to fit into one message, a few times.
@@ -43,21 +43,21 @@
     private static final int MOST_COUNTS = 330;
 
     private final NodeName self;
-    private final Limits limits;
-    private final Map<NodeName, History> histories = new HashMap<>();
+    private final CanaryLimits limits;
+    private final Map<NodeName, NodeHistory> histories = new HashMap<>();
     private long number = -1;
     private int step = -1;
     private boolean back;
     private boolean wasHalted;
 
     /** When the wave under way was first seen here. */
-    private Moment stepSeen;
+    private MonotonicTime stepObserved;
 
     /** From when the wave is watched: all that are there run it; null before. */
-    private Moment watchFrom;
+    private MonotonicTime watchFrom;
 
     /** Since when a node had it and wasn't seen to be well with it. */
-    private final Map<NodeName, Moment> missing = new HashMap<>();
+    private final Map<NodeName, MonotonicTime> missing = new HashMap<>();
 
     /** Given it, and waiting for a permit to go and come back with it. */
     private final Set<NodeName> unpermitted = new HashSet<>();
@@ -69,7 +69,7 @@
     private String says = "";
     private boolean wantsPast;
 
-    public Conductor(NodeName self, Limits limits) {
+    public RolloutController(NodeName self, CanaryLimits limits) {
         this.self = self;
         this.limits = limits;
     }
@@ -79,17 +79,21 @@
         return says;
     }
 
-    /** Whether the book is to tell how nodes did before the release: it began under another. */
+    /**
+     * Whether the cluster state is to tell how nodes did before the release: it began under
+     * another.
+     */
     public boolean wantsPast() {
         return wantsPast;
     }
 
     /**
      * What is to be done now; asked again and again with a fresh picture, and the same is said
-     * until it is in the book.
+     * until it is in the cluster state.
      */
-    public List<Act> decide(Picture picture, Token token, Moment now) {
-        Release release = picture.release();
+    public List<RolloutAction> decide(
+            RolloutSnapshot picture, FencingToken token, MonotonicTime now) {
+        Rollout release = picture.release();
         if (release == null) {
             number = -1;
             says = "";
@@ -104,11 +108,11 @@
             wantsPast = release.steps() > 0;
         }
         Set<NodeName> known = new HashSet<>();
-        for (Seen seen : picture.seen()) {
-            known.add(seen.name());
+        for (NodeView nodeView : picture.nodeViews()) {
+            known.add(nodeView.name());
             histories
-                    .computeIfAbsent(seen.name(), none -> new History())
-                    .heard(seen, now, limits.watch().times(1.0 / History.POINTS_A_WATCH));
+                    .computeIfAbsent(nodeView.name(), none -> new NodeHistory())
+                    .heard(nodeView, now, limits.watch().times(1.0 / NodeHistory.POINTS_A_WATCH));
         }
         histories.keySet().retainAll(known);
         hadIt.addAll(release.given());
@@ -124,7 +128,7 @@
         if (release.steps() != step || release.back() != back || (wasHalted && !halted)) {
             step = release.steps();
             back = release.back();
-            stepSeen = now;
+            stepObserved = now;
             watchFrom = null;
             missing.clear();
         }
@@ -145,18 +149,25 @@
      * Nodes that were away, or came back while nobody could tell them, take what was agreed on, if
      * need be by a restart.
      */
-    private List<Act> catchUp(Picture picture) {
-        List<Act> acts = new ArrayList<>();
-        for (Seen seen : picture.seen()) {
+    private List<RolloutAction> catchUp(RolloutSnapshot picture) {
+        List<RolloutAction> acts = new ArrayList<>();
+        for (NodeView nodeView : picture.nodeViews()) {
             boolean lags =
-                    isThere(seen)
-                            && seen.report() != null
-                            && !seen.report().runs().equals(picture.good());
-            if (lags && restartsFor(seen, picture.good()) && !picture.hasPermit(seen.name())) {
+                    isThere(nodeView)
+                            && nodeView.report() != null
+                            && !nodeView.report().runs().equals(picture.good());
+            if (lags
+                    && restartsFor(nodeView, picture.good())
+                    && !picture.hasPermit(nodeView.name())) {
                 acts.add(
-                        new Act.Let(
-                                "g" + picture.good() + "." + seen.name() + "." + seen.life(),
-                                seen.name()));
+                        new RolloutAction.PermitRestart(
+                                "g"
+                                        + picture.good()
+                                        + "."
+                                        + nodeView.name()
+                                        + "."
+                                        + nodeView.life(),
+                                nodeView.name()));
             }
         }
         says =
@@ -168,26 +179,39 @@
 
     // ---- before it starts ----
 
-    private List<Act> check(Picture picture, Release release, Token token, Moment now) {
-        List<Seen> there = picture.seen().stream().filter(Conductor::isThere).toList();
-        for (Seen seen : there) {
-            Report report = seen.report();
+    private List<RolloutAction> check(
+            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
+        List<NodeView> there =
+                picture.nodeViews().stream().filter(RolloutController::isThere).toList();
+        for (NodeView nodeView : there) {
+            NodeReport report = nodeView.report();
             if (report == null) {
                 return refuse(
-                        release, token, seen.name() + " is of a version that knows of no releases");
+                        release,
+                        token,
+                        nodeView.name() + " is of a version that knows of no releases");
             }
-            Report.Checked checked = report.checked();
-            if (release.kind() == Release.Kind.CONFIGURATION
+            NodeReport.ConfigCheck checked = report.checked();
+            if (release.kind() == Rollout.Kind.CONFIGURATION
                     && checked != null
                     && checked.digest().equals(release.to())
                     && !checked.fits()) {
-                return refuse(release, token, seen.name() + " would not take it: " + checked.why());
+                return refuse(
+                        release, token, nodeView.name() + " would not take it: " + checked.why());
             }
         }
         List<NodeName> open =
-                there.stream().filter(seen -> !isChecked(seen, release)).map(Seen::name).toList();
-        if (there.size() * 2 <= picture.seen().size()) {
-            says = "only " + there.size() + " of " + picture.seen().size() + " nodes are there";
+                there.stream()
+                        .filter(nodeView -> !isChecked(nodeView, release))
+                        .map(NodeView::name)
+                        .toList();
+        if (there.size() * 2 <= picture.nodeViews().size()) {
+            says =
+                    "only "
+                            + there.size()
+                            + " of "
+                            + picture.nodeViews().size()
+                            + " nodes are there";
             return late(release, token, now);
         }
         if (!open.isEmpty()) {
@@ -198,25 +222,28 @@
                             + " to check it";
             return late(release, token, now);
         }
-        if (now.since(stepSeen).compareTo(limits.watch()) < 0) {
+        if (now.since(stepObserved).compareTo(limits.watch()) < 0) {
             says = "looks at the fleet as it was before";
             return List.of(); // what the waves are compared with
         }
-        Map<String, Tally> past = new TreeMap<>();
+        Map<String, RequestCounts> past = new TreeMap<>();
         long counts =
-                picture.seen().stream()
-                        .filter(seen -> seen.report() != null)
-                        .mapToLong(seen -> seen.report().tally().counts().size())
+                picture.nodeViews().stream()
+                        .filter(nodeView -> nodeView.report() != null)
+                        .mapToLong(nodeView -> nodeView.report().tally().counts().size())
                         .sum();
         histories.forEach(
                 (node, history) -> {
-                    Tally latest = history.latest(limits.watch(), now);
+                    RequestCounts latest = history.latest(limits.watch(), now);
                     if (latest != null && past.size() < MOST_COUNTS) {
-                        // In large fleets all tracks together: what is kept of each track would be
+                        // In large fleets all request classes together: what is kept of each
+                        // request class would be
                         // too long.
                         past.put(
                                 node.text(),
-                                counts <= MOST_COUNTS ? latest : new Tally(List.of(latest.all())));
+                                counts <= MOST_COUNTS
+                                        ? latest
+                                        : new RequestCounts(List.of(latest.all())));
                     }
                     history.past(latest);
                 });
@@ -224,9 +251,9 @@
     }
 
     /** Whether it runs what all ran before, and would run the new. */
-    private static boolean isChecked(Seen seen, Release release) {
-        Report report = seen.report();
-        if (release.kind() == Release.Kind.PROGRAM) {
+    private static boolean isChecked(NodeView nodeView, Rollout release) {
+        NodeReport report = nodeView.report();
+        if (release.kind() == Rollout.Kind.PROGRAM) {
             return true;
         }
         boolean settled =
@@ -236,32 +263,34 @@
                 && report.checked().digest().equals(release.to());
     }
 
-    private List<Act> late(Release release, Token token, Moment now) {
-        return now.since(stepSeen).compareTo(limits.watchMost()) < 0
+    private List<RolloutAction> late(Rollout release, FencingToken token, MonotonicTime now) {
+        return now.since(stepObserved).compareTo(limits.watchMost()) < 0
                 ? List.of()
                 : refuse(release, token, says);
     }
 
-    private static List<Act> refuse(Release release, Token token, String why) {
-        return List.of(new Act.Write(new Deed.Finish(token, release.number(), false, why, 0)));
+    private static List<RolloutAction> refuse(Rollout release, FencingToken token, String why) {
+        return List.of(
+                new RolloutAction.Propose(
+                        new ClusterCommand.FinishRollout(token, release.number(), false, why, 0)));
     }
 
-    private static boolean isThere(Seen seen) {
-        return seen.standing() == Standing.WARM || seen.standing() == Standing.UP;
+    private static boolean isThere(NodeView nodeView) {
+        return nodeView.standing() == NodeStatus.WARM || nodeView.standing() == NodeStatus.UP;
     }
 
     // ---- waves ----
 
     /** One of each zone: well, and rather not this node. */
-    private List<NodeName> canaries(Picture picture, Release release) {
-        Map<String, List<Seen>> zones = byZone(picture, release);
+    private List<NodeName> canaries(RolloutSnapshot picture, Rollout release) {
+        Map<String, List<NodeView>> zones = byZone(picture, release);
         List<NodeName> chosen = new ArrayList<>();
         zones.values()
                 .forEach(
                         zone ->
                                 zone.stream()
                                         .findFirst()
-                                        .ifPresent(seen -> chosen.add(seen.name())));
+                                        .ifPresent(nodeView -> chosen.add(nodeView.name())));
         return chosen;
     }
 
@@ -269,23 +298,27 @@
      * Nodes that are well and haven't got it, in an order that begins with those that others need
      * least.
      */
-    private Map<String, List<Seen>> byZone(Picture picture, Release release) {
-        Map<String, List<Seen>> zones = new TreeMap<>();
-        picture.seen().stream()
-                .filter(seen -> seen.standing() == Standing.WARM && !release.isGiven(seen.name()))
+    private Map<String, List<NodeView>> byZone(RolloutSnapshot picture, Rollout release) {
+        Map<String, List<NodeView>> zones = new TreeMap<>();
+        picture.nodeViews().stream()
+                .filter(
+                        nodeView ->
+                                nodeView.standing() == NodeStatus.WARM
+                                        && !release.isGiven(nodeView.name()))
                 .sorted(
-                        Comparator.comparing((Seen seen) -> seen.name().equals(self))
-                                .thenComparing(Seen::name))
+                        Comparator.comparing((NodeView nodeView) -> nodeView.name().equals(self))
+                                .thenComparing(NodeView::name))
                 .forEach(
-                        seen ->
+                        nodeView ->
                                 zones.computeIfAbsent(
-                                                seen.site().toString(), none -> new ArrayList<>())
-                                        .add(seen));
+                                                nodeView.site().toString(),
+                                                none -> new ArrayList<>())
+                                        .add(nodeView));
         return zones;
     }
 
-    private List<NodeName> next(Picture picture, Release release) {
-        Map<String, List<Seen>> zones = byZone(picture, release);
+    private List<NodeName> next(RolloutSnapshot picture, Rollout release) {
+        Map<String, List<NodeView>> zones = byZone(picture, release);
         int left = zones.values().stream().mapToInt(List::size).sum();
         int given = release.given().size();
         int all = given + left;
@@ -301,7 +334,7 @@
                                                 Math.ceil(left * MOST_OF_THE_REST)));
         List<NodeName> chosen = new ArrayList<>();
         for (int turn = 0; chosen.size() < size; turn++) {
-            for (List<Seen> zone : zones.values()) {
+            for (List<NodeView> zone : zones.values()) {
                 if (turn < zone.size() && chosen.size() < size) {
                     chosen.add(zone.get(turn).name());
                 }
@@ -310,17 +343,17 @@
         return chosen;
     }
 
-    private static List<Act> give(
-            Release release,
-            Token token,
+    private static List<RolloutAction> give(
+            Rollout release,
+            FencingToken token,
             List<NodeName> nodes,
             String why,
-            Map<String, Tally> past) {
+            Map<String, RequestCounts> past) {
         return nodes.isEmpty()
                 ? List.of()
                 : List.of(
-                        new Act.Write(
-                                new Deed.Step(
+                        new RolloutAction.Propose(
+                                new ClusterCommand.AdvanceRollout(
                                         token,
                                         release.number(),
                                         release.steps() + 1,
@@ -331,30 +364,33 @@
                                         0)));
     }
 
-    private List<Act> wave(Picture picture, Release release, Token token, Moment now) {
-        List<Act> acts = new ArrayList<>();
+    private List<RolloutAction> wave(
+            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
+        List<RolloutAction> acts = new ArrayList<>();
         List<NodeName> waits = new ArrayList<>();
         unpermitted.clear();
         for (NodeName node : release.given()) {
-            Seen seen = picture.of(node).orElse(null);
-            if (seen == null || (runs(seen, release.kind(), release.to()) && isWell(node, now))) {
+            NodeView nodeView = picture.of(node).orElse(null);
+            if (nodeView == null
+                    || (runs(nodeView, release.kind(), release.to()) && isWell(node, now))) {
                 missing.remove(node);
                 continue;
             }
-            if (isThere(seen)
-                    && !runs(seen, release.kind(), release.to())
-                    && needsRestart(seen, release, release.to())) {
+            if (isThere(nodeView)
+                    && !runs(nodeView, release.kind(), release.to())
+                    && needsRestart(nodeView, release, release.to())) {
                 if (!picture.hasPermit(node)) {
                     acts.add(
-                            new Act.Let(
-                                    "r" + release.number() + "." + node + "." + seen.life(), node));
+                            new RolloutAction.PermitRestart(
+                                    "r" + release.number() + "." + node + "." + nodeView.life(),
+                                    node));
                     missing.remove(node); // it waits for its permit, which is nobody's fault
                     unpermitted.add(node);
                     waits.add(node);
                     continue;
                 }
             }
-            Moment since = missing.computeIfAbsent(node, none -> now);
+            MonotonicTime since = missing.computeIfAbsent(node, none -> now);
             if (now.since(since).compareTo(limits.rejoin()) < 0) {
                 waits.add(node);
             }
@@ -368,14 +404,14 @@
             watchFrom = watchFrom == null || !acts.isEmpty() ? null : watchFrom;
         } else if (watchFrom == null) {
             watchFrom = now;
-            histories.values().forEach(History::mark);
+            histories.values().forEach(NodeHistory::mark);
         }
         if (watchFrom == null) {
-            Verdict gone = Watch.losses(samples(picture, release, now));
+            CanaryVerdict gone = CanaryAnalysis.losses(samples(picture, release, now));
             if (gone != null) {
                 return List.of(bad(release, token, gone.text()));
             }
-            return now.since(stepSeen).compareTo(limits.watchMost().plus(limits.rejoin())) < 0
+            return now.since(stepObserved).compareTo(limits.watchMost().plus(limits.rejoin())) < 0
                     ? few(acts)
                     : List.of(halt(release, token, "it takes too long: " + says));
         }
@@ -383,18 +419,22 @@
         return acts;
     }
 
-    private List<Act> judge(
-            Picture picture, Release release, Token token, Moment now, boolean settled) {
-        Span watched = now.since(watchFrom);
-        Verdict verdict = Watch.judge(samples(picture, release, now), limits);
+    private List<RolloutAction> judge(
+            RolloutSnapshot picture,
+            Rollout release,
+            FencingToken token,
+            MonotonicTime now,
+            boolean settled) {
+        NanoDuration watched = now.since(watchFrom);
+        CanaryVerdict verdict = CanaryAnalysis.judge(samples(picture, release, now), limits);
         says = verdict.text();
-        if (verdict.kind() == Verdict.Kind.WORSE) {
+        if (verdict.kind() == CanaryVerdict.Kind.WORSE) {
             return List.of(bad(release, token, verdict.text()));
         }
         if (watched.compareTo(limits.watch()) < 0 || !settled) {
             return List.of();
         }
-        if (verdict.kind() == Verdict.Kind.UNSURE) {
+        if (verdict.kind() == CanaryVerdict.Kind.UNSURE) {
             return watched.compareTo(limits.watchMost()) < 0
                     ? List.of()
                     : List.of(
@@ -404,16 +444,17 @@
                                     "it can't be told whether it is well: " + verdict.text()));
         }
         boolean all =
-                picture.seen().stream()
+                picture.nodeViews().stream()
                         .allMatch(
-                                seen ->
-                                        release.isGiven(seen.name())
-                                                || (!isThere(seen)
-                                                        && seen.standing() != Standing.LEAVING));
+                                nodeView ->
+                                        release.isGiven(nodeView.name())
+                                                || (!isThere(nodeView)
+                                                        && nodeView.standing()
+                                                                != NodeStatus.LEAVING));
         if (!all) {
             long out =
-                    picture.seen().stream()
-                            .filter(seen -> seen.standing() != Standing.WARM)
+                    picture.nodeViews().stream()
+                            .filter(nodeView -> nodeView.standing() != NodeStatus.WARM)
                             .count();
             return out > picture.mostOut()
                     ? List.of(
@@ -422,37 +463,40 @@
                                     token,
                                     out
                                             + " of "
-                                            + picture.seen().size()
+                                            + picture.nodeViews().size()
                                             + " nodes are out, and no more than "
                                             + picture.mostOut()
                                             + " may be"))
                     : give(release, token, next(picture, release), verdict.text(), null);
         }
         return List.of(
-                new Act.Write(new Deed.Finish(token, release.number(), true, verdict.text(), 0)));
+                new RolloutAction.Propose(
+                        new ClusterCommand.FinishRollout(
+                                token, release.number(), true, verdict.text(), 0)));
     }
 
-    private List<Sample> samples(Picture picture, Release release, Moment now) {
-        List<Sample> samples = new ArrayList<>();
-        for (Seen seen : picture.seen()) {
-            History history = histories.get(seen.name());
-            boolean changed = release.isGiven(seen.name()) && !unpermitted.contains(seen.name());
+    private List<NodeSample> samples(RolloutSnapshot picture, Rollout release, MonotonicTime now) {
+        List<NodeSample> samples = new ArrayList<>();
+        for (NodeView nodeView : picture.nodeViews()) {
+            NodeHistory history = histories.get(nodeView.name());
+            boolean changed =
+                    release.isGiven(nodeView.name()) && !unpermitted.contains(nodeView.name());
             if (!changed && !history.wasEverWell()) {
                 continue; // it was away before this began
             }
-            Moment since = missing.get(seen.name());
+            MonotonicTime since = missing.get(nodeView.name());
             boolean lost =
                     changed
                             ? since != null && now.since(since).compareTo(limits.rejoin()) >= 0
                             : history.isLost(limits.rejoin(), now);
             samples.add(
-                    new Sample(
-                            seen.name(),
-                            seen.site(),
+                    new NodeSample(
+                            nodeView.name(),
+                            nodeView.site(),
                             changed,
                             history.past(),
                             history.sinceMark(),
-                            watchFrom == null || picture.hasPermit(seen.name())
+                            watchFrom == null || picture.hasPermit(nodeView.name())
                                     ? 0
                                     : history.restartsSinceMark(),
                             lost));
@@ -460,36 +504,37 @@
         return samples;
     }
 
-    private boolean isWell(NodeName node, Moment now) {
-        History history = histories.get(node);
+    private boolean isWell(NodeName node, MonotonicTime now) {
+        NodeHistory history = histories.get(node);
         return history != null && history.isWellFor(limits.well(), now);
     }
 
-    private static boolean runs(Seen seen, Release.Kind kind, String what) {
-        Report report = seen.report();
+    private static boolean runs(NodeView nodeView, Rollout.Kind kind, String what) {
+        NodeReport report = nodeView.report();
         return report != null
-                && what.equals(kind == Release.Kind.PROGRAM ? report.program() : report.runs());
+                && what.equals(kind == Rollout.Kind.PROGRAM ? report.program() : report.runs());
     }
 
     /**
      * Whether a node that is there says that it would run the one or the other after a restart
      * only.
      */
-    private static boolean needsRestart(Seen seen, Release release, String what) {
-        return release.kind() == Release.Kind.PROGRAM || restartsFor(seen, what);
+    private static boolean needsRestart(NodeView nodeView, Rollout release, String what) {
+        return release.kind() == Rollout.Kind.PROGRAM || restartsFor(nodeView, what);
     }
 
-    private static boolean restartsFor(Seen seen, String digest) {
-        Report.Checked checked = seen.report() == null ? null : seen.report().checked();
+    private static boolean restartsFor(NodeView nodeView, String digest) {
+        NodeReport.ConfigCheck checked =
+                nodeView.report() == null ? null : nodeView.report().checked();
         return checked != null && checked.digest().equals(digest) && checked.restarts();
     }
 
     // ---- halts, and back ----
 
-    private Act bad(Release release, Token token, String why) {
+    private RolloutAction bad(Rollout release, FencingToken token, String why) {
         return release.backsOnHalt()
-                ? new Act.Write(
-                        new Deed.Turn(
+                ? new RolloutAction.Propose(
+                        new ClusterCommand.RollBack(
                                 "back" + release.number(),
                                 release.number(),
                                 "the watch (" + why + ")",
@@ -497,10 +542,10 @@
                 : halt(release, token, why);
     }
 
-    private Act halt(Release release, Token token, String why) {
+    private RolloutAction halt(Rollout release, FencingToken token, String why) {
         String order = "r" + release.number() + "." + release.steps() + "." + token + "." + halts++;
-        return new Act.Write(
-                new Deed.Halt(
+        return new RolloutAction.Propose(
+                new ClusterCommand.SetHalt(
                         order,
                         true,
                         release + (release.back() ? ", its way back: " : ", its watch: ") + why,
@@ -511,33 +556,35 @@
      * One node a zone first, the zone that is served worst before all others; once they are well,
      * the rest.
      */
-    private List<Act> goBack(Picture picture, Release release, Token token, Moment now) {
-        List<Act> acts = new ArrayList<>();
+    private List<RolloutAction> goBack(
+            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
+        List<RolloutAction> acts = new ArrayList<>();
         List<NodeName> waits = new ArrayList<>();
         NodeName late = null;
-        for (Seen seen : picture.seen()) {
-            NodeName node = seen.name();
+        for (NodeView nodeView : picture.nodeViews()) {
+            NodeName node = nodeView.name();
             boolean old =
-                    release.kind() == Release.Kind.PROGRAM
-                            ? !runs(seen, release.kind(), release.to())
-                            : runs(seen, release.kind(), release.from());
+                    release.kind() == Rollout.Kind.PROGRAM
+                            ? !runs(nodeView, release.kind(), release.to())
+                            : runs(nodeView, release.kind(), release.from());
             if (release.isGiven(node)
-                    || (!isThere(seen) && !hadIt.contains(node))
+                    || (!isThere(nodeView) && !hadIt.contains(node))
                     || (old && isWell(node, now))) {
                 missing.remove(node);
                 continue;
             }
             waits.add(node);
-            if (isThere(seen)
+            if (isThere(nodeView)
                     && !old
-                    && needsRestart(seen, release, release.from())
+                    && needsRestart(nodeView, release, release.from())
                     && !picture.hasPermit(node)) {
                 acts.add(
-                        new Act.Let("b" + release.number() + "." + node + "." + seen.life(), node));
+                        new RolloutAction.PermitRestart(
+                                "b" + release.number() + "." + node + "." + nodeView.life(), node));
                 missing.remove(node); // it waits for its permit
                 continue;
             }
-            Moment since = missing.computeIfAbsent(node, none -> now);
+            MonotonicTime since = missing.computeIfAbsent(node, none -> now);
             late = late == null && now.since(since).compareTo(limits.rejoin()) >= 0 ? node : late;
         }
         if (late != null) {
@@ -552,13 +599,14 @@
         }
         if (release.given().isEmpty()) {
             return List.of(
-                    new Act.Write(
-                            new Deed.Finish(token, release.number(), false, "all are back", 0)));
+                    new RolloutAction.Propose(
+                            new ClusterCommand.FinishRollout(
+                                    token, release.number(), false, "all are back", 0)));
         }
         boolean first = release.steps() == release.turnedAt();
         return List.of(
-                new Act.Write(
-                        new Deed.Step(
+                new RolloutAction.Propose(
+                        new ClusterCommand.AdvanceRollout(
                                 token,
                                 release.number(),
                                 release.steps() + 1,
@@ -569,27 +617,27 @@
                                 0)));
     }
 
-    private static List<Act> few(List<Act> acts) {
-        return acts.subList(0, Math.min(acts.size(), MOST_ASKED));
+    private static List<RolloutAction> few(List<RolloutAction> acts) {
+        return acts.subList(0, Math.min(acts.size(), MAX_REQUESTED));
     }
 
     /** Of each zone the node that is served worst, in the order of how bad that is. */
-    private List<NodeName> worstFirst(Picture picture, Release release) {
-        Map<String, Seen> worst = new TreeMap<>();
-        picture.seen().stream()
-                .filter(seen -> release.isGiven(seen.name()))
+    private List<NodeName> worstFirst(RolloutSnapshot picture, Rollout release) {
+        Map<String, NodeView> worst = new TreeMap<>();
+        picture.nodeViews().stream()
+                .filter(nodeView -> release.isGiven(nodeView.name()))
                 .forEach(
-                        seen ->
+                        nodeView ->
                                 worst.merge(
-                                        seen.site().toString(),
-                                        seen,
+                                        nodeView.site().toString(),
+                                        nodeView,
                                         (one, other) ->
                                                 bad(one.name()) >= bad(other.name())
                                                         ? one
                                                         : other));
         List<NodeName> nodes =
                 worst.values().stream()
-                        .map(Seen::name)
+                        .map(NodeView::name)
                         .sorted(
                                 Comparator.comparing((NodeName node) -> -bad(node))
                                         .thenComparing(node -> node))
@@ -598,7 +646,7 @@
     }
 
     private double bad(NodeName node) {
-        Tally.Count all = histories.get(node).sinceMark().all();
+        RequestCounts.ClassCounts all = histories.get(node).sinceMark().all();
         return all.all() == 0 ? 1 : (double) all.bad() / all.all();
     }
 }
--- a/src/main/java/lupinwood/release/Picture.java
+++ b/src/main/java/lupinwood/rollout/RolloutSnapshot.java
@@ -1,17 +1,17 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Permit;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Tally;
+import lupinwood.cluster.DisruptionPermit;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
 
 /**
- * What the conductor goes by: the book and what the one who leads sees.
+ * What the rollout controller goes by: the cluster state and what the one who leads sees.
  *
  * @param release null while none is open
  * @param good the digest of the text that all run while no release is open
@@ -20,16 +20,16 @@
  * @param past what each node answered over a watch before the first wave; null where it wasn't
  *     asked for
  */
-public record Picture(
-        Release release,
+public record RolloutSnapshot(
+        Rollout release,
         String good,
         String haltedBy,
-        List<Seen> seen,
-        Collection<Permit> permits,
+        List<NodeView> nodeViews,
+        Collection<DisruptionPermit> permits,
         int mostOut,
-        Map<String, Tally> past) {
-    Optional<Seen> of(NodeName node) {
-        return seen.stream().filter(one -> one.name().equals(node)).findFirst();
+        Map<String, RequestCounts> past) {
+    Optional<NodeView> of(NodeName node) {
+        return nodeViews.stream().filter(one -> one.name().equals(node)).findFirst();
     }
 
     boolean hasPermit(NodeName node) {
--- a/src/main/java/lupinwood/routes/Asked.java
+++ b/src/main/java/lupinwood/routes/RequestMatchInput.java
@@ -1,7 +1,7 @@
 package lupinwood.routes;
 
 /** What a request shows of itself; a header that isn't there is null. */
-public interface Asked {
+public interface RequestMatchInput {
     String method();
 
     /** Without its query. */
--- a/src/main/java/lupinwood/routes/Routes.java
+++ b/src/main/java/lupinwood/routes/Routes.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.regex.Pattern;
-import lupinwood.node.Span;
-import lupinwood.settings.Meaning;
+import lupinwood.admission.NanoDuration;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
 
 /**
@@ -14,11 +14,11 @@
  * path before the start of one, a told method before any.
  */
 public final class Routes {
-    /** Why a request is no ticket. */
+    /** Why a request is no request. */
     public enum Refusal {
         NO_ROUTE,
         OTHER_METHOD,
-        NO_CUSTOMER,
+        NO_TENANT,
         NO_MARK,
         BAD_MARK,
         MARK_WHERE_NONE_BELONGS
@@ -27,19 +27,19 @@
     /**
      * What a request is.
      *
-     * @param refusal null for a ticket; all else is then said
-     * @param mark null on tracks whose tickets carry none
-     * @param abandon the track's abandon time as configured at the start
+     * @param refusal null for a request; all else is then said
+     * @param mark null on request classes whose requests carry none
+     * @param timeout the request class's timeout as configured at the start
      */
     public record Match(
             Refusal refusal,
-            String track,
-            String customer,
+            String className,
+            String tenant,
             String mark,
             double memoryKb,
-            Span abandon) {
+            NanoDuration timeout) {
         private static Match refused(Refusal why) {
-            return new Match(why, null, null, null, 0, Span.ZERO);
+            return new Match(why, null, null, null, 0, NanoDuration.ZERO);
         }
     }
 
@@ -47,15 +47,15 @@
             String path,
             boolean start,
             String method,
-            String track,
-            boolean receipted,
-            String customer,
-            String customerHeader,
+            String className,
+            boolean idempotent,
+            String tenant,
+            String tenantHeader,
             String markHeader,
             double memoryKb,
-            Span abandon) {
-        boolean fits(String asked) {
-            return start ? asked.startsWith(path) : asked.equals(path);
+            NanoDuration timeout) {
+        boolean fits(String requested) {
+            return start ? requested.startsWith(path) : requested.equals(path);
         }
     }
 
@@ -63,16 +63,16 @@
 
     private final List<Route> routes = new ArrayList<>();
 
-    /** Where the settings name no customers no request need name one. */
-    private final boolean noCustomers;
+    /** Where the settings name no tenants no request need name one. */
+    private final boolean noTenants;
 
     /** Those of a configuration that was checked. */
-    public Routes(Meaning meaning) {
-        noCustomers = meaning.customers().isEmpty();
+    public Routes(ParsedSettings meaning) {
+        noTenants = meaning.tenants().isEmpty();
         for (String name : meaning.items(Schema.ROUTE)) {
             String at = "route " + name + " ";
             String path = meaning.value(at + "path");
-            String track = meaning.value(at + "track");
+            String className = meaning.value(at + "track");
             boolean start = path.endsWith("*");
             String memory = meaning.values().getOrDefault(at + "memory", "20000");
             routes.add(
@@ -80,17 +80,18 @@
                             start ? path.substring(0, path.length() - 1) : path,
                             start,
                             meaning.value(at + "method"),
-                            track,
-                            "receipted".equals(meaning.value("track " + track + " effect")),
+                            className,
+                            "receipted".equals(meaning.value("track " + className + " effect")),
                             meaning.value(at + "customer"),
                             small(
                                     meaning.values()
                                             .getOrDefault(at + "customer-header", "X-Customer")),
                             small(meaning.values().getOrDefault(at + "mark-header", "X-Mark")),
                             Double.parseDouble(memory) / 1000,
-                            new Span(
+                            new NanoDuration(
                                     Long.parseLong(
-                                            meaning.value("track " + track + " abandon-time")))));
+                                            meaning.value(
+                                                    "track " + className + " abandon-time")))));
         }
         routes.sort(
                 Comparator.<Route>comparingInt(route -> -route.path().length())
@@ -102,12 +103,12 @@
         return header.toLowerCase(Locale.ROOT);
     }
 
-    public Match match(Asked asked) {
+    public Match match(RequestMatchInput input) {
         boolean pathFits = false;
         for (Route route : routes) {
-            if (route.fits(asked.path())) {
-                if (route.method() == null || route.method().equals(asked.method())) {
-                    return ticket(route, asked);
+            if (route.fits(input.path())) {
+                if (route.method() == null || route.method().equals(input.method())) {
+                    return request(route, input);
                 }
                 pathFits = true;
             }
@@ -115,29 +116,29 @@
         return Match.refused(pathFits ? Refusal.OTHER_METHOD : Refusal.NO_ROUTE);
     }
 
-    private Match ticket(Route route, Asked asked) {
-        String customer =
-                route.customer() != null ? route.customer() : asked.header(route.customerHeader());
-        String mark = asked.header(route.markHeader());
-        if (customer == null || customer.isEmpty()) {
-            if (!noCustomers) {
-                return Match.refused(Refusal.NO_CUSTOMER);
+    private Match request(Route route, RequestMatchInput input) {
+        String tenant =
+                route.tenant() != null ? route.tenant() : input.header(route.tenantHeader());
+        String mark = input.header(route.markHeader());
+        if (tenant == null || tenant.isEmpty()) {
+            if (!noTenants) {
+                return Match.refused(Refusal.NO_TENANT);
             }
-            customer = "";
+            tenant = "";
         }
-        if (route.receipted() != (mark != null && !mark.isEmpty())) {
+        if (route.idempotent() != (mark != null && !mark.isEmpty())) {
             return Match.refused(
-                    route.receipted() ? Refusal.NO_MARK : Refusal.MARK_WHERE_NONE_BELONGS);
+                    route.idempotent() ? Refusal.NO_MARK : Refusal.MARK_WHERE_NONE_BELONGS);
         }
-        if (route.receipted() && !MARK.matcher(mark).matches()) {
+        if (route.idempotent() && !MARK.matcher(mark).matches()) {
             return Match.refused(Refusal.BAD_MARK);
         }
         return new Match(
                 null,
-                route.track(),
-                customer,
-                route.receipted() ? mark : null,
+                route.className(),
+                tenant,
+                route.idempotent() ? mark : null,
                 route.memoryKb(),
-                route.abandon());
+                route.timeout());
     }
 }
--- a/src/main/java/lupinwood/routes/package-info.java
+++ b/src/main/java/lupinwood/routes/package-info.java
@@ -1,2 +1,2 @@
-/** Which request is which ticket. Read once from the configuration; no I/O. */
+/** Which request is which request. Read once from the configuration; no I/O. */
 package lupinwood.routes;
--- a/src/main/java/lupinwood/settings/Change.java
+++ b/src/main/java/lupinwood/settings/ChangeEffect.java
@@ -1,11 +1,11 @@
 package lupinwood.settings;
 
 /** When a changed entry counts in a node that runs. */
-public enum Change {
+public enum ChangeEffect {
     /** From the step on in which the node takes it over. */
     AT_ONCE("at once"),
-    /** For tickets that come after that step; those in hand keep what they came under. */
-    NEW_TICKETS("for new tickets"),
+    /** For requests that come after that step; those in hand keep what they came under. */
+    NEW_REQUESTS("for new tickets"),
     /** For connections that are made, or fall idle, after that step. */
     NEW_CONNECTIONS("for new connections"),
     /** After a restart; until then the node keeps the value it has. */
@@ -18,7 +18,7 @@
 
     private final String said;
 
-    Change(String said) {
+    ChangeEffect(String said) {
         this.said = said;
     }
 
--- a/src/main/java/lupinwood/settings/Entry.java
+++ b/src/main/java/lupinwood/settings/Entry.java
@@ -26,16 +26,16 @@
 public record Entry(
         String name,
         String key,
-        Kind kind,
+        ValueType kind,
         BigDecimal least,
         BigDecimal most,
         List<String> words,
         List<String> saidAs,
         boolean required,
         String otherwise,
-        Set<Lapse> lapses,
+        Set<Violation> lapses,
         String instead,
-        Change change,
+        ChangeEffect change,
         String because,
         String meaning) {
 
@@ -51,8 +51,8 @@
     }
 
     /** Whether a node can serve though the value is amiss in this. */
-    public boolean bears(Lapse lapse) {
-        return lapses.contains(lapse);
+    public boolean bears(Violation violation) {
+        return lapses.contains(violation);
     }
 
     /** Its last word. */
@@ -61,13 +61,13 @@
     }
 
     /** A word as the JSON has it, for one as we write it; any other as it is. */
-    public String kept(String said) {
+    public String stored(String said) {
         int place = saidAs.indexOf(said);
         return place < 0 ? said : words.get(place);
     }
 
-    public String said(String kept) {
-        int place = words.indexOf(kept);
-        return place < 0 ? kept : saidAs.get(place);
+    public String said(String stored) {
+        int place = words.indexOf(stored);
+        return place < 0 ? stored : saidAs.get(place);
     }
 }
