--- a/src/main/java/lupinwood/settings/Meaning.java
+++ b/src/main/java/lupinwood/settings/ParsedSettings.java
@@ -15,10 +15,10 @@
  * the items' own names in it, as {@code track unlock window}. Two configurations mean the same just
  * when their values are equal.
  *
- * @param lists the items of each list in their order, which numbers tracks and customers
+ * @param lists the items of each list in their order, which numbers request classes and tenants
  * @param values as {@link Values} reads them, in the order of the schema
  */
-public record Meaning(Map<String, List<String>> lists, Map<String, String> values) {
+public record ParsedSettings(Map<String, List<String>> lists, Map<String, String> values) {
     private static final Pattern ITEM =
             Pattern.compile("settings\\.(services|customers)\\.(\\d{1,6})\\.(.+)");
 
@@ -27,12 +27,12 @@
 
     private static final Pattern PLACE = Pattern.compile("\\.\\d{1,6}\\.");
 
-    public Meaning {
-        Map<String, List<String>> kept = new LinkedHashMap<>();
+    public ParsedSettings {
+        Map<String, List<String>> stored = new LinkedHashMap<>();
         for (String list : Schema.LISTS) {
-            kept.put(list, List.copyOf(lists.getOrDefault(list, List.of())));
+            stored.put(list, List.copyOf(lists.getOrDefault(list, List.of())));
         }
-        lists = Collections.unmodifiableMap(kept);
+        lists = Collections.unmodifiableMap(stored);
         values = Collections.unmodifiableMap(new LinkedHashMap<>(values));
     }
 
@@ -41,12 +41,12 @@
         return lists.get(list);
     }
 
-    public List<String> tracks() {
-        return items(Schema.TRACK);
+    public List<String> requestClasses() {
+        return items(Schema.REQUEST_CLASS);
     }
 
-    public List<String> customers() {
-        return items(Schema.CUSTOMER);
+    public List<String> tenants() {
+        return items(Schema.TENANT);
     }
 
     public String value(String name) {
@@ -89,23 +89,23 @@
     }
 
     /** What the JSON's flat map says; what is wrong with it goes to the faults. */
-    public static Meaning of(Map<String, String> flat, List<Fault> faults) {
-        List<String> tracks = names(flat, "services", faults);
-        List<String> customers = names(flat, "customers", faults);
+    public static ParsedSettings of(Map<String, String> flat, List<SettingsError> faults) {
+        List<String> requestClasses = names(flat, "services", faults);
+        List<String> tenants = names(flat, "customers", faults);
         Map<String, String> found = new TreeMap<>();
         flat.forEach(
-                (key, kept) -> {
+                (key, stored) -> {
                     if ((key.startsWith("settings.") && key.endsWith(".count"))
                             || isItemsName(key)) {
                         return;
                     }
                     Entry plain = Schema.keyed(key + ".#");
                     if (plain != null) {
-                        String[] items = kept.split(",", 0);
-                        for (int i = 0; i < items.length && i < tracks.size(); i++) {
+                        String[] items = stored.split(",", 0);
+                        for (int i = 0; i < items.length && i < requestClasses.size(); i++) {
                             put(
                                     plain,
-                                    "track " + tracks.get(i) + " " + plain.own(),
+                                    "track " + requestClasses.get(i) + " " + plain.own(),
                                     items[i],
                                     found,
                                     faults);
@@ -116,24 +116,25 @@
                     Entry entry = Schema.keyed(PLACE.matcher(key).replaceFirst(".#."));
                     List<String> names =
                             !item.matches() || item.group(1).equals("services")
-                                    ? tracks
-                                    : customers;
+                                    ? requestClasses
+                                    : tenants;
                     int place = item.matches() ? Integer.parseInt(item.group(2)) : 0;
                     if (entry != null && item.matches() && place < names.size()) {
                         put(
                                 entry,
                                 entry.list() + " " + names.get(place) + " " + entry.own(),
-                                kept,
+                                stored,
                                 found,
                                 faults);
                     } else if (entry != null && !item.matches()) {
-                        put(entry, entry.name(), kept, found, faults);
+                        put(entry, entry.name(), stored, found, faults);
                     } else if (key.startsWith("settings.")) {
-                        found.put(Schema.EXTRA + " " + key.substring("settings.".length()), kept);
+                        found.put(Schema.EXTRA + " " + key.substring("settings.".length()), stored);
                     }
                 });
-        Map<String, List<String>> lists = Map.of(Schema.TRACK, tracks, Schema.CUSTOMER, customers);
-        return new Meaning(lists, ordered(lists, found));
+        Map<String, List<String>> lists =
+                Map.of(Schema.REQUEST_CLASS, requestClasses, Schema.TENANT, tenants);
+        return new ParsedSettings(lists, ordered(lists, found));
     }
 
     private static boolean isItemsName(String key) {
@@ -141,15 +142,16 @@
         return item.matches() && item.group(3).equals("name");
     }
 
-    private static List<String> names(Map<String, String> flat, String list, List<Fault> faults) {
+    private static List<String> names(
+            Map<String, String> flat, String list, List<SettingsError> faults) {
         List<String> names = new ArrayList<>();
-        String told = flat.getOrDefault("settings." + list + ".count", "0");
-        BigDecimal count = Values.number(told);
+        String reported = flat.getOrDefault("settings." + list + ".count", "0");
+        BigDecimal count = Values.number(reported);
         if (count == null || count.signum() < 0 || count.compareTo(MOST_ITEMS) > 0) {
             faults.add(
-                    new Fault(
+                    new SettingsError(
                             list + ".count",
-                            "this is no number of " + list + ": " + told,
+                            "this is no number of " + list + ": " + reported,
                             "",
                             true));
             return names;
@@ -162,16 +164,20 @@
 
     /** What is empty counts as absent. */
     private static void put(
-            Entry entry, String name, String kept, Map<String, String> found, List<Fault> faults) {
-        if (kept.isEmpty()) {
+            Entry entry,
+            String name,
+            String stored,
+            Map<String, String> found,
+            List<SettingsError> faults) {
+        if (stored.isEmpty()) {
             return;
         }
-        String value = Values.read(entry, kept);
+        String value = Values.read(entry, stored);
         if (value == null) {
             faults.add(
-                    new Fault(
+                    new SettingsError(
                             name,
-                            "this is not what " + name + " takes: " + kept,
+                            "this is not what " + name + " takes: " + stored,
                             wanted(entry),
                             true));
         } else {
@@ -216,8 +222,8 @@
     /** As the JSON's flat map has it, which is what a node is made from. */
     public Map<String, String> flat() {
         Map<String, String> flat = new TreeMap<>();
-        count(flat, "services", tracks());
-        count(flat, "customers", customers());
+        count(flat, "services", requestClasses());
+        count(flat, "customers", tenants());
         values.forEach(
                 (name, value) -> {
                     Entry entry = entry(name);
@@ -247,12 +253,12 @@
     private void plainList(Entry entry, Map<String, String> flat) {
         List<String> items = new ArrayList<>();
         boolean any = false;
-        for (String track : tracks()) {
-            String value = values.get("track " + track + " " + entry.own());
+        for (String className : requestClasses()) {
+            String value = values.get("track " + className + " " + entry.own());
             any |= value != null;
             items.add(
                     value == null
-                            ? entry.kind() == Kind.FLAG ? "false" : "0"
+                            ? entry.kind() == ValueType.FLAG ? "false" : "0"
                             : Values.write(entry, value));
         }
         if (any) {
@@ -268,14 +274,14 @@
         }
         String item = name.split(" ", 0)[1];
         boolean numbered =
-                entry.list().equals(Schema.TRACK) || entry.list().equals(Schema.CUSTOMER);
+                entry.list().equals(Schema.REQUEST_CLASS) || entry.list().equals(Schema.TENANT);
         return entry.key()
                 .replace(
                         "#", numbered ? Integer.toString(items(entry.list()).indexOf(item)) : item);
     }
 
     /** The JSON's text of a value. */
-    public static String kept(String name, String value) {
+    public static String stored(String name, String value) {
         return Values.write(entry(name), value);
     }
 }
--- a/src/main/java/lupinwood/settings/Schema.java
+++ b/src/main/java/lupinwood/settings/Schema.java
@@ -1,29 +1,29 @@
 package lupinwood.settings;
 
-import static lupinwood.settings.Change.AT_ONCE;
-import static lupinwood.settings.Change.NEW_CONNECTIONS;
-import static lupinwood.settings.Change.NEW_TICKETS;
-import static lupinwood.settings.Change.REFUSED;
-import static lupinwood.settings.Change.RESTART;
-import static lupinwood.settings.Kind.ADDRESS;
-import static lupinwood.settings.Kind.COUNT;
-import static lupinwood.settings.Kind.FLAG;
-import static lupinwood.settings.Kind.HEX;
-import static lupinwood.settings.Kind.MEMORY_KB;
-import static lupinwood.settings.Kind.MEMORY_MB;
-import static lupinwood.settings.Kind.NUMBER;
-import static lupinwood.settings.Kind.RATE;
-import static lupinwood.settings.Kind.SHARE;
-import static lupinwood.settings.Kind.SPAN;
-import static lupinwood.settings.Kind.SPAN_MILLIS;
-import static lupinwood.settings.Kind.TEXT;
-import static lupinwood.settings.Kind.WORD;
-import static lupinwood.settings.Kind.WORDS;
-import static lupinwood.settings.Lapse.ABSENT;
-import static lupinwood.settings.Lapse.FRACTION;
-import static lupinwood.settings.Lapse.TOO_LITTLE;
-import static lupinwood.settings.Lapse.TOO_MUCH;
-import static lupinwood.settings.Lapse.UNKNOWN_WORD;
+import static lupinwood.settings.ChangeEffect.AT_ONCE;
+import static lupinwood.settings.ChangeEffect.NEW_CONNECTIONS;
+import static lupinwood.settings.ChangeEffect.NEW_REQUESTS;
+import static lupinwood.settings.ChangeEffect.REFUSED;
+import static lupinwood.settings.ChangeEffect.RESTART;
+import static lupinwood.settings.ValueType.ADDRESS;
+import static lupinwood.settings.ValueType.COUNT;
+import static lupinwood.settings.ValueType.DURATION;
+import static lupinwood.settings.ValueType.DURATION_MILLIS;
+import static lupinwood.settings.ValueType.FLAG;
+import static lupinwood.settings.ValueType.HEX;
+import static lupinwood.settings.ValueType.MEMORY_KB;
+import static lupinwood.settings.ValueType.MEMORY_MB;
+import static lupinwood.settings.ValueType.NUMBER;
+import static lupinwood.settings.ValueType.RATE;
+import static lupinwood.settings.ValueType.SHARE;
+import static lupinwood.settings.ValueType.TEXT;
+import static lupinwood.settings.ValueType.WORD;
+import static lupinwood.settings.ValueType.WORDS;
+import static lupinwood.settings.Violation.ABSENT;
+import static lupinwood.settings.Violation.FRACTION;
+import static lupinwood.settings.Violation.TOO_LITTLE;
+import static lupinwood.settings.Violation.TOO_MUCH;
+import static lupinwood.settings.Violation.UNKNOWN_WORD;
 
 import java.math.BigDecimal;
 import java.util.ArrayList;
@@ -35,14 +35,14 @@
 
 /** All entries, in the order in which they are written and explained. */
 public final class Schema {
-    public static final String TRACK = "track";
-    public static final String CUSTOMER = "customer";
+    public static final String REQUEST_CLASS = "track";
+    public static final String TENANT = "customer";
     public static final String ROUTE = "route";
     public static final String SERVER = "server";
     public static final String VOTER = "voter";
 
     /** All lists, in the order in which their items are written. */
-    public static final List<String> LISTS = List.of(CUSTOMER, TRACK, ROUTE, SERVER, VOTER);
+    public static final List<String> LISTS = List.of(TENANT, REQUEST_CLASS, ROUTE, SERVER, VOTER);
 
     /** The section of entries that this build has no name for; they reach the node as they are. */
     public static final String EXTRA = "extra";
@@ -78,7 +78,7 @@
                     "worth_by",
                     "zone");
 
-    private static final List<String> NOT_NEEDED_BELOW =
+    private static final List<String> NOT_NEEDED_DOWNSTREAM =
             List.of("callers.", "prices.", "reporting.");
 
     private static final List<Entry> ALL = new ArrayList<>();
@@ -113,14 +113,14 @@
                 .needed()
                 .change(RESTART, "chance is drawn from it once")
                 .says("Where the node's chance begins; new with each start.");
-        at("stop", "stop_ms", SPAN_MILLIS)
+        at("stop", "stop_ms", DURATION_MILLIS)
                 .from("1000000", HOUR)
                 .needed()
                 .change(
                         AT_ONCE,
                         "it is read when the notice to leave comes; after that no configuration is taken over")
                 .says("How long after the notice to leave the process is killed.");
-        at("step", "settings.step_ns", SPAN)
+        at("step", "settings.step_ns", DURATION)
                 .from("1000", "1000000000")
                 .needed()
                 .bears("the node's own pace on sockets", ABSENT, TOO_MUCH)
@@ -187,29 +187,29 @@
                 .otherwise("0%")
                 .change(AT_ONCE, JUDGED)
                 .says("The part of the credit that an answer after the agreed time earns.");
-        at("track * agreed-time", "settings.services.#.aim_ns", SPAN)
+        at("track * agreed-time", "settings.services.#.aim_ns", DURATION)
                 .from("1000000", DAY)
                 .needed()
-                .change(NEW_TICKETS, "a ticket's place in the order is fixed when it comes")
+                .change(NEW_REQUESTS, "a ticket's place in the order is fixed when it comes")
                 .says("How soon after it came a ticket's answer earns its full credit.");
         at("track * agreed-stretch", "settings.services.#.aim_stretch", NUMBER)
                 .from("0", "1000")
                 .otherwise("0")
-                .change(NEW_TICKETS, "a ticket's place in the order is fixed when it comes")
+                .change(NEW_REQUESTS, "a ticket's place in the order is fixed when it comes")
                 .says("The agreed time grows by this multiple of a ticket's own work.");
-        at("track * abandon-time", "settings.services.#.give_up_ns", SPAN)
+        at("track * abandon-time", "settings.services.#.give_up_ns", DURATION)
                 .from("1000000", DAY)
                 .needed()
                 .change(
-                        NEW_TICKETS,
+                        NEW_REQUESTS,
                         "a ticket in hand is owed its answer by the time it came under")
                 .says("How long after it came the caller gives a ticket up.");
-        at("track * window", "settings.services.#.window_ns", SPAN)
+        at("track * window", "settings.services.#.window_ns", DURATION)
                 .from("0", DAY)
                 .otherwise(
                         "0s; a receipted track must have one, and is given its abandon time where the platform tells none")
                 .change(
-                        NEW_TICKETS,
+                        NEW_REQUESTS,
                         "a receipt in hand is kept for the window that it was promised")
                 .says(
                         "How long after it came a receipted ticket may come again and must not run twice.");
@@ -263,12 +263,12 @@
                 .change(RESTART, "calls in hand were let out under it")
                 .says(
                         "This node's part of the calls that the dependency survives, as a mean number in hand.");
-        at("machine calls-over", "settings.domain.calls_over_ns", SPAN)
+        at("machine calls-over", "settings.domain.calls_over_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .change(RESTART, FIXED)
                 .says("The time over which calls in hand are averaged.");
-        at("machine linger", "settings.domain.linger_ns", SPAN)
+        at("machine linger", "settings.domain.linger_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .change(RESTART, "calls given up are counted in hand by it")
@@ -293,13 +293,13 @@
                 .bears("off", UNKNOWN_WORD)
                 .change(RESTART, "callers hold on to the last value and its meaning")
                 .says("What callers take the free value on answers to mean.");
-        at("machine advice-heeded", "settings.domain.heeded_ns", SPAN)
+        at("machine advice-heeded", "settings.domain.heeded_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .bears("nothing, since nothing hangs on it", TOO_MUCH)
                 .change(RESTART, FIXED)
                 .says("How long callers keep the free value in mind.");
-        at("machine idle-connections", "settings.domain.keepalive_max_ns", SPAN)
+        at("machine idle-connections", "settings.domain.keepalive_max_ns", DURATION)
                 .from("0", DAY)
                 .otherwise("an hour")
                 .change(NEW_CONNECTIONS, "a connection that is idle keeps the time it was given")
@@ -322,7 +322,7 @@
                     .change(AT_ONCE, JUDGED)
                     .says("The weight in the goal of " + part[2] + ".");
         }
-        at("bounced come-back-after-most", "settings.bounds.max_retry_after_ns", SPAN)
+        at("bounced come-back-after-most", "settings.bounds.max_retry_after_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .change(AT_ONCE, JUDGED)
@@ -331,13 +331,13 @@
                 .otherwise("#false")
                 .change(RESTART, FIXED)
                 .says("Whether callers are told when to come back.");
-        at("rules answer-slack", "settings.rules.answer_slack_ns", SPAN)
+        at("rules answer-slack", "settings.rules.answer_slack_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .bears("nothing, since nothing hangs on it", TOO_MUCH)
                 .change(RESTART, FIXED)
                 .says("How long past its abandon time a ticket's answer still counts.");
-        at("rules drain-grace", "settings.rules.drain_grace_ns", SPAN)
+        at("rules drain-grace", "settings.rules.drain_grace_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .change(
@@ -350,7 +350,7 @@
                 .bears("the share as it is", TOO_LITTLE)
                 .change(RESTART, FIXED)
                 .says("The part of its speed that a cold machine has at least.");
-        at("rules warm-after", "settings.rules.ramp_time_ns", SPAN)
+        at("rules warm-after", "settings.rules.ramp_time_ns", DURATION)
                 .from("0", DAY)
                 .otherwise("0s")
                 .change(RESTART, FIXED)
@@ -360,13 +360,13 @@
                 .otherwise("3")
                 .change(RESTART, FIXED)
                 .says("How many running tickets a core of a warm machine survives.");
-        at("rules crowd-over", "settings.rules.fall_ns", SPAN)
+        at("rules crowd-over", "settings.rules.fall_ns", DURATION)
                 .from("0", HOUR)
                 .otherwise("0s")
                 .change(RESTART, FIXED)
                 .says("The time over which the crowd on the cores is averaged.");
 
-        at("moves welcome-within", "operator.moves.welcome_within_ns", SPAN)
+        at("moves welcome-within", "operator.moves.welcome_within_ns", DURATION)
                 .from("10000000", HOUR)
                 .otherwise("off: the node waits for a new executor for good")
                 .change(AT_ONCE, "it counts for the next move")
@@ -477,7 +477,7 @@
                 .otherwise("nowhere")
                 .change(RESTART, JOINED)
                 .says("Where the keeper puts the fleet's picture, by HTTP.");
-        at("fleet lease", "operator.fleet.lease_ns", SPAN)
+        at("fleet lease", "operator.fleet.lease_ns", DURATION)
                 .from("300000000", "600000000000")
                 .otherwise("3s")
                 .change(RESTART, "all nodes must count by the same")
@@ -517,12 +517,12 @@
                 .otherwise("1")
                 .change(RESTART, BOUNDS)
                 .says("How many servers below may rest at once.");
-        at("release watch", "operator.release.watch_ns", SPAN)
+        at("release watch", "operator.release.watch_ns", DURATION)
                 .from("1000000000", DAY)
                 .otherwise("1m")
                 .change(RESTART, LED)
                 .says("How long each wave of a release is watched at the least.");
-        at("release watch-most", "operator.release.watch_most_ns", SPAN)
+        at("release watch-most", "operator.release.watch_most_ns", DURATION)
                 .from("1000000000", DAY)
                 .otherwise("15m")
                 .change(RESTART, LED)
@@ -560,7 +560,7 @@
      */
     public static boolean isNotNeeded(String key) {
         String own = key.startsWith("settings.") ? key.substring("settings.".length()) : "";
-        return NOT_NEEDED.contains(own) || NOT_NEEDED_BELOW.stream().anyMatch(own::startsWith);
+        return NOT_NEEDED.contains(own) || NOT_NEEDED_DOWNSTREAM.stream().anyMatch(own::startsWith);
     }
 
     /** The entry with this key, with {@code #} for an item's place; null where there is none. */
@@ -568,26 +568,26 @@
         return BY_KEY.get(key);
     }
 
-    private static Builder at(String name, String key, Kind kind) {
+    private static Builder at(String name, String key, ValueType kind) {
         return new Builder(name, key, kind);
     }
 
     private static final class Builder {
         private final String name;
         private final String key;
-        private final Kind kind;
+        private final ValueType kind;
         private BigDecimal least;
         private BigDecimal most;
-        private final List<String> kept = new ArrayList<>();
+        private final List<String> stored = new ArrayList<>();
         private final List<String> said = new ArrayList<>();
         private boolean required;
         private String otherwise = "";
-        private Set<Lapse> lapses = Set.of();
+        private Set<Violation> lapses = Set.of();
         private String instead = "";
-        private Change change;
+        private ChangeEffect change;
         private String because;
 
-        Builder(String name, String key, Kind kind) {
+        Builder(String name, String key, ValueType kind) {
             this.name = name;
             this.key = key;
             this.kind = kind;
@@ -601,7 +601,7 @@
 
         Builder words(String... pairs) {
             for (int i = 0; i < pairs.length; i += 2) {
-                kept.add(pairs[i]);
+                stored.add(pairs[i]);
                 said.add(pairs[i + 1]);
             }
             return this;
@@ -617,13 +617,13 @@
             return this;
         }
 
-        Builder bears(String what, Lapse... amiss) {
+        Builder bears(String what, Violation... amiss) {
             instead = what;
             lapses = Set.of(amiss);
             return this;
         }
 
-        Builder change(Change when, String why) {
+        Builder change(ChangeEffect when, String why) {
             change = when;
             because = why;
             return this;
@@ -637,7 +637,7 @@
                             kind,
                             least,
                             most,
-                            List.copyOf(kept),
+                            List.copyOf(stored),
                             List.copyOf(said),
                             required,
                             otherwise,
--- a/src/main/java/lupinwood/settings/Checks.java
+++ b/src/main/java/lupinwood/settings/SettingsValidator.java
@@ -10,38 +10,38 @@
 import java.util.Set;
 
 /** What must hold of a meaning as a whole: bounds, what is needed, and what fits together. */
-public final class Checks {
+public final class SettingsValidator {
     /**
      * Links and the process itself need as many descriptors at the least, with a few left for
-     * dispatchers.
+     * upstream load balancers.
      */
     private static final int LEAST_DESCRIPTORS = 32;
 
-    /** Tables, receipts and the JVM itself, in bytes. */
+    /** Tables, idempotency records and the JVM itself, in bytes. */
     private static final long LEAST_MEMORY = 28_000_000;
 
     private static final BigDecimal SHARE_SLACK = new BigDecimal("0.005");
 
-    private final Meaning meaning;
-    private final List<Fault> faults = new ArrayList<>();
+    private final ParsedSettings meaning;
+    private final List<SettingsError> faults = new ArrayList<>();
 
     /** Entries that are known to be wrong already: one mistake gives one message. */
     private final Set<String> wrong = new HashSet<>();
 
-    private Checks(Meaning meaning, List<Fault> known) {
+    private SettingsValidator(ParsedSettings meaning, List<SettingsError> known) {
         this.meaning = meaning;
         known.forEach(fault -> wrong.add(fault.name()));
     }
 
     /** What is wrong besides the faults that are known. */
-    public static List<Fault> of(Meaning meaning, List<Fault> known) {
-        Checks checks = new Checks(meaning, known);
+    public static List<SettingsError> of(ParsedSettings meaning, List<SettingsError> known) {
+        SettingsValidator checks = new SettingsValidator(meaning, known);
         checks.bounds();
         checks.needed();
         checks.lists();
         checks.sums();
-        checks.tracks();
-        checks.below();
+        checks.requestClasses();
+        checks.downstream();
         checks.addresses();
         checks.limits();
         checks.routes();
@@ -51,15 +51,15 @@
     }
 
     /** What is wrong within single entries of a meaning whose rest stands elsewhere. */
-    public static List<Fault> ofPart(Meaning meaning, List<Fault> known) {
-        Checks checks = new Checks(meaning, known);
+    public static List<SettingsError> ofPart(ParsedSettings meaning, List<SettingsError> known) {
+        SettingsValidator checks = new SettingsValidator(meaning, known);
         checks.bounds();
         return checks.faults;
     }
 
     private void fault(String name, String text, String instead, boolean certain) {
         if (wrong.add(name)) {
-            faults.add(new Fault(name, text, instead, certain));
+            faults.add(new SettingsError(name, text, instead, certain));
         }
     }
 
@@ -72,23 +72,23 @@
     }
 
     private String said(String name) {
-        return Meaning.said(name, meaning.value(name));
+        return ParsedSettings.said(name, meaning.value(name));
     }
 
     private void bounds() {
         meaning.values()
                 .forEach(
                         (name, value) -> {
-                            Entry entry = Meaning.entry(name);
+                            Entry entry = ParsedSettings.entry(name);
                             if (entry == null || wrong.contains(name)) {
                                 return;
                             }
-                            if (entry.kind() == Kind.WORD && !entry.saidAs().contains(value)) {
+                            if (entry.kind() == ValueType.WORD && !entry.saidAs().contains(value)) {
                                 fault(
                                         name,
                                         value + " is no " + entry.own() + " that is known here",
-                                        Meaning.wanted(entry),
-                                        !entry.bears(Lapse.UNKNOWN_WORD));
+                                        ParsedSettings.wanted(entry),
+                                        !entry.bears(Violation.UNKNOWN_WORD));
                             }
                             if (!entry.kind().isNumber() || entry.least() == null) {
                                 return;
@@ -104,20 +104,20 @@
                                         name,
                                         said(name) + " is too little for " + name,
                                         bounds,
-                                        !entry.bears(Lapse.TOO_LITTLE) || number.signum() < 0);
+                                        !entry.bears(Violation.TOO_LITTLE) || number.signum() < 0);
                             } else if (number.compareTo(entry.most()) > 0) {
                                 fault(
                                         name,
                                         said(name) + " is too much for " + name,
                                         bounds,
-                                        !entry.bears(Lapse.TOO_MUCH));
-                            } else if (entry.kind() == Kind.COUNT
+                                        !entry.bears(Violation.TOO_MUCH));
+                            } else if (entry.kind() == ValueType.COUNT
                                     && number.stripTrailingZeros().scale() > 0) {
                                 fault(
                                         name,
                                         said(name) + " is no whole number",
                                         "write a whole number, as 2",
-                                        !entry.bears(Lapse.FRACTION));
+                                        !entry.bears(Violation.FRACTION));
                             }
                         });
     }
@@ -138,7 +138,7 @@
                                                 " of " + name.substring(0, name.lastIndexOf(' '))));
             }
         }
-        if (meaning.tracks().isEmpty()) {
+        if (meaning.requestClasses().isEmpty()) {
             fault(
                     "",
                     "there is no track, so no ticket could be taken",
@@ -149,7 +149,7 @@
 
     private void need(String name, String of) {
         if (meaning.value(name) == null) {
-            Entry entry = Meaning.entry(name);
+            Entry entry = ParsedSettings.entry(name);
             fault(
                     name,
                     "'" + entry.own() + "'" + of + " is missing",
@@ -159,20 +159,20 @@
                             + (entry.saidAs().isEmpty()
                                     ? entry.kind().wanted()
                                     : "one of " + String.join(", ", entry.saidAs())),
-                    !entry.bears(Lapse.ABSENT));
+                    !entry.bears(Violation.ABSENT));
         }
     }
 
     private void lists() {
-        twice("track", meaning.tracks(), true);
-        // Two of one name share what is theirs, and no ticket is served otherwise for it.
-        twice("customer", meaning.customers(), false);
+        twice("track", meaning.requestClasses(), true);
+        // Two of one name share what is theirs, and no request is served otherwise for it.
+        twice("customer", meaning.tenants(), false);
     }
 
     private void twice(String list, List<String> names, boolean certain) {
-        Set<String> seen = new HashSet<>();
+        Set<String> observed = new HashSet<>();
         for (String name : names) {
-            if (!seen.add(name)) {
+            if (!observed.add(name)) {
                 fault(
                         list + " " + name,
                         "there are two entries '" + list + " " + name + "'",
@@ -184,13 +184,13 @@
 
     private void sums() {
         Map<String, BigDecimal> shares = new LinkedHashMap<>();
-        for (String customer : meaning.customers()) {
-            String name = "customer " + customer + " share";
+        for (String tenant : meaning.tenants()) {
+            String name = "customer " + tenant + " share";
             if (isSound(name)) {
                 shares.put(name, number(name));
             }
         }
-        if (shares.size() == meaning.customers().size()) {
+        if (shares.size() == meaning.tenants().size()) {
             sum("the customers' shares", shares);
         }
         Map<String, BigDecimal> goal = new LinkedHashMap<>();
@@ -220,71 +220,71 @@
         }
     }
 
-    private void tracks() {
-        for (String track : meaning.tracks()) {
-            String at = "track " + track + " ";
-            String agreed = at + "agreed-time";
-            String abandon = at + "abandon-time";
+    private void requestClasses() {
+        for (String className : meaning.requestClasses()) {
+            String at = "track " + className + " ";
+            String latencyObjective = at + "agreed-time";
+            String timeout = at + "abandon-time";
             String window = at + "window";
-            if (isSound(agreed)
-                    && isSound(abandon)
-                    && number(agreed).compareTo(number(abandon)) > 0) {
+            if (isSound(latencyObjective)
+                    && isSound(timeout)
+                    && number(latencyObjective).compareTo(number(timeout)) > 0) {
                 fault(
-                        agreed,
+                        latencyObjective,
                         "the agreed time "
-                                + said(agreed)
+                                + said(latencyObjective)
                                 + " is past the abandon time "
-                                + said(abandon)
+                                + said(timeout)
                                 + " of track "
-                                + track,
-                        "write a time up to " + said(abandon),
+                                + className,
+                        "write a time up to " + said(timeout),
                         false);
             }
-            if (isSound(abandon)
+            if (isSound(timeout)
                     && isSound("step")
-                    && number("step").multiply(new BigDecimal(4)).compareTo(number(abandon)) > 0) {
+                    && number("step").multiply(new BigDecimal(4)).compareTo(number(timeout)) > 0) {
                 fault(
                         "step",
                         "the step "
                                 + said("step")
                                 + " leaves no time to answer a ticket of track "
-                                + track
+                                + className
                                 + " within "
-                                + said(abandon),
+                                + said(timeout),
                         "write a quarter of the shortest abandon-time or less",
                         false);
             }
-            boolean receipted = "receipted".equals(meaning.value(at + "effect"));
-            if (receipted && meaning.value(window) == null) {
+            boolean idempotent = "receipted".equals(meaning.value(at + "effect"));
+            if (idempotent && meaning.value(window) == null) {
                 fault(
                         window,
                         "the receipted track "
-                                + track
+                                + className
                                 + " has no window, so a repeat could run twice",
                         "add window: a time with its unit, no shorter than abandon-time",
                         false);
-            } else if (receipted
+            } else if (idempotent
                     && isSound(window)
-                    && isSound(abandon)
-                    && number(window).compareTo(number(abandon)) < 0) {
+                    && isSound(timeout)
+                    && number(window).compareTo(number(timeout)) < 0) {
                 fault(
                         window,
                         "the window "
                                 + said(window)
                                 + " is shorter than the abandon time "
-                                + said(abandon)
+                                + said(timeout)
                                 + " of receipted track "
-                                + track,
-                        "write " + said(abandon) + " or more",
+                                + className,
+                        "write " + said(timeout) + " or more",
                         false);
             }
-            if (calls(track)
+            if (calls(className)
                     && "nothing"
                             .equals(meaning.values().getOrDefault("machine below", "nothing"))) {
                 fault(
                         at + "calls",
                         "tickets of track "
-                                + track
+                                + className
                                 + " may call, but there is nothing below to call",
                         "write #false, or say in machine what is below",
                         false);
@@ -292,30 +292,30 @@
         }
     }
 
-    /** Where tickets call, there must be somewhere to call, and room for a call. */
-    private void below() {
-        String below = meaning.values().getOrDefault("machine below", "nothing");
-        if (below.equals("nothing")) {
+    /** Where requests call, there must be somewhere to call, and room for a call. */
+    private void downstream() {
+        String downstream = meaning.values().getOrDefault("machine below", "nothing");
+        if (downstream.equals("nothing")) {
             return;
         }
         if (meaning.value("index") == null) {
-            boolean calls = meaning.tracks().stream().anyMatch(this::calls);
+            boolean calls = meaning.requestClasses().stream().anyMatch(this::calls);
             fault(
                     "index",
-                    "'index' is missing, and machine below is " + below,
-                    "add index: " + Meaning.entry("index").kind().wanted(),
+                    "'index' is missing, and machine below is " + downstream,
+                    "add index: " + ParsedSettings.entry("index").kind().wanted(),
                     calls);
         }
         String most = "machine calls-out";
-        if (below.equals("one-for-all") && isSound(most) && number(most).signum() == 0) {
+        if (downstream.equals("one-for-all") && isSound(most) && number(most).signum() == 0) {
             boolean noneWithout =
-                    meaning.tracks().stream()
+                    meaning.requestClasses().stream()
                             .allMatch(
-                                    track ->
-                                            calls(track)
+                                    className ->
+                                            calls(className)
                                                     && meaning.number(
                                                                             "track "
-                                                                                    + track
+                                                                                    + className
                                                                                     + " skip-credit",
                                                                             BigDecimal.ZERO)
                                                                     .signum()
@@ -328,8 +328,8 @@
         }
     }
 
-    private boolean calls(String track) {
-        return "true".equals(meaning.value("track " + track + " calls"));
+    private boolean calls(String className) {
+        return "true".equals(meaning.value("track " + className + " calls"));
     }
 
     private void addresses() {
@@ -363,13 +363,16 @@
                     "write 28MB or more",
                     false);
         }
-        String held = "machine memory";
+        String leased = "machine memory";
         String entry = "machine entry-memory";
-        if (isSound(held) && isSound(entry) && number(entry).compareTo(number(held)) > 0) {
+        if (isSound(leased) && isSound(entry) && number(entry).compareTo(number(leased)) > 0) {
             fault(
                     entry,
-                    "one receipt takes " + said(entry) + ", more than the machine's " + said(held),
-                    "write less than " + said(held),
+                    "one receipt takes "
+                            + said(entry)
+                            + ", more than the machine's "
+                            + said(leased),
+                    "write less than " + said(leased),
                     false);
         }
     }
@@ -379,8 +382,8 @@
         for (String route : meaning.items(Schema.ROUTE)) {
             String at = "route " + route + " ";
             String path = meaning.values().getOrDefault(at + "path", "/");
-            String track = meaning.value(at + "track");
-            String customer = meaning.value(at + "customer");
+            String className = meaning.value(at + "track");
+            String tenant = meaning.value(at + "customer");
             if (!path.startsWith("/")) {
                 fault(
                         at + "path",
@@ -399,18 +402,18 @@
                         "give each its own",
                         true);
             }
-            if (track != null && !meaning.tracks().contains(track)) {
+            if (className != null && !meaning.requestClasses().contains(className)) {
                 fault(
                         at + "track",
-                        "there is no track " + track,
-                        "write one of: " + String.join(", ", meaning.tracks()),
+                        "there is no track " + className,
+                        "write one of: " + String.join(", ", meaning.requestClasses()),
                         true);
             }
-            if (customer != null && !meaning.customers().contains(customer)) {
+            if (tenant != null && !meaning.tenants().contains(tenant)) {
                 fault(
                         at + "customer",
-                        "there is no customer " + customer,
-                        "write one of: " + String.join(", ", meaning.customers()),
+                        "there is no customer " + tenant,
+                        "write one of: " + String.join(", ", meaning.tenants()),
                         true);
             }
         }
@@ -436,21 +439,21 @@
     private void servers() {
         for (String server : meaning.items(Schema.SERVER)) {
             String name = "server " + server + " tracks";
-            for (String track : meaning.values().getOrDefault(name, "").split(",", 0)) {
-                if (isSound(name) && !meaning.tracks().contains(track)) {
+            for (String className : meaning.values().getOrDefault(name, "").split(",", 0)) {
+                if (isSound(name) && !meaning.requestClasses().contains(className)) {
                     fault(
                             name,
-                            "there is no track " + track,
-                            "write some of: " + String.join(", ", meaning.tracks()),
+                            "there is no track " + className,
+                            "write some of: " + String.join(", ", meaning.requestClasses()),
                             true);
                 }
-                if (calls(track)) {
+                if (calls(className)) {
                     fault(
                             name,
                             "tickets of track "
-                                    + track
+                                    + className
                                     + " call, and servers that speak AJP can't tell of calls",
-                            "write calls #false in track " + track,
+                            "write calls #false in track " + className,
                             true);
                 }
             }
--- a/src/main/java/lupinwood/settings/Kind.java
+++ b/src/main/java/lupinwood/settings/ValueType.java
@@ -1,11 +1,11 @@
 package lupinwood.settings;
 
 /** What an entry's value stands for, and so how it is written and compared. */
-public enum Kind {
+public enum ValueType {
     /** A length of time, kept in nanoseconds. */
-    SPAN("a time with its unit, as 250ms or 2.7s"),
+    DURATION("a time with its unit, as 250ms or 2.7s"),
     /** A length of time, kept in milliseconds. */
-    SPAN_MILLIS("a time with its unit, as 250ms or 2.7s"),
+    DURATION_MILLIS("a time with its unit, as 250ms or 2.7s"),
     /** A part of one, kept as a fraction. */
     SHARE("a share in percent, as 30%"),
     /** So many a second. */
@@ -33,7 +33,7 @@
 
     private final String wanted;
 
-    Kind(String wanted) {
+    ValueType(String wanted) {
         this.wanted = wanted;
     }
 
@@ -44,7 +44,8 @@
 
     public boolean isNumber() {
         return switch (this) {
-            case SPAN, SPAN_MILLIS, SHARE, RATE, MEMORY_KB, MEMORY_MB, COUNT, NUMBER -> true;
+            case DURATION, DURATION_MILLIS, SHARE, RATE, MEMORY_KB, MEMORY_MB, COUNT, NUMBER ->
+                    true;
             default -> false;
         };
     }
--- a/src/main/java/lupinwood/settings/Values.java
+++ b/src/main/java/lupinwood/settings/Values.java
@@ -27,21 +27,21 @@
     private Values() {}
 
     /** The value compared, or null where it can't be one of this kind. */
-    static String read(Entry entry, String kept) {
+    static String read(Entry entry, String stored) {
         if (entry.kind().isNumber()) {
-            BigDecimal number = number(kept);
+            BigDecimal number = number(stored);
             return number == null ? null : plain(number.multiply(unit(entry.kind())));
         }
         return switch (entry.kind()) {
             case WORD ->
-                    entry.words().contains(kept)
-                                    || (entry.bears(Lapse.UNKNOWN_WORD) && !kept.isEmpty())
-                            ? entry.said(kept)
+                    entry.words().contains(stored)
+                                    || (entry.bears(Violation.UNKNOWN_WORD) && !stored.isEmpty())
+                            ? entry.said(stored)
                             : null;
-            case FLAG -> kept.equals("true") || kept.equals("false") ? kept : null;
-            case ADDRESS -> isAddress(kept) ? kept : null;
-            case HEX -> HEX.matcher(kept).matches() ? kept : null;
-            default -> kept.isEmpty() ? null : kept;
+            case FLAG -> stored.equals("true") || stored.equals("false") ? stored : null;
+            case ADDRESS -> isAddress(stored) ? stored : null;
+            case HEX -> HEX.matcher(stored).matches() ? stored : null;
+            default -> stored.isEmpty() ? null : stored;
         };
     }
 
@@ -58,12 +58,12 @@
         if (entry.kind().isNumber()) {
             return plain(new BigDecimal(value).divide(unit(entry.kind()), MathContext.UNLIMITED));
         }
-        return entry.kind() == Kind.WORD ? entry.kept(value) : value;
+        return entry.kind() == ValueType.WORD ? entry.stored(value) : value;
     }
 
-    static BigDecimal unit(Kind kind) {
+    static BigDecimal unit(ValueType kind) {
         return switch (kind) {
-            case SPAN_MILLIS, MEMORY_MB -> MILLIS;
+            case DURATION_MILLIS, MEMORY_MB -> MILLIS;
             case MEMORY_KB -> KILO;
             default -> BigDecimal.ONE;
         };
@@ -96,7 +96,7 @@
     /** For people: the value with its unit, as the language writes it. */
     static String said(Entry entry, String value) {
         return switch (entry.kind()) {
-            case SPAN, SPAN_MILLIS -> span(new BigDecimal(value));
+            case DURATION, DURATION_MILLIS -> duration(new BigDecimal(value));
             case SHARE -> plain(new BigDecimal(value).movePointRight(2)) + "%";
             case RATE -> value + "/s";
             case MEMORY_KB, MEMORY_MB -> memory(new BigDecimal(value));
@@ -105,7 +105,7 @@
         };
     }
 
-    private static String span(BigDecimal nanos) {
+    private static String duration(BigDecimal nanos) {
         if (nanos.signum() == 0) {
             return "0s";
         }
--- a/src/main/java/lupinwood/settings/Lapse.java
+++ b/src/main/java/lupinwood/settings/Violation.java
@@ -1,7 +1,7 @@
 package lupinwood.settings;
 
 /** In what a value may lie outside of what its entry takes, and a node serve all the same. */
-public enum Lapse {
+public enum Violation {
     /** There is none, though one is needed. */
     ABSENT,
     TOO_LITTLE,
--- a/src/main/java/lupinwood/sim/Reply.java
+++ b/src/main/java/lupinwood/simulator/BatchReply.java
@@ -1,10 +1,10 @@
-package lupinwood.sim;
+package lupinwood.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
 /** Builds the reply to one batch, record by record. */
-final class Reply {
+final class BatchReply {
     private static final int HEADER = 8;
     private static final int RECORD_HEADER = 5;
 
--- a/src/main/java/lupinwood/sim/MalformedFrame.java
+++ b/src/main/java/lupinwood/simulator/MalformedFrame.java
@@ -1,4 +1,4 @@
-package lupinwood.sim;
+package lupinwood.simulator;
 
 import java.io.IOException;
 
--- a/src/main/java/lupinwood/sim/Fields.java
+++ b/src/main/java/lupinwood/simulator/RecordReader.java
@@ -1,13 +1,13 @@
-package lupinwood.sim;
+package lupinwood.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
 /** Reads one record's fields in order; what was left off at the end reads as zero. */
-final class Fields {
+final class RecordReader {
     private final ByteBuffer bytes;
 
-    Fields(ByteBuffer bytes) {
+    RecordReader(ByteBuffer bytes) {
         this.bytes = bytes;
     }
 
--- a/src/main/java/lupinwood/sim/Drill.java
+++ b/src/main/java/lupinwood/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package lupinwood.sim;
+package lupinwood.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -12,29 +12,29 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import lupinwood.node.CallerId;
-import lupinwood.node.CustomerId;
-import lupinwood.node.Gauges;
-import lupinwood.node.Handle;
-import lupinwood.node.Moment;
-import lupinwood.node.Node;
-import lupinwood.node.Outcome;
-import lupinwood.node.Server;
-import lupinwood.node.Span;
-import lupinwood.node.SubjectId;
-import lupinwood.node.Ticket;
-import lupinwood.node.TicketId;
-import lupinwood.node.TrackId;
+import lupinwood.admission.AdmissionPolicy;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.Outcome;
+import lupinwood.admission.Request;
+import lupinwood.admission.RequestClassId;
+import lupinwood.admission.RequestId;
+import lupinwood.admission.RequestListener;
+import lupinwood.admission.ResourceUsage;
+import lupinwood.admission.ServerActions;
+import lupinwood.admission.SubjectId;
+import lupinwood.admission.TenantId;
+import lupinwood.admission.UpstreamId;
 
 /** Plays batches from the simulator against one node for each instance. */
-public final class Drill {
+public final class SimulatorAdapter {
     /** Makes the node of a machine that starts, from its settings. */
-    public interface Maker {
-        Node make(Server server, long seed, Map<String, String> settings);
+    public interface PolicyFactory {
+        AdmissionPolicy make(ServerActions server, long seed, Map<String, String> settings);
     }
 
     private static final int EVENT_START = 16;
-    private static final int EVENT_TICKET = 17;
+    private static final int EVENT_REQUEST = 17;
     private static final int EVENT_ENDED = 18;
     private static final int EVENT_NEEDS_CALL = 19;
     private static final int EVENT_CALL_ENDED = 20;
@@ -45,14 +45,14 @@
     private static final int RECORD_HEADER = 5;
     private static final int CLOCK = 8;
 
-    private final Maker maker;
-    private final Map<Integer, Instance> instances = new TreeMap<>();
-    private final Reply reply = new Reply();
+    private final PolicyFactory maker;
+    private final Map<Integer, SimulatedNode> instances = new TreeMap<>();
+    private final BatchReply reply = new BatchReply();
 
     /** The instances with news in this batch, in the order of their first event. */
-    private final Set<Instance> stirred = new LinkedHashSet<>();
+    private final Set<SimulatedNode> stirred = new LinkedHashSet<>();
 
-    public Drill(Maker maker) {
+    public SimulatorAdapter(PolicyFactory maker) {
         this.maker = maker;
     }
 
@@ -90,7 +90,7 @@
     private ByteBuffer batch(ByteBuffer bytes) throws MalformedFrame {
         reply.clear();
         stirred.clear();
-        Moment now = new Moment(bytes.getLong());
+        MonotonicTime now = new MonotonicTime(bytes.getLong());
         while (bytes.hasRemaining()) {
             if (bytes.remaining() < RECORD_HEADER) {
                 throw new MalformedFrame("a record's header runs past the end of its batch");
@@ -101,19 +101,19 @@
                 throw new MalformedFrame(
                         "a record of " + length + " bytes runs past the end of its batch");
             }
-            Fields fields = new Fields(bytes.slice(bytes.position(), (int) length));
+            RecordReader fields = new RecordReader(bytes.slice(bytes.position(), (int) length));
             bytes.position(bytes.position() + (int) length);
             if (code >= EVENT_START && code <= EVENT_KILLED) {
                 event(code, fields, now);
             }
         }
-        for (Instance instance : stirred) {
-            guarded(instance, instance.node::settle);
+        for (SimulatedNode instance : stirred) {
+            guarded(instance, instance.node::decide);
         }
         return reply.finish();
     }
 
-    private void event(int code, Fields fields, Moment now) throws MalformedFrame {
+    private void event(int code, RecordReader fields, MonotonicTime now) throws MalformedFrame {
         int number = fields.u16();
         if (code == EVENT_START || code == EVENT_KILLED) {
             stirred.remove(instances.remove(number));
@@ -122,7 +122,7 @@
             start(number, fields, now);
             return;
         }
-        Instance instance = instances.get(number);
+        SimulatedNode instance = instances.get(number);
         if (instance == null || instance.node == null) {
             return;
         }
@@ -131,7 +131,7 @@
         guarded(instance, () -> tell(instance, code, fields));
     }
 
-    private void start(int number, Fields fields, Moment now) throws MalformedFrame {
+    private void start(int number, RecordReader fields, MonotonicTime now) throws MalformedFrame {
         long seed = fields.u64();
         Map<String, String> settings = new TreeMap<>();
         for (String line : fields.text().split("\n", 0)) {
@@ -140,8 +140,8 @@
                 settings.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
             }
         }
-        List<String> gauges = List.of(settings.getOrDefault("domain.gauges", "").split(","));
-        Instance instance = new Instance(number, now, reply, gauges);
+        List<String> resourceUsage = List.of(settings.getOrDefault("domain.gauges", "").split(","));
+        SimulatedNode instance = new SimulatedNode(number, now, reply, resourceUsage);
         instances.put(number, instance);
         guarded(instance, () -> instance.node = maker.make(instance, seed, settings));
         if (instance.node != null) {
@@ -149,20 +149,20 @@
         }
     }
 
-    private static void tell(Instance instance, int code, Fields fields) {
-        Node node = instance.node;
+    private static void tell(SimulatedNode instance, int code, RecordReader fields) {
+        AdmissionPolicy node = instance.node;
         switch (code) {
-            case EVENT_TICKET -> {
-                Ticket ticket = ticket(fields);
-                Handle handle = node.take(ticket);
-                if (!handle.isOver()) {
-                    instance.handles.put(ticket.id().number(), handle);
+            case EVENT_REQUEST -> {
+                Request request = request(fields);
+                RequestListener handle = node.admit(request);
+                if (!handle.isFinished()) {
+                    instance.handles.put(request.id().number(), handle);
                 }
             }
-            case EVENT_LEAVE -> node.leave(new Span(fields.u64()));
-            case EVENT_WAKE -> node.wake(gauges(fields, instance.gauges));
+            case EVENT_LEAVE -> node.drain(new NanoDuration(fields.u64()));
+            case EVENT_WAKE -> node.wake(resourceUsage(fields, instance.resourceUsage));
             default -> {
-                Handle handle = instance.handles.get(fields.u32());
+                RequestListener handle = instance.handles.get(fields.u32());
                 if (handle != null) {
                     tell(handle, code, fields);
                 }
@@ -170,57 +170,57 @@
         }
     }
 
-    private static void tell(Handle handle, int code, Fields fields) {
+    private static void tell(RequestListener handle, int code, RecordReader fields) {
         switch (code) {
             case EVENT_ENDED -> {
                 Outcome outcome = outcome(fields.u16());
-                handle.ended(outcome, new Span(fields.u64()));
+                handle.onCompleted(outcome, new NanoDuration(fields.u64()));
             }
-            case EVENT_NEEDS_CALL -> handle.needsCall();
+            case EVENT_NEEDS_CALL -> handle.onCallNeeded();
             case EVENT_CALL_ENDED -> {
-                Span took = new Span(fields.u64());
-                handle.callEnded(outcome(fields.u16()), took);
+                NanoDuration took = new NanoDuration(fields.u64());
+                handle.onCallCompleted(outcome(fields.u16()), took);
             }
-            default -> handle.left();
+            default -> handle.onClientGone();
         }
     }
 
-    private static Ticket ticket(Fields fields) {
-        TicketId id = new TicketId(fields.u32());
-        TrackId track = new TrackId(fields.u8());
-        CustomerId customer = new CustomerId((int) fields.u32());
+    private static Request request(RecordReader fields) {
+        RequestId id = new RequestId(fields.u32());
+        RequestClassId classId = new RequestClassId(fields.u8());
+        TenantId tenantId = new TenantId((int) fields.u32());
         SubjectId subject = new SubjectId(fields.u64());
-        Span patience = new Span(fields.u64());
-        Span work = new Span(fields.u64());
+        NanoDuration clientTimeout = new NanoDuration(fields.u64());
+        NanoDuration work = new NanoDuration(fields.u64());
         double memoryKb = fields.f32();
         double rank = fields.f32();
         int marks = fields.u16();
         boolean hinted = (marks & 1) != 0;
-        CallerId caller = new CallerId(fields.u16());
-        Span waited = new Span(fields.u64());
+        UpstreamId upstreamId = new UpstreamId(fields.u16());
+        NanoDuration waited = new NanoDuration(fields.u64());
         long original = fields.u32();
-        return new Ticket(
+        return new Request(
                 id,
-                track,
-                customer,
+                classId,
+                tenantId,
                 subject,
-                caller,
-                patience,
-                hinted ? work : Span.ZERO,
+                upstreamId,
+                clientTimeout,
+                hinted ? work : NanoDuration.ZERO,
                 memoryKb,
                 rank,
                 (marks & 2) != 0,
                 waited,
-                original == 0 ? null : new TicketId(original));
+                original == 0 ? null : new RequestId(original));
     }
 
-    private static Gauges gauges(Fields fields, List<String> names) {
+    private static ResourceUsage resourceUsage(RecordReader fields, List<String> names) {
         fields.u32(); // the timer's tag: a node is woken for whatever is due
         double[] values = new double[fields.u8()];
         for (int i = 0; i < values.length; i++) {
             values[i] = fields.f32();
         }
-        return Gauges.named(names, values);
+        return ResourceUsage.named(names, values);
     }
 
     private static Outcome outcome(int code) {
@@ -240,7 +240,7 @@
      * A node that throws has failed; the simulator is told so instead of whatever it had begun to
      * say.
      */
-    private void guarded(Instance instance, Runnable step) {
+    private void guarded(SimulatedNode instance, Runnable step) {
         int position = reply.position();
         int records = reply.records();
         try {
--- a/src/test/java/lupinwood/BrainTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -1,27 +1,22 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import java.util.Map;
-import lupinwood.node.Alarms;
-import lupinwood.node.Gauges;
-import lupinwood.node.Handle;
-import lupinwood.node.Outcome;
-import lupinwood.node.Span;
 import org.junit.jupiter.api.Test;
 
-final class BrainTest {
-    private Machine machine = new Machine();
+final class AdmissionControllerTest {
+    private RecordingServer machine = new RecordingServer();
 
     @Test
-    void everyTicketIsAnsweredBeforeItsAbandonTime() {
+    void everyRequestIsAnsweredBeforeItsTimeoutTime() {
         machine.set("domain.calls_out=1").start();
-        machine.arrive(Machine.EFFECTFUL);
-        long atCall = machine.arrive(Machine.EFFECTFUL);
-        machine.tell(atCall, Handle::needsCall);
-        long waits = machine.arrive(Machine.RECEIPTED);
-        machine.tell(waits, Handle::needsCall);
+        machine.arrive(RecordingServer.UNSAFE);
+        long atCall = machine.arrive(RecordingServer.UNSAFE);
+        machine.tell(atCall, RequestListener::onCallNeeded);
+        long waits = machine.arrive(RecordingServer.IDEMPOTENT);
+        machine.tell(waits, RequestListener::onCallNeeded);
         machine.pass(6000);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -40,15 +35,15 @@
     @Test
     void aRepeatIsServedFromItsOriginalOrFailsWithItAndIsNeverRun() {
         machine.start();
-        long first = machine.arrive(Machine.RECEIPTED);
-        long during = machine.arrive(Machine.RECEIPTED, first, 10, 0);
+        long first = machine.arrive(RecordingServer.IDEMPOTENT);
+        long during = machine.arrive(RecordingServer.IDEMPOTENT, first, 10, 0);
         machine.end(first);
-        machine.tell(during, handle -> handle.ended(Outcome.OK, Span.ZERO));
+        machine.tell(during, handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
         machine.pass(7000);
-        machine.arrive(Machine.RECEIPTED, first, 10, 0);
-        long broken = machine.arrive(Machine.RECEIPTED);
-        machine.tell(broken, handle -> handle.ended(Outcome.ERROR, Span.ZERO));
-        machine.arrive(Machine.RECEIPTED, broken, 10, 0);
+        machine.arrive(RecordingServer.IDEMPOTENT, first, 10, 0);
+        long broken = machine.arrive(RecordingServer.IDEMPOTENT);
+        machine.tell(broken, handle -> handle.onCompleted(Outcome.ERROR, NanoDuration.ZERO));
+        machine.arrive(RecordingServer.IDEMPOTENT, broken, 10, 0);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -68,13 +63,13 @@
      */
     @Test
     void aRepeatAfterTheLastCallIsAnsweredAtOnceAndDoesNotWaitForItsOriginal() {
-        Machine machine = new Machine().start();
-        long original = machine.arrive(Machine.RECEIPTED);
-        machine.tell(original, Handle::left);
-        machine.brain.leave(Span.ofSeconds(3));
+        RecordingServer machine = new RecordingServer().start();
+        long original = machine.arrive(RecordingServer.IDEMPOTENT);
+        machine.tell(original, RequestListener::onClientGone);
+        machine.policy.drain(NanoDuration.ofSeconds(3));
         machine.pass(2900);
         machine.trace.clear();
-        machine.arrive(Machine.RECEIPTED, original, 10, 0);
+        machine.arrive(RecordingServer.IDEMPOTENT, original, 10, 0);
         machine.pass(20);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -87,12 +82,12 @@
     @Test
     void nothingThatComesOverTheGraceIsRunAndAllIsAnsweredBeforeTheStop() {
         machine.start();
-        machine.arrive(Machine.LOCAL);
-        machine.brain.leave(Span.ofSeconds(3));
+        machine.arrive(RecordingServer.LOCAL);
+        machine.policy.drain(NanoDuration.ofSeconds(3));
         machine.pass(400);
-        machine.arrive(Machine.LOCAL);
+        machine.arrive(RecordingServer.LOCAL);
         machine.pass(800);
-        machine.arrive(Machine.LOCAL);
+        machine.arrive(RecordingServer.LOCAL);
         machine.pass(2000);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -110,9 +105,9 @@
     @Test
     void memoryThatIsNearlyFullBouncesAndHoldsBackRuns() {
         machine.set("domain.memory_kb=100").start();
-        machine.arrive(Machine.LOCAL, 0, 20, 0);
-        machine.arrive(Machine.LOCAL, 0, 4, 0);
-        machine.arrive(Machine.RECEIPTED, 0, 3, 0);
+        machine.arrive(RecordingServer.LOCAL, 0, 20, 0);
+        machine.arrive(RecordingServer.LOCAL, 0, 4, 0);
+        machine.arrive(RecordingServer.IDEMPOTENT, 0, 3, 0);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -126,13 +121,13 @@
     void aColdMachineRunsFewerButStillTriesOnAFreeCore() {
         for (String cold :
                 new String[] {"0.2 rules.fall_multiple=1.1", "0.01 rules.fall_multiple=9"}) {
-            Machine one =
-                    new Machine()
+            RecordingServer one =
+                    new RecordingServer()
                             .set("domain.cold=true rules.ramp_time_ns=10000000000")
                             .set("rules.cold_share=" + cold)
                             .start();
             for (int i = 0; i < 3; i++) {
-                one.arrive(Machine.LOCAL);
+                one.arrive(RecordingServer.LOCAL);
             }
             assertThat(one.printed())
                     .isEqualTo(
@@ -145,14 +140,14 @@
     }
 
     @Test
-    void atTheLimitArrivalsAreBouncedAtOnceAndOthersAreNot() {
-        patient().set("domain.cpus=8").start();
+    void atTheLimitArrivalsAreRejectedAtOnceAndOthersAreNot() {
+        timeout().set("domain.cpus=8").start();
         for (int i = 0; i < 20; i++) {
-            machine.arrive(Machine.PURE, 0, 1, 0);
+            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
         }
         machine.trace.clear();
-        machine.arrive(Machine.EFFECTFUL);
-        machine.arrive(Machine.LOCAL);
+        machine.arrive(RecordingServer.UNSAFE);
+        machine.arrive(RecordingServer.LOCAL);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -162,19 +157,20 @@
     }
 
     @Test
-    void aTicketLeavesTheCountAfterWhatIsMostLikelyItsLastCallAndComesBackWithAnother() {
-        patient().set("domain.cpus=8 domain.calls_out=40").start();
-        machine.calm(100);
-        long early = machine.arrive(Machine.PURE);
+    void aRequestLeavesTheCountAfterWhatIsMostLikelyItsLastCallAndComesBackWithAnother() {
+        timeout().set("domain.cpus=8 domain.calls_out=40").start();
+        machine.baseline(100);
+        long early = machine.arrive(RecordingServer.SAFE);
         machine.call(early, 100, Outcome.OK);
         for (int i = 0; i < 19; i++) {
-            machine.arrive(Machine.PURE, 0, 1, 0);
+            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
         }
         machine.trace.clear();
-        machine.tell(early, Handle::needsCall);
-        machine.arrive(Machine.PURE);
-        machine.tell(early, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
-        machine.arrive(Machine.PURE);
+        machine.tell(early, RequestListener::onCallNeeded);
+        machine.arrive(RecordingServer.SAFE);
+        machine.tell(
+                early, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
+        machine.arrive(RecordingServer.SAFE);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -187,8 +183,8 @@
 
     @Test
     void noCutBeforeThereIsAMedian() {
-        patient().start();
-        long slow = machine.arrive(Machine.PURE);
+        timeout().start();
+        long slow = machine.arrive(RecordingServer.SAFE);
         machine.call(slow, 15000, Outcome.OK);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -200,9 +196,9 @@
 
     @Test
     void aCallIsFlaggedSlowWhileItIsOutAndOnlyOnce() {
-        patient().start();
-        machine.calm(100);
-        long slow = machine.arrive(Machine.PURE);
+        timeout().start();
+        machine.baseline(100);
+        long slow = machine.arrive(RecordingServer.SAFE);
         machine.call(slow, 12000, Outcome.BROKEN);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -214,18 +210,18 @@
     }
 
     @Test
-    void aCallThatEnoughMadeLaterHaveOvertakenIsLostAndAPureOneIsMadeAnew() {
+    void aCallThatEnoughMadeLaterHaveOvertakenIsLostAndASafeOneIsMadeAnew() {
         machine.set("domain.calls_out=9 domain.cpus=8").start();
         for (int i = 0; i < 8; i++) {
-            long receipted = machine.arrive(Machine.RECEIPTED);
-            machine.call(receipted, 100, Outcome.OK);
-            machine.end(receipted);
+            long idempotent = machine.arrive(RecordingServer.IDEMPOTENT);
+            machine.call(idempotent, 100, Outcome.OK);
+            machine.end(idempotent);
         }
-        machine.calm(100);
-        for (int track : new int[] {Machine.PURE, Machine.RECEIPTED}) {
-            machine.tell(machine.arrive(track), Handle::needsCall);
+        machine.baseline(100);
+        for (int classIndex : new int[] {RecordingServer.SAFE, RecordingServer.IDEMPOTENT}) {
+            machine.tell(machine.arrive(classIndex), RequestListener::onCallNeeded);
         }
-        machine.calm(50);
+        machine.baseline(50);
         machine.pass(700);
         assertThat(machine.printed())
                 .as("too few")
@@ -234,10 +230,10 @@
                 2600 log limit cut to 18.0
                 2600 log limit cut to 16.2
                 """);
-        machine.calm(30);
-        machine.calm(30);
+        machine.baseline(30);
+        machine.baseline(30);
         machine.pass(1200);
-        machine.tell(17, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.5)));
+        machine.tell(17, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
         machine.end(17);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -248,12 +244,12 @@
     }
 
     @Test
-    void targetIsThreeCalmMediansWhereThatIsMore() {
-        patient().start();
-        machine.calm(5000);
-        long within = machine.arrive(Machine.PURE);
+    void targetIsThreeBaselineMediansWhereThatIsMore() {
+        timeout().start();
+        machine.baseline(5000);
+        long within = machine.arrive(RecordingServer.SAFE);
         machine.call(within, 12000, Outcome.OK);
-        long past = machine.arrive(Machine.PURE);
+        long past = machine.arrive(RecordingServer.SAFE);
         machine.call(past, 18000, Outcome.OK);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -267,13 +263,15 @@
     }
 
     @Test
-    void aTimedOutCallFailsItsTicketAndLingersInHand() {
+    void aTimedOutCallFailsItsRequestAndLingersInHand() {
         machine.set("domain.calls_out=1").start();
-        long first = machine.arrive(Machine.EFFECTFUL);
-        long second = machine.arrive(Machine.EFFECTFUL);
-        machine.tell(first, Handle::needsCall);
-        machine.tell(second, Handle::needsCall);
-        machine.tell(first, handle -> handle.callEnded(Outcome.TIMED_OUT, Span.ofSeconds(1)));
+        long first = machine.arrive(RecordingServer.UNSAFE);
+        long second = machine.arrive(RecordingServer.UNSAFE);
+        machine.tell(first, RequestListener::onCallNeeded);
+        machine.tell(second, RequestListener::onCallNeeded);
+        machine.tell(
+                first,
+                handle -> handle.onCallCompleted(Outcome.TIMED_OUT, NanoDuration.ofSeconds(1)));
         machine.pass(250);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -287,13 +285,14 @@
     }
 
     @Test
-    void aShareOfCallsBelowOneIsKeptByPauses() {
+    void aShareOfCallsDownstreamOneIsStoredByPauses() {
         machine.set("domain.calls_out=0.25").start();
-        long first = machine.arrive(Machine.PURE);
-        long second = machine.arrive(Machine.PURE);
-        machine.tell(second, Handle::needsCall);
+        long first = machine.arrive(RecordingServer.SAFE);
+        long second = machine.arrive(RecordingServer.SAFE);
+        machine.tell(second, RequestListener::onCallNeeded);
         machine.call(first, 100, Outcome.OK);
-        machine.tell(second, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
+        machine.tell(
+                second, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
         machine.pass(1000);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -310,21 +309,21 @@
         machine.set(
                         "domain.calls_out=0.05 domain.calls_over_ns=5000000000 domain.linger_ns=200000000")
                 .start();
-        machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
-        assertThat(machine.caps.get(1L)).isEqualTo(Span.ofSeconds(0.0625));
-        machine = new Machine().set("domain.calls_out=0.05").start();
-        machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
+        machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
+        assertThat(machine.caps.get(1L)).isEqualTo(NanoDuration.ofSeconds(0.0625));
+        machine = new RecordingServer().set("domain.calls_out=0.05").start();
+        machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
         assertThat(machine.caps.get(1L))
                 .as("over no time that is told")
-                .isEqualTo(Span.ofSeconds(2));
+                .isEqualTo(NanoDuration.ofSeconds(2));
     }
 
     @Test
     void callsThatTurnSlowAreMadeLessOftenThanOneAtATime() {
-        patient().set("domain.calls_out=1").start();
-        machine.calm(100);
-        machine.call(machine.arrive(Machine.PURE), 2000, Outcome.OK);
-        machine.call(machine.arrive(Machine.PURE), 2000, Outcome.OK);
+        timeout().set("domain.calls_out=1").start();
+        machine.baseline(100);
+        machine.call(machine.arrive(RecordingServer.SAFE), 2000, Outcome.OK);
+        machine.call(machine.arrive(RecordingServer.SAFE), 2000, Outcome.OK);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -338,9 +337,9 @@
     @Test
     void aTimedOutCallIsGoneWithoutWhereTheSettingsPayForThat() {
         machine.set("domain.class_skip_worth=0.3,0,0,0").start();
-        long ticket = machine.arrive(Machine.PURE);
-        machine.call(ticket, 1000, Outcome.TIMED_OUT);
-        machine.end(ticket);
+        long requestId = machine.arrive(RecordingServer.SAFE);
+        machine.call(requestId, 1000, Outcome.TIMED_OUT);
+        machine.end(requestId);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -351,12 +350,14 @@
     }
 
     @Test
-    void anEffectfulCallIsRepeatedOnlyWhenItProvablyNeverRan() {
+    void anUnsafeCallIsRepeatedOnlyWhenItProvablyNeverRan() {
         machine.start();
-        long ticket = machine.arrive(Machine.EFFECTFUL);
-        machine.call(ticket, 10, Outcome.UNREACHABLE);
+        long requestId = machine.arrive(RecordingServer.UNSAFE);
+        machine.call(requestId, 10, Outcome.UNREACHABLE);
         machine.pass(500);
-        machine.tell(ticket, handle -> handle.callEnded(Outcome.BROKEN, Span.ofSeconds(0.5)));
+        machine.tell(
+                requestId,
+                handle -> handle.onCallCompleted(Outcome.BROKEN, NanoDuration.ofSeconds(0.5)));
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -368,15 +369,15 @@
     }
 
     @Test
-    void oneCustomersBurstGivesWayToTheOthers() {
+    void oneTenantsBurstGivesWayToTheOthers() {
         machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
                 .set("over_share_worth=0.05")
                 .start();
         for (int i = 0; i < 22; i++) {
-            machine.arrive(Machine.PURE, 0, 1, 0);
+            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
         }
         machine.trace.clear();
-        machine.arrive(Machine.PURE, 0, 1, 1);
+        machine.arrive(RecordingServer.SAFE, 0, 1, 1);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -386,39 +387,40 @@
     }
 
     /**
-     * Seen on a join day: a client sent 200 copies and withdrew them, and its customer was over its
+     * Seen on a join day: a client sent 200 copies and withdrew them, and its tenant was over its
      * share.
      */
     @Test
-    void ticketsWithdrawnBeforeTheyRanTakeNothingOfTheirCustomersShare() {
+    void requestsWithdrawnBeforeTheyRanTakeNothingOfTheirTenantsShare() {
         machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
                 .set("over_share_worth=0.05 domain.cpus=1")
                 .start();
-        machine.arrive(Machine.PURE, 0, 1, 0);
+        machine.arrive(RecordingServer.SAFE, 0, 1, 0);
         for (int i = 0; i < 30; i++) {
-            machine.tell(machine.arrive(Machine.LOCAL, 0, 1, 0), Handle::left);
+            machine.tell(
+                    machine.arrive(RecordingServer.LOCAL, 0, 1, 0), RequestListener::onClientGone);
         }
         for (int i = 0; i < 4; i++) {
-            machine.arrive(Machine.LOCAL, 0, 1, 0);
+            machine.arrive(RecordingServer.LOCAL, 0, 1, 0);
         }
         machine.trace.clear();
         for (int i = 0; i < 20; i++) {
-            machine.arrive(Machine.LOCAL, 0, 1, 1);
+            machine.arrive(RecordingServer.LOCAL, 0, 1, 1);
         }
         assertThat(machine.printed()).contains("would wait in vain").doesNotContain("ask no other");
     }
 
     @Test
-    void whereTicketsWaitLongOnlyAMachineThatIsNotSlowAsksForNoOther() {
-        patient()
+    void whereRequestsWaitLongOnlyAMachineThatIsNotSlowAsksForNoOther() {
+        timeout()
                 .set("rules.cold_share=0.5 rules.ramp_time_ns=100000000000 rules.fall_multiple=20");
         for (String cold : new String[] {"false", "true"}) {
             machine.set("domain.cpus=8 domain.cold=" + cold).start();
             for (int i = 0; i < 20; i++) {
-                machine.arrive(Machine.PURE, 0, 1, 0);
+                machine.arrive(RecordingServer.SAFE, 0, 1, 0);
             }
             machine.pass(3000);
-            machine.arrive(Machine.PURE);
+            machine.arrive(RecordingServer.SAFE);
             assertThat(machine.trace.get(machine.trace.size() - 1))
                     .isEqualTo(
                             cold.equals("true")
@@ -428,20 +430,20 @@
     }
 
     @Test
-    void aWakeUpThatComesATrifleEarlyIsAskedForAgain() {
-        Alarms alarms = new Alarms(machine);
-        alarms.in(new Span(1_000), () -> machine.log("rung"));
-        alarms.arm();
-        alarms.ring();
-        alarms.arm();
+    void aWakeUpThatComesATrifleEarlyIsRequestedForAgain() {
+        TimerQueue timers = new TimerQueue(machine);
+        timers.scheduleAfter(new NanoDuration(1_000), () -> machine.log("rung"));
+        timers.requestWakeUp();
+        timers.runDue();
+        timers.requestWakeUp();
         assertThat(machine.wakes).containsExactly(Map.entry(1_000_001_000L, 2));
     }
 
     @Test
-    void aTicketWhoseCallerIsAllButGoneAsksForNoWakeUpInThePast() {
+    void aRequestWhoseCallerIsAllButGoneAsksForNoWakeUpInThePast() {
         machine.start();
-        machine.patience = Span.ofSeconds(0.001);
-        machine.arrive(Machine.LOCAL);
+        machine.clientTimeout = NanoDuration.ofSeconds(0.001);
+        machine.arrive(RecordingServer.LOCAL);
         assertThat(machine.printed())
                 .isEqualTo(
                         """
@@ -453,7 +455,7 @@
     @Test
     void manyOpenConnectionsAreClosedSoonerWhenIdle() {
         machine.set("domain.keepalive_max_ns=10000000000").start();
-        machine.gauges = new Gauges(0, 0, 0, 500);
+        machine.resourceUsage = new ResourceUsage(0, 0, 0, 500);
         machine.pass(300);
         assertThat(machine.printed())
                 .isEqualTo(
@@ -468,31 +470,33 @@
     void aSmallAllowanceAmongManyCallersIsNotRoundedToNothing() {
         machine.set("domain.advert=allowance domain.upstreams=100").start();
         for (int i = 0; i < 6; i++) {
-            machine.end(machine.arrive(Machine.LOCAL));
+            machine.end(machine.arrive(RecordingServer.LOCAL));
         }
         machine.pass(100);
         assertThat(machine.printed().lines()).contains("100 advise 0.30");
     }
 
-    /** The first track waits so long that only the limit can turn its tickets away. */
-    private Machine patient() {
+    /** The first request class waits so long that only the limit can turn its requests away. */
+    private RecordingServer timeout() {
         return machine.set("services.0.aim_ns=20000000000 services.0.give_up_ns=40000000000");
     }
 
     @Test
-    void aColdNodeMakesOneCallAtATimeUntilItKnowsWhatIsCalm() {
+    void aColdNodeMakesOneCallAtATimeUntilItKnowsWhatIsBaseline() {
         machine.set("domain.calls_out=10 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
                 .start();
         assertThat(callsOfFour()).as("a newcomer can't tell crowded from calm").isEqualTo(1);
-        for (long ticket = 1; ticket <= 4; ticket++) {
+        for (long requestId = 1; requestId <= 4; requestId++) {
             machine.trace.clear();
-            machine.tell(ticket, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.5)));
+            machine.tell(
+                    requestId,
+                    handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
             assertThat(machine.printed().strip())
-                    .isEqualTo(ticket < 4 ? "0 call " + (ticket + 1) : "");
+                    .isEqualTo(requestId < 4 ? "0 call " + (requestId + 1) : "");
         }
-        machine.calm(100);
+        machine.baseline(100);
         assertThat(callsOfFour()).as("it knows, and all is calm").isEqualTo(4);
-        machine = new Machine().set("domain.calls_out=10 domain.cpus=8").start();
+        machine = new RecordingServer().set("domain.calls_out=10 domain.cpus=8").start();
         assertThat(callsOfFour()).as("one that is warm from the start").isEqualTo(4);
     }
 
@@ -501,24 +505,26 @@
      * for a whole life.
      */
     @Test
-    void aColdNodeLearnsWhatIsCalmAlsoWhileManyWaitForTheirTurnToCall() {
-        patient()
+    void aColdNodeLearnsWhatIsBaselineAlsoWhileManyWaitForTheirTurnToCall() {
+        timeout()
                 .set("domain.calls_out=10 domain.cpus=16 domain.cold=true rules.cold_share=0.9")
                 .start();
         for (int i = 0; i < 15; i++) {
-            machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
+            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
         }
         long calls = 0;
         for (int i = 0; i < 7; i++) {
             assertThat(machine.caps).as("calls made, one at a time").hasSize(i + 1);
             long calling =
                     machine.caps.keySet().stream()
-                            .filter(id -> !machine.handles.get(id).isOver())
+                            .filter(id -> !machine.handles.get(id).isFinished())
                             .findAny()
                             .orElseThrow();
-            machine.tell(calling, handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(0.1)));
+            machine.tell(
+                    calling,
+                    handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
             machine.end(calling);
-            machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
+            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
             calls = machine.caps.size() - (long) i - 1;
         }
         assertThat(calls).as("calls out once six were seen in calm").isGreaterThan(1);
@@ -529,15 +535,15 @@
      * two cores.
      */
     @Test
-    void ticketsThatCallAreNoMoreThanTheCoresSurviveShouldAllComeBackAtOnce() {
-        patient().set("domain.calls_out=20 rules.fall_multiple=2").start();
+    void requestsThatCallAreNoMoreThanTheCoresSurviveShouldAllComeBackAtOnce() {
+        timeout().set("domain.calls_out=20 rules.fall_multiple=2").start();
         for (int i = 0; i < 12; i++) {
-            machine.arrive(Machine.PURE);
+            machine.arrive(RecordingServer.SAFE);
             machine.handles.forEach(
                     (id, handle) -> {
                         if (machine.printed().contains("run " + id + "\n")
                                 && !machine.caps.containsKey(id)) {
-                            machine.tell(id, Handle::needsCall);
+                            machine.tell(id, RequestListener::onCallNeeded);
                         }
                     });
         }
@@ -549,14 +555,16 @@
                         id ->
                                 machine.tell(
                                         id,
-                                        handle -> handle.callEnded(Outcome.OK, Span.ofSeconds(1))));
+                                        handle ->
+                                                handle.onCallCompleted(
+                                                        Outcome.OK, NanoDuration.ofSeconds(1))));
         long running =
                 machine.printed().lines().filter(line -> line.matches("\\d+ run \\d+")).count();
         assertThat(running).as("all that ran, none of which ended").isBetween(3L, 4L);
     }
 
     @Test
-    void aColdNodeAboveATierIsToldNoShareSoItsCallsAreBoundByTheLimitAlone() {
+    void aColdNodeAboveATierIsReportedNoShareSoItsCallsAreBoundByTheLimitAlone() {
         machine.set(
                         "domain.below=tier domain.calls_out=0 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
                 .start();
@@ -566,7 +574,7 @@
     private long callsOfFour() {
         machine.trace.clear();
         for (int i = 0; i < 4; i++) {
-            machine.tell(machine.arrive(Machine.PURE), Handle::needsCall);
+            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
         }
         return machine.printed().lines().filter(line -> line.matches("\\d+ call \\d+")).count();
     }
--- a/src/test/java/lupinwood/GoldenFile.java
+++ b/src/test/java/lupinwood/admission/GoldenFile.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,14 +17,14 @@
  * is written; one that is there is never changed by a test.
  */
 public final class GoldenFile {
-    private static final Path FOLDER = Path.of("src", "test", "resources", "golden");
+    private static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
     private static final String RECORD_PROPERTY = "golden.record";
 
     private GoldenFile() {}
 
     /** Where a golden file, or the input that belongs to one, stands; relative to the project. */
     public static Path path(String name) {
-        return FOLDER.resolve(name);
+        return DIRECTORY.resolve(name);
     }
 
     /** The text of a file in the folder. */
--- a/src/test/java/lupinwood/AnyConfigTest.java
+++ b/src/test/java/lupinwood/admission/RandomConfigurationTest.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,18 +15,16 @@
 import java.util.Locale;
 import java.util.Random;
 import lupinwood.net.NodeConfig;
-import lupinwood.node.Outcome;
-import lupinwood.node.Span;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Random sound settings, with whatever may be left out left out: each is read, starts a node, and
- * on an idle node a ticket of each track is run, makes its call and ends.
+ * on an idle node a request of each request class is run, makes its call and ends.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-final class AnyConfigTest {
+final class RandomConfigurationTest {
     private static final int DEPLOYMENTS = 400;
     private static final String[] NAMES = {
         "look",
@@ -50,11 +48,11 @@
             "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"executor\":\"127.0.0.1:2\",\"index\":"
                     + "\"127.0.0.1:3\",\"naming\":\"127.0.0.1:4\",\"seed\":\"f\",\"stop_ms\":3000,\"limits\":{\"sockets\":1024}}";
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private Random chance;
 
     @Test
-    void noneIsRefusedNoneThrowsAndEachTracksTicketIsServed() throws Exception {
+    void noneIsRefusedNoneThrowsAndEachRequestClassesRequestIsServed() throws Exception {
         List<String> failed = new ArrayList<>();
         for (int seed = 0; seed < DEPLOYMENTS; seed++) {
             chance = new Random(seed);
@@ -65,11 +63,11 @@
                         play(
                                 NodeConfig.read(
                                         Files.writeString(
-                                                folder.resolve("config.json"), all.toString())));
+                                                directory.resolve("config.json"), all.toString())));
                 if (wrong != null) {
                     failed.add(seed + ": " + wrong + ", by " + all.get("settings"));
                 }
-            } catch (NodeConfig.Unusable | RuntimeException e) {
+            } catch (NodeConfig.UnusableConfiguration | RuntimeException e) {
                 failed.add(seed + ": " + e + ", by " + all.get("settings"));
             }
         }
@@ -78,30 +76,33 @@
 
     /** What didn't go as it should, or null. */
     private String play(NodeConfig config) {
-        Machine machine = new Machine();
+        RecordingServer machine = new RecordingServer();
         machine.settings.clear();
         machine.settings.putAll(config.settings());
         machine.start();
-        boolean below = !config.settings().getOrDefault("domain.below", "off").equals("off");
-        List<String> tracks = config.meaning().tracks();
-        int customers = config.meaning().customers().size();
-        for (int i = 0; i < 3 * tracks.size(); i++) {
+        boolean downstream = !config.settings().getOrDefault("domain.below", "off").equals("off");
+        List<String> requestClasses = config.meaning().requestClasses();
+        int tenants = config.meaning().tenants().size();
+        for (int i = 0; i < 3 * requestClasses.size(); i++) {
             machine.trace.clear();
-            machine.patience = Span.ofSeconds(i % 2 * (0.3 + chance.nextInt(60)));
+            machine.clientTimeout = NanoDuration.ofSeconds(i % 2 * (0.3 + chance.nextInt(60)));
             long id =
                     machine.arrive(
-                            i % tracks.size(),
+                            i % requestClasses.size(),
                             0,
                             1 + chance.nextInt(20),
-                            customers == 0 ? 0 : chance.nextInt(customers));
+                            tenants == 0 ? 0 : chance.nextInt(tenants));
             boolean calls =
-                    below
+                    downstream
                             && "true"
                                     .equals(
                                             config.meaning()
                                                     .value(
                                                             "track "
-                                                                    + tracks.get(i % tracks.size())
+                                                                    + requestClasses.get(
+                                                                            i
+                                                                                    % requestClasses
+                                                                                            .size())
                                                                     + " calls"));
             if (calls) {
                 machine.call(id, 5, Outcome.OK);
@@ -118,11 +119,16 @@
                     || said.stream()
                             .anyMatch(
                                     line -> line.startsWith("bounce") || line.startsWith("fail"))) {
-                return "ticket " + id + " of track " + i % tracks.size() + " isn't served: " + said;
+                return "ticket "
+                        + id
+                        + " of track "
+                        + i % requestClasses.size()
+                        + " isn't served: "
+                        + said;
             }
         }
-        machine.brain.leave(Span.ofSeconds(3));
-        machine.brain.settle();
+        machine.policy.drain(NanoDuration.ofSeconds(3));
+        machine.policy.decide();
         machine.pass(2900);
         return null;
     }
@@ -131,19 +137,19 @@
 
     private JsonObject settings() {
         JsonObject settings = new JsonObject();
-        int tracks = 1 + chance.nextInt(6);
+        int requestClasses = 1 + chance.nextInt(6);
         JsonArray services = new JsonArray();
-        for (int i = 0; i < tracks; i++) {
-            services.add(track(i));
+        for (int i = 0; i < requestClasses; i++) {
+            services.add(requestClass(i));
         }
         settings.add("services", services);
-        customers(settings);
+        tenants(settings);
         maybe(settings, "step_ns", 1e3, 2e7);
         maybe(settings, "group_size", 0, 300);
         maybe(settings, "over_share_worth", 0, 1);
         maybe(settings, "slot_no", 0, 10);
         JsonObject domain = new JsonObject();
-        domain(domain, tracks);
+        domain(domain, requestClasses);
         put(settings, "domain", domain);
         JsonObject rules = new JsonObject();
         maybe(rules, "answer_slack_ns", 0, 1e8);
@@ -172,41 +178,41 @@
         return settings;
     }
 
-    private JsonObject track(int place) {
-        JsonObject track = new JsonObject();
-        track.addProperty("name", NAMES[chance.nextInt(NAMES.length)] + place);
-        double abandon = between(3e8, 6e10);
-        track.add("give_up_ns", number(abandon));
-        track.add(
+    private JsonObject requestClass(int place) {
+        JsonObject requestClass = new JsonObject();
+        requestClass.addProperty("name", NAMES[chance.nextInt(NAMES.length)] + place);
+        double timeout = between(3e8, 6e10);
+        requestClass.add("give_up_ns", number(timeout));
+        requestClass.add(
                 "aim_ns",
                 number(
                         chance.nextInt(8) == 0
-                                ? abandon * 2
-                                : Math.max(1e8, abandon * chance.nextDouble())));
+                                ? timeout * 2
+                                : Math.max(1e8, timeout * chance.nextDouble())));
         put(
-                track,
+                requestClass,
                 "effect",
                 JsonParser.parseString(oneOf("\"pure\"", "\"token\"", "\"side_effect\"")));
-        maybe(track, "window_ns", 2e8, 6e11);
-        maybe(track, "worth", 0, 100);
-        maybe(track, "late_value", 0, 1);
-        maybe(track, "aim_stretch", 0, 10);
-        return track;
+        maybe(requestClass, "window_ns", 2e8, 6e11);
+        maybe(requestClass, "worth", 0, 100);
+        maybe(requestClass, "late_value", 0, 1);
+        maybe(requestClass, "aim_stretch", 0, 10);
+        return requestClass;
     }
 
-    private void customers(JsonObject settings) {
-        JsonArray customers = new JsonArray();
+    private void tenants(JsonObject settings) {
+        JsonArray tenants = new JsonArray();
         for (int i = chance.nextInt(6); i > 0; i--) {
-            JsonObject customer = new JsonObject();
-            customer.addProperty("name", NAMES[chance.nextInt(NAMES.length)]);
-            maybe(customer, "quota_rps", 0, 1e6);
-            maybe(customer, "share", 0, 1);
-            customers.add(customer);
+            JsonObject tenant = new JsonObject();
+            tenant.addProperty("name", NAMES[chance.nextInt(NAMES.length)]);
+            maybe(tenant, "quota_rps", 0, 1e6);
+            maybe(tenant, "share", 0, 1);
+            tenants.add(tenant);
         }
-        put(settings, "customers", customers);
+        put(settings, "customers", tenants);
     }
 
-    private void domain(JsonObject domain, int tracks) {
+    private void domain(JsonObject domain, int requestClasses) {
         put(
                 domain,
                 "below",
@@ -227,7 +233,7 @@
                 JsonParser.parseString(oneOf("[]", "[\"on_cores\"]", "[\"links\",\"svc_ms\"]")));
         JsonArray calls = new JsonArray();
         JsonArray skips = new JsonArray();
-        for (int i = 0; i < tracks; i++) {
+        for (int i = 0; i < requestClasses; i++) {
             calls.add(chance.nextBoolean());
             skips.add(chance.nextBoolean() ? 0 : chance.nextDouble());
         }
--- a/src/test/java/lupinwood/StrainTest.java
+++ b/src/test/java/lupinwood/admission/RandomLoadTest.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,19 +7,16 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import lupinwood.node.Handle;
-import lupinwood.node.Outcome;
-import lupinwood.node.Span;
 import org.junit.jupiter.api.Test;
 
-/** Many random but legal days, and the four rules reckoned apart from Brain. */
-final class StrainTest {
+/** Many random but legal days, and the four rules reckoned apart from AdmissionController. */
+final class RandomLoadTest {
     private static final int CORES = 2;
     private static final double MEMORY = 400;
 
-    /** What the machine knows of a ticket. */
+    /** What the machine knows of a request. */
     private static final class Known {
-        int track;
+        int classIndex;
         long original;
         long reached;
         double memory;
@@ -27,7 +24,7 @@
         boolean answered;
         boolean gone;
         boolean reuses;
-        boolean kept;
+        boolean stored;
 
         /** held, running, needs, calling, or over. */
         String place = "held";
@@ -35,12 +32,12 @@
 
     private final List<String> broken = new ArrayList<>();
     private final Map<Long, Known> all = new TreeMap<>();
-    private Machine machine;
+    private RecordingServer machine;
     private Random chance;
     private long leftAt;
 
     @Test
-    void theFourRulesHoldOverManyRandomDays() {
+    void theFourRulesBlockOverManyRandomDays() {
         for (int day = 0; day < 60; day++) {
             play(day);
         }
@@ -52,7 +49,7 @@
         all.clear();
         leftAt = Long.MAX_VALUE / 2;
         machine =
-                new Machine()
+                new RecordingServer()
                         .set("domain.memory_kb=" + (int) MEMORY + " domain.calls_out=3")
                         .set(
                                 "domain.cold="
@@ -74,8 +71,8 @@
             if (leaves && step == 1000) {
                 leftAt = machine.now().nanos();
                 stop = leftAt + 3_000_000_000L;
-                machine.brain.leave(Span.ofSeconds(3));
-                machine.brain.settle();
+                machine.policy.drain(NanoDuration.ofSeconds(3));
+                machine.policy.decide();
             }
             if (chance.nextInt(3) == 0) {
                 arrive();
@@ -90,21 +87,23 @@
 
     private void arrive() {
         Known known = new Known();
-        known.track = chance.nextInt(4);
+        known.classIndex = chance.nextInt(4);
         known.reached = machine.now().nanos();
         known.memory = 1 + chance.nextInt(12);
-        List<Long> kept = all.keySet().stream().filter(id -> all.get(id).kept).toList();
-        if (known.track == Machine.RECEIPTED && !kept.isEmpty() && chance.nextInt(3) == 0) {
-            known.original = kept.get(chance.nextInt(kept.size()));
+        List<Long> stored = all.keySet().stream().filter(id -> all.get(id).stored).toList();
+        if (known.classIndex == RecordingServer.IDEMPOTENT
+                && !stored.isEmpty()
+                && chance.nextInt(3) == 0) {
+            known.original = stored.get(chance.nextInt(stored.size()));
             if (machine.now().nanos() - all.get(known.original).reached > 8_000_000_000L) {
                 known.original = 0;
             }
         }
         all.put(all.size() + 1L, known);
-        machine.arrive(known.track, known.original, known.memory, 0);
+        machine.arrive(known.classIndex, known.original, known.memory, 0);
     }
 
-    /** Something that the machine's state allows happens to some tickets. */
+    /** Something that the machine's state allows happens to some requests. */
     private void happen() {
         for (Map.Entry<Long, Known> entry : List.copyOf(all.entrySet())) {
             Known known = entry.getValue();
@@ -113,12 +112,12 @@
             }
             long id = entry.getKey();
             if (known.place.equals("running")) {
-                if (known.track != Machine.LOCAL
+                if (known.classIndex != RecordingServer.LOCAL
                         && !known.answered
                         && !known.gone
                         && chance.nextBoolean()) {
                     known.place = "needs";
-                    machine.tell(id, Handle::needsCall);
+                    machine.tell(id, RequestListener::onCallNeeded);
                 } else {
                     end(
                             id,
@@ -130,13 +129,14 @@
             } else if (known.place.equals("calling")) {
                 Outcome outcome = List.of(Outcome.values()).get(chance.nextInt(6));
                 known.place = outcome == Outcome.OK ? "running" : "needs";
-                machine.tell(id, handle -> handle.callEnded(outcome, Span.ofSeconds(0.1)));
+                machine.tell(
+                        id, handle -> handle.onCallCompleted(outcome, NanoDuration.ofSeconds(0.1)));
             } else if (known.reuses && chance.nextInt(3) == 0) {
                 end(id, known, Outcome.OK);
             } else if (!known.answered && chance.nextInt(20) == 0) {
                 known.gone = true;
                 known.place = known.place.equals("held") ? "over" : known.place;
-                machine.tell(id, Handle::left);
+                machine.tell(id, RequestListener::onClientGone);
                 if (known.place.equals("needs")) {
                     end(id, known, Outcome.CANCELLED);
                 }
@@ -147,7 +147,7 @@
     private void end(long id, Known known, Outcome outcome) {
         known.answered = true;
         known.place = "over";
-        machine.tell(id, handle -> handle.ended(outcome, Span.ZERO));
+        machine.tell(id, handle -> handle.onCompleted(outcome, NanoDuration.ZERO));
     }
 
     private void heard(String line) {
@@ -177,9 +177,9 @@
             case "call" -> known.place = "calling";
             case "skip" -> known.place = "running";
             case "reuse" -> known.reuses = true;
-            case "remember" -> known.kept = true;
+            case "remember" -> known.stored = true;
             case "forget" -> {
-                known.kept = false;
+                known.stored = false;
                 expect(known.runs == 0, line + " though it ran");
             }
             default -> {}
@@ -196,7 +196,7 @@
             boolean due = now > known.reached + 5_000_000_000L || now >= leftAt + 3_000_000_000L;
             expect(!due || known.answered || known.gone, entry.getKey() + " unanswered");
             memory += known.place.equals("over") ? 0 : known.memory * (known.runs > 0 ? 4 : 1);
-            memory += known.kept && now < known.reached + 8_000_000_000L ? 1 : 0;
+            memory += known.stored && now < known.reached + 8_000_000_000L ? 1 : 0;
             running += known.place.equals("running") ? 1 : 0;
             calls += known.place.equals("calling") ? 1 : 0;
         }
--- a/src/test/java/lupinwood/Machine.java
+++ b/src/test/java/lupinwood/admission/RecordingServer.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,29 +7,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import lupinwood.node.CallerId;
-import lupinwood.node.CustomerId;
-import lupinwood.node.Gauges;
-import lupinwood.node.Handle;
-import lupinwood.node.Moment;
-import lupinwood.node.Outcome;
-import lupinwood.node.Server;
-import lupinwood.node.Span;
-import lupinwood.node.SubjectId;
-import lupinwood.node.Ticket;
-import lupinwood.node.TicketId;
-import lupinwood.node.TrackId;
-
-/** A machine played by hand: its clock, its settings, and the trace of what its Brain decided. */
-public final class Machine implements Server {
-    static final int PURE = 0;
-    static final int RECEIPTED = 1;
-    static final int EFFECTFUL = 2;
+
+/**
+ * A machine played by hand: its clock, its settings, and the trace of what its AdmissionController
+ * decided.
+ */
+public final class RecordingServer implements ServerActions {
+    static final int SAFE = 0;
+    static final int IDEMPOTENT = 1;
+    static final int UNSAFE = 2;
     static final int LOCAL = 3;
 
     public final Map<String, String> settings = new TreeMap<>();
     final List<String> trace = new ArrayList<>();
-    final Map<Long, Handle> handles = new HashMap<>();
+    final Map<Long, RequestListener> handles = new HashMap<>();
 
     /** Who listens to each decision, to check it by another reckoning. */
     Consumer<String> listener = line -> {};
@@ -37,18 +28,19 @@
     final TreeMap<Long, Integer> wakes = new TreeMap<>();
     private long nanos = 1_000_000_000L;
     private long nextId = 1;
-    Gauges gauges = Gauges.UNKNOWN;
-    Span patience = Span.ZERO;
+    ResourceUsage resourceUsage = ResourceUsage.UNKNOWN;
+    NanoDuration clientTimeout = NanoDuration.ZERO;
 
-    /** How long each ticket's latest call may take. */
-    final Map<Long, Span> caps = new HashMap<>();
+    /** How long each request's latest call may take. */
+    final Map<Long, NanoDuration> caps = new HashMap<>();
 
-    Brain brain;
+    AdmissionController policy;
 
     /**
-     * Two cores, four tracks (pure, receipted and effectful that call, and one that never does).
+     * Two cores, four request classes (pure, idempotent and unsafe that call, and one that never
+     * does).
      */
-    public Machine() {
+    public RecordingServer() {
         set(
                 "domain.cpus=2 domain.memory_kb=100000 domain.run_mem_factor=4 domain.entry_kb=1"
                         + " domain.below=one_for_all domain.calls_out=2"
@@ -75,7 +67,7 @@
         }
     }
 
-    public Machine set(String pairs) {
+    public RecordingServer set(String pairs) {
         for (String pair : pairs.split(" ", 0)) {
             settings.put(
                     pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
@@ -83,59 +75,59 @@
         return this;
     }
 
-    Machine start() {
-        brain = new Brain(this, 7, settings);
-        brain.settle();
+    RecordingServer start() {
+        policy = new AdmissionController(this, 7, settings);
+        policy.decide();
         trace.clear();
         return this;
     }
 
-    long arrive(int track) {
-        return arrive(track, 0, 10, 0);
+    long arrive(int classIndex) {
+        return arrive(classIndex, 0, 10, 0);
     }
 
-    long arrive(int track, long original, double memoryKb, int customer) {
+    long arrive(int classIndex, long original, double memoryKb, int tenant) {
         long id = nextId++;
-        TicketId repeats = original == 0 ? null : new TicketId(original);
+        RequestId repeats = original == 0 ? null : new RequestId(original);
         handles.put(
                 id,
-                brain.take(
-                        new Ticket(
-                                new TicketId(id),
-                                new TrackId(track),
-                                new CustomerId(customer),
+                policy.admit(
+                        new Request(
+                                new RequestId(id),
+                                new RequestClassId(classIndex),
+                                new TenantId(tenant),
                                 new SubjectId(0),
-                                new CallerId(1),
-                                patience,
-                                Span.ZERO,
+                                new UpstreamId(1),
+                                clientTimeout,
+                                NanoDuration.ZERO,
                                 memoryKb,
                                 0.5,
                                 false,
-                                Span.ZERO,
+                                NanoDuration.ZERO,
                                 repeats)));
-        brain.settle();
+        policy.decide();
         return id;
     }
 
-    void tell(long id, Consumer<Handle> news) {
+    void tell(long id, Consumer<RequestListener> news) {
         news.accept(handles.get(id));
-        brain.settle();
+        policy.decide();
     }
 
     void end(long id) {
-        tell(id, handle -> handle.ended(Outcome.OK, Span.ZERO));
+        tell(id, handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
     }
 
-    /** A ticket comes to its call, and the call ends so after so long. */
+    /** A request comes to its call, and the call ends so after so long. */
     void call(long id, int millis, Outcome outcome) {
-        tell(id, Handle::needsCall);
+        tell(id, RequestListener::onCallNeeded);
         pass(millis);
-        tell(id, handle -> handle.callEnded(outcome, Span.ofSeconds(millis / 1e3)));
+        tell(id, handle -> handle.onCallCompleted(outcome, NanoDuration.ofSeconds(millis / 1e3)));
     }
 
-    void calm(int millis) {
+    void baseline(int millis) {
         for (int i = 0; i < 8; i++) {
-            long id = arrive(PURE);
+            long id = arrive(SAFE);
             call(id, millis, Outcome.OK);
             end(id);
         }
@@ -146,8 +138,8 @@
         long until = nanos + millis * 1_000_000L;
         while (!wakes.isEmpty() && wakes.firstKey() <= until) {
             nanos = Math.max(nanos, wakes.pollFirstEntry().getKey());
-            brain.wake(gauges);
-            brain.settle();
+            policy.wake(resourceUsage);
+            policy.decide();
         }
         nanos = until;
     }
@@ -162,86 +154,86 @@
     }
 
     @Override
-    public Moment now() {
-        return new Moment(nanos);
+    public MonotonicTime now() {
+        return new MonotonicTime(nanos);
     }
 
     @Override
-    public void run(TicketId ticket) {
-        say("run " + ticket.number());
+    public void run(RequestId requestId) {
+        say("run " + requestId.number());
     }
 
     @Override
-    public void stop(TicketId ticket) {
-        say("stop " + ticket.number());
+    public void stop(RequestId requestId) {
+        say("stop " + requestId.number());
     }
 
     @Override
-    public void bounce(TicketId ticket, boolean askNoOther, Span comeBackAfter) {
+    public void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
         say(
                 "bounce "
-                        + ticket.number()
-                        + (comeBackAfter.isPositive() ? ", come back later" : "")
-                        + (askNoOther ? ", ask no other" : ""));
+                        + requestId.number()
+                        + (retryAfter.isPositive() ? ", come back later" : "")
+                        + (doNotRetryElsewhere ? ", ask no other" : ""));
     }
 
     @Override
-    public void fail(TicketId ticket) {
-        say("fail " + ticket.number());
+    public void fail(RequestId requestId) {
+        say("fail " + requestId.number());
     }
 
     @Override
-    public void call(TicketId ticket, Span cap) {
-        caps.put(ticket.number(), cap);
-        say("call " + ticket.number());
+    public void call(RequestId requestId, NanoDuration cap) {
+        caps.put(requestId.number(), cap);
+        say("call " + requestId.number());
     }
 
     @Override
-    public void skipCall(TicketId ticket) {
-        say("skip the call of " + ticket.number());
+    public void skipCall(RequestId requestId) {
+        say("skip the call of " + requestId.number());
     }
 
     @Override
-    public void reuse(TicketId ticket) {
-        say("reuse for " + ticket.number());
+    public void answerFromOriginal(RequestId requestId) {
+        say("reuse for " + requestId.number());
     }
 
     @Override
-    public void remember(TicketId ticket, Span span) {
-        say("remember " + ticket.number());
+    public void remember(RequestId requestId, NanoDuration duration) {
+        say("remember " + requestId.number());
     }
 
     @Override
-    public void forget(TicketId ticket) {
-        say("forget " + ticket.number());
+    public void forget(RequestId requestId) {
+        say("forget " + requestId.number());
     }
 
     @Override
-    public void health(boolean good, boolean fromStore) {
+    public void reportHealth(boolean good, boolean fromStore) {
         say("health " + (good ? "good" : "bad"));
     }
 
     @Override
-    public void advise(double value) {
+    public void reportAvailableCapacity(double value) {
         say(String.format(Locale.ROOT, "advise %.2f", value));
     }
 
     @Override
-    public void closeIdle(Span idle) {
+    public void closeIdleConnections(NanoDuration idle) {
         say(String.format(Locale.ROOT, "close idle after %.2f", idle.seconds()));
     }
 
     @Override
-    public void wakeAt(Moment moment) {
-        if (moment.nanos() <= nanos) {
+    public void wakeAt(MonotonicTime time) {
+        if (time.nanos() <= nanos) {
             throw new IllegalArgumentException("a wake-up in the past is never heard");
         }
-        wakes.merge(moment.nanos(), 1, Integer::sum);
+        wakes.merge(time.nanos(), 1, Integer::sum);
     }
 
     @Override
-    public void over(TicketId ticket) {
-        listener.accept("over " + ticket.number());
+    public void release(RequestId requestId) {
+        listener.accept("over " + requestId.number());
     }
 
     @Override
--- a/src/test/java/lupinwood/FleetCallsTest.java
+++ b/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,19 +10,16 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import lupinwood.node.Handle;
-import lupinwood.node.Outcome;
-import lupinwood.node.Span;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many nodes, each a Brain of its own that hears of no other, above one made-up dependency on one
- * clock. It shares its slots among the calls in its hands, keeps what was given up for a while, and
- * refuses while down. What all nodes hold in its hands together is reckoned apart from Brain, over
- * each window of the settings.
+ * Many nodes, each a AdmissionController of its own that hears of no other, above one made-up
+ * dependency on one clock. It shares its slots among the calls in its hands, keeps what was given
+ * up for a while, and refuses while down. What all nodes hold in its hands together is reckoned
+ * apart from AdmissionController, over each window of the settings.
  */
-final class FleetCallsTest {
+final class SharedDependencyCallsTest {
     private static final int WINDOW = 5000; // domain.calls_over_ns, here and below in milliseconds
     private static final int LINGER = 200; // domain.linger_ns
     private static final int BEGIN = 6000; // of the trouble
@@ -39,16 +36,16 @@
     /** A call in the hands of the dependency, given up or not. */
     private final class Call {
         final Node node;
-        final long ticket;
+        final long requestId;
         final int madeAt = now;
         final int cap;
         double left = 100 * Math.exp(chance.nextGaussian() * 0.4);
         int goneAt = Integer.MAX_VALUE; // given up, and out of the hands at this time
 
-        Call(Node node, long ticket) {
+        Call(Node node, long requestId) {
             this.node = node;
-            this.ticket = ticket;
-            cap = (int) (node.machine.caps.get(ticket).nanos() / 1_000_000);
+            this.requestId = requestId;
+            cap = (int) (node.machine.caps.get(requestId).nanos() / 1_000_000);
         }
 
         void giveUp() {
@@ -56,27 +53,27 @@
         }
 
         void end(Outcome outcome) {
-            Handle handle = node.machine.handles.get(ticket);
-            if (!handle.isOver()) {
-                Span took = Span.ofSeconds(Math.max(1, now - madeAt) / 1e3);
-                node.machine.tell(ticket, told -> told.callEnded(outcome, took));
+            RequestListener handle = node.machine.handles.get(requestId);
+            if (!handle.isFinished()) {
+                NanoDuration took = NanoDuration.ofSeconds(Math.max(1, now - madeAt) / 1e3);
+                node.machine.tell(requestId, reported -> reported.onCallCompleted(outcome, took));
                 if (outcome == Outcome.OK) {
-                    node.work(ticket);
+                    node.work(requestId);
                 }
             }
         }
     }
 
     private final class Node {
-        final Machine machine;
+        final RecordingServer machine;
         final Map<Long, Integer> callsLeft = new HashMap<>();
         final TreeMap<Integer, List<Long>> works =
-                new TreeMap<>(); // which tickets leave the cores when
+                new TreeMap<>(); // which requests leave the cores when
         final List<Long> failed = new ArrayList<>();
 
         Node(double share, boolean cold) {
             machine =
-                    new Machine()
+                    new RecordingServer()
                             .set(
                                     "domain.cpus=4 domain.calls_out="
                                             + share
@@ -99,42 +96,47 @@
                 case "run" -> work(Long.parseLong(words[1]));
                 case "fail" -> failed.add(Long.parseLong(words[1]));
                 case "call" -> {
-                    long ticket = Long.parseLong(words[1]);
-                    giveUp(call -> call.node == this && call.ticket == ticket);
-                    made.add(new Call(this, ticket));
+                    long requestId = Long.parseLong(words[1]);
+                    giveUp(call -> call.node == this && call.requestId == requestId);
+                    made.add(new Call(this, requestId));
                 }
                 default -> {}
             }
         }
 
-        void work(long ticket) {
+        void work(long requestId) {
             works.computeIfAbsent(now + 20 + chance.nextInt(40), at -> new ArrayList<>())
-                    .add(ticket);
+                    .add(requestId);
         }
 
-        void step(double ticketsEach) {
-            if (chance.nextDouble() < ticketsEach) {
-                long ticket =
-                        machine.arrive(chance.nextInt(5) == 0 ? Machine.EFFECTFUL : Machine.PURE);
-                callsLeft.put(ticket, 1 + chance.nextInt(2));
+        void step(double requestsEach) {
+            if (chance.nextDouble() < requestsEach) {
+                long requestId =
+                        machine.arrive(
+                                chance.nextInt(5) == 0
+                                        ? RecordingServer.UNSAFE
+                                        : RecordingServer.SAFE);
+                callsLeft.put(requestId, 1 + chance.nextInt(2));
             }
             machine.pass(1);
             List<Long> due =
                     works.isEmpty() || works.firstKey() > now
                             ? List.of()
                             : works.pollFirstEntry().getValue();
-            for (long ticket : due) {
-                if (!machine.handles.get(ticket).isOver()) {
+            for (long requestId : due) {
+                if (!machine.handles.get(requestId).isFinished()) {
                     machine.tell(
-                            ticket,
-                            callsLeft.merge(ticket, -1, Integer::sum) >= 0
-                                    ? Handle::needsCall
-                                    : handle -> handle.ended(Outcome.OK, Span.ZERO));
+                            requestId,
+                            callsLeft.merge(requestId, -1, Integer::sum) >= 0
+                                    ? RequestListener::onCallNeeded
+                                    : handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
                 }
             }
-            for (long ticket : failed) {
-                if (giveUp(call -> call.node == this && call.ticket == ticket)) {
-                    machine.tell(ticket, handle -> handle.ended(Outcome.CANCELLED, Span.ZERO));
+            for (long requestId : failed) {
+                if (giveUp(call -> call.node == this && call.requestId == requestId)) {
+                    machine.tell(
+                            requestId,
+                            handle -> handle.onCompleted(Outcome.CANCELLED, NanoDuration.ZERO));
                 }
             }
             failed.clear();
@@ -168,8 +170,8 @@
             nodes.add(new Node(share, trouble == Trouble.COLD_START));
         }
         double slots = count * share / 5;
-        double ticketsEach = load * slots / 100 / 1.5 / count;
-        int[] held = new int[LENGTH];
+        double requestsEach = load * slots / 100 / 1.5 / count;
+        int[] leased = new int[LENGTH];
         int sum = 0;
         for (; now < LENGTH; now++) {
             boolean struck = now >= BEGIN && now < END;
@@ -181,13 +183,13 @@
                     nodes.set(i, null);
                 } else if (!away) {
                     nodes.set(i, node == null ? new Node(share, true) : node);
-                    nodes.get(i).step(ticketsEach);
+                    nodes.get(i).step(requestsEach);
                 }
             }
             serve(slots, trouble == Trouble.DOWN && struck, trouble == Trouble.SLOW && struck);
-            held[now] = inHand.size();
-            sum += held[now] - (now >= WINDOW ? held[now - WINDOW] : 0);
-            mostAtOnce = Math.max(mostAtOnce, held[now]);
+            leased[now] = inHand.size();
+            sum += leased[now] - (now >= WINDOW ? leased[now - WINDOW] : 0);
+            mostAtOnce = Math.max(mostAtOnce, leased[now]);
             mostOverWindow = Math.max(mostOverWindow, (double) sum / WINDOW);
         }
     }
--- a/src/test/java/lupinwood/DrillTest.java
+++ b/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package lupinwood;
+package lupinwood.admission;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -9,11 +9,11 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.HexFormat;
-import lupinwood.sim.Drill;
-import lupinwood.sim.MalformedFrame;
+import lupinwood.simulator.MalformedFrame;
+import lupinwood.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
-final class DrillTest {
+final class SimulatorAdapterTest {
     private static final String SETTINGS =
             """
             domain.cpus=1
@@ -27,8 +27,8 @@
             no value at all\
             """;
 
-    /** Code 17: instance, ticket, track, customer; all after that left off. */
-    private static final String TICKET = "11 0000000b %04x %08x 00 00000000";
+    /** Code 17: instance, request, request class, tenant; all after that left off. */
+    private static final String REQUEST = "11 0000000b %04x %08x 00 00000000";
 
     @Test
     void anEmptyBatchGetsAnEmptyReply() throws IOException {
@@ -36,8 +36,8 @@
     }
 
     @Test
-    void aTicketWithItsLastFieldsLeftOffIsRunAndUnknownEventsAreSkipped() throws IOException {
-        assertThat(play(start(3), "63 00000002 ffff " + String.format(TICKET, 3, 7)))
+    void aRequestWithItsLastFieldsLeftOffIsRunAndUnknownEventsAreSkipped() throws IOException {
+        assertThat(play(start(3), "63 00000002 ffff " + String.format(REQUEST, 3, 7)))
                 .isEqualTo(
                         """
                 00000020 00000002 5e 00000004 0003 01 01 51 0000000e 0003 000000000bebc200 00000000
@@ -50,7 +50,7 @@
         String ended = "12 00000010 0003 00000007 0000 0000000000000000";
         String played =
                 play(
-                        start(3) + String.format(TICKET, 3, 7),
+                        start(3) + String.format(REQUEST, 3, 7),
                         "18 00000002 0003 " + start(3) + ended);
         assertThat(played.split("\n", 0)[1])
                 .isEqualTo(
@@ -59,8 +59,8 @@
 
     @Test
     void aNodeThatThrowsIsReportedAndTheOthersGoOn() throws IOException {
-        String badTrack = "11 0000000b 0004 00000008 09 00000000";
-        String played = play(start(3) + start(4), badTrack + String.format(TICKET, 3, 7));
+        String badRequestClass = "11 0000000b 0004 00000008 09 00000000";
+        String played = play(start(3) + start(4), badRequestClass + String.format(REQUEST, 3, 7));
         assertThat(played.split("\n", 0)[1]).contains(" 5b ").endsWith("56 00000006 0003 00000007");
     }
 
@@ -102,7 +102,7 @@
 
     private static String raw(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(Brain::new)
+        new SimulatorAdapter(AdmissionController::new)
                 .play(
                         new ByteArrayInputStream(HexFormat.of().parseHex(input.replace(" ", ""))),
                         out);
--- a/src/test/java/lupinwood/ajp/CodecTest.java
+++ b/src/test/java/lupinwood/ajp/CodecTest.java
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aBodyWithoutALengthIsAskedForFromTheStartAndEndsWithAnEmptyPart() throws BadPacket {
+    void aBodyWithoutALengthIsRequestedForFromTheStartAndEndsWithAnEmptyPart() throws BadPacket {
         PacketWriter head =
                 new PacketWriter(Replies.FROM_WEB_SERVER)
                         .one(2)
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void whatCantBeReadSaysSoBeforeItIsKept() {
+    void whatCantBeReadSaysSoBeforeItIsStored() {
         for (String bad :
                 List.of(
                         "99 99",
--- a/src/test/java/lupinwood/ajp/GoldenAjpTest.java
+++ b/src/test/java/lupinwood/ajp/GoldenAjpTest.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinwood.GoldenFile;
+import lupinwood.admission.GoldenFile;
 import org.junit.jupiter.api.Test;
 
 /** The bytes of AJP/1.3 as both sides write them, and what each makes of the other's. */
--- a/src/test/java/lupinwood/pools/PoolTest.java
+++ b/src/test/java/lupinwood/balancing/ServerPoolTest.java
@@ -1,27 +1,27 @@
-package lupinwood.pools;
+package lupinwood.balancing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import org.junit.jupiter.api.Test;
 
 /** Choices among servers that do well, fail, slow down and come back. */
-final class PoolTest {
-    private static final Span FAST = Span.ofSeconds(0.02);
+final class ServerPoolTest {
+    private static final NanoDuration FAST = NanoDuration.ofSeconds(0.02);
 
-    private final Pool pool = new Pool(List.of("a", "b", "c"), Rules.USUAL, 5);
-    private Moment now = new Moment(1_000_000_000_000L);
+    private final ServerPool pool = new ServerPool(List.of("a", "b", "c"), OutlierLimits.USUAL, 5);
+    private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
 
     private void pass(double seconds) {
-        now = now.plus(Span.ofSeconds(seconds));
+        now = now.plus(NanoDuration.ofSeconds(seconds));
     }
 
-    /** One ticket after the other, each ending at once; how many each server got. */
-    private int[] serve(int tickets, Pool.End endOfA, Span tookA) {
+    /** One request after the other, each ending at once; how many each server got. */
+    private int[] serve(int requests, ServerPool.AttemptEnd endOfA, NanoDuration tookA) {
         int[] got = new int[pool.size()];
-        for (int i = 0; i < tickets; i++) {
+        for (int i = 0; i < requests; i++) {
             int server = pool.send(now, List.of());
             if (server < 0) {
                 break;
@@ -30,7 +30,7 @@
             pass(0.001);
             pool.ended(
                     server,
-                    server == 0 ? endOfA : Pool.End.WELL,
+                    server == 0 ? endOfA : ServerPool.AttemptEnd.WELL,
                     server == 0 ? tookA : FAST,
                     false,
                     now);
@@ -40,44 +40,46 @@
 
     @Test
     void oneThatRestsGetsNothingNewIsEmptyOnceItsOwnHasEndedAndIsEasedIn() {
-        serve(60, Pool.End.WELL, FAST);
+        serve(60, ServerPool.AttemptEnd.WELL, FAST);
         int under = pool.send(now, List.of());
         pool.rest(List.of(pool.name(under)));
-        assertThat(pool.emptied()).as("a run is out there").isEmpty();
-        pool.ended(under, Pool.End.WELL, FAST, false, now);
-        assertThat(pool.emptied()).containsExactly(pool.name(under));
-        assertThat(serve(300, Pool.End.WELL, FAST)[under]).isZero();
+        assertThat(pool.drained()).as("a run is out there").isEmpty();
+        pool.ended(under, ServerPool.AttemptEnd.WELL, FAST, false, now);
+        assertThat(pool.drained()).containsExactly(pool.name(under));
+        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[under]).isZero();
         pool.rest(List.of());
-        assertThat(pool.emptied()).isEmpty();
+        assertThat(pool.drained()).isEmpty();
         assertThat(pool.limit(under)).as("one at a time, until it does well").isEqualTo(1);
-        assertThat(serve(300, Pool.End.WELL, FAST)[under]).isGreaterThan(60);
+        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[under]).isGreaterThan(60);
     }
 
     @Test
     void equalServersShareTheWork() {
-        int[] got = serve(300, Pool.End.WELL, FAST);
+        int[] got = serve(300, ServerPool.AttemptEnd.WELL, FAST);
         assertThat(got[0]).isBetween(90, 110);
         assertThat(got[1]).isBetween(90, 110);
     }
 
     @Test
-    void oneThatFailsFastIsLeftOutAndTriedWithOneTicketAfterATimeThatDoubles() {
-        serve(60, Pool.End.WELL, FAST);
-        int[] got = serve(400, Pool.End.FAILED, Span.ofSeconds(0.0001));
+    void oneThatFailsFastIsLeftOutAndTriedWithOneRequestAfterATimeThatDoubles() {
+        serve(60, ServerPool.AttemptEnd.WELL, FAST);
+        int[] got = serve(400, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001));
         assertThat(got[0]).isLessThanOrEqualTo(5);
         int tries = 0;
         for (int second = 0; second < 64; second++) {
-            tries += serve(1000, Pool.End.FAILED, Span.ofSeconds(0.0001))[0];
+            tries += serve(1000, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001))[0];
         }
         assertThat(tries).as("of 64,000 tickets in 64 s").isBetween(2, 15);
         pass(40);
-        assertThat(serve(1, Pool.End.WELL, FAST)[0]).as("tried again at once").isEqualTo(1);
-        assertThat(serve(300, Pool.End.WELL, FAST)[0]).isGreaterThan(60);
+        assertThat(serve(1, ServerPool.AttemptEnd.WELL, FAST)[0])
+                .as("tried again at once")
+                .isEqualTo(1);
+        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[0]).isGreaterThan(60);
     }
 
     @Test
     void aSlowOneGetsLessByAsMuchAndItsLimitFallsInFlight() {
-        serve(60, Pool.End.WELL, FAST);
+        serve(60, ServerPool.AttemptEnd.WELL, FAST);
         int[] got = new int[3];
         for (int i = 0; i < 600; i++) {
             int server = pool.send(now, List.of());
@@ -87,23 +89,24 @@
                 pool.slow(server);
             }
             pass(0.001);
-            pool.ended(server, Pool.End.WELL, slow ? FAST.times(10) : FAST, slow, now);
+            pool.ended(server, ServerPool.AttemptEnd.WELL, slow ? FAST.times(10) : FAST, slow, now);
         }
         assertThat(got[0]).isLessThan(60);
         assertThat(pool.limit(0)).isLessThan(4);
-        assertThat(pool.target()).isBetween(Span.ofSeconds(0.03), Span.ofSeconds(0.12));
+        assertThat(pool.target())
+                .isBetween(NanoDuration.ofSeconds(0.03), NanoDuration.ofSeconds(0.12));
     }
 
     @Test
-    void oneThatWasSlowOnceIsSeenToBeFastAgainUnderALightLoad() {
-        serve(60, Pool.End.WELL, FAST);
+    void oneThatWasSlowOnceIsObservedToBeFastAgainUnderALightLoad() {
+        serve(60, ServerPool.AttemptEnd.WELL, FAST);
         for (int i = 0; i < 20; i++) {
-            serve(3, Pool.End.WELL, FAST.times(50));
+            serve(3, ServerPool.AttemptEnd.WELL, FAST.times(50));
         }
-        assertThat(serve(30, Pool.End.WELL, FAST)[0]).isZero();
+        assertThat(serve(30, ServerPool.AttemptEnd.WELL, FAST)[0]).isZero();
         int got = 0;
         for (int second = 0; second < 60; second++) {
-            got += serve(10, Pool.End.WELL, FAST)[0];
+            got += serve(10, ServerPool.AttemptEnd.WELL, FAST)[0];
             pass(1);
         }
         assertThat(got).isGreaterThan(100);
@@ -114,18 +117,18 @@
         for (int i = 0; i < 200; i++) {
             int server = pool.send(now, List.of());
             if (server >= 0) {
-                pool.ended(server, Pool.End.FAILED, Span.ZERO, false, now);
+                pool.ended(server, ServerPool.AttemptEnd.FAILED, NanoDuration.ZERO, false, now);
             }
         }
         assertThat(pool.send(now, List.of())).isNegative();
-        assertThat(pool.nextBack(now)).isLessThan(now.plus(Span.ofSeconds(1)));
+        assertThat(pool.nextBack(now)).isLessThan(now.plus(NanoDuration.ofSeconds(1)));
         int out = 0;
         for (int i = 0; i < 600; i++) {
             pass(0.1);
             int server = pool.send(now, List.of());
             if (server >= 0) {
                 out++;
-                pool.ended(server, Pool.End.FAILED, Span.ZERO, false, now);
+                pool.ended(server, ServerPool.AttemptEnd.FAILED, NanoDuration.ZERO, false, now);
             }
         }
         assertThat(out).as("of 600 tickets in a minute").isLessThan(30);
@@ -138,15 +141,15 @@
             sent++;
         }
         assertThat(sent).isEqualTo(12);
-        pool.ended(1, Pool.End.UNKNOWN, Span.ZERO, false, now);
-        pool.ended(2, Pool.End.UNKNOWN, Span.ZERO, false, now);
+        pool.ended(1, ServerPool.AttemptEnd.UNKNOWN, NanoDuration.ZERO, false, now);
+        pool.ended(2, ServerPool.AttemptEnd.UNKNOWN, NanoDuration.ZERO, false, now);
         assertThat(pool.send(now, List.of(1))).isEqualTo(2);
         assertThat(pool.send(now, List.of(1))).as("only the one tried is free").isEqualTo(1);
     }
 
     @Test
     void repeatsStayASmallShareAtAnySize() {
-        Budget budget = new Budget(0.1, 10);
+        RetryBudget budget = new RetryBudget(0.1, 10);
         int again = 0;
         for (int i = 0; i < 100_000; i++) {
             budget.first();
--- a/src/test/java/lupinwood/cli/ConfigWorkTest.java
+++ b/src/test/java/lupinwood/cli/ConfigActionsTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The command 'config' as it is called, with what it prints and its exit status. */
-final class ConfigWorkTest {
-    @TempDir private Path folder;
+final class ConfigActionsTest {
+    @TempDir private Path directory;
 
     private String run(int status, String flag, String... words) {
         PrintStream before = System.out;
@@ -21,7 +21,7 @@
         System.setOut(new PrintStream(printed, true));
         try {
             assertThat(
-                            new ConfigWork(
+                            new ConfigActions(
                                             flag.equals("json"),
                                             flag.equals("check"),
                                             flag.equals("operator"))
@@ -34,7 +34,7 @@
     }
 
     private String file(String name, String text) throws Exception {
-        return Files.writeString(folder.resolve(name), text).toString();
+        return Files.writeString(directory.resolve(name), text).toString();
     }
 
     @Test
@@ -42,7 +42,7 @@
         String text =
                 Files.readString(Path.of("examples/node.kdl"))
                         .replace("window 12s", "window 13,020ms");
-        Files.copy(Path.of("examples/fleet.kdl"), folder.resolve("fleet.kdl"));
+        Files.copy(Path.of("examples/fleet.kdl"), directory.resolve("fleet.kdl"));
         String bad = file("bad.kdl", text);
         assertThat(run(1, "", "check", bad))
                 .isEqualTo(
@@ -58,7 +58,7 @@
                 .contains("\"line\":51", "\"column\":12");
         assertThat(run(0, "", "check", "examples/node.kdl", "examples/config.json")).isEmpty();
         assertThat(run(0, "operator", "check", "deploy/operator.kdl")).isEmpty();
-        assertThat(run(2, "", "check", folder.resolve("none.kdl").toString())).isEmpty();
+        assertThat(run(2, "", "check", directory.resolve("none.kdl").toString())).isEmpty();
         assertThat(run(2, "", "frob")).isEmpty();
     }
 
--- a/src/test/java/lupinwood/cli/GoldenConfigCommandTest.java
+++ b/src/test/java/lupinwood/cli/GoldenConfigCommandTest.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.regex.Pattern;
-import lupinwood.GoldenFile;
+import lupinwood.admission.GoldenFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -26,7 +26,7 @@
     /** Where the usage text begins to tell of the next command. */
     private static final Pattern COMMAND = Pattern.compile("(?m)^(?= {4}[a-z])");
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final StringBuilder transcript = new StringBuilder();
 
     private static String input(String name) {
@@ -57,11 +57,11 @@
     }
 
     private void note(String text) {
-        transcript.append(text.replace(folder.toString(), "FOLDER"));
+        transcript.append(text.replace(directory.toString(), "FOLDER"));
     }
 
     private String copy(String name) throws Exception {
-        return Files.copy(GoldenFile.path("config/" + name), folder.resolve(name)).toString();
+        return Files.copy(GoldenFile.path("config/" + name), directory.resolve(name)).toString();
     }
 
     @Test
@@ -127,7 +127,7 @@
         run("config", "format", loose);
         run("config", "format", "--check", loose, EXAMPLE);
         run("config", "format", copy("unclosed.kdl"));
-        run("config", "format", "--json", folder.resolve("unclosed.kdl").toString());
+        run("config", "format", "--json", directory.resolve("unclosed.kdl").toString());
         run("config", "format", "none.kdl");
         GoldenFile.holds("config/format.txt", transcript.toString());
     }
--- a/src/test/java/lupinwood/cli/ServeProcessIT.java
+++ b/src/test/java/lupinwood/cli/ServeProcessIT.java
@@ -27,7 +27,7 @@
 /** The program as a process of its own, told to reload by signals and by files. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class ServeProcessIT {
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private Process process;
     private BufferedReader log;
     private final List<String> lines = new ArrayList<>();
@@ -49,7 +49,8 @@
             port = free.getLocalPort();
         }
         write("config.json", 1, port);
-        process = new ProcessBuilder("/bin/sh", "-c", command).directory(folder.toFile()).start();
+        process =
+                new ProcessBuilder("/bin/sh", "-c", command).directory(directory.toFile()).start();
         log = process.errorReader();
         this.port = port;
         if (ready) {
@@ -63,7 +64,7 @@
 
     private void write(String name, int executorPort, int port) throws IOException {
         Files.writeString(
-                folder.resolve(name),
+                directory.resolve(name),
                 """
                 {"name": "n1", "listen": "127.0.0.1:%d", "executor": "127.0.0.1:%d", "index": "127.0.0.1:1",
                  "naming": "127.0.0.1:1", "seed": "1", "stop_ms": 1500, "limits": {"sockets": 256},
@@ -76,8 +77,8 @@
     private void replace(int executorPort) throws IOException {
         write("next.json", executorPort, port);
         Files.move(
-                folder.resolve("next.json"),
-                folder.resolve("config.json"),
+                directory.resolve("next.json"),
+                directory.resolve("config.json"),
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
@@ -104,11 +105,11 @@
     }
 
     /**
-     * Whichever comes first, the door or the notice: nothing is lost and the process ends as it was
-     * asked to.
+     * Whichever comes first, the listener or the notice: nothing is lost and the process ends as it
+     * was asked to.
      */
     @Test
-    void aNoticeAtAnyMomentOfTheStartEndsItInGoodOrder() throws Exception {
+    void aNoticeAtAnyTimeOfTheStartEndsItInGoodOrder() throws Exception {
         ready = false;
         start("");
         awaitLine("warmed up by|no warm-up");
@@ -139,7 +140,7 @@
                                 "serve",
                                 "--config",
                                 "config.json")
-                        .directory(folder.toFile())
+                        .directory(directory.toFile())
                         .redirectErrorStream(true)
                         .start();
         assertThat(new String(second.getInputStream().readAllBytes(), UTF_8))
@@ -166,7 +167,7 @@
         hangUp();
         replace(2);
         assertThat(awaitLine("reloaded: ")).contains("127.0.0.1:2");
-        Files.writeString(folder.resolve("config.json"), "{\"name\": ");
+        Files.writeString(directory.resolve("config.json"), "{\"name\": ");
         assertThat(awaitLine("nothing reloaded: ")).contains("is no JSON");
         replace(3);
         assertThat(awaitLine("reloaded: ")).contains("127.0.0.1:3");
@@ -178,16 +179,16 @@
         replace(2);
         hangUp();
         awaitLine("reloaded: ");
-        String loaded = Files.readString(folder.resolve("classes.txt"));
+        String loaded = Files.readString(directory.resolve("classes.txt"));
         assertThat(loaded)
-                .contains("lupinwood.net.Serving ")
+                .contains("lupinwood.net.NodeServer ")
                 .doesNotContain(
                         "lupinwood.config.",
-                        "lupinwood.lab.",
+                        "lupinwood.experiment.",
                         "org.antlr.",
-                        "lupinwood.council.",
-                        "lupinwood.fleet.",
-                        "lupinwood.net.FleetPart",
+                        "lupinwood.consensus.",
+                        "lupinwood.cluster.",
+                        "lupinwood.net.ClusterMembership",
                         "io.microraft.",
                         "org.h2.");
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
@@ -226,7 +227,7 @@
         assertThat(run.group(1))
                 .contains(jar, "target/lupinwood.jsa", "exec env")
                 .doesNotContain("$(", "`");
-        Files.createDirectory(folder.resolve("target"));
+        Files.createDirectory(directory.resolve("target"));
         if (!archive.isEmpty()) {
             byte[] bytes = archive.getBytes(StandardCharsets.UTF_8);
             Path ours = Path.of(System.getProperty("java.home"), "lib", "server", "classes.jsa");
@@ -236,7 +237,7 @@
                 assertThat(name).as("where it names the JVM that wrote it").isPositive();
                 Arrays.fill(bytes, name, name + 20, (byte) 'x');
             }
-            Files.write(folder.resolve("target/lupinwood.jsa"), bytes);
+            Files.write(directory.resolve("target/lupinwood.jsa"), bytes);
         }
         launch(
                 run.group(1)
--- a/src/test/java/lupinwood/cli/RelayTest.java
+++ b/src/test/java/lupinwood/cli/SignalRelayTest.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-final class RelayTest {
+final class SignalRelayTest {
     @Test
-    void signalsBeforeAnyoneHearsAreKeptAsOneAndLaterOnesAreHeardAtOnce() {
-        Relay relay = new Relay();
+    void signalsBeforeAnyoneHearsAreStoredAsOneAndLaterOnesAreHeardAtOnce() {
+        SignalRelay relay = new SignalRelay();
         AtomicInteger heard = new AtomicInteger();
         relay.signal();
         relay.signal();
@@ -16,8 +16,8 @@
         assertThat(heard).hasValue(1);
         relay.signal();
         assertThat(heard).hasValue(2);
-        Relay calm = new Relay();
-        calm.to(heard::incrementAndGet);
+        SignalRelay baseline = new SignalRelay();
+        baseline.to(heard::incrementAndGet);
         assertThat(heard).hasValue(2);
     }
 }
--- a/src/test/java/lupinwood/fleet/PlanBookTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import org.junit.jupiter.api.Test;
 
 /** Shares of places: what fits, how they are parted, and when an older plan may be forgotten. */
-final class PlanBookTest {
-    private static final Rules RULES = Rules.of(Span.ofSeconds(3), 0.01);
-    private final Book book = new Book(100);
-    private final Steward steward = new Steward(RULES, List.of());
-    private Token token;
+final class CapacityPlansTest {
+    private static final LeaseTiming RULES = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
+    private final ClusterState book = new ClusterState(100);
+    private final LeaseManager leaseManager = new LeaseManager(RULES, List.of());
+    private FencingToken token;
     private long number;
 
     private static NodeName node(int i) {
@@ -27,23 +27,25 @@
         return new Site("r", "z" + i % 2);
     }
 
-    private static Moment at(double seconds) {
-        return new Moment(Math.round(seconds * 1e9));
+    private static MonotonicTime at(double seconds) {
+        return new MonotonicTime(Math.round(seconds * 1e9));
     }
 
     private void found(int nodes) {
-        book.apply(new Deed.Found(1));
+        book.apply(new ClusterCommand.Bootstrap(1));
         for (int i = 0; i < nodes; i++) {
-            book.apply(new Deed.Join(node(i), new Life(i), site(i)));
+            book.apply(new ClusterCommand.Join(node(i), new Incarnation(i), site(i)));
         }
-        book.apply(new Deed.Give(DutyName.PLANNER, node(0), new Life(0), new Token(0)));
+        book.apply(
+                new ClusterCommand.GrantLease(
+                        DutyName.PLANNER, node(0), new Incarnation(0), new FencingToken(0)));
         token = book.duty(DutyName.PLANNER).token();
-        steward.leads(book, at(0));
+        leaseManager.leads(book, at(0));
     }
 
     private boolean plan(int z0, int z1, Map<String, Map<String, Integer>> alone) {
         return book.apply(
-                new Deed.SetPlan(
+                new ClusterCommand.SetCapacityPlan(
                         token,
                         book.lastPlan(),
                         Map.of("p", 10),
@@ -53,27 +55,32 @@
                         0));
     }
 
-    private Reply say(int node, long plan, double seconds) {
-        Beat beat =
-                new Beat(
-                        Beat.VERSION,
+    private HeartbeatReply say(int node, long plan, double seconds) {
+        Heartbeat heartbeat =
+                new Heartbeat(
+                        Heartbeat.VERSION,
                         node(node),
-                        new Life(node),
+                        new Incarnation(node),
                         site(node),
-                        Condition.WARM,
+                        NodeCondition.WARM,
                         ++number,
                         List.of(),
                         List.of(),
                         List.of(),
                         List.of(),
                         List.of(),
-                        new Report("1", "", null, List.of(), plan, List.of(), Tally.NOTHING));
-        return steward.replyTo(
-                beat, steward.heard(beat, book, at(seconds)), book, node(0), at(seconds));
+                        new NodeReport(
+                                "1", "", null, List.of(), plan, List.of(), RequestCounts.NOTHING));
+        return leaseManager.replyTo(
+                heartbeat,
+                leaseManager.heard(heartbeat, book, at(seconds)),
+                book,
+                node(0),
+                at(seconds));
     }
 
     private void decide(double seconds) {
-        steward.decide(book, 1, at(seconds)).forEach(book::apply);
+        leaseManager.decide(book, 1, at(seconds)).forEach(book::apply);
     }
 
     @Test
@@ -96,7 +103,7 @@
         say(0, 2, 4.6);
         say(2, 2, 4.6);
         decide(4.7);
-        assertThat(book.livePlans()).extracting(Plan::number).containsExactly(2L);
+        assertThat(book.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
         assertThat(plan(2, 8, Map.of())).isTrue();
     }
 
@@ -111,8 +118,8 @@
         decide(7.1);
         assertThat(book.livePlans()).as("3 s and the drift later").hasSize(1);
         plan(2, 1, Map.of());
-        steward.leadsNoMore();
-        steward.leads(book, at(8));
+        leaseManager.leadsNoMore();
+        leaseManager.leads(book, at(8));
         decide(10.9);
         assertThat(book.livePlans()).as("what the one before told isn't known here").hasSize(2);
         decide(11.1);
@@ -125,12 +132,12 @@
         Map<String, Map<String, Integer>> alone = Map.of("r/z0", Map.of("p", 3));
         assertThat(plan(2, 6, alone)).as("two nodes of z0 may have six in any case").isFalse();
         assertThat(plan(2, 4, alone)).isTrue();
-        book.apply(new Deed.Join(node(4), new Life(4), site(4)));
+        book.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
         assertThat(book.plan().of(node(4))).isEmpty();
         assertThat(say(4, 0, 5).share().slots()).isEmpty();
-        book.apply(new Deed.Forget(node(1)));
+        book.apply(new ClusterCommand.RemoveNode(node(1)));
         assertThat(book.plan().roster()).doesNotContainKey("n1");
-        Book again = new Book(100);
+        ClusterState again = new ClusterState(100);
         again.open(book.page());
         assertThat(again.page()).isEqualTo(book.page());
     }
@@ -139,20 +146,24 @@
     void whateverIsBelievedOfWhateverLivePlansTheSumStaysUnderTheBound() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Book one = new Book(100);
-            one.apply(new Deed.Found(1));
+            ClusterState one = new ClusterState(100);
+            one.apply(new ClusterCommand.Bootstrap(1));
             int nodes = 2 + random.nextInt(9);
             for (int i = 0; i < nodes; i++) {
-                one.apply(new Deed.Join(node(i), new Life(i), site(i)));
+                one.apply(new ClusterCommand.Join(node(i), new Incarnation(i), site(i)));
             }
-            one.apply(new Deed.Give(DutyName.PLANNER, node(0), new Life(0), new Token(0)));
-            Token under = one.duty(DutyName.PLANNER).token();
+            one.apply(
+                    new ClusterCommand.GrantLease(
+                            DutyName.PLANNER, node(0), new Incarnation(0), new FencingToken(0)));
+            FencingToken under = one.duty(DutyName.PLANNER).token();
             for (int step = 0; step < 60; step++) {
                 if (random.nextInt(4) == 0) {
-                    one.apply(new Deed.Retire(1 + random.nextInt((int) one.lastPlan() + 1)));
+                    one.apply(
+                            new ClusterCommand.RetireCapacityPlans(
+                                    1 + random.nextInt((int) one.lastPlan() + 1)));
                 } else {
                     one.apply(
-                            new Deed.SetPlan(
+                            new ClusterCommand.SetCapacityPlan(
                                     under,
                                     one.lastPlan(),
                                     Map.of("p", 12),
@@ -166,7 +177,7 @@
                                     0));
                 }
                 Map<Integer, Integer> believed = new HashMap<>();
-                List<Plan> live = new ArrayList<>(one.livePlans());
+                List<CapacityPlan> live = new ArrayList<>(one.livePlans());
                 for (int i = 0; i < nodes && !live.isEmpty(); i++) {
                     believed.put(
                             i,
--- a/src/test/java/lupinwood/fleet/PermitTest.java
+++ b/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
@@ -1,4 +1,4 @@
-package lupinwood.fleet;
+package lupinwood.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,12 +9,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-final class PermitTest {
+final class DisruptionPermitTest {
     private static final Site[] ZONES = {
         new Site("r", "a"), new Site("r", "b"), new Site("r", "c")
     };
-    private static final OutRules RULES = new OutRules(3, 0.5, 2, 1, 4);
-    private final Book book = new Book(100);
+    private static final DisruptionLimits RULES = new DisruptionLimits(3, 0.5, 2, 1, 4);
+    private final ClusterState book = new ClusterState(100);
 
     private static NodeName node(int i) {
         return new NodeName("n" + i);
@@ -22,12 +22,14 @@
 
     private void join(int nodes) {
         for (int i = 0; i < nodes; i++) {
-            book.apply(new Deed.Join(node(i), new Life(i), ZONES[i % 3]));
+            book.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
         }
     }
 
-    private boolean allow(String order, int node, NodeName... seenOut) {
-        return book.apply(new Deed.Allow(order, node(node), "ann", 5, RULES, List.of(seenOut)));
+    private boolean allow(String order, int node, NodeName... unavailableNodes) {
+        return book.apply(
+                new ClusterCommand.GrantPermit(
+                        order, node(node), "ann", 5, RULES, List.of(unavailableNodes)));
     }
 
     @Test
@@ -44,16 +46,16 @@
         assertThat(allow("o4", 4, node(4))).as("who isn't known to be well").isFalse();
         assertThat(allow("o5", 1)).isTrue();
         assertThat(allow("o6", 1)).as("it has one").isFalse();
-        book.apply(new Deed.Back(1, "well again", 6));
+        book.apply(new ClusterCommand.ReturnPermit(1, "well again", 6));
         assertThat(allow("o7", 2)).isTrue();
         assertThat(book.history())
-                .extracting(Book.Entry::text)
+                .extracting(ClusterState.HistoryEntry::text)
                 .contains("ann let n0 go under permit 1", "permit 1 of n0 ended: well again");
-        Book small = new Book(100);
+        ClusterState small = new ClusterState(100);
         for (int i = 0; i < 5; i++) {
-            small.apply(new Deed.Join(node(i), new Life(i), ZONES[i % 3]));
+            small.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
         }
-        small.apply(new Deed.Allow("x", node(0), "ann", 1, RULES, List.of()));
+        small.apply(new ClusterCommand.GrantPermit("x", node(0), "ann", 1, RULES, List.of()));
         assertThat(small.against(node(1), RULES, List.of()))
                 .isEqualTo("fewer than 4 nodes would stay in");
     }
@@ -61,13 +63,26 @@
     @Test
     void aMajorityOfVotersStaysWhateverElseTheRulesAllow() {
         join(9);
-        OutRules rules = new OutRules(9, 1, 9, 1, 0, List.of(node(0), node(1), node(2)));
-        assertThat(book.apply(new Deed.Allow("o1", node(0), "ann", 1, rules, List.of()))).isTrue();
-        assertThat(book.apply(new Deed.Allow("o2", node(4), "ann", 1, rules, List.of()))).isTrue();
-        assertThat(book.apply(new Deed.Allow("o3", node(1), "ann", 1, rules, List.of()))).isFalse();
+        DisruptionLimits rules =
+                new DisruptionLimits(9, 1, 9, 1, 0, List.of(node(0), node(1), node(2)));
+        assertThat(
+                        book.apply(
+                                new ClusterCommand.GrantPermit(
+                                        "o1", node(0), "ann", 1, rules, List.of())))
+                .isTrue();
+        assertThat(
+                        book.apply(
+                                new ClusterCommand.GrantPermit(
+                                        "o2", node(4), "ann", 1, rules, List.of())))
+                .isTrue();
+        assertThat(
+                        book.apply(
+                                new ClusterCommand.GrantPermit(
+                                        "o3", node(1), "ann", 1, rules, List.of())))
+                .isFalse();
         assertThat(book.against(node(1), rules, List.of()))
                 .isEqualTo("of 3 voters 1 are out, and a majority has to stay");
-        book.apply(new Deed.Back(1, "well again", 2));
+        book.apply(new ClusterCommand.ReturnPermit(1, "well again", 2));
         assertThat(book.against(node(1), rules, List.of(node(2))))
                 .contains("a majority has to stay");
         assertThat(book.against(node(1), rules, List.of())).isEmpty();
@@ -79,26 +94,26 @@
         assertThat(allow("o1", 0)).isTrue();
         assertThat(allow("o1", 0)).isTrue();
         assertThat(book.permits()).hasSize(1);
-        book.apply(new Deed.Halt("h1", true, "bob", 7));
+        book.apply(new ClusterCommand.SetHalt("h1", true, "bob", 7));
         assertThat(allow("o2", 1)).isFalse();
         assertThat(book.against(node(1), RULES, List.of())).isEqualTo("bob halted");
-        book.apply(new Deed.Halt("h2", false, "ann", 8));
-        book.apply(new Deed.Halt("h1", true, "bob", 9));
+        book.apply(new ClusterCommand.SetHalt("h2", false, "ann", 8));
+        book.apply(new ClusterCommand.SetHalt("h1", true, "bob", 9));
         assertThat(allow("o2", 1)).as("an old halt that is told again halts nothing").isTrue();
-        Book again = new Book(100);
+        ClusterState again = new ClusterState(100);
         again.open(book.page());
         assertThat(again.page()).isEqualTo(book.page());
         assertThat(again.answer("o2")).isEqualTo("permit 2 for n1");
     }
 
     @Test
-    void whateverIsAskedInWhateverOrderNeverMoreIsOutByPermitsThanTheRulesSay() {
+    void whateverIsRequestedInWhateverOrderNeverMoreIsOutByPermitsThanTheRulesSay() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            Book one = new Book(100);
+            ClusterState one = new ClusterState(100);
             int nodes = 4 + random.nextInt(20);
-            OutRules rules =
-                    new OutRules(
+            DisruptionLimits rules =
+                    new DisruptionLimits(
                             1 + random.nextInt(6),
                             random.nextDouble(),
                             1 + random.nextInt(3),
@@ -106,7 +121,7 @@
                             random.nextInt(5));
             Set<NodeName> unseen = new HashSet<>();
             for (int i = 0; i < nodes; i++) {
-                one.apply(new Deed.Join(node(i), new Life(i), ZONES[i % 3]));
+                one.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
             }
             for (int step = 0; step < 200; step++) {
                 NodeName node = node(random.nextInt(nodes));
@@ -119,16 +134,19 @@
                                             .ifPresent(
                                                     permit ->
                                                             one.apply(
-                                                                    new Deed.Back(
+                                                                    new ClusterCommand.ReturnPermit(
                                                                             permit.number(),
                                                                             "back",
                                                                             0)));
                     case 1 -> unseen.add(node);
                     case 2 -> unseen.remove(node);
-                    case 3 -> one.apply(new Deed.Halt("h" + step, random.nextBoolean(), "x", 0));
+                    case 3 ->
+                            one.apply(
+                                    new ClusterCommand.SetHalt(
+                                            "h" + step, random.nextBoolean(), "x", 0));
                     default ->
                             one.apply(
-                                    new Deed.Allow(
+                                    new ClusterCommand.GrantPermit(
                                             "o" + random.nextInt(400),
                                             node,
                                             "x",
--- a/src/test/java/lupinwood/config/CorpusTest.java
+++ b/src/test/java/lupinwood/config/CorpusTest.java
@@ -22,18 +22,18 @@
     void eachBrokenFileGivesItsOneMessage() throws IOException {
         List<String> expected = Files.readAllLines(CORPUS.resolve("expected.txt"));
         List<String> got = new ArrayList<>();
-        String folder = CORPUS.resolve("broken") + "/";
+        String directory = CORPUS.resolve("broken") + "/";
         try (Stream<Path> files = Files.list(CORPUS.resolve("broken"))) {
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
-                Problems problems = Reader.read(new FileSources(), file.toString()).problems();
-                for (Problem problem : problems.all()) {
+                Diagnostics problems = Reader.read(new FileSources(), file.toString()).problems();
+                for (Diagnostic problem : problems.all()) {
                     got.add(
                             (file.getFileName()
                                             + " | "
                                             + problem.place()
                                             + ": error: "
-                                            + Report.visible(problem.text()))
-                                    .replace(folder, "")
+                                            + DiagnosticReport.visible(problem.text()))
+                                    .replace(directory, "")
                                     .replace(CORPUS + "/", "../"));
                 }
             }
--- a/src/test/java/lupinwood/config/LanguagePropertiesTest.java
+++ b/src/test/java/lupinwood/config/LanguagePropertiesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
-import lupinwood.reload.Plan;
+import lupinwood.reload.ConfigDiff;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -84,7 +84,7 @@
     }
 
     @Property(tries = 1500, seed = "42")
-    void anyTextIsReadOrItsMistakesTold(@ForAll("soups") String text) {
+    void anyTextIsReadOrItsMistakesReported(@ForAll("soups") String text) {
         holds(text);
     }
 
@@ -96,13 +96,13 @@
 
     private static Config holds(String text) {
         Config config = MemorySources.read(text);
-        Report.text(config.problems(), config::source);
-        Report.json(config.problems());
-        Problems problems = new Problems();
+        DiagnosticReport.text(config.problems(), config::source);
+        DiagnosticReport.json(config.problems());
+        Diagnostics problems = new Diagnostics();
         String once = Formatter.format(new Source("a", text), problems);
         assertThat(once == null).isEqualTo(!problems.isEmpty());
         if (once != null) {
-            assertThat(Formatter.format(new Source("a", once), new Problems()))
+            assertThat(Formatter.format(new Source("a", once), new Diagnostics()))
                     .as(text)
                     .isEqualTo(once);
             Config formatted = MemorySources.read(once);
@@ -111,7 +111,8 @@
                     .as(text)
                     .isEqualTo(config.problems().isEmpty());
             if (config.problems().isEmpty()) {
-                assertThat(Plan.between(config.meaning(), formatted.meaning()).isEmpty()).isTrue();
+                assertThat(ConfigDiff.between(config.meaning(), formatted.meaning()).isEmpty())
+                        .isTrue();
             }
         }
         return config;
--- a/src/test/java/lupinwood/config/ReaderTest.java
+++ b/src/test/java/lupinwood/config/ReaderTest.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 import lupinwood.load.FileSources;
 import lupinwood.net.NodeConfig;
-import lupinwood.reload.Plan;
-import lupinwood.settings.Meaning;
+import lupinwood.reload.ConfigDiff;
+import lupinwood.settings.ParsedSettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -40,14 +40,14 @@
             track unlock { effect receipted; agreed-time $quick; abandon-time (s)4; window 13020ms; calls #true }
             """;
 
-    private static Meaning sound(String text) {
+    private static ParsedSettings sound(String text) {
         Config config = MemorySources.read(text);
-        assertThat(Report.text(config.problems(), config::source)).isEmpty();
+        assertThat(DiagnosticReport.text(config.problems(), config::source)).isEmpty();
         return config.meaning();
     }
 
     private static String messages(Config config) {
-        return Report.text(config.problems(), place -> null);
+        return DiagnosticReport.text(config.problems(), place -> null);
     }
 
     @Test
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatIsSeenAsBlankIsBlankAndRemarksMeanNothing() {
+    void whatIsObservedAsBlankIsBlankAndRemarksMeanNothing() {
         String same =
                 "\uFEFF"
                         + NODE.replace("\n", "\r\n")
@@ -107,14 +107,14 @@
 
     @Test
     void importingThePlatformsFormKeepsEveryEntry() throws Exception {
-        Meaning json = NodeConfig.read(Path.of("examples/config.json")).meaning();
-        Meaning language = sound(Writer.write(json, name -> ""));
+        ParsedSettings json = NodeConfig.read(Path.of("examples/config.json")).meaning();
+        ParsedSettings language = sound(Writer.write(json, name -> ""));
         assertThat(language).isEqualTo(json);
-        assertThat(Plan.between(json, language).isEmpty()).isTrue();
-        Map<String, String> told = NodeConfig.read(Path.of("examples/config.json")).settings();
+        assertThat(ConfigDiff.between(json, language).isEmpty()).isTrue();
+        Map<String, String> reported = NodeConfig.read(Path.of("examples/config.json")).settings();
         Map<String, String> same = NodeConfig.of(language).settings();
-        assertThat(same.keySet()).isEqualTo(told.keySet());
-        told.forEach(
+        assertThat(same.keySet()).isEqualTo(reported.keySet());
+        reported.forEach(
                 (key, value) -> {
                     boolean number = value.matches("-?[0-9]+(\\.[0-9]+)?");
                     if (number) {
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void severalMistakesAreAllTold() {
+    void severalMistakesAreAllReported() {
         String text =
                 NODE.replace("stop 3s", "stop 3")
                                 .replace("share 60%", "share 0.6")
@@ -154,10 +154,11 @@
     }
 
     @Test
-    void anIncludeLeadsOutOfItsFolderNeitherByPathNorByLink(@TempDir Path folder) throws Exception {
-        Path inside = Files.createDirectories(folder.resolve("in"));
-        Files.writeString(folder.resolve("secret.kdl"), "group-size 2\n");
-        Files.createSymbolicLink(inside.resolve("link.kdl"), folder.resolve("secret.kdl"));
+    void anIncludeLeadsOutOfItsDirectoryNeitherByPathNorByLink(@TempDir Path directory)
+            throws Exception {
+        Path inside = Files.createDirectories(directory.resolve("in"));
+        Files.writeString(directory.resolve("secret.kdl"), "group-size 2\n");
+        Files.createSymbolicLink(inside.resolve("link.kdl"), directory.resolve("secret.kdl"));
         Files.createSymbolicLink(
                 inside.resolve("kept.kdl"),
                 Files.writeString(inside.resolve("real.kdl"), "group-size 3\n"));
@@ -202,7 +203,7 @@
     }
 
     @Test
-    void depthAndSizeCostNoMoreThanTheirBounds(@TempDir Path folder) throws Exception {
+    void depthAndSizeCostNoMoreThanTheirBounds(@TempDir Path directory) throws Exception {
         for (String deep :
                 List.of(
                         "a {\n",
@@ -222,7 +223,7 @@
         assertThat(messages(MemorySources.read("a {\n".repeat(100_000))))
                 .contains("nested more than 32 deep")
                 .hasLineCount(1);
-        Path large = folder.resolve("large.kdl");
+        Path large = directory.resolve("large.kdl");
         try (RandomAccessFile file = new RandomAccessFile(large.toFile(), "rw")) {
             file.setLength(100_000_000);
         }
@@ -231,11 +232,11 @@
     }
 
     @Test
-    void theOrderOfEntriesMeansNothingButThatOfTracksToThePlan() {
+    void theOrderOfEntriesMeansNothingButThatOfRequestClassesToThePlan() {
         List<String> lines = new ArrayList<>(NODE.lines().toList());
         for (int seed = 0; seed < 20; seed++) {
             Collections.shuffle(lines, new Random(seed));
-            assertThat(Plan.between(sound(NODE), sound(String.join("\n", lines))).steps())
+            assertThat(ConfigDiff.between(sound(NODE), sound(String.join("\n", lines))).steps())
                     .isEmpty();
         }
     }
--- a/src/test/java/lupinwood/config/ReferenceTest.java
+++ b/src/test/java/lupinwood/config/ReferenceTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import lupinwood.load.FileSources;
 import lupinwood.net.NodeConfig;
-import lupinwood.reload.Plan;
+import lupinwood.reload.ConfigDiff;
 import lupinwood.settings.Entry;
 import lupinwood.settings.Schema;
 import org.junit.jupiter.api.Test;
@@ -29,7 +29,7 @@
         Config config = Reader.read(new FileSources(), "examples/node.kdl");
         assertThat(config.problems().all()).isEmpty();
         assertThat(
-                        Plan.between(
+                        ConfigDiff.between(
                                         NodeConfig.read(Path.of("examples/config.json")).meaning(),
                                         config.meaning())
                                 .steps())
@@ -37,7 +37,7 @@
         for (String file :
                 new String[] {"examples/node.kdl", "examples/fleet.kdl", "deploy/operator.kdl"}) {
             String text = Files.readString(Path.of(file));
-            assertThat(Formatter.format(new Source(file, text), new Problems()))
+            assertThat(Formatter.format(new Source(file, text), new Diagnostics()))
                     .as(file)
                     .isEqualTo(text);
         }
--- a/src/test/java/lupinwood/council/FleetJsonTest.java
+++ b/src/test/java/lupinwood/consensus/ClusterJsonTest.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lupinwood.fleet.Deed;
+import lupinwood.cluster.ClusterCommand;
 import org.junit.jupiter.api.Test;
 
 /** Nothing is written under a Java name: what has no table is refused. */
-final class FleetJsonTest {
+final class ClusterJsonTest {
     private record Unnamed(int number) {}
 
     private record WithUnnamed(List<Unnamed> list) {}
@@ -30,10 +30,10 @@
     }
 
     private static void refuses(Object value, String text, Class<?> type) {
-        assertThatThrownBy(() -> FleetJson.tree(value))
+        assertThatThrownBy(() -> ClusterJson.tree(value))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("has no names to be stored and sent by");
-        assertThatThrownBy(() -> FleetJson.gson().fromJson(text, type))
+        assertThatThrownBy(() -> ClusterJson.gson().fromJson(text, type))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("has no names to be stored and sent by");
     }
@@ -43,7 +43,7 @@
         refuses(new Unnamed(1), "{\"number\":1}", Unnamed.class);
         refuses(Choice.FIRST, "\"FIRST\"", Choice.class);
         refuses(new WithUnnamed(List.of()), "{\"list\":[]}", WithUnnamed.class);
-        assertThatThrownBy(() -> FleetJson.nameOf(Choice.SECOND))
+        assertThatThrownBy(() -> ClusterJson.nameOf(Choice.SECOND))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -62,7 +62,7 @@
     void anOrdinaryClassIsRefused() {
         Ordinary value = new Ordinary();
         assertThat(value.number).isOne();
-        assertThatThrownBy(() -> FleetJson.tree(value)).isInstanceOf(JsonIOException.class);
+        assertThatThrownBy(() -> ClusterJson.tree(value)).isInstanceOf(JsonIOException.class);
     }
 
     @Test
@@ -78,23 +78,24 @@
 
     @Test
     void eachKindOfCommandHasANameOfItsOwn() {
-        Set<Class<?>> held = new HashSet<>();
+        Set<Class<?>> leased = new HashSet<>();
         for (GoldenForm<?> form : GoldenCommands.forms()) {
-            if (form.value() instanceof Deed command) {
-                held.add(command.getClass());
-                assertThat(FleetJson.commandOf(FleetJson.kindOf(command)))
+            if (form.value() instanceof ClusterCommand command) {
+                leased.add(command.getClass());
+                assertThat(ClusterJson.commandOf(ClusterJson.kindOf(command)))
                         .isEqualTo(command.getClass());
             }
         }
-        assertThat(held)
+        assertThat(leased)
                 .as("each kind is held by a golden file")
                 .hasSize(18)
-                .isEqualTo(Set.of(Deed.class.getPermittedSubclasses()));
+                .isEqualTo(Set.of(ClusterCommand.class.getPermittedSubclasses()));
     }
 
     @Test
     void aConstantOfANewerVersionIsRefusedWhereItIsNeeded() {
         JsonObject text = GoldenForm.object("{\"k\":\"am\",\"from\":\"n0\",\"state\":\"NEWER\"}");
-        assertThatThrownBy(() -> Founding.told(text)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> ClusterBootstrap.reported(text))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- /dev/null
+++ b/src/test/java/lupinwood/consensus/GoldenCommands.java
@@ -0,0 +1,344 @@
+package lupinwood.consensus;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.Cordon;
+import lupinwood.cluster.DisruptionLimits;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
+import lupinwood.cluster.Site;
+
+/** The commands in the log and the snapshots of the state that they make. */
+final class GoldenCommands {
+    static final NodeName N0 = new NodeName("n0");
+    static final NodeName N1 = new NodeName("n1");
+    static final NodeName N2 = new NodeName("n2");
+    static final NodeName N3 = new NodeName("n3");
+    static final NodeName N4 = new NodeName("n4");
+    static final Site SITE = new Site("eu", "eu-1");
+    static final Site OTHER_SITE = new Site("us", "us-2");
+    static final Incarnation LIFE = new Incarnation(-6172840429334713771L);
+    static final RequestCounts TALLY =
+            new RequestCounts(
+                    List.of(
+                            new RequestCounts.ClassCounts("quick", 120, 3, 2, 1, 12.0625),
+                            new RequestCounts.ClassCounts("others", 1L << 40, 0, 0, 0, 1.0E-5)));
+    private static final long AT = 1_790_000_000_000L;
+    private static final long FIRST_TOKEN = 1_790_000_000_001L;
+    private static final FencingToken STATUS_REPORTER = new FencingToken(FIRST_TOKEN);
+    private static final FencingToken ROLLOUT_CONTROLLER = new FencingToken(FIRST_TOKEN + 1);
+    private static final FencingToken PLANNER = new FencingToken(FIRST_TOKEN + 2);
+    private static final FencingToken HEALTH_CHECK = new FencingToken(FIRST_TOKEN + 3);
+    private static final FencingToken NONE = new FencingToken(0);
+    private static final String TEXT = "class \"a\" { limit <10 } // 'é' & =\n";
+
+    private GoldenCommands() {}
+
+    private static Map<String, Integer> places(int first, int second) {
+        Map<String, Integer> places = new TreeMap<>();
+        places.put("place-a", first);
+        places.put("place-b", second);
+        return places;
+    }
+
+    private static Map<String, RequestCounts> past() {
+        Map<String, RequestCounts> past = new TreeMap<>();
+        past.put("n0", TALLY);
+        past.put("n1", RequestCounts.NOTHING);
+        return past;
+    }
+
+    /** Brings members, leases, a permit, a release that is done, and two plans. */
+    static List<ClusterCommand> story() {
+        return new ArrayList<>(
+                List.of(
+                        new ClusterCommand.Bootstrap(FIRST_TOKEN - 1),
+                        new ClusterCommand.Join(N0, LIFE, SITE),
+                        new ClusterCommand.Join(N1, new Incarnation(1), SITE),
+                        new ClusterCommand.Join(N2, new Incarnation(2), OTHER_SITE),
+                        new ClusterCommand.Join(N3, new Incarnation(3), OTHER_SITE),
+                        new ClusterCommand.GrantLease(DutyName.STATUS_REPORTER, N0, LIFE, NONE),
+                        new ClusterCommand.GrantLease(
+                                DutyName.ROLLOUT_CONTROLLER, N1, new Incarnation(1), NONE),
+                        new ClusterCommand.GrantLease(
+                                DutyName.PLANNER, N2, new Incarnation(2), NONE),
+                        new ClusterCommand.GrantLease(DutyName.HEALTH_CHECK, N0, LIFE, NONE),
+                        new ClusterCommand.ReleaseLease(
+                                DutyName.HEALTH_CHECK,
+                                HEALTH_CHECK,
+                                ClusterCommand.LeaseEnd.HANDED_ON),
+                        new ClusterCommand.RecordStatus(STATUS_REPORTER, "4 nodes known"),
+                        new ClusterCommand.GrantPermit(
+                                "order-1", N3, "ann", AT, DisruptionLimits.USUAL, List.of()),
+                        new ClusterCommand.BeginRollout(
+                                "order-2",
+                                "ann",
+                                Rollout.Kind.CONFIGURATION,
+                                "d1",
+                                TEXT,
+                                true,
+                                AT + 1),
+                        new ClusterCommand.AdvanceRollout(
+                                ROLLOUT_CONTROLLER,
+                                1,
+                                1,
+                                false,
+                                List.of(N0, N1),
+                                "all have checked it",
+                                past(),
+                                AT + 2),
+                        new ClusterCommand.FinishRollout(ROLLOUT_CONTROLLER, 1, true, "", AT + 3),
+                        new ClusterCommand.SetCapacityPlan(
+                                PLANNER,
+                                0,
+                                places(20, 10),
+                                Map.of("eu/eu-1", Map.of("place-a", 1)),
+                                Map.of("eu/eu-1", places(7, 2)),
+                                "first",
+                                AT + 4),
+                        new ClusterCommand.SetCapacityPlan(
+                                PLANNER,
+                                1,
+                                places(20, 10),
+                                Map.of("eu/eu-1", Map.of("place-a", 1)),
+                                Map.of("us/us-2", places(3, 2)),
+                                "",
+                                AT + 5),
+                        new ClusterCommand.Join(N4, new Incarnation(4), SITE),
+                        new ClusterCommand.Leave(N4, new Incarnation(4))));
+    }
+
+    /** A program released, the duty trial with the next holder, and a server that rests. */
+    static List<ClusterCommand> afterTheSnapshot() {
+        return List.of(
+                new ClusterCommand.BeginRollout(
+                        "order-3", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, AT + 10),
+                new ClusterCommand.AdvanceRollout(
+                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2), "", null, AT + 11),
+                new ClusterCommand.FinishRollout(ROLLOUT_CONTROLLER, 2, true, "went well", AT + 12),
+                new ClusterCommand.GrantLease(
+                        DutyName.HEALTH_CHECK, N1, new Incarnation(1), HEALTH_CHECK),
+                new ClusterCommand.CordonServer("order-4", "server-1", "ann", 2, AT + 13),
+                new ClusterCommand.RetireCapacityPlans(2));
+    }
+
+    /** A second configuration halfway out, turned back once, and a halt. */
+    private static List<ClusterCommand> halfwayOut() {
+        return List.of(
+                new ClusterCommand.BeginRollout(
+                        "order-5",
+                        "bob",
+                        Rollout.Kind.CONFIGURATION,
+                        "d2",
+                        TEXT + TEXT,
+                        false,
+                        AT + 20),
+                new ClusterCommand.AdvanceRollout(
+                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2, N0), "", past(), AT + 21),
+                new ClusterCommand.RollBack("order-6", 2, "bob", AT + 22),
+                new ClusterCommand.AdvanceRollout(
+                        ROLLOUT_CONTROLLER, 2, 2, true, List.of(N2), "", null, AT + 23),
+                new ClusterCommand.SetHalt("order-7", true, "ann", AT + 24));
+    }
+
+    static ClusterState book(List<ClusterCommand> commands) {
+        ClusterState book = new ClusterState(16);
+        for (ClusterCommand command : commands) {
+            if (!book.apply(command)) {
+                throw new IllegalStateException(command + " doesn't fit");
+            }
+        }
+        return book;
+    }
+
+    static ClusterState.Snapshot pageWithAll() {
+        List<ClusterCommand> commands = story();
+        commands.addAll(halfwayOut());
+        ClusterState.Snapshot page = book(commands).page();
+        return new ClusterState.Snapshot(
+                page.members(),
+                page.duties(),
+                page.lastToken(),
+                page.digest(),
+                page.commands(),
+                page.permits(),
+                page.lastPermit(),
+                page.haltedBy(),
+                page.done(),
+                page.history(),
+                page.releases(),
+                List.of(new Cordon("server-1", "ann"), new Cordon("server-2", "bob")),
+                page.plans());
+    }
+
+    private static ClusterState.Snapshot pageOfAnOlderVersion() {
+        ClusterState.Snapshot page = book(story()).page();
+        return new ClusterState.Snapshot(
+                page.members(),
+                page.duties(),
+                page.lastToken(),
+                page.digest(),
+                page.commands(),
+                page.permits(),
+                page.lastPermit(),
+                page.haltedBy(),
+                page.done(),
+                page.history(),
+                null,
+                null,
+                null);
+    }
+
+    private static GoldenForm<ClusterCommand> command(String file, ClusterCommand command) {
+        return new GoldenForm<>(
+                "command-" + file + ".json", command, CommandCodec::of, CommandCodec::command);
+    }
+
+    private static GoldenForm<ClusterState.Snapshot> snapshot(
+            String file, ClusterState.Snapshot page) {
+        return new GoldenForm<>(
+                "snapshot-" + file + ".json",
+                page,
+                one -> String.join("", CommandCodec.pieces(one).toArray(String[]::new)),
+                text -> CommandCodec.page(List.of(text)));
+    }
+
+    static List<GoldenForm<?>> forms() {
+        List<GoldenForm<?>> forms = new ArrayList<>();
+        addSnapshots(forms);
+        addMembersAndLeases(forms);
+        addOperatorsOrders(forms);
+        addReleasesAndPlans(forms);
+        return forms;
+    }
+
+    private static void addSnapshots(List<GoldenForm<?>> forms) {
+        forms.add(snapshot("full", pageWithAll()));
+        forms.add(snapshot("empty", new ClusterState(16).page()));
+        forms.add(snapshot("older-version", pageOfAnOlderVersion()));
+    }
+
+    private static void addMembersAndLeases(List<GoldenForm<?>> forms) {
+        forms.add(command("found", new ClusterCommand.Bootstrap(1_790_000_000_000L)));
+        forms.add(command("join", new ClusterCommand.Join(N0, LIFE, SITE)));
+        forms.add(command("leave", new ClusterCommand.Leave(N0, LIFE)));
+        forms.add(command("forget", new ClusterCommand.RemoveNode(N0)));
+        forms.add(
+                command(
+                        "give",
+                        new ClusterCommand.GrantLease(
+                                DutyName.HEALTH_CHECK, N1, LIFE, new FencingToken(5))));
+        int whyNumber = 0;
+        for (ClusterCommand.LeaseEnd why : ClusterCommand.LeaseEnd.values()) {
+            forms.add(
+                    command(
+                            "free-" + whyNumber++,
+                            new ClusterCommand.ReleaseLease(
+                                    DutyName.STATUS_REPORTER, new FencingToken(5), why)));
+        }
+        forms.add(
+                command("keep", new ClusterCommand.RecordStatus(STATUS_REPORTER, "3 nodes known")));
+    }
+
+    private static void addOperatorsOrders(List<GoldenForm<?>> forms) {
+        forms.add(
+                command(
+                        "allow",
+                        new ClusterCommand.GrantPermit(
+                                "order-1",
+                                N3,
+                                "ann <ann@example.org>",
+                                AT,
+                                new DisruptionLimits(3, 0.25, 2, 0.5, 1, List.of(N0, N1)),
+                                List.of(N2, N4))));
+        forms.add(
+                command(
+                        "allow-minimal",
+                        new ClusterCommand.GrantPermit(
+                                "",
+                                N3,
+                                "",
+                                0,
+                                new DisruptionLimits(Integer.MAX_VALUE, 0.1, 0, 1.0E-7, 0, null),
+                                List.of())));
+        forms.add(command("back", new ClusterCommand.ReturnPermit(7, "seen well again", AT)));
+        forms.add(command("back-minimal", new ClusterCommand.ReturnPermit(7, null, 0)));
+        forms.add(command("halt", new ClusterCommand.SetHalt("order-1", true, "ann", AT)));
+        forms.add(command("resume", new ClusterCommand.SetHalt("order-2", false, "ann", AT)));
+        forms.add(
+                command(
+                        "begin-configuration",
+                        new ClusterCommand.BeginRollout(
+                                "order-3",
+                                "bob",
+                                Rollout.Kind.CONFIGURATION,
+                                "0123456789abcdef",
+                                TEXT,
+                                true,
+                                AT)));
+        forms.add(
+                command(
+                        "begin-program",
+                        new ClusterCommand.BeginRollout(
+                                "order-4", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, AT)));
+    }
+
+    private static void addReleasesAndPlans(List<GoldenForm<?>> forms) {
+        forms.add(
+                command(
+                        "step",
+                        new ClusterCommand.AdvanceRollout(
+                                ROLLOUT_CONTROLLER,
+                                3,
+                                2,
+                                true,
+                                List.of(N0, N1),
+                                "halted",
+                                past(),
+                                AT)));
+        forms.add(
+                command(
+                        "step-minimal",
+                        new ClusterCommand.AdvanceRollout(
+                                ROLLOUT_CONTROLLER, 3, 1, false, List.of(), "", null, 0)));
+        forms.add(command("turn", new ClusterCommand.RollBack("order-5", 3, "ann", AT)));
+        forms.add(
+                command(
+                        "finish",
+                        new ClusterCommand.FinishRollout(
+                                ROLLOUT_CONTROLLER, 3, true, "went well", AT)));
+        forms.add(
+                command(
+                        "let-rest",
+                        new ClusterCommand.CordonServer("order-6", "server-1", "ann", 2, AT)));
+        forms.add(
+                command(
+                        "end-rest",
+                        new ClusterCommand.UncordonServer("order-7", "server-1", "ann", AT)));
+        forms.add(
+                command(
+                        "set-plan",
+                        new ClusterCommand.SetCapacityPlan(
+                                PLANNER,
+                                4,
+                                places(20, 10),
+                                Map.of("eu/eu-1", places(1, 0)),
+                                Map.of("us/us-2", places(3, 2)),
+                                "place-b is full",
+                                AT)));
+        forms.add(
+                command(
+                        "set-plan-minimal",
+                        new ClusterCommand.SetCapacityPlan(
+                                PLANNER, 0, Map.of(), Map.of(), Map.of(), "", 0)));
+        forms.add(command("retire", new ClusterCommand.RetireCapacityPlans(5)));
+    }
+}
--- a/src/test/java/lupinwood/council/GoldenForm.java
+++ b/src/test/java/lupinwood/consensus/GoldenForm.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonObject;
@@ -14,10 +14,10 @@
  * for, and the code that writes and reads it.
  */
 record GoldenForm<T>(String file, T value, Function<T, String> write, Function<String, T> read) {
-    static final Path FOLDER = Path.of("src/test/resources/golden/replicated");
+    static final Path DIRECTORY = Path.of("src/test/resources/golden/replicated");
 
     /** Writes and reads what voters, nodes and operators send each other. */
-    static final Gson JSON = FleetJson.gson();
+    static final Gson JSON = ClusterJson.gson();
 
     /** A value as it stands inside of a message. */
     static <T> GoldenForm<T> inMessage(String file, T value, Class<T> type) {
@@ -41,6 +41,6 @@
     }
 
     String golden() throws IOException {
-        return Files.readString(FOLDER.resolve(file), StandardCharsets.UTF_8);
+        return Files.readString(DIRECTORY.resolve(file), StandardCharsets.UTF_8);
     }
 }
