--- a/src/test/java/lupinwood/council/GoldenFormsTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenFormsTest.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.Reply;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.HeartbeatReply;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
@@ -68,7 +68,7 @@
 
     @Test
     void eachFileHasAFormAndEachFormAFileOfItsOwn() throws IOException {
-        try (Stream<Path> files = Files.list(GoldenForm.FOLDER)) {
+        try (Stream<Path> files = Files.list(GoldenForm.DIRECTORY)) {
             assertThat(files.map(file -> file.getFileName().toString()).toList())
                     .containsExactlyInAnyOrderElementsOf(
                             forms().stream().map(GoldenForm::file).toList());
@@ -77,7 +77,7 @@
 
     @Test
     void aCommandOfANewerVersionIsPassedOver() {
-        assertThat(DeedText.deed("{\"what\":1,\"deed\":\"Unheard\"}")).isNull();
+        assertThat(CommandCodec.command("{\"what\":1,\"deed\":\"Unheard\"}")).isNull();
     }
 
     /** A newer version may say more, at the top and further in. */
@@ -100,23 +100,30 @@
 
     @Test
     void missingFieldsAreNullZeroOrFalseAndUnknownConstantsNull() {
-        Beat beat = GoldenForm.JSON.fromJson("{\"condition\":\"NEWER\"}", Beat.class);
-        assertThat(beat)
+        Heartbeat heartbeat =
+                GoldenForm.JSON.fromJson("{\"condition\":\"NEWER\"}", Heartbeat.class);
+        assertThat(heartbeat)
                 .isEqualTo(
-                        new Beat(0, null, null, null, null, 0, null, null, null, null, null, null));
-        Reply reply = GoldenForm.JSON.fromJson("{}", Reply.class);
+                        new Heartbeat(
+                                0, null, null, null, null, 0, null, null, null, null, null, null));
+        HeartbeatReply reply = GoldenForm.JSON.fromJson("{}", HeartbeatReply.class);
         assertThat(reply)
-                .isEqualTo(new Reply(0, false, null, null, null, null, null, 0, null, null, 0));
-        assertThat(DeedText.deed("{\"deed\":\"Free\",\"why\":\"NEWER\"}"))
-                .isEqualTo(new Deed.Free(null, null, null));
+                .isEqualTo(
+                        new HeartbeatReply(
+                                0, false, null, null, null, null, null, 0, null, null, 0));
+        assertThat(CommandCodec.command("{\"deed\":\"Free\",\"why\":\"NEWER\"}"))
+                .isEqualTo(new ClusterCommand.ReleaseLease(null, null, null));
     }
 
     @Test
     void theLastOfTwoEqualFieldsCountsAndExplicitNullsAreNull() {
-        assertThat(GoldenForm.JSON.fromJson("{\"number\":1,\"number\":2}", Reply.class).number())
+        assertThat(
+                        GoldenForm.JSON
+                                .fromJson("{\"number\":1,\"number\":2}", HeartbeatReply.class)
+                                .number())
                 .isEqualTo(2);
-        assertThat(GoldenForm.JSON.fromJson("{\"name\":null}", Beat.class).name()).isNull();
-        assertThat(GoldenForm.JSON.fromJson("null", Beat.class)).isNull();
+        assertThat(GoldenForm.JSON.fromJson("{\"name\":null}", Heartbeat.class).name()).isNull();
+        assertThat(GoldenForm.JSON.fromJson("null", Heartbeat.class)).isNull();
         assertThat(GoldenForm.JSON.toJsonTree(null).isJsonNull()).isTrue();
     }
 
@@ -131,7 +138,7 @@
                         "{\"leader\":[]}",
                         "[]",
                         "7")) {
-            assertThatThrownBy(() -> GoldenForm.JSON.fromJson(text, Reply.class))
+            assertThatThrownBy(() -> GoldenForm.JSON.fromJson(text, HeartbeatReply.class))
                     .as(text)
                     .isInstanceOf(JsonParseException.class);
         }
--- a/src/test/java/lupinwood/council/GoldenFolder.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorage.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
@@ -9,20 +9,20 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
 
 /** What the golden folder of a voter holds: a vote, a snapshot, and a log past it. */
-final class GoldenFolder {
+final class GoldenRaftStorage {
     static final int TERM = 7;
     static final String VOTED_FOR = "n1";
 
-    private GoldenFolder() {}
+    private GoldenRaftStorage() {}
 
     static RaftGroupMembersView voters() {
         Set<RaftEndpoint> voters = new LinkedHashSet<>();
         List.of("n0", "n1", "n2").forEach(id -> voters.add(new Voter(id)));
-        return RaftText.MODEL
+        return RaftCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
                 .setMembers(voters)
@@ -34,41 +34,42 @@
     static List<String> operations() {
         List<String> operations = new ArrayList<>();
         operations.add("term");
-        GoldenCommands.afterTheSnapshot().forEach(deed -> operations.add(DeedText.of(deed)));
+        GoldenCommands.afterTheSnapshot()
+                .forEach(command -> operations.add(CommandCodec.of(command)));
         operations.add("");
         operations.add("{\"deed\":\"Newer\",\"number\":1}");
         return operations;
     }
 
     /** The state that the snapshot holds, whose last entry has the number of the story's length. */
-    static Book.Page snapshot() {
+    static ClusterState.Snapshot snapshot() {
         return GoldenCommands.book(GoldenCommands.story()).page();
     }
 
-    static Book.Page latest() {
-        List<Deed> deeds = GoldenCommands.story();
-        deeds.addAll(GoldenCommands.afterTheSnapshot());
-        return GoldenCommands.book(deeds).page();
+    static ClusterState.Snapshot latest() {
+        List<ClusterCommand> commands = GoldenCommands.story();
+        commands.addAll(GoldenCommands.afterTheSnapshot());
+        return GoldenCommands.book(commands).page();
     }
 
     /** Was run once, with the code of the version before the first that renamed a type. */
     static void write(Path at) throws IOException {
         long index = GoldenCommands.story().size();
-        try (Folder folder = Folder.open(at, failure -> {})) {
-            Founding.write(
-                    folder,
+        try (RaftStorage storage = RaftStorage.open(at, failure -> {})) {
+            ClusterBootstrap.write(
+                    storage,
                     GoldenCommands.N0,
                     List.of(GoldenCommands.N0, GoldenCommands.N1, GoldenCommands.N2));
-            folder.persistAndFlushTerm(
-                    RaftText.MODEL
+            storage.persistAndFlushTerm(
+                    RaftCodec.MODEL
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(TERM)
                             .setVotedFor(new Voter(VOTED_FOR))
                             .build());
-            List<Object> pieces = DeedText.pieces(snapshot());
+            List<Object> pieces = CommandCodec.pieces(snapshot());
             for (int i = 0; i < pieces.size(); i++) {
-                folder.persistSnapshotChunk(
-                        RaftText.MODEL
+                storage.persistSnapshotChunk(
+                        RaftCodec.MODEL
                                 .createSnapshotChunkBuilder()
                                 .setIndex(index)
                                 .setTerm(TERM - 1)
@@ -82,8 +83,8 @@
             for (String operation : operations()) {
                 entries.add(GoldenRaft.entry(++index, operation));
             }
-            folder.persistLogEntries(entries);
-            folder.flush();
+            storage.persistLogEntries(entries);
+            storage.flush();
         }
     }
 }
--- a/src/test/java/lupinwood/council/GoldenFolderTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -11,21 +11,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Plan;
-import lupinwood.fleet.Rest;
-import lupinwood.fleet.Token;
+import lupinwood.cluster.CapacityPlan;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.Cordon;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A folder that an earlier version wrote gives the same voter and the same state. */
-final class GoldenFolderTest {
+final class GoldenRaftStorageTest {
     private static final Path GOLDEN = Path.of("src/test/resources/golden/voter-folder");
     @TempDir private Path at;
-    private RestoredRaftState kept;
+    private RestoredRaftState stored;
 
     @BeforeEach
     void restore() throws IOException {
@@ -34,35 +34,35 @@
                 Files.copy(file, at.resolve(file.getFileName().toString()));
             }
         }
-        try (Folder folder = Folder.open(at, failure -> {})) {
-            kept = folder.restore();
+        try (RaftStorage storage = RaftStorage.open(at, failure -> {})) {
+            stored = storage.restore();
         }
     }
 
     @Test
     void theVoterItsTermAndItsVoteAreThere() {
-        assertThat(Founding.of(kept)).isEqualTo(Founding.State.VOTES);
-        assertThat(kept.getLocalEndpointPersistentState().getLocalEndpoint())
+        assertThat(ClusterBootstrap.of(stored)).isEqualTo(ClusterBootstrap.State.VOTES);
+        assertThat(stored.getLocalEndpointPersistentState().getLocalEndpoint())
                 .isEqualTo(new Voter("n0"));
-        assertThat(kept.getLocalEndpointPersistentState().isVoting()).isTrue();
-        assertThat(kept.getInitialGroupMembers().getVotingMembers())
+        assertThat(stored.getLocalEndpointPersistentState().isVoting()).isTrue();
+        assertThat(stored.getInitialGroupMembers().getVotingMembers())
                 .containsExactly(new Voter("n0"), new Voter("n1"), new Voter("n2"));
-        assertThat(kept.getTermPersistentState().getTerm()).isEqualTo(7);
-        assertThat(kept.getTermPersistentState().getVotedFor()).isEqualTo(new Voter("n1"));
+        assertThat(stored.getTermPersistentState().getTerm()).isEqualTo(7);
+        assertThat(stored.getTermPersistentState().getVotedFor()).isEqualTo(new Voter("n1"));
     }
 
     @Test
     void theSnapshotAndTheLogPastItAreThere() {
         long index = GoldenCommands.story().size();
-        assertThat(kept.getSnapshotEntry().getIndex()).isEqualTo(index);
-        assertThat(kept.getSnapshotEntry().getTerm()).isEqualTo(6);
-        assertThat(kept.getSnapshotEntry().getGroupMembersView().getMembers())
+        assertThat(stored.getSnapshotEntry().getIndex()).isEqualTo(index);
+        assertThat(stored.getSnapshotEntry().getTerm()).isEqualTo(6);
+        assertThat(stored.getSnapshotEntry().getGroupMembersView().getMembers())
                 .containsExactly(new Voter("n0"), new Voter("n1"), new Voter("n2"));
-        assertThat(snapshot()).isEqualTo(GoldenFolder.snapshot());
-        List<LogEntry> entries = kept.getLogEntries();
+        assertThat(snapshot()).isEqualTo(GoldenRaftStorage.snapshot());
+        List<LogEntry> entries = stored.getLogEntries();
         assertThat(entries)
                 .extracting(LogEntry::getOperation)
-                .containsExactlyElementsOf(new ArrayList<Object>(GoldenFolder.operations()));
+                .containsExactlyElementsOf(new ArrayList<Object>(GoldenRaftStorage.operations()));
         assertThat(entries).extracting(LogEntry::getTerm).containsOnly(7);
         assertThat(entries.get(0).getIndex()).isEqualTo(index + 1);
         assertThat(entries.get(entries.size() - 1).getIndex()).isEqualTo(index + entries.size());
@@ -70,53 +70,56 @@
 
     @Test
     void theStateIsTheSame() {
-        Book book = new Book(16);
+        ClusterState book = new ClusterState(16);
         book.open(snapshot());
         int unknown = 0;
-        for (LogEntry entry : kept.getLogEntries()) {
+        for (LogEntry entry : stored.getLogEntries()) {
             String text = (String) entry.getOperation();
             if (!text.isEmpty() && !text.equals("term")) {
-                Deed deed = DeedText.deed(text);
-                if (deed == null) {
+                ClusterCommand command = CommandCodec.command(text);
+                if (command == null) {
                     unknown++;
                 } else {
-                    assertThat(book.apply(deed)).as(text).isTrue();
+                    assertThat(book.apply(command)).as(text).isTrue();
                 }
             }
         }
         assertThat(unknown).isEqualTo(1);
-        assertThat(book.page()).isEqualTo(GoldenFolder.latest());
+        assertThat(book.page()).isEqualTo(GoldenRaftStorage.latest());
         assertThat(book.members()).hasSize(5);
         assertThat(book.member(GoldenCommands.N0).life()).isEqualTo(GoldenCommands.LIFE);
         assertThat(book.member(GoldenCommands.N4).in()).isFalse();
-        assertThat(book.duty(DutyName.KEEPER))
+        assertThat(book.duty(DutyName.STATUS_REPORTER))
                 .isEqualTo(
-                        new Book.Held(
-                                DutyName.KEEPER,
+                        new ClusterState.DutyLease(
+                                DutyName.STATUS_REPORTER,
                                 GoldenCommands.N0,
                                 GoldenCommands.LIFE,
-                                new Token(1_790_000_000_001L)));
-        assertThat(book.duty(DutyName.CONDUCTOR).token()).isEqualTo(new Token(1_790_000_000_002L));
-        assertThat(book.duty(DutyName.PLANNER).token()).isEqualTo(new Token(1_790_000_000_003L));
-        assertThat(book.duty(DutyName.TRIAL).holder()).isEqualTo(GoldenCommands.N1);
-        assertThat(book.duty(DutyName.TRIAL).token()).isEqualTo(new Token(1_790_000_000_005L));
+                                new FencingToken(1_790_000_000_001L)));
+        assertThat(book.duty(DutyName.ROLLOUT_CONTROLLER).token())
+                .isEqualTo(new FencingToken(1_790_000_000_002L));
+        assertThat(book.duty(DutyName.PLANNER).token())
+                .isEqualTo(new FencingToken(1_790_000_000_003L));
+        assertThat(book.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(GoldenCommands.N1);
+        assertThat(book.duty(DutyName.HEALTH_CHECK).token())
+                .isEqualTo(new FencingToken(1_790_000_000_005L));
         assertThat(book.permits()).hasSize(1);
-        assertThat(book.rests()).containsExactly(new Rest("server-1", "ann"));
+        assertThat(book.rests()).containsExactly(new Cordon("server-1", "ann"));
         assertThat(book.release()).isNull();
         assertThat(book.good()).isEqualTo("d1");
         assertThat(book.text("d1")).startsWith("class \"a\"");
         assertThat(book.wantedProgram(GoldenCommands.N0)).isEqualTo("0.6");
-        assertThat(book.livePlans()).extracting(Plan::number).containsExactly(2L);
+        assertThat(book.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
         assertThat(book.lastPlan()).isEqualTo(2);
         assertThat(book.digest()).isEqualTo("4 nodes known");
         assertThat(book.answer("order-4")).isEqualTo("server-1 rests");
     }
 
     @SuppressWarnings("unchecked") // the engine keeps the pieces as an object
-    private Book.Page snapshot() {
+    private ClusterState.Snapshot snapshot() {
         List<Object> pieces = new ArrayList<>();
-        ((List<SnapshotChunk>) kept.getSnapshotEntry().getOperation())
+        ((List<SnapshotChunk>) stored.getSnapshotEntry().getOperation())
                 .forEach(chunk -> pieces.add(chunk.getOperation()));
-        return DeedText.page(pieces);
+        return CommandCodec.page(pieces);
     }
 }
--- a/src/test/java/lupinwood/council/MessageSizeTest.java
+++ b/src/test/java/lupinwood/consensus/MessageSizeTest.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,32 +7,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinwood.fleet.Beat;
-import lupinwood.fleet.Condition;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.Finding;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.HealthCheckResult;
+import lupinwood.cluster.Heartbeat;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeCondition;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
 /** The longest messages of a fleet of three hundred fit into one. */
 final class MessageSizeTest {
     private static final int NODES = 300;
-    private static final int TRACKS = 3;
+    private static final int REQUEST_CLASSES = 3;
     private static final int PLACES = 6;
 
-    private static Tally tally() {
-        List<Tally.Count> counts = new ArrayList<>();
-        for (int i = 0; i < TRACKS; i++) {
+    private static RequestCounts tally() {
+        List<RequestCounts.ClassCounts> counts = new ArrayList<>();
+        for (int i = 0; i < REQUEST_CLASSES; i++) {
             counts.add(
-                    new Tally.Count(
+                    new RequestCounts.ClassCounts(
                             "some-track-" + i,
                             123_456_789,
                             123_456,
@@ -40,15 +40,15 @@
                             123_456,
                             123456.7890123456));
         }
-        return new Tally(counts);
+        return new RequestCounts(counts);
     }
 
     @Test
-    void thePictureForThePlannerAndTheConductorFits() {
-        List<Report.Use> uses = new ArrayList<>();
+    void thePictureForThePlannerAndTheRolloutControllerFits() {
+        List<NodeReport.LocationUse> uses = new ArrayList<>();
         for (int i = 0; i < PLACES; i++) {
             uses.add(
-                    new Report.Use(
+                    new NodeReport.LocationUse(
                             "place-" + i,
                             100,
                             123_456_789,
@@ -57,38 +57,39 @@
                             123456.7890123456,
                             false));
         }
-        List<Seen> seen = new ArrayList<>();
+        List<NodeView> nodeViews = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            Report report =
-                    new Report(
+            NodeReport report =
+                    new NodeReport(
                             "0.5",
                             "0123456789abcdef",
-                            new Report.Checked("0123456789abcdef", true, false, ""),
+                            new NodeReport.ConfigCheck("0123456789abcdef", true, false, ""),
                             List.of(),
                             12_345,
                             uses,
                             tally());
-            seen.add(
-                    new Seen(
+            nodeViews.add(
+                    new NodeView(
                             new NodeName("node-" + i),
-                            new Life(Long.MIN_VALUE + i),
+                            new Incarnation(Long.MIN_VALUE + i),
                             new Site("region", "zone-" + i % 6),
-                            Standing.WARM,
-                            Span.ofSeconds(0.123456789),
+                            NodeStatus.WARM,
+                            NanoDuration.ofSeconds(0.123456789),
                             report));
         }
-        assertThat(FleetJson.gson().toJson(seen).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
+        assertThat(ClusterJson.gson().toJson(nodeViews).length())
+                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
     }
 
     @Test
-    void aNodeMayNameAThousandServersOfEachKindInOneBeat() {
+    void aNodeMayNameAThousandServersOfEachKindInOneHeartbeat() {
         List<String> servers = new ArrayList<>();
-        List<Report.Use> uses = new ArrayList<>();
-        List<Finding> found = new ArrayList<>();
+        List<NodeReport.LocationUse> uses = new ArrayList<>();
+        List<HealthCheckResult> found = new ArrayList<>();
         for (int i = 0; i < 1024; i++) {
             servers.add("some-server-" + i);
             uses.add(
-                    new Report.Use(
+                    new NodeReport.LocationUse(
                             "some-place-" + i,
                             100,
                             123_456_789,
@@ -97,22 +98,22 @@
                             123456.7890123456,
                             false));
         }
-        Report report =
-                new Report(
+        NodeReport report =
+                new NodeReport(
                         "0.5",
                         "0123456789abcdef",
-                        new Report.Checked("0123456789abcdef", true, false, ""),
+                        new NodeReport.ConfigCheck("0123456789abcdef", true, false, ""),
                         servers,
                         12_345,
                         uses,
                         tally());
-        Beat beat =
-                new Beat(
-                        Beat.VERSION,
+        Heartbeat heartbeat =
+                new Heartbeat(
+                        Heartbeat.VERSION,
                         new NodeName("node-1"),
-                        new Life(1),
+                        new Incarnation(1),
                         new Site("region", "zone"),
-                        Condition.WARM,
+                        NodeCondition.WARM,
                         1L << 40,
                         List.of(),
                         List.of(),
@@ -120,26 +121,27 @@
                         servers,
                         found,
                         report);
-        assertThat(beat.cut().leftOut()).hasSize(1024);
-        assertThat(beat.cut().report().emptied()).hasSize(1024);
-        assertThat(beat.cut().report().uses()).hasSize(1024);
-        assertThat(FleetJson.gson().toJson(beat).length()).isLessThan(Carriage.MOST_BYTES * 9 / 10);
+        assertThat(heartbeat.cut().leftOut()).hasSize(1024);
+        assertThat(heartbeat.cut().report().drained()).hasSize(1024);
+        assertThat(heartbeat.cut().report().uses()).hasSize(1024);
+        assertThat(ClusterJson.gson().toJson(heartbeat).length())
+                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
     }
 
     @Test
-    void aBatchOfTheLongestDeedsFits() {
-        Map<String, Tally> past = new TreeMap<>();
+    void aBatchOfTheLongestCommandsFits() {
+        Map<String, RequestCounts> past = new TreeMap<>();
         for (int i = 0; i < NODES; i++) {
-            past.put("node-" + i, new Tally(List.of(tally().all())));
+            past.put("node-" + i, new RequestCounts(List.of(tally().all())));
         }
         List<NodeName> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             nodes.add(new NodeName("node-" + i));
         }
-        String deed =
-                DeedText.of(
-                        new Deed.Step(
-                                new Token(1L << 40),
+        String command =
+                CommandCodec.of(
+                        new ClusterCommand.AdvanceRollout(
+                                new FencingToken(1L << 40),
                                 1,
                                 1,
                                 false,
@@ -148,9 +150,9 @@
                                 past,
                                 1L << 40));
         JsonObject entry = new JsonObject();
-        entry.addProperty("o", deed);
+        entry.addProperty("o", command);
         assertThat(entry.toString().length() * 4)
                 .as("quoted, and four of them")
-                .isLessThan(Carriage.MOST_BYTES * 9 / 10);
+                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
     }
 }
--- a/src/test/java/lupinwood/council/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -1,4 +1,4 @@
-package lupinwood.council;
+package lupinwood.consensus;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -24,15 +24,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Rest;
-import lupinwood.fleet.Token;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.Cordon;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.Rollout;
 import lupinwood.log.Log;
-import lupinwood.node.Span;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -48,7 +48,7 @@
 final class MixedVersionIT {
     private static final String PREVIOUS_JAR = System.getProperty("lupinwood.previousJar");
     private static final int VOTERS = 3;
-    private static final Span ANSWERS_WITHIN = Span.ofSeconds(2);
+    private static final NanoDuration ANSWERS_WITHIN = NanoDuration.ofSeconds(2);
     private static final int MOST_LINKS = 100;
     private static final long WAIT_SECONDS = 30;
     private static final String NODE =
@@ -87,7 +87,7 @@
             addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort()));
         }
         for (int i = 0; i < VOTERS; i++) {
-            Files.createDirectories(folder(i));
+            Files.createDirectories(directory(i));
             StringBuilder text = new StringBuilder();
             text.append(
                     NODE.formatted(
@@ -102,7 +102,7 @@
                         "voter n%d { address \"127.0.0.1:%d\" }\n"
                                 .formatted(voter, addresses.get(voter).getPort()));
             }
-            Files.writeString(folder(i).resolve("node.kdl"), text.toString());
+            Files.writeString(directory(i).resolve("node.kdl"), text.toString());
             start(i, PREVIOUS_JAR);
         }
     }
@@ -161,12 +161,12 @@
         }
     }
 
-    private Path folder(int number) {
+    private Path directory(int number) {
         return at.resolve("n" + number);
     }
 
     private Path log(int number) {
-        return folder(number).resolve("log.txt");
+        return directory(number).resolve("log.txt");
     }
 
     private void start(int number, String classPath) throws IOException {
@@ -182,7 +182,7 @@
                                 "serve",
                                 "--config",
                                 "node.kdl")
-                        .directory(folder(number).toFile())
+                        .directory(directory(number).toFile())
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(ProcessBuilder.Redirect.appendTo(log(number).toFile()))
                         .start();
@@ -194,12 +194,12 @@
         start(number, System.getProperty("java.class.path"));
     }
 
-    private Council.State await(String what, Predicate<Council.State> holds)
+    private RaftReplica.ReplicaView await(String what, Predicate<RaftReplica.ReplicaView> holds)
             throws InterruptedException, IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        Council.State state = null;
+        RaftReplica.ReplicaView state = null;
         while (System.nanoTime() < end && Stream.of(processes).allMatch(Process::isAlive)) {
-            state = Question.state(addresses, ANSWERS_WITHIN, quiet, true);
+            state = ClusterQuery.state(addresses, ANSWERS_WITHIN, quiet, true);
             if (state != null && holds.test(state)) {
                 return state;
             }
@@ -212,11 +212,13 @@
         return fail("not in time, or a process went: " + what + "; last " + state + logs);
     }
 
-    private String order(String id, String what, Council.Wish wish, String server)
+    private String order(String id, String what, RaftReplica.RolloutRequest wish, String server)
             throws InterruptedException {
-        Council.Order order = new Council.Order(id, what, null, "ann", wish, server);
+        RaftReplica.OperatorOrder order =
+                new RaftReplica.OperatorOrder(id, what, null, "ann", wish, server);
         for (int i = 0; i < 10; i++) {
-            Council.Answer answer = Question.order(addresses, order, Span.ofSeconds(10), quiet);
+            RaftReplica.OrderResult answer =
+                    ClusterQuery.order(addresses, order, NanoDuration.ofSeconds(10), quiet);
             if (answer != null && answer.done()) {
                 return answer.text();
             }
@@ -225,38 +227,38 @@
         return fail("was not done: " + order);
     }
 
-    private static Map<DutyName, Token> tokens(Council.State state) {
-        Map<DutyName, Token> tokens = new HashMap<>();
-        state.duties().forEach(held -> tokens.put(held.duty(), held.token()));
+    private static Map<DutyName, FencingToken> tokens(RaftReplica.ReplicaView state) {
+        Map<DutyName, FencingToken> tokens = new HashMap<>();
+        state.duties().forEach(leased -> tokens.put(leased.duty(), leased.token()));
         return tokens;
     }
 
-    private static Map<NodeName, Life> lives(Council.State state) {
-        Map<NodeName, Life> lives = new HashMap<>();
+    private static Map<NodeName, Incarnation> lives(RaftReplica.ReplicaView state) {
+        Map<NodeName, Incarnation> lives = new HashMap<>();
         state.members().forEach(member -> lives.put(member.name(), member.life()));
         return lives;
     }
 
-    private static boolean isWhole(Council.State state) {
+    private static boolean isWhole(RaftReplica.ReplicaView state) {
         return state.leader() != null
                 && state.members().size() == VOTERS
-                && state.members().stream().allMatch(Book.Member::in)
-                && state.duties().size() == Fleet.DUTIES.size()
-                && state.duties().stream().noneMatch(Book.Held::isFree)
+                && state.members().stream().allMatch(ClusterState.Member::in)
+                && state.duties().size() == ClusterNode.DUTIES.size()
+                && state.duties().stream().noneMatch(ClusterState.DutyLease::isFree)
                 && !state.plans().isEmpty();
     }
 
     /** Replaces one voter; what was agreed on before is there after, and nothing goes back. */
-    private Council.State replaceAndCompare(int number, Council.State before)
+    private RaftReplica.ReplicaView replaceAndCompare(int number, RaftReplica.ReplicaView before)
             throws IOException, InterruptedException {
         NodeName name = new NodeName("n" + number);
-        Life old = lives(before).get(name);
+        Incarnation old = lives(before).get(name);
         replace(number);
-        Council.State after =
+        RaftReplica.ReplicaView after =
                 await(
                         name + " is back",
                         state -> isWhole(state) && !lives(state).get(name).equals(old));
-        Map<NodeName, Life> others = lives(before);
+        Map<NodeName, Incarnation> others = lives(before);
         others.remove(name);
         assertThat(lives(after)).containsAllEntriesOf(others);
         tokens(before)
@@ -266,8 +268,8 @@
                                         .as("the token of " + duty)
                                         .isGreaterThanOrEqualTo(token));
         before.duties().stream()
-                .filter(held -> tokens(after).get(held.duty()).equals(held.token()))
-                .forEach(held -> assertThat(after.duties()).contains(held));
+                .filter(leased -> tokens(after).get(leased.duty()).equals(leased.token()))
+                .forEach(leased -> assertThat(after.duties()).contains(leased));
         assertThat(after.history().subList(0, before.history().size())).isEqualTo(before.history());
         assertThat(after.rests()).isEqualTo(before.rests());
         assertThat(after.permits()).isEqualTo(before.permits());
@@ -277,38 +279,41 @@
         assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
         assertThat(after.plans().stream().filter(one -> one.number() <= before.lastPlan()))
                 .isSubsetOf(before.plans());
-        assertThat(after.deeds()).isGreaterThan(before.deeds());
+        assertThat(after.commands()).isGreaterThan(before.commands());
         assertThat(Files.readString(log(number)))
                 .contains("a voter, with what it kept")
                 .doesNotContain("can't be read");
         return after;
     }
 
-    private Question.Wanted wanted() throws InterruptedException {
-        return Question.wanted(addresses, new NodeName("n1"), Span.ofSeconds(20), quiet);
+    private ClusterQuery.Wanted wanted() throws InterruptedException {
+        return ClusterQuery.wanted(
+                addresses, new NodeName("n1"), NanoDuration.ofSeconds(20), quiet);
     }
 
     @Test
-    void whatWasAgreedOnStaysWhileVotersAreReplacedOneByOne() throws Exception {
+    void whatWasLatencyObjectiveOnStaysWhileVotersAreReplacedOneByOne() throws Exception {
         await("the fleet is whole", MixedVersionIT::isWhole);
-        Council.Wish program = new Council.Wish(Release.Kind.PROGRAM, "0.6", "", false);
+        RaftReplica.RolloutRequest program =
+                new RaftReplica.RolloutRequest(Rollout.Kind.PROGRAM, "0.6", "", false);
         String began = order("order-1", "release", program, null);
         order("order-2", "back", null, null);
         await("the release is over", state -> state.release() == null);
         String rested = order("order-3", "rest", null, "s0");
-        Council.State old = await("s0 rests", state -> !state.rests().isEmpty() && isWhole(state));
-        assertThat(old.rests()).containsExactly(new Rest("s0", "ann"));
+        RaftReplica.ReplicaView old =
+                await("s0 rests", state -> !state.rests().isEmpty() && isWhole(state));
+        assertThat(old.rests()).containsExactly(new Cordon("s0", "ann"));
 
-        Council.State mixed = replaceAndCompare(0, old);
+        RaftReplica.ReplicaView mixed = replaceAndCompare(0, old);
         assertThat(order("order-3", "rest", null, "s0")).as("done once").isEqualTo(rested);
-        assertThat(wanted()).isEqualTo(new Question.Wanted("", "", "", List.of("s0")));
+        assertThat(wanted()).isEqualTo(new ClusterQuery.Wanted("", "", "", List.of("s0")));
         replaceAndCompare(1, mixed);
 
         order("order-4", "unrest", null, "s0");
         order("order-5", "release", program, null);
         mixed = await("a release is open", state -> state.release() != null && isWhole(state));
         assertThat(mixed.rests()).isEmpty();
-        Council.State all = replaceAndCompare(2, mixed);
+        RaftReplica.ReplicaView all = replaceAndCompare(2, mixed);
 
         assertThat(all.release().number()).isEqualTo(2);
         assertThat(all.release().to()).isEqualTo("0.6");
--- a/src/test/java/lupinwood/lab/LabIT.java
+++ b/src/test/java/lupinwood/experiment/ExperimentsIT.java
@@ -1,4 +1,4 @@
-package lupinwood.lab;
+package lupinwood.experiment;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -12,7 +12,7 @@
 
 /** The audit catches each broken rule, and the experiments hold them. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-final class LabIT {
+final class ExperimentsIT {
     private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
     private final Log log = new Log(new PrintStream(new ByteArrayOutputStream()), Instant::now);
 
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void bothFrontsAnswerEachTicketOnceAndAnUnlockThatComesOverBothRunsOnce() throws Exception {
+    void bothFrontsAnswerEachRequestOnceAndAnUnlockThatComesOverBothRunsOnce() throws Exception {
         Experiment.Outcome outcome =
                 Experiments.named("mixed-fronts", 3, 60, 0, "", new PrintStream(printed, true), log)
                         .run();
@@ -131,7 +131,7 @@
 
     @Test
     void anActTakenOutOfOrderOrBesideItsSuccessorIsFound() {
-        DutySink careless = new DutySink(false, (node, since) -> false);
+        StatusSink careless = new StatusSink(false, (node, since) -> false);
         assertThat(careless.act("a", 1, 1000)).isTrue();
         assertThat(careless.act("b", 2, 5000)).isTrue();
         assertThat(careless.act("a", 1, 5100)).isTrue();
@@ -140,7 +140,7 @@
                 .first()
                 .asString()
                 .contains("was taken after one under 2");
-        DutySink careful = new DutySink(true, (node, since) -> node.equals("held up"));
+        StatusSink careful = new StatusSink(true, (node, since) -> node.equals("held up"));
         careful.act("a", 1, 1000);
         careful.act("b", 2, 5000);
         assertThat(careful.act("a", 1, 5100)).as("on its way meanwhile").isFalse();
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void aServerThatIsToldToBeEmptyGetsNothing() throws Exception {
+    void aServerThatIsReportedToBeEmptyGetsNothing() throws Exception {
         assertThat(
                         Experiments.named("rest", 1, 1, 0, "", new PrintStream(printed, true), log)
                                 .run()
--- a/src/test/java/lupinwood/failover/PlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -5,104 +5,111 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
 /**
  * Three zones in two regions, two nodes and one place each, by the real book; each word is heard at
  * once.
  */
-final class PlannerTest {
-    private static final Span LEASE = Span.ofSeconds(2);
+final class CapacityPlannerTest {
+    private static final NanoDuration LEASE = NanoDuration.ofSeconds(2);
     private static final Site[] SITES = {
         new Site("r0", "z0"), new Site("r0", "z1"), new Site("r1", "z2")
     };
-    private final List<Place> places = new ArrayList<>();
-    private final Book book = new Book(100);
-    private Planner planner = new Planner(LEASE);
+    private final List<Location> places = new ArrayList<>();
+    private final ClusterState book = new ClusterState(100);
+    private CapacityPlanner planner = new CapacityPlanner(LEASE);
     private final long[][][] counts = new long[6][3][2];
     private final boolean[][] leftOut = new boolean[6][3];
-    private final long[] asked = new long[6];
-    private Token token;
+    private final long[] offered = new long[6];
+    private FencingToken token;
     private double now;
 
-    PlannerTest() {
+    CapacityPlannerTest() {
         for (int i = 0; i < 3; i++) {
-            places.add(new Place("p" + i, SITES[i], 20, 2, 0, false));
+            places.add(new Location("p" + i, SITES[i], 20, 2, 0, false));
         }
-        book.apply(new Deed.Found(1));
+        book.apply(new ClusterCommand.Bootstrap(1));
         for (int i = 0; i < 6; i++) {
-            book.apply(new Deed.Join(new NodeName("n" + i), new Life(i), SITES[i % 3]));
+            book.apply(
+                    new ClusterCommand.Join(
+                            new NodeName("n" + i), new Incarnation(i), SITES[i % 3]));
         }
-        book.apply(new Deed.Give(DutyName.PLANNER, new NodeName("n0"), new Life(0), new Token(0)));
+        book.apply(
+                new ClusterCommand.GrantLease(
+                        DutyName.PLANNER,
+                        new NodeName("n0"),
+                        new Incarnation(0),
+                        new FencingToken(0)));
         token = book.duty(DutyName.PLANNER).token();
     }
 
     /**
-     * Each second each node asks for 40 tickets of 0.1 s; where it leaves a place out, it sends
+     * Each second each node asks for 40 requests of 0.1 s; where it leaves a place out, it sends
      * nothing there.
      */
     private void play(int seconds) {
         for (int second = 0; second < seconds; second++) {
             now++;
-            List<Seen> seen = new ArrayList<>();
+            List<NodeView> nodeViews = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                asked[i] += 40;
-                List<Report.Use> uses = new ArrayList<>();
+                offered[i] += 40;
+                List<NodeReport.LocationUse> uses = new ArrayList<>();
                 for (int place = 0; place < 3; place++) {
                     counts[i][place][0] += leftOut[i][place] || place != i % 3 ? 0 : 40;
                     uses.add(
-                            new Report.Use(
+                            new NodeReport.LocationUse(
                                     "p" + place,
                                     0,
-                                    asked[i],
+                                    offered[i],
                                     counts[i][place][0],
                                     counts[i][place][1],
                                     counts[i][place][0] * 0.1,
                                     leftOut[i][place]));
                 }
-                seen.add(
-                        new Seen(
+                nodeViews.add(
+                        new NodeView(
                                 new NodeName("n" + i),
-                                new Life(i),
+                                new Incarnation(i),
                                 SITES[i % 3],
-                                Standing.WARM,
-                                Span.ZERO,
-                                new Report(
+                                NodeStatus.WARM,
+                                NanoDuration.ZERO,
+                                new NodeReport(
                                         "1",
                                         "",
                                         null,
                                         List.of(),
                                         book.lastPlan(),
                                         uses,
-                                        Tally.NOTHING)));
+                                        RequestCounts.NOTHING)));
             }
-            Deed.SetPlan plan =
+            ClusterCommand.SetCapacityPlan plan =
                     planner.decide(
-                            new Planner.View(
+                            new CapacityPlanner.View(
                                     places,
                                     book.members(),
-                                    seen,
+                                    nodeViews,
                                     book.livePlans(),
                                     book.lastPlan()),
                             token,
-                            new Moment(Math.round(now * 1e9)));
+                            new MonotonicTime(Math.round(now * 1e9)));
             if (plan != null) {
                 assertThat(book.apply(plan)).as("it fits").isTrue();
             }
-            book.apply(new Deed.Retire(book.lastPlan())); // all said so
+            book.apply(new ClusterCommand.RetireCapacityPlans(book.lastPlan())); // all said so
         }
     }
 
@@ -173,8 +180,8 @@
 
     @Test
     void aPlaceThatStaysInItsRegionTakesNothingFromElsewhere() {
-        places.set(2, new Place("p2", SITES[2], 20, 2, 0, true));
-        planner = new Planner(LEASE);
+        places.set(2, new Location("p2", SITES[2], 20, 2, 0, true));
+        planner = new CapacityPlanner(LEASE);
         play(20);
         sick(0, true);
         play(10);
--- a/src/test/java/lupinwood/load/CommonTest.java
+++ b/src/test/java/lupinwood/load/SharedConfigTest.java
@@ -7,31 +7,31 @@
 import org.junit.jupiter.api.Test;
 
 /** The fleet's text, and what may stand in it. */
-final class CommonTest {
+final class SharedConfigTest {
     @Test
-    void twoTextsThatMeanTheSameAreOne() throws NodeConfig.Unusable {
-        String digest = Common.read("track quote { agreed-time 2s; credit 3 }").digest();
+    void twoTextsThatMeanTheSameAreOne() throws NodeConfig.UnusableConfiguration {
+        String digest = SharedConfig.read("track quote { agreed-time 2s; credit 3 }").digest();
         assertThat(
-                        Common.read(
+                        SharedConfig.read(
                                         "// as agreed on Monday\ntrack quote {\n  credit 3.0\n  agreed-time 2000ms }\n")
                                 .digest())
                 .isEqualTo(digest);
-        assertThat(Common.read("track quote { agreed-time 2s; credit 4 }").digest())
+        assertThat(SharedConfig.read("track quote { agreed-time 2s; credit 4 }").digest())
                 .isNotEqualTo(digest);
-        assertThat(Common.read("").digest()).isEmpty();
+        assertThat(SharedConfig.read("").digest()).isEmpty();
     }
 
     @Test
     void whatIsANodesOwnIsNoFleets() {
-        assertThatThrownBy(() -> Common.read("name n1"))
+        assertThatThrownBy(() -> SharedConfig.read("name n1"))
                 .hasMessage("name is each node's own, and no fleet's text says it");
-        assertThatThrownBy(() -> Common.read("fleet { zone a }"))
+        assertThatThrownBy(() -> SharedConfig.read("fleet { zone a }"))
                 .hasMessageContaining("fleet zone is each node's own");
-        assertThatThrownBy(() -> Common.read("voter v { address \"127.0.0.1:1\" }"))
+        assertThatThrownBy(() -> SharedConfig.read("voter v { address \"127.0.0.1:1\" }"))
                 .hasMessageContaining("voters are named");
-        assertThatThrownBy(() -> Common.read("include \"other.kdl\""))
+        assertThatThrownBy(() -> SharedConfig.read("include \"other.kdl\""))
                 .hasMessageContaining("includes no files");
-        assertThatThrownBy(() -> Common.read("goal { whole 300% }"))
+        assertThatThrownBy(() -> SharedConfig.read("goal { whole 300% }"))
                 .hasMessageContaining("the fleet's text:1");
     }
 }
--- a/src/test/java/lupinwood/net/CrossingsTest.java
+++ b/src/test/java/lupinwood/net/CrossingEventsTest.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import lupinwood.Brain;
-import lupinwood.Watched;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.RuleCheckingPolicy;
 import lupinwood.log.WallClock;
-import lupinwood.node.Span;
 import org.apache.mina.core.service.IoProcessor;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioProcessor;
@@ -32,32 +32,32 @@
 import org.junit.jupiter.api.Test;
 
 /** What crosses what: each order of events is held by a latch, a clock or a peer of the test's. */
-final class CrossingsTest extends SocketTest {
-    /** As many pieces of news as the deciding thread takes in one round. */
+final class CrossingEventsTest extends SocketTest {
+    /** As many pieces of news as the event loop thread takes in one round. */
     private static final int A_ROUND = 256;
 
-    private final List<CountDownLatch> held = new ArrayList<>();
+    private final List<CountDownLatch> blocked = new ArrayList<>();
 
     @AfterEach
     void letGo() {
-        held.forEach(CountDownLatch::countDown);
+        blocked.forEach(CountDownLatch::countDown);
         WallClock.readFrom(Instant::now);
     }
 
-    /** The clock that stamps tickets is set, by so much beside the true one. */
+    /** The clock that stamps requests is set, by so much beside the true one. */
     private static void setWallClock(Duration beside) {
         WallClock.readFrom(() -> Instant.now().plus(beside));
     }
 
     /**
-     * Keeps the deciding thread until the latch that is returned is down; it is kept once this
+     * Keeps the event loop thread until the latch that is returned is down; it is kept once this
      * returns.
      */
-    private CountDownLatch hold() throws InterruptedException {
+    private CountDownLatch block() throws InterruptedException {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch here = new CountDownLatch(1);
-        held.add(go);
-        serving.decider()
+        blocked.add(go);
+        serving.eventLoop()
                 .tell(
                         () -> {
                             here.countDown();
@@ -69,7 +69,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertThat(latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS)).isTrue();
+            assertThat(latch.await(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -80,22 +80,22 @@
     }
 
     private static String unsound(int tag) {
-        return ticket(tag, "look", "b", ",owner=nobody");
+        return request(tag, "look", "b", ",owner=nobody");
     }
 
     // ---- close ----
 
     @Test
-    void aTicketThatCrossesTheCloseOfItsSilentConnectionDoesNotRun() throws Exception {
+    void aRequestThatCrossesTheCloseOfItsSilentConnectionDoesNotRun() throws Exception {
         AtomicLong rounds = new AtomicLong();
         maker =
-                (server, seed, told) ->
-                        new Watched(
-                                new Brain(server, seed, told),
-                                ticket -> {},
+                (server, seed, reported) ->
+                        new RuleCheckingPolicy(
+                                new AdmissionController(server, seed, reported),
+                                request -> {},
                                 rounds::incrementAndGet);
         start();
-        End other = dispatcher();
+        End other = upstream();
         End silent = connect();
         until(() -> serving.figures().startsWith("connections 2,"));
         for (int i = 0; i < 5; i++) {
@@ -103,21 +103,21 @@
             long before = rounds.get();
             until(
                     () -> {
-                        serving.decider().tell(() -> {});
+                        serving.eventLoop().tell(() -> {});
                         return rounds.get()
                                 > before + 2; // a whole round, its timers among it, began after
                     });
         }
-        CountDownLatch go = hold();
+        CountDownLatch go = block();
         for (int i = 0; i < A_ROUND; i++) {
-            serving.decider().tell(() -> {});
+            serving.eventLoop().tell(() -> {});
         }
-        silent.say(ticket(101, "look", "crossing"));
-        until(() -> serving.decider().waiting() > A_ROUND);
+        silent.say(request(101, "look", "crossing"));
+        until(() -> serving.eventLoop().waiting() > A_ROUND);
         skip(0.26);
         go.countDown();
         untilLogged("SAID_NOTHING");
-        other.say(ticket(102, "look", "next"));
+        other.say(request(102, "look", "next"));
         expectRun(102, "look", "next");
         assertThat(silent.answer())
                 .as("never run: refused, or the end alone")
@@ -130,19 +130,19 @@
      * the timers ring.
      */
     @Test
-    void whatWasSaidDuringAPauseIsReadBeforeAnyoneIsHeldToBeSilent() throws Exception {
+    void whatWasSaidDuringAPauseIsReadBeforeAnyoneIsLeasedToBeSilent() throws Exception {
         start();
-        End blocks = dispatcher();
+        End blocks = upstream();
         End silent = connect();
-        End half = dispatcher();
-        String halved = ticket(102, "look", "halved");
+        End half = upstream();
+        String halved = request(102, "look", "halved");
         half.say(halved.substring(0, 60));
         until(() -> serving.figures().startsWith("connections 3,"));
         skip(0.2);
-        dispatcher();
-        CountDownLatch go = hold();
+        upstream();
+        CountDownLatch go = block();
         for (int i = 0; i < 4 * A_ROUND; i++) {
-            serving.decider().tell(() -> {});
+            serving.eventLoop().tell(() -> {});
         }
         // The thread that reads stands still with this one, and reads nothing of the others.
         blocks.say(array("HEALTH", "77"));
@@ -155,7 +155,7 @@
                                                         && List.of(thread.getValue())
                                                                 .toString()
                                                                 .contains("Decider.tell")));
-        silent.say(ticket(101, "look", "said in the pause"));
+        silent.say(request(101, "look", "said in the pause"));
         half.say(halved.substring(60));
         skipOnly(5);
         go.countDown();
@@ -171,15 +171,15 @@
     }
 
     @Test
-    void ticketsReadWithTheOneThatEndsTheirConnectionAreAnsweredAndDoNotRun() throws Exception {
+    void requestsReadWithTheOneThatEndsTheirConnectionAreAnsweredAndDoNotRun() throws Exception {
         start();
-        End caller = dispatcher();
-        caller.say(unsound(300) + ticket(301, "look", "c") + ticket(302, "pay", "d"));
+        End caller = upstream();
+        caller.say(unsound(300) + request(301, "look", "c") + request(302, "pay", "d"));
         assertThat(caller.answer()).isEqualTo("300 FAIL +");
         assertThat(caller.answer()).isEqualTo("301 NAK +");
         assertThat(caller.answer()).isEqualTo("302 NAK +");
         assertThat(caller.isOver()).isTrue();
-        dispatcher().say(ticket(303, "look", "next"));
+        upstream().say(request(303, "look", "next"));
         expectRun(303, "look", "next");
     }
 
@@ -189,9 +189,9 @@
         start();
         End caller = callerWithRun();
         caller.say(
-                ticket(102, "look", "b")
+                request(102, "look", "b")
                         + array("ABORT", "secret-word")
-                        + ticket(103, "look", "never read"));
+                        + request(103, "look", "never read"));
         expectRun(102, "look", "b");
         exit(1, 102, "two");
         exit(2, 101, "one");
@@ -212,13 +212,13 @@
     void answersBeforeACloseOutliveWhatTheCallerStillSends() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch ending = new CountDownLatch(1);
-        held.add(go);
-        // The round in which the last ticket is found unsound stands still before it writes.
+        blocked.add(go);
+        // The round in which the last request is found unsound stands still before it writes.
         maker =
-                (server, seed, told) ->
-                        new Watched(
-                                new Brain(server, seed, told),
-                                ticket -> {},
+                (server, seed, reported) ->
+                        new RuleCheckingPolicy(
+                                new AdmissionController(server, seed, reported),
+                                request -> {},
                                 () -> {
                                     log.drain();
                                     if (logged.toString(UTF_8).contains("of no known customer")) {
@@ -227,17 +227,17 @@
                                     }
                                 });
         start();
-        dispatcher();
+        upstream();
         try (SocketChannel caller = SocketChannel.open()) {
             caller.setOption(
                     StandardSocketOptions.SO_RCVBUF,
                     2048); // most of the answers wait on the node's side
             caller.connect(listen);
-            StringBuilder tickets = new StringBuilder();
+            StringBuilder requests = new StringBuilder();
             for (int i = 0; i < 2; i++) {
-                tickets.append(ticket(101 + i, "look", "a"));
+                requests.append(request(101 + i, "look", "a"));
             }
-            write(caller, tickets.toString());
+            write(caller, requests.toString());
             String result = "r".repeat(4096);
             for (int i = 0; i < 2; i++) {
                 expectRun(101 + i, "look", "a");
@@ -281,7 +281,7 @@
     // ---- shutdown ----
 
     @Test
-    void aNoticeBeforeTheDoorOpensKeepsItShut() throws Exception {
+    void aNoticeBeforeTheProxyOpensKeepsItShut() throws Exception {
         open();
         serving.leave();
         assertThat(serving.start()).isFalse();
@@ -290,7 +290,7 @@
     }
 
     @Test
-    void whoWaitsToBeAcceptedAsTheDoorClosesIsLetIn() throws Exception {
+    void whoWaitsToBeAcceptedAsTheProxyClosesIsLetIn() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         IoProcessor<NioSession> processor = new SimpleIoProcessorPool<>(NioProcessor.class, 1);
@@ -325,7 +325,7 @@
                                         .TIMED_WAITING); // for the thread that accepts, which is
         // held
         go.countDown();
-        closing.join(PATIENCE_MS);
+        closing.join(RESPONSE_TIMEOUT_MS);
         for (End caller : callers) {
             assertThat(caller.line()).isEqualTo("heard");
         }
@@ -340,21 +340,23 @@
             stopMs = stop;
             start();
             End caller = callerWithRun();
-            End resting = dispatcher();
+            End resting = upstream();
             Thread leaving = leave();
             assertThat(caller.answer()).as("stop after %d ms", stop).isEqualTo("101 FAIL +");
             assertThat(caller.answer()).isEqualTo("0 FIN");
             assertThat(resting.answer()).isEqualTo("0 FIN");
             assertThat(resting.in().read()).as("rests until the node ends it").isEqualTo(-1);
-            leaving.join(PATIENCE_MS);
+            leaving.join(RESPONSE_TIMEOUT_MS);
             stop();
         }
         for (long stop = 1_000_000; stop < 3_600_000_000_000L; stop += stop / 3) {
-            Serving.Leaving parts = Serving.Leaving.within(new Span(stop));
-            assertThat(parts.part()).isGreaterThan(Span.ZERO);
-            assertThat(parts.answered()).isGreaterThanOrEqualTo(new Span(stop).times(0.74));
+            NodeServer.DrainSequence parts =
+                    NodeServer.DrainSequence.within(new NanoDuration(stop));
+            assertThat(parts.part()).isGreaterThan(NanoDuration.ZERO);
+            assertThat(parts.answered()).isGreaterThanOrEqualTo(new NanoDuration(stop).times(0.74));
             // The last part is what is left before the stop.
-            assertThat(parts.answered().plus(parts.part().times(2))).isLessThan(new Span(stop));
+            assertThat(parts.answered().plus(parts.part().times(2)))
+                    .isLessThan(new NanoDuration(stop));
         }
     }
 
@@ -363,7 +365,7 @@
             throws Exception {
         standsStill = true;
         start();
-        End resting = dispatcher();
+        End resting = upstream();
         Thread leaving = leave();
         untilLogged("told to leave");
         until(
@@ -373,15 +375,15 @@
                 });
         skip(1.1);
         assertThat(resting.answer()).isEqualTo("0 FIN");
-        resting.say(ticket(101, "look", "after the wish to close"));
+        resting.say(request(101, "look", "after the wish to close"));
         assertThat(resting.answer()).startsWith("101 NAK");
         skip(0.2);
         assertThat(resting.in().read()).as("the end").isEqualTo(-1);
-        resting.say(ticket(102, "look", "after the end"));
+        resting.say(request(102, "look", "after the end"));
         // The first word after a reset is taken, the second is not.
-        resting.say(ticket(103, "look", "after the end").substring(0, 40));
+        resting.say(request(103, "look", "after the end").substring(0, 40));
         skip(0.2);
-        leaving.join(PATIENCE_MS);
+        leaving.join(RESPONSE_TIMEOUT_MS);
         for (String line = lineOrEnd(executor); line != null; line = lineOrEnd(executor)) {
             assertThat(line).as("nothing is run").startsWith("METER ");
         }
@@ -406,8 +408,8 @@
         exit(1, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         caller.socket.close();
-        one.join(PATIENCE_MS);
-        two.join(PATIENCE_MS);
+        one.join(RESPONSE_TIMEOUT_MS);
+        two.join(RESPONSE_TIMEOUT_MS);
         log.drain();
         assertThat(logged.toString(UTF_8))
                 .containsOnlyOnce("told to leave")
@@ -418,11 +420,11 @@
     void aReloadThatCrossesTheNoticeIsTakenWholeOrNotAtAll() throws Exception {
         start();
         End caller = callerWithRun();
-        CountDownLatch go = hold();
+        CountDownLatch go = block();
         Thread leaving = leave();
-        until(() -> serving.decider().waiting() > 0);
-        Place before = indexPlace;
-        indexPlace = new Place();
+        until(() -> serving.eventLoop().waiting() > 0);
+        Place before = dependencyPlace;
+        dependencyPlace = new Place();
         CompletableFuture<Void> reloaded =
                 CompletableFuture.runAsync(
                         () -> {
@@ -432,21 +434,21 @@
                                 throw new AssertionError(e);
                             }
                         });
-        until(() -> serving.decider().waiting() > 1);
+        until(() -> serving.eventLoop().waiting() > 1);
         go.countDown();
         reloaded.get();
         log.drain();
         assertThat(logged.toString(UTF_8)).contains("nothing reloaded: the node was told to leave");
         callOut(1, 101);
-        End index = before.accept();
-        expectCall(index, 101);
-        index.say(String.format("%016x HIT 2\r\nok\r\n", 101));
+        End dependency = before.accept();
+        expectCall(dependency, 101);
+        dependency.say(String.format("%016x HIT 2\r\nok\r\n", 101));
         expectReply(101, "ok");
         exit(2, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         before.close();
         caller.socket.close();
-        leaving.join(PATIENCE_MS);
+        leaving.join(RESPONSE_TIMEOUT_MS);
     }
 
     // ---- repeats ----
@@ -454,25 +456,25 @@
     @Test
     void theSameMarkAtOnceOnTwoConnectionsRunsOnceAlsoWhenTheFirstCallerIsGone() throws Exception {
         start();
-        End first = dispatcher();
-        End second = dispatcher();
-        End third = dispatcher();
-        CountDownLatch go = hold();
-        first.say(ticket(101, "pay", "p"));
-        until(() -> serving.decider().waiting() > 0);
-        second.say(ticket(102, "pay", "p"));
-        until(() -> serving.decider().waiting() > 1);
+        End first = upstream();
+        End second = upstream();
+        End third = upstream();
+        CountDownLatch go = block();
+        first.say(request(101, "pay", "p"));
+        until(() -> serving.eventLoop().waiting() > 0);
+        second.say(request(102, "pay", "p"));
+        until(() -> serving.eventLoop().waiting() > 1);
         go.countDown();
         expectRun(101, "pay", "p");
         first.socket.setSoLinger(true, 0);
         first.socket.close(); // a reset
         until(() -> serving.figures().startsWith("connections 2,"));
-        third.say(ticket(103, "pay", "p"));
+        third.say(request(103, "pay", "p"));
         until(() -> serving.figures().contains("open 2,"));
         exit(1, 101, "paid");
         assertThat(second.answer()).isEqualTo("102 ACK + paid");
         assertThat(third.answer()).isEqualTo("103 ACK + paid");
-        third.say(ticket(104, "look", "next"));
+        third.say(request(104, "look", "next"));
         expectRun(104, "look", "next");
     }
 
@@ -481,8 +483,8 @@
     @Test
     void aNoticeBrokenOffInTheMiddleComesWholeOnTheNextLinkAndCountsOnce() throws Exception {
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "pay", "p"));
+        End caller = upstream();
+        caller.say(request(101, "pay", "p"));
         expectRun(101, "pay", "p");
         executor.say(String.format("EXIT 1 %016x OK 5 4\r\npa", 101));
         executor.socket.close();
@@ -503,32 +505,32 @@
         End silent = executorPlace.accept();
         assertThat(silent.line()).isEqualTo("JOIN 0");
         End caller = connect();
-        caller.say(array("HEALTH", "1") + ticket(101, "look", "b"));
+        caller.say(array("HEALTH", "1") + request(101, "look", "b"));
         assertThat(caller.answer()).startsWith("1 RED");
         assertThat(caller.answer()).isEqualTo("101 NAK holdoff=1000");
         Thread leaving = leave();
         assertThat(caller.answer()).isEqualTo("0 FIN");
         caller.socket.close();
-        leaving.join(PATIENCE_MS);
+        leaving.join(RESPONSE_TIMEOUT_MS);
     }
 
     @Test
-    void aReplyBrokenOffInTheMiddleIsAskedForAgainOnlyWhereNothingCanHappenTwice()
+    void aReplyBrokenOffInTheMiddleIsRequestedForAgainOnlyWhereNothingCanHappenTwice()
             throws Exception {
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "look", "a"));
+        End caller = upstream();
+        caller.say(request(101, "look", "a"));
         expectRun(101, "look", "a");
         callOut(1, 101);
-        End index = indexPlace.accept();
-        expectCall(index, 101);
-        index.say(String.format("%016x HIT 10\r\nabc", 101));
-        index.socket.close();
-        End again = indexPlace.accept();
+        End dependency = dependencyPlace.accept();
+        expectCall(dependency, 101);
+        dependency.say(String.format("%016x HIT 10\r\nabc", 101));
+        dependency.socket.close();
+        End again = dependencyPlace.accept();
         expectCall(again, 101);
         again.say(String.format("%016x HIT 2\r\nok\r\n", 101));
         expectReply(101, "ok");
-        caller.say(ticket(102, "pay", "p"));
+        caller.say(request(102, "pay", "p"));
         expectRun(102, "pay", "p");
         callOut(2, 102);
         expectCall(again, 102);
@@ -539,22 +541,22 @@
 
     // ---- lists and reports ----
 
-    private static String report(End naming) throws IOException {
-        assertThat(naming.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
-        while (!naming.line().isEmpty()) {
+    private static String report(End registry) throws IOException {
+        assertThat(registry.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
+        while (!registry.line().isEmpty()) {
             // the other headers
         }
-        String body = naming.bytes("{\"serving\":\"no\"}".length());
-        return body.endsWith("}") ? body : body + naming.bytes(1);
+        String body = registry.bytes("{\"serving\":\"no\"}".length());
+        return body.endsWith("}") ? body : body + registry.bytes(1);
     }
 
     @Test
     void theLastReportIsSaidAgainAfterAnEarlierOneThatMayHaveOvertakenIt() throws Exception {
         start();
-        End slow = namingPlace.accept();
+        End slow = registryPlace.accept();
         assertThat(report(slow)).contains("yes");
         Thread leaving = leave();
-        End last = namingPlace.accept();
+        End last = registryPlace.accept();
         assertThat(report(last)).contains("no");
         last.say("HTTP/1.1 204 No Content\r\n\r\n");
         slow.say("HTTP/1.1 204 No Content\r\n\r\n");
@@ -572,15 +574,15 @@
                             });
             reads.start();
         }
-        assertThat(again.get(PATIENCE_MS, TimeUnit.MILLISECONDS)).contains("no");
-        leaving.join(PATIENCE_MS);
+        assertThat(again.get(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)).contains("no");
+        leaving.join(RESPONSE_TIMEOUT_MS);
     }
 
     @Test
     void aNameThatIsNoPathIsWrittenAsOne() throws Exception {
         name = "n 1/\u00e9?";
         start();
-        assertThat(namingPlace.accept().line())
+        assertThat(registryPlace.accept().line())
                 .isEqualTo("PUT /ns/hosts/n%201%2F%C3%A9%3F HTTP/1.1");
     }
 
@@ -588,18 +590,18 @@
     void theLastReportFindsItsWayPastFourThatNobodyAnswered() throws Exception {
         standsStill = true; // so that none is given up
         start();
-        assertThat(report(namingPlace.accept())).contains("yes");
+        assertThat(report(registryPlace.accept())).contains("yes");
         for (int i = 0; i < 3; i++) {
-            Place before = namingPlace;
-            namingPlace = new Place();
+            Place before = registryPlace;
+            registryPlace = new Place();
             serving.reload(config());
-            assertThat(report(namingPlace.accept())).contains("yes");
+            assertThat(report(registryPlace.accept())).contains("yes");
             before.close();
         }
         Thread leaving = leave();
-        assertThat(report(namingPlace.accept())).contains("no");
+        assertThat(report(registryPlace.accept())).contains("no");
         skip(15);
-        leaving.join(PATIENCE_MS);
+        leaving.join(RESPONSE_TIMEOUT_MS);
     }
 
     // ---- clocks ----
@@ -629,18 +631,18 @@
     }
 
     @Test
-    void theWindowCountsInTheClockThatStampsTickets() throws Exception {
+    void theWindowCountsInTheClockThatStampsRequests() throws Exception {
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "pay", "p"));
+        End caller = upstream();
+        caller.say(request(101, "pay", "p"));
         expectRun(101, "pay", "p");
         exit(1, 101, "paid");
         assertThat(caller.answer()).isEqualTo("101 ACK + paid");
-        // Set back by 30 s, more than window and abandon time: by its stamp the next try is within
+        // Set back by 30 s, more than window and timeout: by its stamp the next try is within
         // the window.
         setWallClock(Duration.ofSeconds(-30));
         skip(25);
-        caller = dispatcher();
+        caller = upstream();
         caller.say(stamped(102, WallClock.now()));
         assertThat(caller.answer()).isIn("102 ACK + paid", "102 FAIL +");
         // Set forward past the window it is a new one.
@@ -676,7 +678,7 @@
             write(flood.get(i), array("HEALTH", "1"));
         }
         until(() -> serving.figures().startsWith("connections 9,"));
-        CountDownLatch go = hold();
+        CountDownLatch go = block();
         ByteBuffer many =
                 ByteBuffer.wrap(
                         (array("ABORT", "7").repeat(300) + array("HEALTH", "8"))
@@ -694,15 +696,15 @@
             }
         }
         assertThat(written).as("held up at last").isLessThan(512L << 20);
-        until(() -> serving.decider().waitingBytes() > 900_000);
-        assertThat(serving.decider().waitingBytes()).isLessThanOrEqualTo(1 << 20);
+        until(() -> serving.eventLoop().waitingBytes() > 900_000);
+        assertThat(serving.eventLoop().waitingBytes()).isLessThanOrEqualTo(1 << 20);
         go.countDown();
         exit(1, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         for (SocketChannel one : flood) {
             one.close();
         }
-        dispatcher();
+        upstream();
     }
 
     // ---- configurations ----
@@ -711,39 +713,39 @@
     void theDescriptorsOfAnyPlatformAreEnoughForAllThatTakesThem() {
         for (int all = 56; all < 5000; all++) {
             for (int needed : new int[] {0, 1, 32, 1_000_000}) {
-                Serving.Descriptors parts = Serving.Descriptors.of(all, 24, needed, 0);
-                assertThat(parts.dispatchers()).as("of %d", all).isGreaterThan(all / 2);
+                NodeServer.Descriptors parts = NodeServer.Descriptors.of(all, 24, needed, 0);
+                assertThat(parts.upstreams()).as("of %d", all).isGreaterThan(all / 2);
                 assertThat(parts.closing()).isPositive();
                 assertThat(parts.calls()).isBetween(Math.min(2, needed), needed);
-                assertThat(parts.dispatchers() + parts.closing() + parts.calls() + 24)
+                assertThat(parts.upstreams() + parts.closing() + parts.calls() + 24)
                         .as("of %d", all)
                         .isEqualTo(all);
             }
         }
         // More calls where the settings let more be out, and never at the cost of the half that
-        // dispatchers may take.
-        assertThat(Serving.Descriptors.of(1024, 24, 300, 0).calls()).isGreaterThan(200);
+        // upstream load balancers may take.
+        assertThat(NodeServer.Descriptors.of(1024, 24, 300, 0).calls()).isGreaterThan(200);
         for (int all = 64; all < 5000; all++) {
-            Serving.Descriptors parts = Serving.Descriptors.of(all, 24, 64, 10 * 32);
-            assertThat(parts.dispatchers()).as("of %d", all).isGreaterThan(all / 2);
+            NodeServer.Descriptors parts = NodeServer.Descriptors.of(all, 24, 64, 10 * 32);
+            assertThat(parts.upstreams()).as("of %d", all).isGreaterThan(all / 2);
             assertThat(parts.calls()).isBetween(2, 64);
             assertThat(parts.runs()).isBetween(2, 320);
-            assertThat(parts.dispatchers() + parts.closing() + parts.calls() + parts.runs() + 24)
+            assertThat(parts.upstreams() + parts.closing() + parts.calls() + parts.runs() + 24)
                     .isEqualTo(all);
         }
     }
 
     @Test
-    void whatIsKeptGrowsWithTheMemoryAndNeverTakesMoreThanItsPartOfIt() {
+    void whatIsStoredGrowsWithTheMemoryAndNeverTakesMoreThanItsPartOfIt() {
         long small = 40L << 20;
-        assertThat(Tables.of(small)).isEqualTo(new Tables(8192, 16384, 8 << 20));
-        assertThat(Tables.of(50 * small))
-                .isEqualTo(new Tables(50 * 8192, 50 * 16384, 50L * (8 << 20)));
+        assertThat(TableSizes.of(small)).isEqualTo(new TableSizes(8192, 16384, 8 << 20));
+        assertThat(TableSizes.of(50 * small))
+                .isEqualTo(new TableSizes(50 * 8192, 50 * 16384, 50L * (8 << 20)));
         for (long memory = 1; memory < 1L << 45; memory *= 3) {
-            Tables tables = Tables.of(memory);
-            assertThat(tables.tickets()).isBetween(1, 1 << 20);
-            assertThat(tables.receipts()).isPositive();
-            assertThat(tables.receiptBytes()).isLessThanOrEqualTo(memory / 5);
+            TableSizes tables = TableSizes.of(memory);
+            assertThat(tables.requests()).isBetween(1, 1 << 20);
+            assertThat(tables.idempotencyRecords()).isPositive();
+            assertThat(tables.idempotencyBytes()).isLessThanOrEqualTo(memory / 5);
         }
     }
 
@@ -753,20 +755,20 @@
                 SETTINGS.replace("\"look\"", "\"look, see.v2\"")
                         .replace("\"acme\"", "\"acme & sons\"");
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "look, see.v2", "b", ",owner=acme & sons"));
+        End caller = upstream();
+        caller.say(request(101, "look, see.v2", "b", ",owner=acme & sons"));
         expectRun(101, "look, see.v2", "b");
         exit(1, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
     }
 
     @Test
-    void aNodeWithNothingBelowNeedsNoIndex() throws Exception {
+    void aNodeWithNothingDownstreamNeedsNoDependency() throws Exception {
         settings =
                 SETTINGS.replace("one_for_all", "off")
                         .replace("\"calls_out\": 2.0", "\"calls_out\": 0.0")
                         .replace("[true, true]", "[false, false]");
-        withoutIndex = true;
+        withoutDependency = true;
         start();
         End caller = callerWithRun();
         exit(1, 101, "done");
@@ -775,15 +777,15 @@
         log.drain();
         assertThat(logged.toString(UTF_8)).contains("index none");
         String shared = text().replace("\"below\": \"off\"", "\"below\": \"one_for_all\"");
-        assertThat(read(shared).index()).as("what no track calls needs no address").isNull();
+        assertThat(read(shared).dependency()).as("what no track calls needs no address").isNull();
         assertThatThrownBy(() -> read(shared.replace("[false, false]", "[false, true]")))
                 .hasMessageContaining("'index' is missing");
     }
 
     @Test
-    void aRunThatAsksForACallWhereNothingIsBelowEndsAtOnce() throws Exception {
+    void aRunThatAsksForACallWhereNothingIsDownstreamEndsAtOnce() throws Exception {
         settings = SETTINGS.replace("one_for_all", "off").replace("[true, true]", "[false, false]");
-        withoutIndex = true;
+        withoutDependency = true;
         start();
         End caller = callerWithRun();
         callOut(1, 101);
--- a/src/test/java/lupinwood/net/DescriptorsIT.java
+++ b/src/test/java/lupinwood/net/DescriptorsIT.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import lupinwood.core.Ending;
+import lupinwood.processing.Completion;
 import org.apache.mina.core.session.IoSession;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -45,18 +45,18 @@
     /** The limit is the system's own, set by the shell that the node's process replaces. */
     private void startUnder(int limit) throws Exception {
         executorPlace = new Place();
-        indexPlace = new Place();
-        namingPlace = new Place();
+        dependencyPlace = new Place();
+        registryPlace = new Place();
         try (Place free = new Place()) {
             listen =
                     new InetSocketAddress(free.socket.getInetAddress(), free.socket.getLocalPort());
         }
-        // However busy the machine is, it is not the time that turns a ticket away here.
+        // However busy the machine is, it is not the time that turns a request away here.
         settings =
                 SETTINGS.replace(
                         "\"aim_ns\": 3000000000, \"give_up_ns\": 9000000000",
                         "\"aim_ns\": 30000000000, \"give_up_ns\": 60000000000");
-        Files.writeString(folder.resolve("config.json"), text());
+        Files.writeString(directory.resolve("config.json"), text());
         String path =
                 Stream.of(System.getProperty("java.class.path").split(File.pathSeparator))
                         .map(part -> Path.of(part).toAbsolutePath().toString())
@@ -72,7 +72,7 @@
                                         + "/bin/java' -Xshare:auto -Xmx64m -cp '"
                                         + path
                                         + "' lupinwood.cli.Main serve --config config.json")
-                        .directory(folder.toFile())
+                        .directory(directory.toFile())
                         .start();
         Thread reader =
                 new Thread(
@@ -101,8 +101,8 @@
             process.destroyForcibly();
             process.waitFor(20, TimeUnit.SECONDS);
             executorPlace.close();
-            indexPlace.close();
-            namingPlace.close();
+            dependencyPlace.close();
+            registryPlace.close();
         }
     }
 
@@ -136,7 +136,7 @@
         return most;
     }
 
-    /** The name service closes each connection; tells how many it had. */
+    /** The service registry closes each connection; tells how many it had. */
     private AtomicInteger refuseReports() {
         AtomicInteger had = new AtomicInteger();
         Thread service =
@@ -144,7 +144,7 @@
                         () -> {
                             try {
                                 while (true) {
-                                    namingPlace.socket.accept().close();
+                                    registryPlace.socket.accept().close();
                                     had.incrementAndGet();
                                 }
                             } catch (IOException e) {
@@ -161,11 +161,11 @@
      * free.
      */
     @Test
-    void aDoorTakesNoMoreThanItHasPlacesForAndEachComesInOnceOneIsFree() throws Exception {
+    void aProxyTakesNoMoreThanItHasPlacesForAndEachComesInOnceOneIsFree() throws Exception {
         AcceptLimit limit = new AcceptLimit();
         limit.allow(2);
         ExecutorService threads = Executors.newCachedThreadPool();
-        Processor processor = new Processor(threads, limit);
+        SelectorProcessor processor = new SelectorProcessor(threads, limit);
         Acceptor acceptor = new Acceptor(processor, limit);
         InetSocketAddress at = hears(acceptor);
         List<End> callers = new ArrayList<>();
@@ -175,11 +175,11 @@
         }
         for (int i = 0; i < 40; i++) {
             assertThat(callers.get(i).line()).isEqualTo("heard");
-            assertThat(limit.held()).isLessThanOrEqualTo(2);
+            assertThat(limit.openCount()).isLessThanOrEqualTo(2);
             assertThat(acceptor.accepted()).isLessThanOrEqualTo(i + 2);
             callers.get(i).socket.close();
         }
-        until(() -> limit.held() == 0);
+        until(() -> limit.openCount() == 0);
         acceptor.dispose();
         processor.dispose();
         threads.shutdown();
@@ -191,7 +191,7 @@
      */
     @Test
     void aConnectionThatIsCalledOffWhileItConnectsEndsAtOnce() throws Exception {
-        Sockets sockets = new Sockets(log, 10 * PATIENCE_MS);
+        Sockets sockets = new Sockets(log, 10 * RESPONSE_TIMEOUT_MS);
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             boolean isFull = false;
@@ -204,7 +204,7 @@
                     isFull = true;
                 }
             }
-            CompletableFuture<Ending> failed = new CompletableFuture<>();
+            CompletableFuture<Completion> failed = new CompletableFuture<>();
             Runnable callOff =
                     sockets.connect(
                             (InetSocketAddress) full.getLocalSocketAddress(),
@@ -238,8 +238,8 @@
                             failed::complete);
             until(() -> connecting(full.getLocalPort()) == 1);
             callOff.run();
-            assertThat(failed.get(PATIENCE_MS, TimeUnit.MILLISECONDS))
-                    .isEqualTo(Ending.NEVER_CONNECTED);
+            assertThat(failed.get(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS))
+                    .isEqualTo(Completion.NEVER_CONNECTED);
             until(() -> connecting(full.getLocalPort()) == 0);
         } finally {
             for (Socket one : filling) {
@@ -267,7 +267,7 @@
      * the executor is lost; as it goes on, all of that is there at once.
      */
     @Test
-    void aCrowdOfIdleClientsLeavesDescriptorsForTheExecutorTheIndexTheNameServiceAndOneMore()
+    void aLoadOfIdleClientsLeavesDescriptorsForTheExecutorTheDependencyTheNameServiceAndOneMore()
             throws Exception {
         startUnder(LIMIT);
         AtomicInteger reports = refuseReports();
@@ -287,7 +287,7 @@
         }
         executor.socket.close();
         End late = connect();
-        late.say(ticket(102, "look", "late"));
+        late.say(request(102, "look", "late"));
         int before = reports.get();
         AtomicInteger most = mostOpen();
         signal("CONT");
@@ -296,9 +296,9 @@
         assertThat(executor.line()).isEqualTo("JOIN 0");
         executor.say("WELCOME WARM 600000\r\n"); // the same one, however long this took
         callOut(1, 101);
-        End index = indexPlace.accept();
-        expectCall(index, 101);
-        index.say(String.format("%016x HIT 4\r\nsaid\r\n", 101));
+        End dependency = dependencyPlace.accept();
+        expectCall(dependency, 101);
+        dependency.say(String.format("%016x HIT 4\r\nsaid\r\n", 101));
         List<String> commands = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             commands.add(executor.command());
@@ -317,7 +317,7 @@
         for (End end : silent) {
             assertThat(end.isOver()).as("never said a word").isTrue();
         }
-        assertThat(resting.get(0).isOverOnceAsked()).as("rested for longest").isTrue();
+        assertThat(resting.get(0).isOverOnceRequested()).as("rested for longest").isTrue();
         assertThat(most.get()).as("a few are left at any time").isLessThan(LIMIT);
         assertThat(isLogged("Too many open files")).as("%s", lines).isFalse();
         assertThat(isLogged("no link to the executor")).isFalse();
--- a/src/test/java/lupinwood/net/GoldenAjpFrontTest.java
+++ b/src/test/java/lupinwood/net/GoldenAjpListenerTest.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import lupinwood.GoldenFile;
-import lupinwood.ScriptedNode;
+import lupinwood.admission.GoldenFile;
+import lupinwood.admission.ScriptedPolicy;
 import lupinwood.ajp.Replies;
 import lupinwood.ajp.Requests;
 import lupinwood.load.Loader;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What web servers hear from a node, and what a node says to servers that carry out tickets. */
-final class GoldenAjpFrontTest extends GoldenExchange {
+/** What web servers hear from a node, and what a node says to servers that carry out requests. */
+final class GoldenAjpListenerTest extends GoldenExchange {
     private static final String WHO = "web server";
     private static final int END_RESPONSE = 5;
     private static final int GET_BODY_CHUNK = 6;
@@ -48,10 +48,10 @@
                 GoldenFile.text("ajp/node.kdl")
                         .replace("LISTEN", "127.0.0.1:" + listen.getPort())
                         .replace("EXECUTOR", "127.0.0.1:" + executorPlace.socket.getLocalPort())
-                        .replace("NAMING", "127.0.0.1:" + namingPlace.socket.getLocalPort())
+                        .replace("NAMING", "127.0.0.1:" + registryPlace.socket.getLocalPort())
                         .replace("AJP", "127.0.0.1:" + ajpPort)
                         .replace("SERVER", "127.0.0.1:" + serverPlace.socket.getLocalPort());
-        Path file = Files.writeString(folder.resolve("node.kdl"), text);
+        Path file = Files.writeString(directory.resolve("node.kdl"), text);
         return new Loader(file, null).load().config();
     }
 
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void webServersHearTheSameOfWhatIsBouncedOrRefused() throws Exception {
+    void webServersHearTheSameOfWhatIsRejectedOrRefused() throws Exception {
         begin();
         ask("bounced", request("GET", "/bounce", 0));
         ask("bounced for a time", request("GET", "/bounce-for-a-time", 0));
@@ -156,9 +156,9 @@
         hearEnd(WHO, end);
         title("a second request before the first one's answer");
         End two = webServer();
-        byte[] held = request("GET", "/hold", 0);
+        byte[] leased = request("GET", "/hold", 0);
         int before = logSize();
-        sayPackets(WHO, two, held, held);
+        sayPackets(WHO, two, leased, leased);
         untilMoreIsLogged(before);
         title("a node that leaves");
         End last = webServer();
@@ -176,59 +176,59 @@
     }
 
     @Test
-    void serversThatCarryOutTicketsHearTheSameBytes() throws Exception {
+    void serversThatCarryOutRequestsHearTheSameBytes() throws Exception {
         begin();
-        End dispatcher = connect();
+        End upstream = connect();
         title("a ticket with a body");
-        sendTicket(dispatcher, 101, "body");
+        sendRequest(upstream, 101, "body");
         End server = serverPlace.accept();
         hearPacket("server", server);
         hearPacket("server", server);
-        answer(server, dispatcher, 200, "OK", "done", true);
+        answer(server, upstream, 200, "OK", "done", true);
         title("one without a body, failed");
-        sendTicket(dispatcher, 102, "");
+        sendRequest(upstream, 102, "");
         hearPacket("server", server);
-        answer(server, dispatcher, 500, "No", "oh", true);
+        answer(server, upstream, 500, "No", "oh", true);
         title("asked for more than there is");
-        sendTicket(dispatcher, 103, "x");
+        sendRequest(upstream, 103, "x");
         hearPacket("server", server);
         hearPacket("server", server);
         sayPackets("server", server, Replies.askBody(8186));
         hearPacket("server", server);
-        answer(server, dispatcher, 204, "OK", "", true);
+        answer(server, upstream, 204, "OK", "", true);
         title("after a rest");
         skip(0.6);
-        sendTicket(dispatcher, 104, "");
+        sendRequest(upstream, 104, "");
         hearPacket("server", server);
         sayPackets("server", server, Replies.pong());
         hearPacket("server", server);
-        answer(server, dispatcher, 200, "OK", "done", false);
+        answer(server, upstream, 200, "OK", "done", false);
         hearEnd("server", server);
         title("on a new connection, which is lost");
-        sendTicket(dispatcher, 105, "");
+        sendRequest(upstream, 105, "");
         End next = serverPlace.accept();
         hearPacket("server", next);
         next.socket.close();
-        hearArray("dispatcher", dispatcher);
+        hearArray("dispatcher", upstream);
         noteHeard();
         GoldenFile.holds("ajp/servers.txt", transcript());
     }
 
-    private void sendTicket(End dispatcher, int tag, String body) throws Exception {
+    private void sendRequest(End upstream, int tag, String body) throws Exception {
         String fields =
                 String.format(
                         "req=%016x,ts=%d,via=1,owner=acme,need=%d,level=0.5",
-                        tag, NOW_MS, ScriptedNode.ADVISE);
-        say("dispatcher", dispatcher, array("REQ", "" + tag, "send", fields, body));
+                        tag, NOW_MS, ScriptedPolicy.REPORT_CAPACITY);
+        say("dispatcher", upstream, array("REQ", "" + tag, "send", fields, body));
     }
 
     private void answer(
-            End server, End dispatcher, int status, String reason, String body, boolean reuse)
+            End server, End upstream, int status, String reason, String body, boolean reuse)
             throws Exception {
         sayPackets(
                 "server",
                 server,
                 Replies.answer(status, reason, Map.of(), body.getBytes(ISO_8859_1), PACKET, reuse));
-        hearArray("dispatcher", dispatcher);
+        hearArray("dispatcher", upstream);
     }
 }
--- a/src/test/java/lupinwood/net/GoldenExchange.java
+++ b/src/test/java/lupinwood/net/GoldenExchange.java
@@ -9,8 +9,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import lupinwood.GoldenFile;
-import lupinwood.ScriptedNode;
+import lupinwood.admission.GoldenFile;
+import lupinwood.admission.ScriptedPolicy;
 import lupinwood.log.WallClock;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -30,7 +30,7 @@
     final List<String> heard = new CopyOnWriteArrayList<>();
 
     /** What the nodes were told at their start, that of the warm-up among them; sorted lines. */
-    final List<String> told = new CopyOnWriteArrayList<>();
+    final List<String> reported = new CopyOnWriteArrayList<>();
 
     private final StringBuilder transcript = new StringBuilder();
 
@@ -41,8 +41,8 @@
         maker =
                 (server, seed, settings) -> {
                     heard.clear(); // the node that was made for the warm-up is gone
-                    told.add(GoldenFile.lines(settings));
-                    return new ScriptedNode(server, heard::add);
+                    reported.add(GoldenFile.lines(settings));
+                    return new ScriptedPolicy(server, heard::add);
                 };
     }
 
@@ -59,7 +59,7 @@
 
     /** Waits for the node that is made once the executor is up; one was made for the warm-up. */
     final void untilMade() throws Exception {
-        until(() -> told.size() == 2);
+        until(() -> reported.size() == 2);
     }
 
     /** How far the log has got, for {@link #untilMoreIsLogged}. */
--- a/src/test/java/lupinwood/net/GoldenLinesTest.java
+++ b/src/test/java/lupinwood/net/GoldenLinesTest.java
@@ -3,20 +3,23 @@
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.util.List;
-import lupinwood.GoldenFile;
-import lupinwood.ScriptedNode;
+import lupinwood.admission.GoldenFile;
+import lupinwood.admission.ScriptedPolicy;
 import org.junit.jupiter.api.Test;
 
-/** The lines to and from the executor and the index, and the reports to the name service. */
+/**
+ * The lines to and from the executor and the shared dependency, and the reports to the service
+ * registry.
+ */
 final class GoldenLinesTest extends GoldenExchange {
-    private static final String DISPATCHER = "dispatcher";
+    private static final String UPSTREAM = "dispatcher";
     private static final String EXECUTOR = "executor";
-    private static final String INDEX = "index";
-    private static final String NAMING = "naming";
+    private static final String DEPENDENCY = "index";
+    private static final String REGISTRY = "naming";
     private static final int SHORT_WAIT_MS = 5;
 
-    private End dispatcher;
-    private End index;
+    private End upstream;
+    private End dependency;
     private int notice;
 
     private void beginWith(String welcome) throws Exception {
@@ -26,29 +29,29 @@
         hearCommand();
         say(EXECUTOR, executor, welcome + "\r\n");
         untilMade();
-        dispatcher = connect();
+        upstream = connect();
     }
 
     private void hearCommand() throws Exception {
         hearLine(EXECUTOR, executor, "EXEC", "RETURN");
     }
 
-    /** A ticket comes, and the command to run it goes out. */
-    private void run(int tag, String track, int script) throws Exception {
-        send(tag, track, script);
+    /** A request comes, and the command to run it goes out. */
+    private void run(int tag, String className, int script) throws Exception {
+        send(tag, className, script);
         hearCommand();
     }
 
-    private void send(int tag, String track, int script) throws IOException {
+    private void send(int tag, String className, int script) throws IOException {
         String fields =
                 String.format(
                         "req=%016x,ts=%d,via=1,owner=acme,need=%d,level=0.5%s",
                         tag,
                         NOW_MS,
                         script,
-                        track.equals("pay") ? ",opkey=" + Integer.toHexString(tag) : "");
-        note(DISPATCHER + " > (ticket " + tag + ")");
-        dispatcher.say(array("REQ", "" + tag, track, fields, "body " + tag));
+                        className.equals("pay") ? ",opkey=" + Integer.toHexString(tag) : "");
+        note(UPSTREAM + " > (ticket " + tag + ")");
+        upstream.say(array("REQ", "" + tag, className, fields, "body " + tag));
     }
 
     /** The executor tells of a run. */
@@ -57,26 +60,26 @@
     }
 
     private void answered() throws Exception {
-        hearArray(DISPATCHER, dispatcher);
+        hearArray(UPSTREAM, upstream);
     }
 
     @Test
-    void runsCallsAndGaugesHaveTheSameLines() throws Exception {
+    void runsCallsAndResourceUsageHaveTheSameLines() throws Exception {
         beginWith("WELCOME COLD 900.5");
         title("what the node is told");
-        note(told.get(1).strip());
+        note(reported.get(1).strip());
         title("a run with a call");
         run(101, "look", 20);
         tell("CALLOUT", 101, " 5\r\nask\0!");
-        index = indexPlace.accept();
-        hearLine(INDEX, index, "GET");
-        say(INDEX, index, String.format("%016x HIT 4\r\n\r\nok\r\n", 101));
+        dependency = dependencyPlace.accept();
+        hearLine(DEPENDENCY, dependency, "GET");
+        say(DEPENDENCY, dependency, String.format("%016x HIT 4\r\n\r\nok\r\n", 101));
         hearCommand();
         tell("CALLOUT", 101, " 0\r\n");
         // A reply names only its try, so the next call of the same try gets a new connection.
-        End second = indexPlace.accept();
-        hearLine(INDEX, second, "GET");
-        say(INDEX, second, String.format("%016x HIT 0\r\n\r\n", 101));
+        End second = dependencyPlace.accept();
+        hearLine(DEPENDENCY, second, "GET");
+        say(DEPENDENCY, second, String.format("%016x HIT 0\r\n\r\n", 101));
         hearCommand();
         tell("EXIT", 101, " OK 12.25 2\r\nok");
         answered();
@@ -90,30 +93,30 @@
             noteHeard();
         }
         title("stopped");
-        run(120, "look", ScriptedNode.STOP);
+        run(120, "look", ScriptedPolicy.STOP);
         hearCommand();
         tell("EXIT", 120, " STOPPED 1");
         answered();
         noteHeard();
         title("gauges");
-        for (String gauges : List.of(" 0.5 3", " 0.5", "", " 1e-3 2.5 7", " NaN Infinity")) {
-            skip(0.03); // gauges as new as those before would not be asked for
-            run(++tag + 20, "look", ScriptedNode.WAKE);
-            String asked = executor.line();
-            note(EXECUTOR + " < " + asked);
-            String number = asked.split(" ", 0)[1];
-            say(EXECUTOR, executor, "METERS " + number + gauges + "\r\n");
+        for (String resourceUsage : List.of(" 0.5 3", " 0.5", "", " 1e-3 2.5 7", " NaN Infinity")) {
+            skip(0.03); // resource usage as new as those before would not be asked for
+            run(++tag + 20, "look", ScriptedPolicy.WAKE);
+            String requested = executor.line();
+            note(EXECUTOR + " < " + requested);
+            String number = requested.split(" ", 0)[1];
+            say(EXECUTOR, executor, "METERS " + number + resourceUsage + "\r\n");
             untilHeard(2);
             noteHeard();
         }
         title("a check by work");
-        send(150, "look", ScriptedNode.HEALTH_BY_WORK);
+        send(150, "look", ScriptedPolicy.HEALTH_BY_WORK);
         answered();
         for (String word : List.of("OK", "BAD")) {
-            say(DISPATCHER, dispatcher, array("HEALTH", "151", "real=1"));
-            String asked = executor.line();
-            note(EXECUTOR + " < " + asked);
-            String number = asked.split(" ", 0)[1];
+            say(UPSTREAM, upstream, array("HEALTH", "151", "real=1"));
+            String requested = executor.line();
+            note(EXECUTOR + " < " + requested);
+            String number = requested.split(" ", 0)[1];
             say(EXECUTOR, executor, "DIAGNOSED " + number + " " + word + "\r\n");
             answered();
         }
@@ -126,33 +129,33 @@
         title("a run that it refuses");
         run(101, "look", 20);
         say(EXECUTOR, executor, String.format("BAD EXEC %016x\r\n", 101));
-        hearEnd(DISPATCHER, dispatcher);
-        dispatcher = connect();
+        hearEnd(UPSTREAM, upstream);
+        upstream = connect();
         noteHeard();
         title("a call to be left out, and the same refused");
-        run(102, "look", ScriptedNode.SKIP_CALL);
+        run(102, "look", ScriptedPolicy.SKIP_CALL);
         tell("CALLOUT", 102, " 3\r\nask");
         hearCommand();
         tell("EXIT", 102, " OK 1 2\r\nok");
         answered();
-        run(103, "pay", ScriptedNode.SKIP_CALL);
+        run(103, "pay", ScriptedPolicy.SKIP_CALL);
         tell("CALLOUT", 103, " 3\r\nask");
         hearCommand();
         say(EXECUTOR, executor, String.format("BAD BYPASS %016x\r\n", 103));
         answered();
         noteHeard();
         title("from then on it is not asked for again");
-        run(104, "pay", ScriptedNode.SKIP_CALL);
+        run(104, "pay", ScriptedPolicy.SKIP_CALL);
         tell("CALLOUT", 104, " 3\r\nask");
         answered();
         noteHeard();
         title("a stop that it refuses");
-        run(105, "look", ScriptedNode.STOP);
+        run(105, "look", ScriptedPolicy.STOP);
         hearCommand();
         int before = logSize();
         say(EXECUTOR, executor, String.format("BAD KILL %016x\r\n", 105));
         untilMoreIsLogged(before);
-        run(106, "look", ScriptedNode.STOP);
+        run(106, "look", ScriptedPolicy.STOP);
         tell("EXIT", 106, " OK 1 2\r\nok");
         answered();
         noteHeard();
@@ -201,9 +204,9 @@
         }
         hearCommand();
         say(EXECUTOR, executor, "WELCOME WARM 100000\r\n");
-        String asked = executor.line();
-        note(EXECUTOR + " < " + asked);
-        say(EXECUTOR, executor, "METERS " + asked.split(" ", 0)[1] + " 0 0\r\n");
+        String requested = executor.line();
+        note(EXECUTOR + " < " + requested);
+        say(EXECUTOR, executor, "METERS " + requested.split(" ", 0)[1] + " 0 0\r\n");
     }
 
     @Test
@@ -251,23 +254,26 @@
     }
 
     private void call(int tag) throws Exception {
-        run(tag, "look", ScriptedNode.SKIP_FAILED_CALL);
+        run(tag, "look", ScriptedPolicy.SKIP_FAILED_CALL);
         tell("CALLOUT", tag, " 3\r\nask");
-        if (index == null) {
-            index = indexPlace.accept();
+        if (dependency == null) {
+            dependency = dependencyPlace.accept();
         }
-        hearLine(INDEX, index, "GET");
+        hearLine(DEPENDENCY, dependency, "GET");
     }
 
     @Test
-    void repliesOfTheIndexAreUnderstoodTheSame() throws Exception {
+    void repliesOfTheDependencyAreUnderstoodTheSame() throws Exception {
         beginWith("WELCOME WARM 12");
         int tag = 100;
         title("each end of a call");
         for (String word : List.of("SHED", "BROKEN", "SLOW", "NOBODY", "HIT 2\r\nok")) {
             call(++tag);
-            say(INDEX, index, String.format("%016x NOBODY\r\n", 99)); // another's, passed over
-            say(INDEX, index, String.format("%016x %s\r\n", tag, word));
+            say(
+                    DEPENDENCY,
+                    dependency,
+                    String.format("%016x NOBODY\r\n", 99)); // another's, passed over
+            say(DEPENDENCY, dependency, String.format("%016x %s\r\n", tag, word));
             hearCommand();
             noteHeard();
         }
@@ -284,27 +290,27 @@
                         "%016x SHED\n",
                         "\r\n")) {
             call(++tag);
-            say(INDEX, index, String.format(bytes, tag));
-            hearEnd(INDEX, index);
-            index = null;
+            say(DEPENDENCY, dependency, String.format(bytes, tag));
+            hearEnd(DEPENDENCY, dependency);
+            dependency = null;
             hearCommand();
             noteHeard();
         }
         title("the connection ends");
         call(++tag);
-        index.socket.close();
-        index = null;
+        dependency.socket.close();
+        dependency = null;
         hearCommand();
         noteHeard();
         title("no reply in time");
         call(++tag);
         skip(1.6);
-        hearEnd(INDEX, index);
+        hearEnd(DEPENDENCY, dependency);
         hearCommand();
         noteHeard();
         title("nobody is there");
-        indexPlace.close();
-        run(++tag, "look", ScriptedNode.SKIP_FAILED_CALL);
+        dependencyPlace.close();
+        run(++tag, "look", ScriptedPolicy.SKIP_FAILED_CALL);
         tell("CALLOUT", tag, " 3\r\nask");
         hearCommand();
         noteHeard();
@@ -312,11 +318,11 @@
     }
 
     @Test
-    void callsHaveNoPlaceToGoWithoutAnIndex() throws Exception {
-        withoutIndex = true;
+    void callsHaveNoPlaceToGoWithoutAnDependency() throws Exception {
+        withoutDependency = true;
         settings = SETTINGS.replace("\"below\": \"one_for_all\"", "\"below\": \"off\"");
         beginWith("WELCOME WARM 12");
-        run(101, "look", ScriptedNode.SKIP_FAILED_CALL);
+        run(101, "look", ScriptedPolicy.SKIP_FAILED_CALL);
         tell("CALLOUT", 101, " 3\r\nask");
         hearCommand();
         noteHeard();
@@ -327,20 +333,20 @@
     void reportsToTheNameServiceHaveTheSameBytes() throws Exception {
         name = "n 1/\u00e4+~*\u20ac";
         begin();
-        End naming = namingPlace.accept();
-        hearRequest(NAMING, naming);
+        End registry = registryPlace.accept();
+        hearRequest(REGISTRY, registry);
         int before = logSize();
-        say(NAMING, naming, "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nabc");
+        say(REGISTRY, registry, "HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nabc");
         untilMoreIsLogged(before);
         skip(1);
-        hearRequest(NAMING, naming);
+        hearRequest(REGISTRY, registry);
         before = logSize();
-        say(NAMING, naming, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n");
+        say(REGISTRY, registry, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n");
         untilMoreIsLogged(before);
         skip(1);
-        hearRequest(NAMING, naming);
-        say(NAMING, naming, "HTTP/1.1 204 No Content\r\nconnection: Close\r\n\r\n");
-        hearEnd(NAMING, naming);
+        hearRequest(REGISTRY, registry);
+        say(REGISTRY, registry, "HTTP/1.1 204 No Content\r\nconnection: Close\r\n\r\n");
+        hearEnd(REGISTRY, registry);
         for (String reply :
                 List.of(
                         "HTTP/1.0 204 No Content\r\n\r\n",
@@ -351,15 +357,15 @@
                         "HTTP/1.1 200 N\r\nContent-Length: x\r\n\r\n",
                         "HTTP/1.1 200 N\r\nContent-Length: 65537\r\n\r\n")) {
             skip(1);
-            naming = namingPlace.accept();
-            hearRequest(NAMING, naming);
-            say(NAMING, naming, reply);
-            hearEnd(NAMING, naming);
+            registry = registryPlace.accept();
+            hearRequest(REGISTRY, registry);
+            say(REGISTRY, registry, reply);
+            hearEnd(REGISTRY, registry);
         }
         title("told to leave");
         leave();
-        naming = namingPlace.accept();
-        hearRequest(NAMING, naming);
+        registry = registryPlace.accept();
+        hearRequest(REGISTRY, registry);
         GoldenFile.holds("lines/naming.txt", transcript());
     }
 }
--- a/src/test/java/lupinwood/net/GoldenRespTest.java
+++ b/src/test/java/lupinwood/net/GoldenRespTest.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import lupinwood.GoldenFile;
-import lupinwood.ScriptedNode;
-import lupinwood.core.Arrival;
+import lupinwood.admission.GoldenFile;
+import lupinwood.admission.ScriptedPolicy;
+import lupinwood.processing.IncomingRequest;
 import org.junit.jupiter.api.Test;
 
-/** What dispatchers say, what they hear, and how their fields are understood. */
+/** What upstream load balancers say, what they hear, and how their fields are understood. */
 final class GoldenRespTest extends GoldenExchange {
     private static final String WHO = "dispatcher";
 
@@ -19,11 +19,11 @@
                 "req=%016x,ts=%d,via=1,owner=acme,need=%d,level=0.5", tag, NOW_MS, script);
     }
 
-    private static String ask(int tag, String track, int script, String more) {
-        return array("REQ", "" + tag, track, fields(tag, script) + more, "body");
+    private static String ask(int tag, String className, int script, String more) {
+        return array("REQ", "" + tag, className, fields(tag, script) + more, "body");
     }
 
-    /** A ticket that is run, and ends well. */
+    /** A request that is run, and ends well. */
     private void runAndEnd(End caller, int notice, int tag, int script) throws Exception {
         say(WHO, caller, ask(tag, "look", script, ""));
         hearLine("executor", executor, "EXEC");
@@ -36,10 +36,10 @@
         begin();
         End caller = connect();
         title("run");
-        for (int i = 0; i < ScriptedNode.ADVICES.size(); i++) {
-            runAndEnd(caller, i + 1, 100 + i, ScriptedNode.ADVISE + i);
+        for (int i = 0; i < ScriptedPolicy.ADVICES.size(); i++) {
+            runAndEnd(caller, i + 1, 100 + i, ScriptedPolicy.REPORT_CAPACITY + i);
         }
-        runAndEnd(caller, 50, 130, ScriptedNode.ADVISE);
+        runAndEnd(caller, 50, 130, ScriptedPolicy.REPORT_CAPACITY);
         title("a result without bytes");
         say(WHO, caller, ask(131, "look", 20, ""));
         hearLine("executor", executor, "EXEC");
@@ -54,10 +54,10 @@
         int tag = 140;
         for (int script :
                 new int[] {
-                    ScriptedNode.BOUNCE,
-                    ScriptedNode.BOUNCE_FOR_A_TIME,
-                    ScriptedNode.BOUNCE_FOR_GOOD,
-                    ScriptedNode.FAIL
+                    ScriptedPolicy.REJECT,
+                    ScriptedPolicy.REJECT_FOR_A_TIME,
+                    ScriptedPolicy.REJECT_FOR_GOOD,
+                    ScriptedPolicy.FAIL
                 }) {
             say(WHO, caller, ask(tag++, "look", script, ""));
             hearArray(WHO, caller);
@@ -65,7 +65,9 @@
         title("health checks");
         for (int script :
                 new int[] {
-                    ScriptedNode.HEALTH_GOOD, ScriptedNode.HEALTH_BAD, ScriptedNode.HEALTH_BY_WORK
+                    ScriptedPolicy.HEALTH_GOOD,
+                    ScriptedPolicy.HEALTH_BAD,
+                    ScriptedPolicy.HEALTH_BY_WORK
                 }) {
             say(WHO, caller, ask(tag++, "look", script, ""));
             hearArray(WHO, caller);
@@ -76,13 +78,13 @@
         }
         for (String word : List.of("OK", "BROKEN")) {
             say(WHO, caller, array("HEALTH", "" + tag++, "real=1"));
-            String asked = executor.line();
-            note("executor < " + asked);
-            executor.say("DIAGNOSED " + asked.split(" ", 0)[1] + " " + word + "\r\n");
+            String requested = executor.line();
+            note("executor < " + requested);
+            executor.say("DIAGNOSED " + requested.split(" ", 0)[1] + " " + word + "\r\n");
             hearArray(WHO, caller);
         }
         title("given up by the dispatcher");
-        say(WHO, caller, ask(170, "look", ScriptedNode.HOLD, ""));
+        say(WHO, caller, ask(170, "look", ScriptedPolicy.BLOCK, ""));
         say(WHO, caller, array("ABORT", "170"));
         say(WHO, caller, array("ABORT", "171"));
         say(WHO, caller, array("HEALTH", "172"));
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void ticketsThatAreUnsoundFailAndEndTheConnectionOfWhoSentNothingElse() throws Exception {
+    void requestsThatAreUnsoundFailAndEndTheConnectionOfWhoSentNothingElse() throws Exception {
         begin();
         for (String more :
                 List.of(
@@ -131,7 +133,7 @@
     }
 
     @Test
-    void ticketsThatFailAloneLeaveTheConnectionAsItIs() throws Exception {
+    void requestsThatFailAloneLeaveTheConnectionAsItIs() throws Exception {
         begin();
         title("times that are none");
         End caller = connect();
@@ -161,7 +163,7 @@
         hearArray(WHO, caller);
         runAndEnd(caller, 2, tag, 20);
         title("named like another");
-        say(WHO, caller, ask(400, "look", ScriptedNode.HOLD, ""));
+        say(WHO, caller, ask(400, "look", ScriptedPolicy.BLOCK, ""));
         say(WHO, caller, ask(400, "look", 20, "").replace("$3\r\n400\r\n", "$3\r\n401\r\n"));
         hearArray(WHO, caller);
         title("a tag that is still open");
@@ -217,7 +219,7 @@
     }
 
     @Test
-    void repeatsOfAMarkedTicketAreAnsweredFromTheFirst() throws Exception {
+    void repeatsOfAMarkedRequestAreAnsweredFromTheFirst() throws Exception {
         begin();
         End caller = connect();
         title("while the first runs, and after it");
@@ -281,7 +283,7 @@
     }
 
     @Test
-    void aTicketBeforeTheExecutorIsUpIsSentAway() throws Exception {
+    void aRequestBeforeTheExecutorIsUpIsSentAway() throws Exception {
         open();
         serving.start();
         End caller = connect();
@@ -320,34 +322,36 @@
         GoldenFile.holds("resp/fields.txt", transcript());
     }
 
-    private static String understood(String track, String fields, String body) {
+    private static String understood(String className, String fields, String body) {
         List<byte[]> items = new ArrayList<>();
         items.add("REQ".getBytes(UTF_8));
         items.add("1".getBytes(UTF_8));
-        items.add(track.getBytes(UTF_8));
+        items.add(className.getBytes(UTF_8));
         items.add(fields.getBytes(UTF_8));
         if (body != null) {
             items.add(body.getBytes(UTF_8));
         }
-        Arrival arrival = DispatcherListener.arrival(items);
-        return arrival == null
+        IncomingRequest incomingRequest = RespListener.arrival(items);
+        return incomingRequest == null
                 ? "none"
                 : String.format(
                         Locale.ROOT,
                         "try %s track %s customer '%s' subject %x caller %d patience %d work %d"
                                 + " repeat %b reached %d memory %s rank %s mark %s body '%s'",
-                        arrival.tryId().digits(),
-                        arrival.track(),
-                        arrival.customer(),
-                        arrival.subject().number(),
-                        arrival.caller().number(),
-                        arrival.patience().nanos(),
-                        arrival.work().nanos(),
-                        arrival.repeat(),
-                        arrival.reached().nanos(),
-                        arrival.memoryKb(),
-                        arrival.rank(),
-                        arrival.receipt() == null ? "none" : arrival.receipt().digits(),
-                        GoldenFile.shown(arrival.body()));
+                        incomingRequest.tryId().digits(),
+                        incomingRequest.className(),
+                        incomingRequest.tenant(),
+                        incomingRequest.subject().number(),
+                        incomingRequest.upstreamId().number(),
+                        incomingRequest.clientTimeout().nanos(),
+                        incomingRequest.work().nanos(),
+                        incomingRequest.repeat(),
+                        incomingRequest.reached().nanos(),
+                        incomingRequest.memoryKb(),
+                        incomingRequest.rank(),
+                        incomingRequest.idempotencyKey() == null
+                                ? "none"
+                                : incomingRequest.idempotencyKey().digits(),
+                        GoldenFile.shown(incomingRequest.body()));
     }
 }
--- a/src/test/java/lupinwood/net/GoldenSettingsTest.java
+++ b/src/test/java/lupinwood/net/GoldenSettingsTest.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lupinwood.Brain;
-import lupinwood.GoldenFile;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.GoldenFile;
 import lupinwood.load.Loader;
 import lupinwood.settings.Schema;
-import lupinwood.sim.Drill;
+import lupinwood.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
 /** The map by which a node decides, however its configuration came; and what else that names. */
@@ -24,23 +24,23 @@
     private static final String FULL_LANGUAGE = "settings/full.kdl";
     private static final byte EVENT_START = 16;
 
-    private static NodeConfig load(Path file) throws NodeConfig.Unusable {
+    private static NodeConfig load(Path file) throws NodeConfig.UnusableConfiguration {
         return new Loader(file, null).load().config();
     }
 
-    private static Map<String, String> told(NodeConfig config) {
-        Map<String, String> told = new TreeMap<>();
-        // The time for the warm-up is over at once: the node is made, and gets no tickets.
+    private static Map<String, String> reported(NodeConfig config) {
+        Map<String, String> reported = new TreeMap<>();
+        // The time for the warm-up is over at once: the node is made, and gets no requests.
         Iterator<Long> steady = List.of(0L, Long.MAX_VALUE).iterator();
         WarmUp.play(
                 config.settings(),
                 config.seed(),
                 (server, seed, settings) -> {
-                    told.putAll(settings);
-                    return new Brain(server, seed, settings);
+                    reported.putAll(settings);
+                    return new AdmissionController(server, seed, settings);
                 },
                 steady::next);
-        return told;
+        return reported;
     }
 
     private static String all(NodeConfig config) {
@@ -51,9 +51,9 @@
                 + "\nexecutor="
                 + config.executor()
                 + "\nindex="
-                + config.index()
+                + config.dependency()
                 + "\nnaming="
-                + config.naming()
+                + config.registryAddress()
                 + "\nseed="
                 + Long.toHexString(config.seed())
                 + "\nstop="
@@ -63,7 +63,7 @@
                 + "\ndoubts="
                 + config.doubtful()
                 + "\n[decisions]\n"
-                + GoldenFile.lines(told(config))
+                + GoldenFile.lines(reported(config))
                 + "[entries]\n"
                 + GoldenFile.lines(config.meaning().values())
                 + "[keys]\n"
@@ -109,18 +109,18 @@
         ByteBuffer frame = ByteBuffer.allocate(4 + 8 + 5 + record);
         frame.putInt(8 + 5 + record).putLong(1_000_000L).put(EVENT_START).putInt(record);
         frame.putShort((short) 3).putLong(0xfedc_ba98_7654_3210L).putInt(text.length).put(text);
-        StringBuilder told = new StringBuilder();
-        new Drill(
+        StringBuilder reported = new StringBuilder();
+        new SimulatorAdapter(
                         (server, seed, settings) -> {
-                            told.append("seed=")
+                            reported.append("seed=")
                                     .append(Long.toHexString(seed))
                                     .append("\nnow=")
                                     .append(server.now().nanos())
                                     .append("\n[decisions]\n")
                                     .append(GoldenFile.lines(settings));
-                            return new Brain(server, seed, settings);
+                            return new AdmissionController(server, seed, settings);
                         })
                 .play(new ByteArrayInputStream(frame.array()), new ByteArrayOutputStream());
-        GoldenFile.holds("settings/simulator-first-message.txt", told.toString());
+        GoldenFile.holds("settings/simulator-first-message.txt", reported.toString());
     }
 }
--- a/src/test/java/lupinwood/net/NodeConfigTest.java
+++ b/src/test/java/lupinwood/net/NodeConfigTest.java
@@ -12,11 +12,11 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import lupinwood.node.Effect;
-import lupinwood.node.Settings;
-import lupinwood.node.Span;
-import lupinwood.node.Track;
-import lupinwood.reload.Plan;
+import lupinwood.admission.Idempotency;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.RequestClass;
+import lupinwood.admission.SettingsMap;
+import lupinwood.reload.ConfigDiff;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -25,7 +25,7 @@
  * served.
  */
 final class NodeConfigTest {
-    @TempDir private Path folder;
+    @TempDir private Path directory;
 
     private NodeConfig changed(String... replacements) throws Exception {
         String text = Files.readString(Path.of("examples/config.json"));
@@ -33,7 +33,7 @@
             assertThat(text).contains(replacements[i]);
             text = text.replace(replacements[i], replacements[i + 1]);
         }
-        return NodeConfig.read(Files.writeString(folder.resolve("config.json"), text));
+        return NodeConfig.read(Files.writeString(directory.resolve("config.json"), text));
     }
 
     @Test
@@ -60,13 +60,13 @@
         for (String[] slip : slips) {
             assertThatThrownBy(() -> changed(slip[0], slip[1]))
                     .as(slip[1])
-                    .isInstanceOf(NodeConfig.Unusable.class)
+                    .isInstanceOf(NodeConfig.UnusableConfiguration.class)
                     .hasMessageContaining(slip[2]);
         }
     }
 
     @Test
-    void whatMayLegallyBeThereIsServedAndToldInOneLine() throws Exception {
+    void whatMayLegallyBeThereIsServedAndReportedInOneLine() throws Exception {
         NodeConfig config =
                 changed(
                         "\"share\": 0.6",
@@ -120,7 +120,7 @@
                         .add(path[path.length - 1], JsonParser.parseString(edits[i + 1]));
             }
         }
-        return NodeConfig.read(Files.writeString(folder.resolve("config.json"), all.toString()));
+        return NodeConfig.read(Files.writeString(directory.resolve("config.json"), all.toString()));
     }
 
     @Test
@@ -162,12 +162,12 @@
                                         "\"\"",
                                         "settings/domain/class_calls",
                                         "[false, null]")
-                                .index())
+                                .dependency())
                 .isNull();
     }
 
     @Test
-    void whatANodeCanServeWithIsServedAndTold() throws Exception {
+    void whatANodeCanServeWithIsServedAndReported() throws Exception {
         String[][] odd = {
             {"settings/services/2/window_ns", "", "unlock has no window"},
             {"settings/services/0/effect", "", "'effect' of track quote is missing"},
@@ -213,26 +213,27 @@
             assertThat(step).isBetween(1_000L, 4_000_000L);
             assertThat(config.sockets()).isBetween(1024, 1_000_000);
         }
-        Track unlock =
-                Track.read(new Settings(edited("settings/services/2/window_ns", "").settings()), 2);
-        assertThat(unlock.window()).as("its own abandon time").isEqualTo(Span.ofSeconds(4));
+        RequestClass unlock =
+                RequestClass.read(
+                        new SettingsMap(edited("settings/services/2/window_ns", "").settings()), 2);
+        assertThat(unlock.window()).as("its own abandon time").isEqualTo(NanoDuration.ofSeconds(4));
         assertThat(
-                        Track.read(
-                                        new Settings(
+                        RequestClass.read(
+                                        new SettingsMap(
                                                 edited("settings/services/0/effect", "")
                                                         .settings()),
                                         0)
-                                .effect())
-                .isEqualTo(Effect.EFFECTFUL);
+                                .idempotency())
+                .isEqualTo(Idempotency.UNSAFE);
         // A calm default never stands for what is told.
         assertThat(
-                        Track.read(
-                                        new Settings(
+                        RequestClass.read(
+                                        new SettingsMap(
                                                 edited("settings/services/2/window_ns", "0")
                                                         .settings()),
                                         2)
                                 .window())
-                .isEqualTo(Span.ZERO);
+                .isEqualTo(NanoDuration.ZERO);
     }
 
     @Test
@@ -284,13 +285,13 @@
             assertThat(named.doubtful()).as(name).isNull();
             assertThat(named.settings())
                     .as(name)
-                    .containsEntry("services.0.name", Settings.word(name));
-            assertThat(named.meaning().value("track " + Settings.word(name) + " abandon-time"))
+                    .containsEntry("services.0.name", SettingsMap.word(name));
+            assertThat(named.meaning().value("track " + SettingsMap.word(name) + " abandon-time"))
                     .as(name)
                     .isEqualTo("8000000000");
             NodeConfig again =
                     named.with(
-                            Plan.between(
+                            ConfigDiff.between(
                                             named.meaning(),
                                             edited(
                                                             "settings/services/0/name",
@@ -312,29 +313,29 @@
 
     @Test
     void listsOfAThousandAreReadInLittleTime() throws Exception {
-        List<String> tracks = new ArrayList<>();
-        List<String> customers = new ArrayList<>();
+        List<String> requestClasses = new ArrayList<>();
+        List<String> tenants = new ArrayList<>();
         for (int i = 0; i < 1024; i++) {
-            tracks.add(
+            requestClasses.add(
                     "{\"name\": \"t"
                             + i
                             + "\", \"effect\": \"pure\", \"aim_ns\": 2e9, \"give_up_ns\": 8e9}");
-            customers.add("{\"name\": \"c" + i + "\", \"quota_rps\": 0}");
+            tenants.add("{\"name\": \"c" + i + "\", \"quota_rps\": 0}");
         }
         String flags = "[" + "true,".repeat(1023) + "true]";
         long begun = System.nanoTime();
         NodeConfig config =
                 edited(
                         "settings/services",
-                        tracks.toString(),
+                        requestClasses.toString(),
                         "settings/customers",
-                        customers.toString(),
+                        tenants.toString(),
                         "settings/domain/class_calls",
                         flags,
                         "settings/azs",
                         "[" + "\"z\",".repeat(1023) + "\"z\"]");
-        assertThat(Plan.between(config.meaning(), config.meaning()).isEmpty()).isTrue();
-        assertThat(config.meaning().tracks()).hasSize(1024);
+        assertThat(ConfigDiff.between(config.meaning(), config.meaning()).isEmpty()).isTrue();
+        assertThat(config.meaning().requestClasses()).hasSize(1024);
         assertThat(config.meaning().value("track t1023 calls")).isEqualTo("true");
         assertThat(System.nanoTime() - begun).isLessThan(5_000_000_000L);
     }
@@ -375,7 +376,7 @@
                                                     .filter(text -> !text.equals(one[2]))
                                                     .toArray(String[]::new)))
                     .as(one[0] + " " + one[1])
-                    .isInstanceOf(NodeConfig.Unusable.class)
+                    .isInstanceOf(NodeConfig.UnusableConfiguration.class)
                     .hasMessageContaining(one[2])
                     .hasMessageNotContaining("\n");
         }
--- a/src/test/java/lupinwood/net/ServingTest.java
+++ b/src/test/java/lupinwood/net/NodeServerTest.java
@@ -17,26 +17,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
-import lupinwood.Brain;
-import lupinwood.core.Deadlines;
-import lupinwood.core.Host;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import lupinwood.log.Log;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.processing.RequestProcessor;
+import lupinwood.processing.TimerService;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What a node owes on its sockets when the others behave, and when they don't. */
-final class ServingTest extends SocketTest {
+final class NodeServerTest extends SocketTest {
     @BeforeEach
     void begin() throws Exception {
         start();
     }
 
     @Test
-    void bytesPassUnchangedAndPipelinedTicketsAreAnsweredInAnyOrder() throws Exception {
-        End caller = dispatcher();
-        caller.say(ticket(101, "look", "\r\n*1\r\n\0\u00ff") + ticket(102, "look", ""));
+    void bytesPassUnchangedAndPipelinedRequestsAreAnsweredInAnyOrder() throws Exception {
+        End caller = upstream();
+        caller.say(request(101, "look", "\r\n*1\r\n\0\u00ff") + request(102, "look", ""));
         expectRun(101, "look", "\r\n*1\r\n\0\u00ff");
         expectRun(102, "look", "");
         exit(1, 102, "\r\n\0\u00fe");
@@ -54,14 +54,14 @@
                         array("NOVERB", "200"),
                         array("REQ"),
                         array("ABORT", "0"))) {
-            End other = dispatcher();
+            End other = upstream();
             other.say(junk);
             assertThat(other.isOver()).as(junk).isTrue();
         }
-        End confused = dispatcher();
-        confused.say(ticket(201, "look", "b"));
+        End confused = upstream();
+        confused.say(request(201, "look", "b"));
         expectRun(201, "look", "b");
-        confused.say(ticket(201, "look", "b"));
+        confused.say(request(201, "look", "b"));
         untilLogged("a tag that is still open came again");
         exit(1, 201, "owed");
         assertThat(confused.answer()).isEqualTo("201 ACK + owed");
@@ -85,8 +85,8 @@
                         "opkey=" + "a".repeat(65),
                         "req=zz",
                         "subject=g")) {
-            End other = dispatcher();
-            other.say(ticket(300, "look", "b", "," + unsound));
+            End other = upstream();
+            other.say(request(300, "look", "b", "," + unsound));
             assertThat(other.answer()).as(unsound).isEqualTo("300 FAIL +");
             assertThat(other.isOver()).as(unsound).isTrue();
         }
@@ -97,14 +97,14 @@
 
     @Test
     void aCallerThatStopsSendingStillGetsItsAnswerAndOneThatDoesNotReadIsCutOff() throws Exception {
-        End half = dispatcher();
-        half.say(ticket(101, "look", "a"));
+        End half = upstream();
+        half.say(request(101, "look", "a"));
         half.socket.shutdownOutput();
         expectRun(101, "look", "a");
         exit(1, 101, "done");
         assertThat(half.answer()).isEqualTo("101 ACK + done");
         assertThat(half.isOver()).isTrue();
-        End deaf = dispatcher();
+        End deaf = upstream();
         String many = array("HEALTH", "5").repeat(2000);
         assertThatThrownBy(
                         () -> {
@@ -113,33 +113,33 @@
                             }
                         })
                 .isInstanceOf(IOException.class);
-        dispatcher();
+        upstream();
     }
 
     @Test
-    void theSilentAndTheUnfinishedShutOutNoDispatcherAndSoonGo() throws Exception {
+    void theSilentAndTheUnfinishedShutOutNoUpstreamAndSoonGo() throws Exception {
         End caller = callerWithRun();
-        End half = dispatcher();
-        half.say(ticket(102, "look", "half").substring(0, 40));
+        End half = upstream();
+        half.say(request(102, "look", "half").substring(0, 40));
         List<End> silent = new ArrayList<>();
         for (int i = 0; i < 250; i++) {
             silent.add(new End(new Socket(listen.getAddress(), listen.getPort())));
         }
-        dispatcher();
+        upstream();
         exit(1, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         long begun = System.nanoTime();
         for (End end : silent) {
             assertThat(end.isOver()).isTrue();
         }
-        assertThat(half.isOverOnceAsked()).isTrue();
-        assertThat(System.nanoTime() - begun).isLessThan(PATIENCE_MS * 500_000L);
+        assertThat(half.isOverOnceRequested()).isTrue();
+        assertThat(System.nanoTime() - begun).isLessThan(RESPONSE_TIMEOUT_MS * 500_000L);
     }
 
     @Test
     void aLostLinkIsReplacedAndItsNoticesCountOnce() throws Exception {
-        End caller = dispatcher();
-        caller.say(ticket(101, "pay", "a") + ticket(102, "look", "b"));
+        End caller = upstream();
+        caller.say(request(101, "pay", "a") + request(102, "look", "b"));
         expectRun(101, "pay", "a");
         expectRun(102, "look", "b");
         exit(1, 101, "paid");
@@ -151,13 +151,14 @@
         exit(1, 102, "a notice read before");
         exit(2, 102, "seen");
         assertThat(caller.answer()).isEqualTo("102 ACK + seen");
-        caller.say(ticket(103, "pay", "a") + ticket(104, "pay", "other"));
+        caller.say(request(103, "pay", "a") + request(104, "pay", "other"));
         assertThat(caller.answer()).isEqualTo("104 FAIL +");
         assertThat(caller.answer()).isEqualTo("103 ACK + paid");
     }
 
     @Test
-    void anExecutorIsHeldToBeAnotherOnlyWhereItIsYoungerThanTheTimeWithoutALink() throws Exception {
+    void anExecutorIsLeasedToBeAnotherOnlyWhereItIsYoungerThanTheTimeWithoutALink()
+            throws Exception {
         End caller = callerWithRun();
         for (int age : new int[] {700, 1}) {
             Thread.sleep(age == 700 ? 0 : 300);
@@ -176,14 +177,14 @@
     void aReloadMovesEachLinkAndLosesNothing() throws Exception {
         End caller = callerWithRun();
         callOut(1, 101);
-        End index = indexPlace.accept();
-        expectCall(index, 101);
-        caller.say(ticket(102, "pay", "p"));
+        End dependency = dependencyPlace.accept();
+        expectCall(dependency, 101);
+        caller.say(request(102, "pay", "p"));
         expectRun(102, "pay", "p");
         End before = executor;
         executorPlace = new Place();
-        indexPlace = new Place();
-        namingPlace = new Place();
+        dependencyPlace = new Place();
+        registryPlace = new Place();
         serving.reload(config());
         executor = executorPlace.accept();
         assertThat(before.line()).startsWith("METER ");
@@ -192,11 +193,11 @@
         assertThat(executor.line()).isEqualTo("JOIN 2");
         executor.say("WELCOME WARM 900\r\n");
         assertThat(before.command()).as("the old link goes once the new one is welcomed").isNull();
-        index.say(String.format("%016x HIT 2\r\nok\r\n", 101));
+        dependency.say(String.format("%016x HIT 2\r\nok\r\n", 101));
         expectReply(101, "ok");
         callOut(3, 101);
-        expectCall(indexPlace.accept(), 101);
-        assertThat(namingPlace.accept().line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
+        expectCall(dependencyPlace.accept(), 101);
+        assertThat(registryPlace.accept().line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
         log.drain();
         assertThat(logged.toString(UTF_8))
                 .contains("reloaded: ")
@@ -205,44 +206,45 @@
         log.drain();
         assertThat(logged.toString(UTF_8))
                 .contains("reload: stop 15s -> 9s, at once", "stays as it was: limits descriptors");
-        assertThat(serving.goesBy().stop()).isEqualTo(Span.ofSeconds(9));
+        assertThat(serving.goesBy().stop()).isEqualTo(NanoDuration.ofSeconds(9));
         assertThat(serving.goesBy().sockets()).isEqualTo(256);
     }
 
     @Test
-    void repliesOfTheIndexCountForTheCallThatIsOutOnTheirConnectionAlone() throws Exception {
+    void repliesOfTheDependencyCountForTheCallThatIsOutOnTheirConnectionAlone() throws Exception {
         End caller = callerWithRun();
         callOut(1, 101);
-        End index = indexPlace.accept();
-        expectCall(index, 101);
-        index.socket.close();
-        index = indexPlace.accept();
-        expectCall(index, 101);
+        End dependency = dependencyPlace.accept();
+        expectCall(dependency, 101);
+        dependency.socket.close();
+        dependency = dependencyPlace.accept();
+        expectCall(dependency, 101);
         String reply = String.format("%016x HIT 4\r\n\r\n\r\n\r\n", 101);
-        index.say(String.format("%016x SHED\r\n%016x HIT 4\r\nlate\r\n", 7, 8) + reply + reply);
+        dependency.say(
+                String.format("%016x SHED\r\n%016x HIT 4\r\nlate\r\n", 7, 8) + reply + reply);
         expectReply(101, "\r\n\r\n");
         callOut(2, 101);
-        End second = indexPlace.accept();
+        End second = dependencyPlace.accept();
         expectCall(second, 101);
-        caller.say(ticket(102, "look", "b"));
+        caller.say(request(102, "look", "b"));
         expectRun(102, "look", "b");
         callOut(3, 102);
-        expectCall(index, 102);
+        expectCall(dependency, 102);
         caller.say(array("ABORT", "101"));
         executor.say(String.format("EXIT 4 %016x STOPPED 9 0\r\n\r\n", 101));
         assertThat(second.isOver()).as("a call given up ends its connection").isTrue();
-        index.say(String.format("%016x HIT 2\r\nok\r\n", 102));
+        dependency.say(String.format("%016x HIT 2\r\nok\r\n", 102));
         expectReply(102, "ok");
-        assertThat(index.isOver()).as("an idle connection soon goes").isTrue();
+        assertThat(dependency.isOver()).as("an idle connection soon goes").isTrue();
     }
 
     @Test
-    void aSpoiltReplyCostsItsOwnCallAlone() throws Exception {
+    void aCorruptedReplyCostsItsOwnCallAlone() throws Exception {
         End caller = callerWithRun();
         callOut(1, 101);
-        End good = indexPlace.accept();
+        End good = dependencyPlace.accept();
         expectCall(good, 101);
-        List<String> spoilt =
+        List<String> corrupted =
                 List.of(
                         "HIT 3000000000\r\n",
                         "HIT\r\n",
@@ -253,17 +255,17 @@
                         "WHAT\r\n",
                         "x".repeat(5000),
                         "HIT 4\n");
-        for (int i = 0; i < spoilt.size(); i++) {
+        for (int i = 0; i < corrupted.size(); i++) {
             int tag = 102 + i / 3;
             if (i % 3 == 0) {
-                caller.say(ticket(tag, "look", "b"));
+                caller.say(request(tag, "look", "b"));
                 expectRun(tag, "look", "b");
                 callOut(2 + i, tag);
             }
-            End index = indexPlace.accept();
-            expectCall(index, tag);
-            index.say(String.format("%016x %s", tag, spoilt.get(i)));
-            assertThat(index.isOver()).as(spoilt.get(i)).isTrue();
+            End dependency = dependencyPlace.accept();
+            expectCall(dependency, tag);
+            dependency.say(String.format("%016x %s", tag, corrupted.get(i)));
+            assertThat(dependency.isOver()).as(corrupted.get(i)).isTrue();
             if (i % 3 == 2) {
                 assertThat(caller.answer()).isEqualTo(tag + " FAIL +");
                 executor.say(String.format("EXIT %d %016x STOPPED 9 0\r\n\r\n", 2 + i, tag));
@@ -277,8 +279,8 @@
     }
 
     @Test
-    void anIndexThatRefusesIsAskedAFewTimesAndThenTheTicketIsAbandoned() throws Exception {
-        indexPlace.close();
+    void anDependencyThatRefusesIsRequestedAFewTimesAndThenTheRequestIsFailed() throws Exception {
+        dependencyPlace.close();
         End caller = callerWithRun();
         executor.say(String.format("CALLOUT 1 %016x 3\r\nask\r\n", 101));
         assertThat(caller.answer()).isEqualTo("101 FAIL +");
@@ -286,11 +288,11 @@
 
     @Test
     void aCallerThatResetsItsConnectionHarmsNoOther() throws Exception {
-        End caller = dispatcher();
+        End caller = upstream();
         End reset = callerWithRun();
         reset.socket.setSoLinger(true, 0);
         reset.socket.close();
-        caller.say(ticket(102, "look", "b"));
+        caller.say(request(102, "look", "b"));
         expectRun(102, "look", "b");
         exit(1, 101, "nobody's");
         exit(2, 102, "done");
@@ -299,54 +301,54 @@
 
     @Test
     void theNameServiceHearsAgainAndAgainAlsoWhenItIsSlowOrWasDown() throws Exception {
-        assertThat(namingPlace.accept().line())
+        assertThat(registryPlace.accept().line())
                 .as("never answered")
                 .isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
-        End naming = namingPlace.accept();
-        assertThat(naming.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
-        naming.socket.close();
-        naming = namingPlace.accept();
+        End registry = registryPlace.accept();
+        assertThat(registry.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
+        registry.socket.close();
+        registry = registryPlace.accept();
         for (int i = 0; i < 2; i++) {
-            assertThat(naming.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
-            while (!naming.line().isEmpty()) {
+            assertThat(registry.line()).isEqualTo("PUT /ns/hosts/n1 HTTP/1.1");
+            while (!registry.line().isEmpty()) {
                 // the other headers
             }
-            assertThat(naming.bytes(17)).isEqualTo("{\"serving\":\"yes\"}");
-            naming.say("HTTP/1.1 204 No Content\r\n\r\n");
+            assertThat(registry.bytes(17)).isEqualTo("{\"serving\":\"yes\"}");
+            registry.say("HTTP/1.1 204 No Content\r\n\r\n");
         }
     }
 
     @Test
-    void leavingAnswersAllTellsWhoStillComesAndClosesTheDoorOnceNobodyDoes() throws Exception {
+    void leavingAnswersAllTellsWhoStillComesAndClosesTheProxyOnceNobodyDoes() throws Exception {
         End caller = callerWithRun();
         Thread leaving = leave();
         End late = new End(new Socket(listen.getAddress(), listen.getPort()));
         do {
             late.say(array("HEALTH", "9"));
         } while (!late.answer().startsWith("9 RED"));
-        // Tickets tell when they came in whole milliseconds: one of this same one might have come
+        // Requests tell when they came in whole milliseconds: one of this same one might have come
         // before the notice.
         for (long red = System.currentTimeMillis(); System.currentTimeMillis() <= red; ) {
             Thread.onSpinWait();
         }
-        late.say(ticket(102, "look", "late"));
+        late.say(request(102, "look", "late"));
         assertThat(late.answer()).isEqualTo("102 NAK +,holdoff=1000");
         exit(1, 101, "done");
         assertThat(caller.answer()).isEqualTo("101 ACK + done");
         assertThat(caller.answer()).isEqualTo("0 FIN");
         caller.socket.close();
         late.socket.close();
-        leaving.join(PATIENCE_MS);
+        leaving.join(RESPONSE_TIMEOUT_MS);
         assertThat(leaving.isAlive()).isFalse();
         assertThatThrownBy(() -> new Socket(listen.getAddress(), listen.getPort()))
                 .isInstanceOf(ConnectException.class);
     }
 
     @Test
-    void anAddressInUseAndConfigurationsThatCannotBeUsedAreToldPlainly() throws Exception {
-        Serving second = new Serving(config(), Brain::new, log);
+    void anAddressInUseAndConfigurationsThatCannotBeUsedAreReportedPlainly() throws Exception {
+        NodeServer second = new NodeServer(config(), AdmissionController::new, log);
         assertThatThrownBy(second::start).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> NodeConfig.read(folder.resolve("none")))
+        assertThatThrownBy(() -> NodeConfig.read(directory.resolve("none")))
                 .hasMessageContaining("can't read");
         assertThatThrownBy(() -> read("{")).hasMessageContaining("no JSON");
         assertThatThrownBy(() -> read("[]")).hasMessageContaining("no JSON object");
@@ -372,63 +374,63 @@
 
     @Test
     void theTimeGoesOnWithinARoundAndRoundsAreAMillisecondApart() throws Exception {
-        Deadlines deadlines = new Deadlines();
-        Decider decider = new Decider(deadlines, System::nanoTime, log);
-        Host host =
-                new Host(
+        TimerService deadlines = new TimerService();
+        EventLoop eventLoop = new EventLoop(deadlines, System::nanoTime, log);
+        RequestProcessor processor =
+                new RequestProcessor(
                         config().settings(),
                         1,
-                        Brain::new,
-                        new Host.Ports(null, null, null, log::line),
+                        AdmissionController::new,
+                        new RequestProcessor.Ports(null, null, null, log::line),
                         deadlines,
-                        new Host.Bounds(1, 1, 1, 1),
-                        decider.time());
-        CompletableFuture<Span> behind = new CompletableFuture<>();
-        Moment begun = decider.time();
-        decider.tell(
+                        new RequestProcessor.TableLimits(1, 1, 1, 1),
+                        eventLoop.time());
+        CompletableFuture<NanoDuration> behind = new CompletableFuture<>();
+        MonotonicTime begun = eventLoop.time();
+        eventLoop.tell(
                 () -> {
-                    while (decider.time().since(begun).seconds() < 0.5) {
+                    while (eventLoop.time().since(begun).seconds() < 0.5) {
                         // a long piece of news
                     }
                 });
-        decider.tell(() -> behind.complete(decider.time().since(host.now())));
+        eventLoop.tell(() -> behind.complete(eventLoop.time().since(processor.now())));
         AtomicInteger rounds = new AtomicInteger();
-        decider.addWriter(rounds::incrementAndGet);
-        decider.start(host);
-        assertThat(behind.get()).isLessThan(Span.ofSeconds(0.4));
+        eventLoop.addWriter(rounds::incrementAndGet);
+        eventLoop.start(processor);
+        assertThat(behind.get()).isLessThan(NanoDuration.ofSeconds(0.4));
         int before = rounds.get();
         long first = System.nanoTime();
         // News may share a round, so rounds are counted: the first of them may have begun before.
         int counted = 0;
         while (counted < 30) {
             CompletableFuture<Void> heard = new CompletableFuture<>();
-            decider.tell(() -> heard.complete(null));
+            eventLoop.tell(() -> heard.complete(null));
             heard.get();
             counted = rounds.get() - before;
         }
         assertThat(System.nanoTime() - first).isGreaterThanOrEqualTo((counted - 2) * 1_000_000L);
-        decider.stop();
+        eventLoop.stop();
     }
 
     @Test
-    void madeUpTicketsAreAnsweredBeforeTheDoorOpens() throws Exception {
-        assertThat(WarmUp.play(config().settings(), 1, Brain::new)).isPositive();
+    void madeUpRequestsAreAnsweredBeforeTheProxyOpens() throws Exception {
+        assertThat(WarmUp.play(config().settings(), 1, AdmissionController::new)).isPositive();
         log.drain();
         assertThat(logged.toString(UTF_8)).containsPattern("warmed up by [1-9].*\n.*n1 listens");
     }
 
     @Test
     void theWarmUpEndsByItsWorkAndOnASlowMachineByTheClock() throws Exception {
-        assertThat(WarmUp.play(config().settings(), 1, Brain::new, () -> 0))
+        assertThat(WarmUp.play(config().settings(), 1, AdmissionController::new, () -> 0))
                 .as("on a machine that takes no time")
-                .isBetween(WarmUp.TICKETS / 2, WarmUp.TICKETS + WarmUp.AT_ONCE)
+                .isBetween(WarmUp.REQUESTS / 2, WarmUp.REQUESTS + WarmUp.AT_ONCE)
                 .isLessThan(500);
         AtomicLong clock = new AtomicLong();
         assertThat(
                         WarmUp.play(
                                 config().settings(),
                                 1,
-                                Brain::new,
+                                AdmissionController::new,
                                 () -> clock.addAndGet(300_000_000)))
                 .as("two rounds of 0.3 s fit")
                 .isLessThanOrEqualTo(2 * WarmUp.AT_ONCE);
@@ -436,12 +438,12 @@
 
     @Test
     void aFloodOfOneKindOfLineHidesNoOther() {
-        Log calm = new Log(new PrintStream(logged, true), () -> Instant.ofEpochSecond(7));
+        Log baseline = new Log(new PrintStream(logged, true), () -> Instant.ofEpochSecond(7));
         for (int i = 0; i < 100; i++) {
-            calm.line("bounce " + i);
+            baseline.line("bounce " + i);
         }
-        calm.line("the rare one\nin two");
-        calm.drain();
+        baseline.line("the rare one\nin two");
+        baseline.drain();
         assertThat(logged.toString(UTF_8).lines().filter(line -> line.startsWith("1970")))
                 .hasSize(6)
                 .last()
@@ -449,13 +451,13 @@
     }
 
     @Test
-    void whatComesThroughTheDoorTheMomentItOpensIsAnswered() throws Exception {
+    void whatComesThroughTheProxyTheTimeItOpensIsAnswered() throws Exception {
         int port;
         try (Place free = new Place()) {
             port = free.socket.getLocalPort();
         }
         AtomicReference<Socket> first = new AtomicReference<>();
-        // Each line of the log asks the time: at the first after the door is open, somebody is
+        // Each line of the log asks the time: at the first after the listener is open, somebody is
         // there.
         Log early =
                 new Log(
@@ -480,10 +482,10 @@
                             }
                             return Instant.now();
                         });
-        Serving other =
-                new Serving(
+        NodeServer other =
+                new NodeServer(
                         read(text().replace(":" + listen.getPort(), ":" + port)),
-                        Brain::new,
+                        AdmissionController::new,
                         early);
         other.start();
         assertThat(new End(first.get()).answer()).startsWith("1 RED");
--- a/src/test/java/lupinwood/net/ParserTest.java
+++ b/src/test/java/lupinwood/net/ParserTest.java
@@ -13,7 +13,7 @@
 
 final class ParserTest {
     private interface Parse {
-        Object next(ByteBuffer in) throws Malformed;
+        Object next(ByteBuffer in) throws ProtocolException;
     }
 
     private static Parse resp() {
@@ -35,7 +35,7 @@
     }
 
     private static Parse http() {
-        return new HttpReplyParser()::next;
+        return new HttpResponseParser()::next;
     }
 
     private static String text(byte[] bytes) {
@@ -43,7 +43,7 @@
     }
 
     /** What is read when the bytes come in parts of this size. */
-    private static String read(Parse parse, String bytes, int part) throws Malformed {
+    private static String read(Parse parse, String bytes, int part) throws ProtocolException {
         byte[] all = bytes.getBytes(StandardCharsets.ISO_8859_1);
         List<Object> read = new ArrayList<>();
         for (int at = 0; at < all.length; at += part) {
@@ -56,7 +56,7 @@
     }
 
     private static void readsHoweverSplit(Supplier<Parse> parser, String bytes, String expected)
-            throws Malformed {
+            throws ProtocolException {
         for (int part = 1; part <= bytes.length(); part++) {
             assertThat(read(parser.get(), bytes, part))
                     .as("in parts of " + part)
@@ -69,13 +69,13 @@
             for (int part : new int[] {1, 99999}) {
                 assertThatThrownBy(() -> read(parser.get(), bytes, part))
                         .as(bytes)
-                        .isInstanceOf(Malformed.class);
+                        .isInstanceOf(ProtocolException.class);
             }
         }
     }
 
     @Test
-    void respArraysAreReadHoweverTheyAreSplitAndPipelined() throws Malformed {
+    void respArraysAreReadHoweverTheyAreSplitAndPipelined() throws ProtocolException {
         readsHoweverSplit(
                 ParserTest::resp,
                 "*3\r\n$3\r\nREQ\r\n$1\r\n7\r\n$4\r\n\r\n\0\u00ff\r\n*1\r\n$0\r\n\r\n",
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void linesAndTheirBodiesAreReadHoweverTheyAreSplit() throws Malformed {
+    void linesAndTheirBodiesAreReadHoweverTheyAreSplit() throws ProtocolException {
         readsHoweverSplit(
                 ParserTest::lines,
                 "ONE two\r\nBODY 4\r\n\r\nxy\r\nBODY 0\r\n\r\nEND\r\n",
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void httpRepliesAreReadHoweverTheyAreSplit() throws Malformed {
+    void httpRepliesAreReadHoweverTheyAreSplit() throws ProtocolException {
         readsHoweverSplit(
                 ParserTest::http,
                 """
--- a/src/test/java/lupinwood/net/AnyOperatorTest.java
+++ b/src/test/java/lupinwood/net/RandomOperatorTest.java
@@ -6,15 +6,15 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lupinwood.core.Arrival;
-import lupinwood.node.Span;
+import lupinwood.admission.NanoDuration;
+import lupinwood.processing.IncomingRequest;
 import org.junit.jupiter.api.Test;
 
 /**
  * What a node owes on its sockets at operators whose settings and requests differ from each
  * other's.
  */
-final class AnyOperatorTest extends SocketTest {
+final class RandomOperatorTest extends SocketTest {
     private static String request(int tag, String more) {
         return array(
                 "REQ",
@@ -27,12 +27,12 @@
     }
 
     @Test
-    void withoutCustomersRequestsCarryNoOwnerAndTheNodeWarmsUpAllTheSame() throws Exception {
+    void withoutTenantsRequestsCarryNoOwnerAndTheNodeWarmsUpAllTheSame() throws Exception {
         settings = SETTINGS.replaceFirst("\"customers\": \\[[^]]*\\], ", "");
         start();
         untilLogged("warmed up by ");
         assertThat(logged.toString(UTF_8)).doesNotContain("warmed up by 0 ");
-        End caller = dispatcher();
+        End caller = upstream();
         caller.say(
                 request(101, ",level=0.30000000000000004,need=20.499999999999999991")
                         + request(102, ",owner=anyone"));
@@ -56,8 +56,8 @@
     void theAnswerComesWithinTheCallersOwnTime() throws Exception {
         standsStill = true;
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "look", "a", ",timeout=900") + ticket(102, "look", "b"));
+        End caller = upstream();
+        caller.say(request(101, "look", "a", ",timeout=900") + request(102, "look", "b"));
         expectRun(101, "look", "a");
         expectRun(102, "look", "b");
         skip(0.5);
@@ -74,26 +74,29 @@
     void whatARequestCarriesIsReadWithItsMeaning() throws Exception {
         ByteBuffer bytes =
                 ByteBuffer.wrap(
-                        ticket(7, "look", "b", ",timeout=9086,ms=217.87,resent=1")
+                        request(7, "look", "b", ",timeout=9086,ms=217.87,resent=1")
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        Arrival arrival = DispatcherListener.arrival(new RespParser().next(bytes));
-        assertThat(arrival.patience()).isEqualTo(Span.ofSeconds(9.086));
-        assertThat(arrival.work()).isEqualTo(Span.ofSeconds(0.21787));
-        assertThat(arrival.repeat()).isTrue();
+        IncomingRequest incomingRequest = RespListener.arrival(new RespParser().next(bytes));
+        assertThat(incomingRequest.clientTimeout()).isEqualTo(NanoDuration.ofSeconds(9.086));
+        assertThat(incomingRequest.work()).isEqualTo(NanoDuration.ofSeconds(0.21787));
+        assertThat(incomingRequest.repeat()).isTrue();
         bytes =
                 ByteBuffer.wrap(
-                        ticket(7, "look", "b", ",resent=0").getBytes(StandardCharsets.ISO_8859_1));
-        arrival = DispatcherListener.arrival(new RespParser().next(bytes));
-        assertThat(arrival)
-                .extracting(Arrival::patience, Arrival::work, Arrival::repeat)
-                .containsExactly(Span.ZERO, Span.ZERO, false);
+                        request(7, "look", "b", ",resent=0").getBytes(StandardCharsets.ISO_8859_1));
+        incomingRequest = RespListener.arrival(new RespParser().next(bytes));
+        assertThat(incomingRequest)
+                .extracting(
+                        IncomingRequest::clientTimeout,
+                        IncomingRequest::work,
+                        IncomingRequest::repeat)
+                .containsExactly(NanoDuration.ZERO, NanoDuration.ZERO, false);
     }
 
     @Test
     void aTimeThatIsNoneIsAnsweredOnceAndTheOthersOnItsConnectionGoOn() throws Exception {
         start();
-        End caller = dispatcher();
-        caller.say(ticket(101, "look", "a"));
+        End caller = upstream();
+        caller.say(request(101, "look", "a"));
         expectRun(101, "look", "a");
         int tag = 200;
         for (String none :
@@ -110,10 +113,10 @@
                         "ms=99999999999",
                         "ms=NaN",
                         "ms=")) {
-            caller.say(ticket(++tag, "look", "b", "," + none));
+            caller.say(request(++tag, "look", "b", "," + none));
             assertThat(caller.answer()).as(none).isEqualTo(tag + " FAIL +");
         }
-        caller.say(ticket(102, "look", "b", ",timeout=9086,ms=217.87,resent=1"));
+        caller.say(request(102, "look", "b", ",timeout=9086,ms=217.87,resent=1"));
         expectRun(102, "look", "b");
         exit(1, 101, "one");
         exit(2, 102, "two");
@@ -130,16 +133,16 @@
         caller.say(array("ABORT", "101"));
         assertThat(executor.command()).isEqualTo(String.format("KILL %016x", 101));
         executor.say(String.format("EXIT 1 %016x STOPPED 9 0\r\n\r\n", 101));
-        caller.say(ticket(102, "look", "b"));
+        caller.say(request(102, "look", "b"));
         expectRun(102, "look", "b");
         caller.say(array("ABORT", "102"));
         assertThat(executor.command()).isEqualTo(String.format("KILL %016x", 102));
         executor.say(String.format("BAD KILL %016x\r\n", 102));
         untilLogged("did not carry out KILL");
         exit(2, 102, "nobody waits for it");
-        caller.say(ticket(103, "look", "c"));
+        caller.say(request(103, "look", "c"));
         expectRun(103, "look", "c");
-        caller.say(array("ABORT", "103") + ticket(104, "look", "d"));
+        caller.say(array("ABORT", "103") + request(104, "look", "d"));
         expectRun(104, "look", "d");
         exit(3, 103, "nor for this");
         exit(4, 104, "done");
@@ -155,15 +158,15 @@
         End caller = callerWithRun();
         for (int tag = 101; tag <= 103; tag++) {
             if (tag > 101) {
-                caller.say(ticket(tag, "look", "a"));
+                caller.say(request(tag, "look", "a"));
                 expectRun(tag, "look", "a");
             }
             callOut(2 * tag, tag);
-            End index = indexPlace.accept();
-            expectCall(index, tag);
+            End dependency = dependencyPlace.accept();
+            expectCall(dependency, tag);
             // What can't be read ends the connection, so that each call comes on one of its own.
-            index.say(String.format("%016x SLOW\r\nnothing that can be read\r\n", tag));
-            assertThat(index.isOver()).isTrue();
+            dependency.say(String.format("%016x SLOW\r\nnothing that can be read\r\n", tag));
+            assertThat(dependency.isOver()).isTrue();
             if (tag < 103) {
                 assertThat(executor.command()).isEqualTo(String.format("BYPASS %016x", tag));
             }
@@ -173,7 +176,7 @@
             } else {
                 if (tag == 102) {
                     executor.say("BAD - -\r\n"); // as seen; it names neither
-                    End again = indexPlace.accept();
+                    End again = dependencyPlace.accept();
                     expectCall(again, tag);
                     again.say(String.format("%016x SLOW\r\nnothing that can be read\r\n", tag));
                     assertThat(again.isOver()).isTrue();
--- a/src/test/java/lupinwood/net/SocketTest.java
+++ b/src/test/java/lupinwood/net/SocketTest.java
@@ -21,9 +21,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import lupinwood.Brain;
-import lupinwood.core.Host;
+import lupinwood.admission.AdmissionController;
 import lupinwood.log.Log;
+import lupinwood.processing.RequestProcessor;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
@@ -32,7 +32,7 @@
 
 /** A node on loopback sockets; the test plays all others by hand. */
 abstract class SocketTest {
-    static final int PATIENCE_MS = 20_000;
+    static final int RESPONSE_TIMEOUT_MS = 20_000;
     static final String SETTINGS =
             """
             {"domain": {"cpus": 2, "memory_kb": 100000.0, "run_mem_factor": 4.0, "entry_kb": 1.0,
@@ -56,7 +56,7 @@
         End(Socket socket) throws IOException {
             this.socket = socket;
             opened.add(socket);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
@@ -84,9 +84,9 @@
             return line.toString().strip();
         }
 
-        /** The next line that isn't about gauges; those are answered. */
+        /** The next line that isn't about resource usage; those are answered. */
         String command() throws IOException {
-            long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+            long end = System.nanoTime() + RESPONSE_TIMEOUT_MS * 1_000_000L;
             String line = line();
             while (line != null && line.startsWith("METER ") && System.nanoTime() < end) {
                 say("METERS " + line.substring(6) + " 0.5 1\r\n");
@@ -95,7 +95,7 @@
             return line;
         }
 
-        /** The next answer's words; the free value, which changes, is left out. */
+        /** The next answer's words; the available capacity, which changes, is left out. */
         String answer() throws IOException {
             String head = line();
             if (head == null) {
@@ -113,7 +113,7 @@
         /**
          * Whether the other side ended it, and said nothing before but the wish that this one does.
          */
-        boolean isOverOnceAsked() {
+        boolean isOverOnceRequested() {
             try {
                 String last = answer();
                 return last == null || (last.equals("0 FIN") && isOver());
@@ -141,7 +141,7 @@
 
         Place() throws IOException {
             socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
         }
 
         End accept() throws IOException {
@@ -154,15 +154,15 @@
         }
     }
 
-    @TempDir Path folder;
+    @TempDir Path directory;
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     final Log log = new Log(new PrintStream(logged, true), Instant::now);
     final List<Socket> opened = new ArrayList<>();
     Place executorPlace;
-    Place indexPlace;
-    Place namingPlace;
+    Place dependencyPlace;
+    Place registryPlace;
     InetSocketAddress listen;
-    Serving serving;
+    NodeServer serving;
     End executor;
 
     /** How the node's own clock runs, how it decides, and what it is told. */
@@ -177,22 +177,22 @@
         return (standsStill ? begun : System.nanoTime()) + skipped.get();
     }
 
-    Host.Maker maker = Brain::new;
+    RequestProcessor.PolicyFactory maker = AdmissionController::new;
     String settings = SETTINGS;
     int stopMs = 15_000;
-    boolean withoutIndex;
+    boolean withoutDependency;
     String name = "n1";
 
     void open() throws Exception {
         executorPlace = new Place();
-        indexPlace = new Place();
-        namingPlace = new Place();
+        dependencyPlace = new Place();
+        registryPlace = new Place();
         try (Place free = new Place()) {
             listen =
                     new InetSocketAddress(
                             InetAddress.getLoopbackAddress(), free.socket.getLocalPort());
         }
-        serving = new Serving(config(), maker, log, this::steady);
+        serving = new NodeServer(config(), maker, log, this::steady);
     }
 
     void start() throws Exception {
@@ -217,8 +217,8 @@
             leaving.join(2);
         }
         executorPlace.close();
-        indexPlace.close();
-        namingPlace.close();
+        dependencyPlace.close();
+        registryPlace.close();
     }
 
     void skipOnly(double seconds) {
@@ -228,7 +228,7 @@
     /** The node's own clock goes on at once by so much; what is due then is done. */
     void skip(double seconds) {
         skipOnly(seconds);
-        serving.decider().tell(() -> {});
+        serving.eventLoop().tell(() -> {});
     }
 
     /** The notice to leave, on a thread of its own. */
@@ -257,11 +257,11 @@
                 + listen.getPort()
                 + "\",\"executor\":\"127.0.0.1:"
                 + executorPlace.socket.getLocalPort()
-                + (withoutIndex
+                + (withoutDependency
                         ? ""
-                        : "\",\"index\":\"127.0.0.1:" + indexPlace.socket.getLocalPort())
+                        : "\",\"index\":\"127.0.0.1:" + dependencyPlace.socket.getLocalPort())
                 + "\",\"naming\":\"127.0.0.1:"
-                + namingPlace.socket.getLocalPort()
+                + registryPlace.socket.getLocalPort()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":"
                 + stopMs
                 + ","
@@ -271,10 +271,10 @@
     }
 
     NodeConfig read(String json) throws Exception {
-        return NodeConfig.read(Files.writeString(folder.resolve("config.json"), json));
+        return NodeConfig.read(Files.writeString(directory.resolve("config.json"), json));
     }
 
-    End dispatcher() throws Exception {
+    End upstream() throws Exception {
         End end = new End(new Socket(listen.getAddress(), listen.getPort()));
         for (int tag = 1; ; tag++) {
             end.say(array("HEALTH", "" + tag));
@@ -306,17 +306,17 @@
         return text.toString();
     }
 
-    static String ticket(int tag, String track, String body) {
-        return ticket(tag, track, body, track.equals("pay") ? ",opkey=ab12" : "");
+    static String request(int tag, String className, String body) {
+        return request(tag, className, body, className.equals("pay") ? ",opkey=ab12" : "");
     }
 
     /** With more fields, which count where they are there twice. */
-    static String ticket(int tag, String track, String body, String more) {
+    static String request(int tag, String className, String body, String more) {
         String fields =
                 String.format(
                         "req=%016x,ts=%d,via=1,owner=acme,need=20.5,level=0.5%s",
                         tag, System.currentTimeMillis(), more);
-        return array("REQ", "" + tag, track, fields, body);
+        return array("REQ", "" + tag, className, fields, body);
     }
 
     void exit(int notice, int tag, String result) throws IOException {
@@ -325,16 +325,16 @@
                         "EXIT %d %016x OK 5 %d\r\n%s\r\n", notice, tag, result.length(), result));
     }
 
-    void expectRun(int tag, String track, String body) throws IOException {
-        String command = String.format("EXEC %016x %s %d", tag, track, body.length());
+    void expectRun(int tag, String className, String body) throws IOException {
+        String command = String.format("EXEC %016x %s %d", tag, className, body.length());
         assertThat(executor.command()).isEqualTo(command);
         assertThat(executor.bytes(body.length() + 2)).isEqualTo(body + "\r\n");
     }
 
-    /** A dispatcher whose ticket 101 runs. */
+    /** An upstream load balancer whose request 101 runs. */
     End callerWithRun() throws Exception {
-        End caller = dispatcher();
-        caller.say(ticket(101, "look", "a"));
+        End caller = upstream();
+        caller.say(request(101, "look", "a"));
         expectRun(101, "look", "a");
         return caller;
     }
@@ -344,9 +344,9 @@
         executor.say(String.format("CALLOUT %d %016x 3\r\nask\r\n", notice, tag));
     }
 
-    static void expectCall(End index, int tag) throws IOException {
-        assertThat(index.line()).matches(String.format("GET %016x [0-9]+ 3", tag));
-        assertThat(index.line()).isEqualTo("ask");
+    static void expectCall(End dependency, int tag) throws IOException {
+        assertThat(dependency.line()).matches(String.format("GET %016x [0-9]+ 3", tag));
+        assertThat(dependency.line()).isEqualTo("ask");
     }
 
     void expectReply(int tag, String reply) throws IOException {
@@ -361,7 +361,7 @@
 
     /** Waits for what others do, for as long as a test may last; what is then still false fails. */
     static void until(Fact fact) throws Exception {
-        long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + RESPONSE_TIMEOUT_MS * 1_000_000L;
         while (!fact.holds() && System.nanoTime() < end) {
             Thread.onSpinWait();
         }
--- a/src/test/java/lupinwood/core/AnySettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -1,4 +1,4 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,40 +10,40 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import lupinwood.Brain;
-import lupinwood.node.CallerId;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.node.SubjectId;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.SubjectId;
+import lupinwood.admission.UpstreamId;
 import org.junit.jupiter.api.Test;
 
 /**
  * Settings by chance, with entries left out by chance, under a light load in made-up time: each
  * request gets one final answer within its caller's time, a mark runs once within its window, and
- * where all below is well each is satisfied, whatever the settings leave out.
+ * where all below is well each is served, whatever the settings leave out.
  */
-final class AnySettingsTest implements Dispatchers, Executor, Index {
+final class RandomSettingsTest implements UpstreamConnections, Executor, Dependency {
     private static final byte[] BODY = {'b'};
 
     /** One request as sent. */
-    private record Sent(Moment due, boolean pressed) {}
+    private record SentRequest(MonotonicTime due, boolean pressed) {}
 
     private Random chance;
     private Map<String, String> settings;
-    private final Deadlines deadlines = new Deadlines();
-    private final Map<Long, Sent> unanswered = new HashMap<>();
+    private final TimerService deadlines = new TimerService();
+    private final Map<Long, SentRequest> unanswered = new HashMap<>();
     private final Map<Long, String> keys = new HashMap<>();
-    private final Map<String, Moment> ranFrom = new HashMap<>();
-    private final Map<String, Moment> reachedOf = new HashMap<>();
-    private final Set<TryId> running = new HashSet<>();
-    private final Set<TryId> over = new HashSet<>();
-    private Moment now = new Moment(1_000_000_000_000L);
-    private Host host;
+    private final Map<String, MonotonicTime> ranFrom = new HashMap<>();
+    private final Map<String, MonotonicTime> reachedOf = new HashMap<>();
+    private final Set<AttemptId> running = new HashSet<>();
+    private final Set<AttemptId> over = new HashSet<>();
+    private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
+    private RequestProcessor processor;
     private boolean troubles;
     private boolean refuses;
-    private Span work;
+    private NanoDuration work;
     private long tag;
-    private int satisfied;
+    private int served;
     private final List<String> log = new ArrayList<>();
 
     private boolean maybe() {
@@ -75,11 +75,11 @@
 
     private void draw() {
         settings = new TreeMap<>();
-        int tracks = 1 + chance.nextInt(8);
+        int requestClasses = 1 + chance.nextInt(8);
         double shortest = 60;
         StringBuilder calls = new StringBuilder();
         StringBuilder skips = new StringBuilder();
-        for (int i = 0; i < tracks; i++) {
+        for (int i = 0; i < requestClasses; i++) {
             String at = "services." + i + ".";
             double giveUp = between(0.3, 60);
             shortest = Math.min(shortest, giveUp);
@@ -96,23 +96,23 @@
             calls.append(i > 0 ? "," : "").append(maybe());
             skips.append(i > 0 ? "," : "").append(oneOf(0.0, 0.6));
         }
-        put("services.count", tracks);
+        put("services.count", requestClasses);
         if (maybe()) {
-            int customers = chance.nextInt(4);
-            put("customers.count", customers);
-            for (int i = 0; i < customers; i++) {
+            int tenants = chance.nextInt(4);
+            put("customers.count", tenants);
+            for (int i = 0; i < tenants; i++) {
                 put("customers." + i + ".name", oneOf("n", "n.1", "ü") + i);
                 maybePut("customers." + i + ".quota_rps", oneOf(0.0, 0.5, 1e6));
-                maybePut("customers." + i + ".share", 1.0 / customers);
+                maybePut("customers." + i + ".share", 1.0 / tenants);
             }
         }
-        String below = oneOf("off", "one_for_all", "tier", "");
-        if (!below.isEmpty()) {
-            put("domain.below", below);
+        String downstream = oneOf("off", "one_for_all", "tier", "");
+        if (!downstream.isEmpty()) {
+            put("domain.below", downstream);
         }
         maybePut("domain.class_calls", calls);
         maybePut("domain.class_skip_worth", skips);
-        if (below.equals("one_for_all")) {
+        if (downstream.equals("one_for_all")) {
             maybePut("domain.calls_out", between(1, 20));
             maybePut("domain.calls_over_ns", nanos(5));
             maybePut("domain.linger_ns", nanos(0.2));
@@ -138,7 +138,7 @@
         maybePut("rules.cold_share", 0.2);
         maybePut("bounds.max_retry_after_ns", nanos(1));
         put("step_ns", oneOf(1_000_000, 4_000_000));
-        work = Span.ofSeconds(Math.min(between(0.002, 5), shortest / 50));
+        work = NanoDuration.ofSeconds(Math.min(between(0.002, 5), shortest / 50));
         troubles = maybe();
         refuses = maybe();
     }
@@ -150,103 +150,105 @@
     private void play(int seed) {
         chance = new Random(seed);
         draw();
-        host =
-                new Host(
+        processor =
+                new RequestProcessor(
                         settings,
                         seed,
-                        Brain::new,
-                        new Host.Ports(this, this, this, log::add),
+                        AdmissionController::new,
+                        new RequestProcessor.Ports(this, this, this, log::add),
                         deadlines,
-                        new Host.Bounds(64, 1024, 1024, 1 << 20),
+                        new RequestProcessor.TableLimits(64, 1024, 1024, 1 << 20),
                         now);
-        host.welcomed(false, Span.ZERO);
-        host.settle();
-        ConnectionId line = host.connected();
+        processor.welcomed(false, NanoDuration.ZERO);
+        processor.settle();
+        ConnectionId line = processor.connected();
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            line = i % 20 == 0 ? host.connected() : line;
+            line = i % 20 == 0 ? processor.connected() : line;
             send(line);
             sent++;
             pass(work.times(troubles ? oneOf(0.1, 0.5, 3.0) : oneOf(2.0, 3.0, 6.0)));
         }
-        pass(Span.ofSeconds(70));
+        pass(NanoDuration.ofSeconds(70));
         assertThat(unanswered).as("seed %d left unanswered", seed).isEmpty();
-        assertThat(host.isAnswered()).isTrue();
+        assertThat(processor.isAnswered()).isTrue();
         if (!troubles) {
-            assertThat(satisfied)
+            assertThat(served)
                     .as("seed %d satisfied; the log: %s; settings %s", seed, log, settings)
                     .isEqualTo(sent);
         }
     }
 
     private void send(ConnectionId line) {
-        int track = chance.nextInt(count("services"));
-        String at = "services." + track + ".";
-        int customers = count("customers");
-        String customer =
-                customers > 0
-                        ? settings.get("customers." + chance.nextInt(customers) + ".name")
+        int classIndex = chance.nextInt(count("services"));
+        String at = "services." + classIndex + ".";
+        int tenants = count("customers");
+        String tenant =
+                tenants > 0
+                        ? settings.get("customers." + chance.nextInt(tenants) + ".name")
                         : oneOf("", "anyone");
         double giveUp = Double.parseDouble(settings.get(at + "give_up_ns")) / 1e9;
-        Span patience = maybe() ? Span.ZERO : Span.ofSeconds(giveUp * oneOf(0.7, 0.9, 1.2));
-        Span hint = maybe() ? Span.ZERO : work.times(oneOf(0.5, 1.0, 2.0));
+        NanoDuration clientTimeout =
+                maybe() ? NanoDuration.ZERO : NanoDuration.ofSeconds(giveUp * oneOf(0.7, 0.9, 1.2));
+        NanoDuration hint = maybe() ? NanoDuration.ZERO : work.times(oneOf(0.5, 1.0, 2.0));
         boolean keyed = settings.get(at + "effect").equals("token");
-        // The mark names its track, as a dispatcher's would: no two requests of different tracks
+        // The mark names its request class, as an upstream load balancer's would: no two requests
+        // of different request classes
         // are one.
-        String key = keyed ? track + "f" + chance.nextInt(6) : null;
-        Moment reached = now.minus(work.times(oneOf(0.0, 0.5)));
-        Span waits =
-                patience.isPositive()
-                        ? patience.min(Span.ofSeconds(giveUp))
-                        : Span.ofSeconds(giveUp);
+        String key = keyed ? classIndex + "f" + chance.nextInt(6) : null;
+        MonotonicTime reached = now.minus(work.times(oneOf(0.0, 0.5)));
+        NanoDuration waits =
+                clientTimeout.isPositive()
+                        ? clientTimeout.min(NanoDuration.ofSeconds(giveUp))
+                        : NanoDuration.ofSeconds(giveUp);
         tag++;
-        TryId id = new TryId(String.format("%016x", tag));
-        unanswered.put(tag, new Sent(reached.plus(waits), troubles));
+        AttemptId id = new AttemptId(String.format("%016x", tag));
+        unanswered.put(tag, new SentRequest(reached.plus(waits), troubles));
         keys.put(tag, key == null ? "" : key);
         reachedOf.put(id.digits(), reached);
-        host.arrived(
+        processor.arrived(
                 line,
                 tag,
-                new Arrival(
+                new IncomingRequest(
                         id,
                         settings.get(at + "name"),
-                        customer,
+                        tenant,
                         new SubjectId(0),
-                        new CallerId(1),
-                        patience,
+                        new UpstreamId(1),
+                        clientTimeout,
                         hint,
                         maybe(),
                         reached,
                         10,
                         0.5,
-                        key == null ? null : new ReceiptKey(key),
+                        key == null ? null : new IdempotencyKey(key),
                         BODY));
-        host.settle();
+        processor.settle();
     }
 
-    private void pass(Span span) {
-        Moment until = now.plus(span);
-        while (!until.isBefore(deadlines.soonest())) {
-            now = now.isBefore(deadlines.soonest()) ? deadlines.soonest() : now;
-            host.advance(now);
-            deadlines.ring(now);
-            host.settle();
+    private void pass(NanoDuration duration) {
+        MonotonicTime until = now.plus(duration);
+        while (!until.isBefore(deadlines.earliest())) {
+            now = now.isBefore(deadlines.earliest()) ? deadlines.earliest() : now;
+            processor.advance(now);
+            deadlines.runDue(now);
+            processor.settle();
         }
         now = until;
-        host.advance(now);
+        processor.advance(now);
     }
 
     @Override
-    public void answer(ConnectionId connection, long to, Answer answer) {
-        Sent sent = unanswered.remove(to);
+    public void answer(ConnectionId connection, long to, Response answer) {
+        SentRequest sent = unanswered.remove(to);
         assertThat(sent).as("a second answer to %d", to).isNotNull();
         assertThat(now.isBefore(sent.due))
                 .as(
                         "%d answered %s in time, due %s s before; the log: %s; settings %s",
                         to, answer.word(), now.since(sent.due).seconds(), log, settings)
                 .isTrue();
-        satisfied += answer.word() == Answer.Word.SATISFIED ? 1 : 0;
-        if (answer.word() != Answer.Word.SATISFIED) {
+        served += answer.word() == Response.Kind.SERVED ? 1 : 0;
+        if (answer.word() != Response.Kind.SERVED) {
             log.add(
                     to
                             + " "
@@ -268,39 +270,43 @@
     }
 
     @Override
-    public void close(ConnectionId connection, Ending why) {
-        host.disconnected(connection);
+    public void close(ConnectionId connection, Completion why) {
+        processor.disconnected(connection);
     }
 
-    // ---- the executor: half of the work, a call where the track makes any, the other half ----
+    // ---- the executor: half of the work, a call where the request class makes any, the other half
+    // ----
 
-    private void later(Span wait, Runnable job) {
-        deadlines.at(now.plus(wait), job);
+    private void later(NanoDuration wait, Runnable job) {
+        deadlines.schedule(now.plus(wait), job);
     }
 
     @Override
-    public boolean run(TryId id, String track, byte[] body) {
+    public boolean run(AttemptId id, String className, byte[] body) {
         long number = Long.parseLong(id.digits(), 16);
         String key = keys.get(number);
         if (!key.isEmpty()) {
-            int at = Integer.parseInt(track.replaceAll(".*(\\d)$", "$1"));
-            Moment reached = reachedOf.get(id.digits());
-            Span window = new Span(Long.parseLong(settings.get("services." + at + ".window_ns")));
-            Moment before = ranFrom.put(key, reached);
+            int at = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+            MonotonicTime reached = reachedOf.get(id.digits());
+            NanoDuration window =
+                    new NanoDuration(Long.parseLong(settings.get("services." + at + ".window_ns")));
+            MonotonicTime before = ranFrom.put(key, reached);
             assertThat(before == null || !reached.isBefore(before.plus(window)))
                     .as("%s runs twice", key)
                     .isTrue();
         }
         assertThat(running.add(id)).isTrue();
-        int place = Integer.parseInt(track.replaceAll(".*(\\d)$", "$1"));
-        boolean below = settings.getOrDefault("domain.below", "off").matches("one_for_all|tier");
+        int place = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+        boolean downstream =
+                settings.getOrDefault("domain.below", "off").matches("one_for_all|tier");
         String[] calls = settings.getOrDefault("domain.class_calls", "").split(",", 0);
-        boolean called = below && place < calls.length && calls[place].equals("true") && maybe();
+        boolean called =
+                downstream && place < calls.length && calls[place].equals("true") && maybe();
         later(
                 work.times(0.5),
                 () -> {
                     if (called) {
-                        host.calledOut(id, BODY);
+                        processor.calledOut(id, BODY);
                     } else {
                         rest(id);
                     }
@@ -308,39 +314,46 @@
         return true;
     }
 
-    private void rest(TryId id) {
+    private void rest(AttemptId id) {
         later(
                 work.times(0.5),
-                () -> exit(id, troubles && chance.nextInt(8) == 0 ? Ending.FAILED : Ending.WELL));
+                () ->
+                        exit(
+                                id,
+                                troubles && chance.nextInt(8) == 0
+                                        ? Completion.FAILED
+                                        : Completion.WELL));
     }
 
-    private void exit(TryId id, Ending ending) {
+    private void exit(AttemptId id, Completion ending) {
         if (running.contains(id) && over.add(id)) {
-            host.exited(id, ending, work, BODY);
+            processor.exited(id, ending, work, BODY);
         }
     }
 
     @Override
-    public boolean giveReply(TryId id, byte[] reply) {
+    public boolean giveReply(AttemptId id, byte[] reply) {
         rest(id);
         return true;
     }
 
     @Override
-    public boolean stop(TryId id) {
+    public boolean stop(AttemptId id) {
         assertThat(settings.getOrDefault("domain.stop_mode", "off"))
                 .as("a way to stop is named")
                 .isNotEqualTo("off");
         later(
-                Span.ofSeconds(0.001),
-                refuses ? () -> host.notCarriedOut("KILL", id) : () -> exit(id, Ending.STOPPED));
+                NanoDuration.ofSeconds(0.001),
+                refuses
+                        ? () -> processor.notCarriedOut("KILL", id)
+                        : () -> exit(id, Completion.STOPPED));
         return true;
     }
 
     @Override
-    public boolean skipCall(TryId id) {
+    public boolean skipCall(AttemptId id) {
         if (refuses) {
-            later(Span.ofSeconds(0.001), () -> host.notCarriedOut("BYPASS", id));
+            later(NanoDuration.ofSeconds(0.001), () -> processor.notCarriedOut("BYPASS", id));
         } else {
             rest(id);
         }
@@ -348,44 +361,46 @@
     }
 
     @Override
-    public void askGauges(long asked) {
+    public void askResourceUsage(long requested) {
         if (settings.containsKey("domain.gauges")) {
             later(
-                    Span.ofSeconds(0.0005),
-                    () -> host.gaugesRead(asked, new double[] {0.5, running.size(), 0.1, 1}));
+                    NanoDuration.ofSeconds(0.0005),
+                    () ->
+                            processor.resourceUsageRead(
+                                    requested, new double[] {0.5, running.size(), 0.1, 1}));
         }
     }
 
     @Override
-    public void checkDeep(long asked) {
+    public void checkDeep(long requested) {
         // Nobody checks.
     }
 
     @Override
-    public void call(TryId id, Span cap, byte[] body) {
-        Ending ending =
+    public void call(AttemptId id, NanoDuration cap, byte[] body) {
+        Completion ending =
                 troubles
                         ? oneOf(
-                                Ending.WELL,
-                                Ending.SHED,
-                                Ending.SLOW_BELOW,
-                                Ending.FAILED_BELOW,
-                                Ending.CONNECTION_REFUSED)
-                        : Ending.WELL;
+                                Completion.WELL,
+                                Completion.SHED,
+                                Completion.TIMED_OUT_DOWNSTREAM,
+                                Completion.FAILED_DOWNSTREAM,
+                                Completion.CONNECTION_REFUSED)
+                        : Completion.WELL;
         later(
                 work.times(0.2),
-                () -> host.callEnded(id, ending, ending == Ending.WELL ? BODY : null));
+                () -> processor.callEnded(id, ending, ending == Completion.WELL ? BODY : null));
     }
 
     @Override
-    public void giveUp(TryId id) {
-        // What comes late is passed over by the host.
+    public void giveUp(AttemptId id) {
+        // What comes late is passed over by the request processor.
     }
 
     @Test
     void eachRequestGetsOneAnswerInItsTimeAndNoneIsLostToWhatTheSettingsLeaveOut() {
         for (int seed = 1; seed <= 400; seed++) {
-            new AnySettingsTest().play(seed);
+            new RandomSettingsTest().play(seed);
         }
     }
 }
