--- a/src/test/java/lupinwood/core/HostTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -1,4 +1,4 @@
-package lupinwood.core;
+package lupinwood.processing;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,33 +8,36 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lupinwood.Brain;
-import lupinwood.Machine;
-import lupinwood.Watched;
-import lupinwood.node.CallerId;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.node.SubjectId;
-import lupinwood.node.Ticket;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.admission.RecordingServer;
+import lupinwood.admission.Request;
+import lupinwood.admission.RuleCheckingPolicy;
+import lupinwood.admission.SubjectId;
+import lupinwood.admission.UpstreamId;
 import org.junit.jupiter.api.Test;
 
-/** The host round a real Brain, with ports that print what is asked of them. */
-final class HostTest implements Dispatchers, Executor, Index {
+/**
+ * The request processor round a real AdmissionController, with ports that print what is asked of
+ * them.
+ */
+final class RequestProcessorTest implements UpstreamConnections, Executor, Dependency {
     private static final byte[] NOTHING = {};
 
-    private final Machine machine = new Machine();
+    private final RecordingServer machine = new RecordingServer();
     private final StringBuilder trace = new StringBuilder();
-    private final Deadlines deadlines = new Deadlines();
-    private Moment now = new Moment(1_000_000_000_000L);
+    private final TimerService deadlines = new TimerService();
+    private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
     private boolean linked = true;
     private boolean takesAnswers = true;
-    private boolean gaugesCome = true;
+    private boolean resourceUsageCome = true;
     private int onCores = 9;
-    private Host host;
+    private RequestProcessor processor;
     private ConnectionId line;
     private long tag;
 
-    HostTest() {
+    RequestProcessorTest() {
         machine.set(
                 "customers.count=1 customers.0.name=acme"
                         + " domain.gauges=core_use,on_cores,heap_share,links domain.keepalive_max_ns=3000000000"
@@ -44,66 +47,71 @@
 
     private void start() {
         make(8192);
-        host.welcomed(false, Span.ZERO);
-        host.settle();
+        processor.welcomed(false, NanoDuration.ZERO);
+        processor.settle();
         gainStanding();
     }
 
-    /** A ticket of the connection is carried out, so that it is known to be a dispatcher's. */
+    /**
+     * A request of the connection is carried out, so that it is known to be an upstream load
+     * balancer's.
+     */
     private void gainStanding() {
-        tell(() -> host.arrived(line, 99, arrival(99, "pure", null, "first")));
-        exit(99, Ending.WELL, "x");
+        tell(() -> processor.arrived(line, 99, arrival(99, "pure", null, "first")));
+        exit(99, Completion.WELL, "x");
         trace.setLength(0);
     }
 
-    private void make(long receiptBytes) {
-        make(4, receiptBytes);
+    private void make(long idempotencyBytes) {
+        make(4, idempotencyBytes);
     }
 
-    private void make(int connections, long receiptBytes) {
-        host =
-                new Host(
+    private void make(int connections, long idempotencyBytes) {
+        processor =
+                new RequestProcessor(
                         machine.settings,
                         7,
-                        Brain::new,
-                        new Host.Ports(this, this, this, this::log),
+                        AdmissionController::new,
+                        new RequestProcessor.Ports(this, this, this, this::log),
                         deadlines,
-                        new Host.Bounds(connections, 40, 64, receiptBytes),
+                        new RequestProcessor.TableLimits(connections, 40, 64, idempotencyBytes),
                         now);
-        line = host.connected();
+        line = processor.connected();
     }
 
-    private static TryId id(long tag) {
-        return new TryId(String.format("%016x", tag));
+    private static AttemptId id(long tag) {
+        return new AttemptId(String.format("%016x", tag));
     }
 
-    /** A ticket comes; its tag and its id are the next number. */
-    private long arrive(String track, String receipt, String body) {
-        tell(() -> host.arrived(line, ++tag, arrival(tag, track, receipt, body)));
+    /** A request comes; its tag and its id are the next number. */
+    private long arrive(String className, String idempotencyKey, String body) {
+        tell(() -> processor.arrived(line, ++tag, arrival(tag, className, idempotencyKey, body)));
         return tag;
     }
 
-    private Arrival arrival(long number, String track, String receipt, String body) {
-        return new Arrival(
+    private IncomingRequest arrival(
+            long number, String className, String idempotencyKey, String body) {
+        return new IncomingRequest(
                 id(number),
-                track,
+                className,
                 "acme",
                 new SubjectId(0),
-                new CallerId(1),
+                new UpstreamId(1),
                 now,
                 10,
                 0.5,
-                receipt == null ? null : new ReceiptKey(receipt),
+                idempotencyKey == null ? null : new IdempotencyKey(idempotencyKey),
                 body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private Arrival arrival(String customer, Moment reached, double memoryKb, double rank) {
-        return new Arrival(
+    private IncomingRequest arrival(
+            String tenant, MonotonicTime reached, double memoryKb, double rank) {
+        return new IncomingRequest(
                 id(tag + 1),
                 "pure",
-                customer,
+                tenant,
                 new SubjectId(0),
-                new CallerId(1),
+                new UpstreamId(1),
                 reached,
                 memoryKb,
                 rank,
@@ -111,15 +119,16 @@
                 NOTHING);
     }
 
-    /** One with what only some deployments' tickets carry. */
-    private Arrival arrival(String customer, Span patience, Span work, boolean repeat) {
-        return new Arrival(
+    /** One with what only some deployments' requests carry. */
+    private IncomingRequest arrival(
+            String tenant, NanoDuration clientTimeout, NanoDuration work, boolean repeat) {
+        return new IncomingRequest(
                 id(tag),
                 "pure",
-                customer,
+                tenant,
                 new SubjectId(0),
-                new CallerId(1),
-                patience,
+                new UpstreamId(1),
+                clientTimeout,
                 work,
                 repeat,
                 now,
@@ -131,33 +140,33 @@
 
     private void tell(Runnable news) {
         news.run();
-        host.settle();
+        processor.settle();
     }
 
-    private void exit(long number, Ending ending, String result) {
+    private void exit(long number, Completion ending, String result) {
         tell(
                 () ->
-                        host.exited(
+                        processor.exited(
                                 id(number),
                                 ending,
-                                Span.ZERO,
+                                NanoDuration.ZERO,
                                 result.getBytes(StandardCharsets.UTF_8)));
     }
 
     private void callOut(long number) {
-        tell(() -> host.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
+        tell(() -> processor.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
     }
 
     private void pass(int millis) {
-        Moment until = now.plus(Span.ofSeconds(millis / 1e3));
-        while (!until.isBefore(deadlines.soonest())) {
-            now = now.isBefore(deadlines.soonest()) ? deadlines.soonest() : now;
-            host.advance(now);
-            deadlines.ring(now);
-            host.settle();
+        MonotonicTime until = now.plus(NanoDuration.ofSeconds(millis / 1e3));
+        while (!until.isBefore(deadlines.earliest())) {
+            now = now.isBefore(deadlines.earliest()) ? deadlines.earliest() : now;
+            processor.advance(now);
+            deadlines.runDue(now);
+            processor.settle();
         }
         now = until;
-        host.advance(now);
+        processor.advance(now);
     }
 
     private void say(String text) {
@@ -172,7 +181,7 @@
     }
 
     @Override
-    public void answer(ConnectionId connection, long to, Answer answer) {
+    public void answer(ConnectionId connection, long to, Response answer) {
         say(
                 to
                         + " "
@@ -187,61 +196,61 @@
 
     @Override
     public void readNoMore(ConnectionId connection) {
-        // Told by what the host then passes over.
+        // Told by what the request processor then passes over.
     }
 
     @Override
-    public void close(ConnectionId connection, Ending why) {
+    public void close(ConnectionId connection, Completion why) {
         say("close " + (connection.number() & 0xff) + " " + why);
-        if (takesAnswers && why != Ending.SLOW_READER && why != Ending.MADE_ROOM) {
-            host.written(connection);
+        if (takesAnswers && why != Completion.SLOW_READER && why != Completion.MADE_ROOM) {
+            processor.written(connection);
         }
     }
 
     @Override
-    public boolean run(TryId id, String track, byte[] body) {
+    public boolean run(AttemptId id, String className, byte[] body) {
         say("run " + number(id) + " " + text(body) + (linked ? "" : ", no link"));
         return linked;
     }
 
     @Override
-    public boolean giveReply(TryId id, byte[] reply) {
+    public boolean giveReply(AttemptId id, byte[] reply) {
         say("reply for " + number(id) + " " + text(reply) + (linked ? "" : ", no link"));
         return linked;
     }
 
     @Override
-    public boolean stop(TryId id) {
+    public boolean stop(AttemptId id) {
         say("stop " + number(id));
         return linked;
     }
 
     @Override
-    public boolean skipCall(TryId id) {
+    public boolean skipCall(AttemptId id) {
         say("no call for " + number(id) + (linked ? "" : ", no link"));
         return linked;
     }
 
     @Override
-    public void askGauges(long asked) {
-        if (!gaugesCome) {
+    public void askResourceUsage(long requested) {
+        if (!resourceUsageCome) {
             return;
         }
-        host.gaugesRead(asked, new double[] {0.5, onCores, 0.1, 1});
+        processor.resourceUsageRead(requested, new double[] {0.5, onCores, 0.1, 1});
     }
 
     @Override
-    public void checkDeep(long asked) {
+    public void checkDeep(long requested) {
         say("deep check");
     }
 
     @Override
-    public void call(TryId id, Span cap, byte[] body) {
+    public void call(AttemptId id, NanoDuration cap, byte[] body) {
         say("call for " + number(id) + " " + text(body));
     }
 
     @Override
-    public void giveUp(TryId id) {
+    public void giveUp(AttemptId id) {
         say("give up the call for " + number(id));
     }
 
@@ -251,7 +260,7 @@
         }
     }
 
-    private static long number(TryId id) {
+    private static long number(AttemptId id) {
         return Long.parseLong(id.digits(), 16);
     }
 
@@ -260,14 +269,17 @@
     }
 
     @Test
-    void aTicketRunsCallsAndGetsItsResultUnchanged() {
+    void aRequestRunsCallsAndGetsItsResultUnchanged() {
         start();
         long one = arrive("pure", null, "a");
         callOut(one);
         pass(30);
-        tell(() -> host.callEnded(id(one), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
-        exit(one, Ending.WELL, "result");
-        exit(one, Ending.WELL, "late news");
+        tell(
+                () ->
+                        processor.callEnded(
+                                id(one), Completion.WELL, "r".getBytes(StandardCharsets.UTF_8)));
+        exit(one, Completion.WELL, "result");
+        exit(one, Completion.WELL, "late news");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -283,18 +295,18 @@
         start();
         long running = arrive("pure", null, "a");
         long called = arrive("pure", null, "b");
-        long held = arrive("pure", null, "c");
+        long leased = arrive("pure", null, "c");
         callOut(called);
-        for (long aborted : new long[] {running, called, held, 99}) {
-            tell(() -> host.aborted(line, aborted));
+        for (long aborted : new long[] {running, called, leased, 99}) {
+            tell(() -> processor.aborted(line, aborted));
         }
-        exit(called, Ending.STOPPED, "");
-        exit(running, Ending.WELL, "unwanted");
-        exit(held, Ending.WELL, "unwanted");
-        tell(() -> host.aborted(line, running));
+        exit(called, Completion.STOPPED, "");
+        exit(running, Completion.WELL, "unwanted");
+        exit(leased, Completion.WELL, "unwanted");
+        tell(() -> processor.aborted(line, running));
         pass(100);
-        assertThat(host.isAnswered()).isTrue();
-        assertThat(host.figures()).startsWith("connections 1, open 0, tickets 0, receipts 0");
+        assertThat(processor.isAnswered()).isTrue();
+        assertThat(processor.figures()).startsWith("connections 1, open 0, tickets 0, receipts 0");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -307,14 +319,14 @@
     }
 
     @Test
-    void repeatsOfAReceiptedTicketShareItsOneRunWhileItLastsAndAfterIt() {
+    void repeatsOfAIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
         arrive("token", "k", "another body");
-        exit(first, Ending.WELL, "result");
+        exit(first, Completion.WELL, "result");
         pass(7000);
-        line = host.connected();
+        line = processor.connected();
         arrive("token", "k", "a");
         pass(2000);
         arrive("token", "k", "a");
@@ -339,13 +351,13 @@
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
-        exit(first, Ending.FAILED, "");
+        exit(first, Completion.FAILED, "");
         long full = arrive("pure", null, "b");
         arrive("pure", null, "c");
-        long held = arrive("token", "l", "d");
+        long leased = arrive("token", "l", "d");
         arrive("token", "l", "d");
-        tell(() -> host.aborted(line, held));
-        exit(full, Ending.WELL, "x");
+        tell(() -> processor.aborted(line, leased));
+        exit(full, Completion.WELL, "x");
         arrive("token", "l", "d");
         assertThat(printed())
                 .isEqualTo(
@@ -362,37 +374,37 @@
     }
 
     @Test
-    void aReceiptKeepsItsWindowWhenThatShrinksAndOutlivesAnAbandonTimeThatGrew() {
+    void aIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesAnTimeoutTimeThatGrew() {
         machine.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
         start();
         long first = arrive("token", "k", "a");
-        exit(first, Ending.WELL, "paid");
+        exit(first, Completion.WELL, "paid");
         Map<String, String> next = new HashMap<>(machine.settings);
         next.put("services.1.window_ns", "1000000000");
         next.put("services.1.give_up_ns", "9000000000");
-        assertThat(host.retune(new Host.Tuning(next))).isTrue();
-        host.settle();
+        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(next))).isTrue();
+        processor.settle();
         pass(7000);
         arrive("token", "k", "a");
-        Moment inWindow = now;
-        pass(7500); // the old abandon time after the window's end has passed; the new one has not
+        MonotonicTime inWindow = now;
+        pass(7500); // the old timeout after the window's end has passed; the new one has not
         tell(
                 () ->
-                        host.arrived(
+                        processor.arrived(
                                 line,
                                 ++tag,
-                                new Arrival(
+                                new IncomingRequest(
                                         id(tag),
                                         "token",
                                         "acme",
                                         new SubjectId(0),
-                                        new CallerId(1),
+                                        new UpstreamId(1),
                                         inWindow,
                                         10,
                                         0.5,
-                                        new ReceiptKey("k"),
+                                        new IdempotencyKey("k"),
                                         "a".getBytes(StandardCharsets.UTF_8))));
         // Past the old bounds the decisions know nothing of it any more; it has the result all the
         // same, and never runs.
@@ -404,34 +416,35 @@
                 7000 2 SATISFIED paid
                 14500 3 SATISFIED paid
                 """);
-        assertThat(host.figures()).contains("receipts 1");
+        assertThat(processor.figures()).contains("receipts 1");
         pass(4000);
-        assertThat(host.figures()).contains("receipts 0");
+        assertThat(processor.figures()).contains("receipts 0");
     }
 
     @Test
-    void ticketsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
+    void requestsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
         start();
         arrive("pure", null, "a");
         Map<String, String> next = new HashMap<>(machine.settings);
         next.put("services.0.give_up_ns", "20000000000");
-        host.retune(new Host.Tuning(next));
+        processor.retune(new RequestProcessor.ReloadableSettings(next));
         arrive("pure", null, "b");
         pass(30_000);
         assertThat(printed())
                 .containsPattern("(?m)^49\\d\\d 1 ABANDONED$")
                 .containsPattern("(?m)^199\\d\\d 2 ABANDONED$");
-        host.leave(Span.ofSeconds(3));
-        assertThat(host.retune(new Host.Tuning(machine.settings))).isFalse();
+        processor.leave(NanoDuration.ofSeconds(3));
+        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(machine.settings)))
+                .isFalse();
     }
 
     @Test
-    void resultsBeyondTheirBoundAreDroppedButTheirReceiptsStay() {
+    void resultsBeyondTheirBoundAreDroppedButTheirIdempotencyRecordsStay() {
         make(10);
-        host.welcomed(false, Span.ZERO);
+        processor.welcomed(false, NanoDuration.ZERO);
         trace.setLength(0);
-        exit(arrive("token", "k", "a"), Ending.WELL, "12345678");
-        exit(arrive("token", "l", "b"), Ending.WELL, "12345678");
+        exit(arrive("token", "k", "a"), Completion.WELL, "12345678");
+        exit(arrive("token", "l", "b"), Completion.WELL, "12345678");
         arrive("token", "k", "a");
         arrive("token", "l", "b");
         assertThat(printed())
@@ -450,29 +463,29 @@
     void aTryReadAfterItsOwnWindowIsRememberedForTheTriesInItThatAreReadLater() {
         machine.set("services.1.window_ns=800000000");
         start();
-        Moment stamped = now;
+        MonotonicTime stamped = now;
         pass(1500);
         for (int i = 0; i < 2; i++) {
-            Moment reached = stamped.plus(Span.ofSeconds(i * 0.5));
+            MonotonicTime reached = stamped.plus(NanoDuration.ofSeconds(i * 0.5));
             tell(
                     () ->
-                            host.arrived(
+                            processor.arrived(
                                     line,
                                     ++tag,
-                                    new Arrival(
+                                    new IncomingRequest(
                                             id(tag),
                                             "token",
                                             "acme",
                                             new SubjectId(0),
-                                            new CallerId(1),
+                                            new UpstreamId(1),
                                             reached,
                                             10,
                                             0.5,
-                                            new ReceiptKey("k"),
+                                            new IdempotencyKey("k"),
                                             NOTHING)));
             pass(100);
         }
-        exit(1, Ending.WELL, "x");
+        exit(1, Completion.WELL, "x");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -491,8 +504,8 @@
         arrive("token", "k", "a");
         pass(500);
         long next = arrive("token", "k", "a");
-        exit(first, Ending.WELL, "one");
-        exit(next, Ending.WELL, "two");
+        exit(first, Completion.WELL, "one");
+        exit(next, Completion.WELL, "two");
         arrive("token", "k", "a");
         assertThat(printed())
                 .isEqualTo(
@@ -509,16 +522,16 @@
     @Test
     void whatIsDroppedForRoomIsTheOldestResultAndNeverThatOfWhatRuns() {
         make(20);
-        host.welcomed(false, Span.ZERO);
+        processor.welcomed(false, NanoDuration.ZERO);
         long runs = arrive("token", "a", "body");
         for (String mark : List.of("b", "c", "d")) {
-            exit(arrive("token", mark, ""), Ending.WELL, "12345678");
+            exit(arrive("token", mark, ""), Completion.WELL, "12345678");
         }
         trace.setLength(0);
         for (String mark : List.of("b", "c", "d")) {
             arrive("token", mark, "");
         }
-        exit(runs, Ending.WELL, "1234");
+        exit(runs, Completion.WELL, "1234");
         arrive("token", "c", "");
         arrive("token", "a", "body");
         assertThat(printed())
@@ -534,10 +547,10 @@
     }
 
     @Test
-    void aMarkThatThereIsNoRoomToRememberIsBouncedAndRepeatsOfOthersAreServed() {
+    void aMarkThatThereIsNoRoomToRememberIsRejectedAndRepeatsOfOthersAreServed() {
         start();
         for (int mark = 0; mark < 64; mark++) {
-            exit(arrive("token", "m" + mark, ""), Ending.WELL, "r");
+            exit(arrive("token", "m" + mark, ""), Completion.WELL, "r");
         }
         trace.setLength(0);
         arrive("token", "one more", "");
@@ -552,7 +565,7 @@
                 0 run 67 p
                 """);
         pass(30_000);
-        line = host.connected();
+        line = processor.connected();
         arrive("token", "one more", "");
         assertThat(printed()).endsWith("run 68 \n");
     }
@@ -561,14 +574,14 @@
     void aReplacedLinkRunsAgainOnlyWhatCannotRunTwice() {
         start();
         arrive("pure", null, "a");
-        long receipted = arrive("token", "k", "b");
-        tell(() -> host.welcomed(false, Span.ZERO));
-        tell(() -> host.aborted(line, receipted));
-        exit(receipted, Ending.NOTHING_STARTED, "");
+        long idempotent = arrive("token", "k", "b");
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
+        tell(() -> processor.aborted(line, idempotent));
+        exit(idempotent, Completion.NOTHING_STARTED, "");
         linked = false;
         arrive("token", "l", "c");
         linked = true;
-        tell(() -> host.welcomed(false, Span.ZERO));
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -583,28 +596,30 @@
     }
 
     @Test
-    void aCommandInDoubtIsGivenAgainOnlyOnceTheGaugeShowsThatItWasNotRead() {
+    void aCommandInDoubtIsGivenAgainOnlyOnceTheResourceUsageShowsThatItWasNotRead() {
         start();
         onCores = 1;
-        long receipted = arrive("token", "k", "a");
-        tell(() -> host.welcomed(false, Span.ZERO));
+        long idempotent = arrive("token", "k", "a");
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
         pass(20);
         onCores = 0;
         pass(20);
-        callOut(receipted);
+        callOut(idempotent);
         tell(
                 () ->
-                        host.callEnded(
-                                id(receipted), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
+                        processor.callEnded(
+                                id(idempotent),
+                                Completion.WELL,
+                                "r".getBytes(StandardCharsets.UTF_8)));
         onCores = 1;
-        tell(() -> host.welcomed(false, Span.ZERO));
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
         pass(20);
         onCores = 0;
         pass(20);
         onCores = 1;
         pass(20);
-        tell(() -> host.welcomed(false, Span.ZERO));
-        exit(receipted, Ending.WELL, "result");
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
+        exit(idempotent, Completion.WELL, "result");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -620,21 +635,21 @@
     }
 
     @Test
-    void whoHasNoStandingIsClosedForOneUnsoundTicketAndForManyThatAreTurnedAway() {
+    void whoHasNoStandingIsClosedForOneUnsoundRequestAndForManyThatAreTurnedAway() {
         start();
-        line = host.connected();
+        line = processor.connected();
         arrive("no such track", null, "a");
         arrive("pure", null, "a");
-        line = host.connected();
+        line = processor.connected();
         long unknown = arrive("pure", null, "b");
-        tell(() -> host.notCarriedOut("EXEC", id(unknown)));
-        line = host.connected();
+        tell(() -> processor.notCarriedOut("EXEC", id(unknown)));
+        line = processor.connected();
         pass(1100);
         for (int i = 0; i < 34; i++) {
             pass(i == 33 ? 2100 : 0);
             long withdrawn = arrive("pure", null, "c");
-            tell(() -> host.aborted(line, withdrawn));
-            exit(withdrawn, Ending.NOTHING_STARTED, "");
+            tell(() -> processor.aborted(line, withdrawn));
+            exit(withdrawn, Completion.NOTHING_STARTED, "");
         }
         assertThat(printed().replaceAll("[0-9]+ run [0-9]+ c\n", ""))
                 .isEqualTo(
@@ -658,10 +673,10 @@
     }
 
     @Test
-    void aMarkWhoseTicketTheExecutorWouldNotRunIsFreeAgain() {
+    void aMarkWhoseRequestTheExecutorWouldNotRunIsFreeAgain() {
         start();
         long unknown = arrive("token", "k", "a");
-        tell(() -> host.notCarriedOut("EXEC", id(unknown)));
+        tell(() -> processor.notCarriedOut("EXEC", id(unknown)));
         arrive("token", "k", "b");
         assertThat(printed())
                 .isEqualTo(
@@ -676,20 +691,20 @@
     @Test
     void theSilentAndThoseIdleForLongestMakeRoomAndTheSilentSoonGo() {
         start();
-        ConnectionId checked = host.connected();
+        ConnectionId checked = processor.connected();
         pass(100);
-        host.connected();
-        tell(() -> host.checked(checked, 1, false));
-        ConnectionId last = host.connected();
+        processor.connected();
+        tell(() -> processor.checked(checked, 1, false));
+        ConnectionId last = processor.connected();
         arrive("pure", null, "a");
         for (int i = 0; i < 3; i++) {
             pass(10);
-            ConnectionId next = host.connected();
+            ConnectionId next = processor.connected();
             say("one more");
-            tell(() -> host.checked(next, 1, false));
+            tell(() -> processor.checked(next, 1, false));
         }
-        host.disconnected(last);
-        host.connected();
+        processor.disconnected(last);
+        processor.connected();
         pass(1600);
         assertThat(printed())
                 .isEqualTo(
@@ -716,24 +731,24 @@
      * Of sixteen places fourteen are many. Who came just now is no sooner closed than who rests.
      */
     @Test
-    void beforeTheTableIsFullThoseThatRestAreAskedToCloseAndWhoHasAnOpenTicketNever() {
+    void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
         make(16, 8192);
-        host.welcomed(false, Span.ZERO);
+        processor.welcomed(false, NanoDuration.ZERO);
         gainStanding();
         arrive("pure", null, "a");
         for (int i = 0; i < 16; i++) {
             pass(10);
-            ConnectionId next = host.connected();
-            say("so many: " + host.connectionCount());
-            tell(() -> host.checked(next, 1, false));
+            ConnectionId next = processor.connected();
+            say("so many: " + processor.connectionCount());
+            tell(() -> processor.checked(next, 1, false));
         }
         for (int i = 0; i < 4; i++) {
             pass(i == 0 ? 600 : 0);
-            host.connected();
-            say("so many: " + host.connectionCount());
+            processor.connected();
+            say("so many: " + processor.connectionCount());
         }
         pass(600);
-        host.connected();
+        processor.connected();
         assertThat(
                         printed()
                                 .replaceAll("(?m)^.*GOOD\n", "")
@@ -761,22 +776,22 @@
     }
 
     @Test
-    void aDispatcherMayBeSlowToWriteForTheLongestAbandonTimeAndOthersMayNot() {
+    void aUpstreamMayBeSlowToWriteForTheLongestTimeoutTimeAndOthersMayNot() {
         start();
-        host.closeIdle(Span.ofSeconds(100));
-        ConnectionId other = host.connected();
-        tell(() -> host.checked(other, 1, false));
-        host.leftOff(other);
-        host.leftOff(line);
+        processor.closeIdleConnections(NanoDuration.ofSeconds(100));
+        ConnectionId other = processor.connected();
+        tell(() -> processor.checked(other, 1, false));
+        processor.leftOff(other);
+        processor.leftOff(line);
         pass(1500);
-        host.leftOff(line);
-        tell(() -> host.checked(line, 2, false));
+        processor.leftOff(line);
+        tell(() -> processor.checked(line, 2, false));
         pass(1500);
-        host.leftOff(line);
+        processor.leftOff(line);
         pass(4999);
-        host.leftOff(line);
+        processor.leftOff(line);
         pass(1);
-        host.leftOff(line);
+        processor.leftOff(line);
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -793,15 +808,15 @@
         start();
         long refused = arrive("side_effect", null, "a");
         callOut(refused);
-        tell(() -> host.callEnded(id(refused), Ending.CONNECTION_REFUSED, null));
+        tell(() -> processor.callEnded(id(refused), Completion.CONNECTION_REFUSED, null));
         pass(500);
-        tell(() -> host.callEnded(id(refused), Ending.CLOSED_BY_PEER, null));
-        tell(() -> host.callEnded(id(refused), Ending.WELL, NOTHING));
-        exit(refused, Ending.STOPPED, "");
+        tell(() -> processor.callEnded(id(refused), Completion.CLOSED_BY_PEER, null));
+        tell(() -> processor.callEnded(id(refused), Completion.WELL, NOTHING));
+        exit(refused, Completion.STOPPED, "");
         long slow = arrive("pure", null, "b");
         callOut(slow);
         pass(2500);
-        tell(() -> host.callEnded(id(slow), Ending.WELL, NOTHING));
+        tell(() -> processor.callEnded(id(slow), Completion.WELL, NOTHING));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -817,11 +832,11 @@
     }
 
     @Test
-    void whatTheExecutorWillNotCarryOutIsAbandoned() {
+    void whatTheExecutorWillNotCarryOutIsFailed() {
         start();
         long one = arrive("pure", null, "a");
-        tell(() -> host.notCarriedOut("EXEC", id(one)));
-        tell(() -> host.notCarriedOut("RETURN", id(one)));
+        tell(() -> processor.notCarriedOut("EXEC", id(one)));
+        tell(() -> processor.notCarriedOut("RETURN", id(one)));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -833,27 +848,27 @@
     }
 
     @Test
-    void ticketsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
+    void requestsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
         make(8192);
         arrive("pure", null, "early");
-        host.welcomed(false, Span.ZERO);
+        processor.welcomed(false, NanoDuration.ZERO);
         gainStanding();
         arrive("no such track", null, "a");
-        tell(() -> host.arrived(line, ++tag, null));
+        tell(() -> processor.arrived(line, ++tag, null));
         arrive("pure", null, "x".repeat(2049));
         long taken = arrive("pure", null, "a");
-        assertThat(host.arrived(line, taken, arrival(50, "pure", null, "a"))).isFalse();
-        tell(() -> host.arrived(line, ++tag, arrival(taken, "pure", null, "a")));
+        assertThat(processor.arrived(line, taken, arrival(50, "pure", null, "a"))).isFalse();
+        tell(() -> processor.arrived(line, ++tag, arrival(taken, "pure", null, "a")));
         arrive("token", null, "a");
         arrive("pure", "k", "a");
-        tell(() -> host.arrived(line, ++tag, arrival("nobody", now, 10, 0.5)));
+        tell(() -> processor.arrived(line, ++tag, arrival("nobody", now, 10, 0.5)));
         tell(
                 () ->
-                        host.arrived(
+                        processor.arrived(
                                 line,
                                 ++tag,
-                                arrival("acme", now.plus(Span.ofSeconds(9)), 10, 0.5)));
-        tell(() -> host.arrived(line, ++tag, arrival("acme", new Moment(0), 10, 0.5)));
+                                arrival("acme", now.plus(NanoDuration.ofSeconds(9)), 10, 0.5)));
+        tell(() -> processor.arrived(line, ++tag, arrival("acme", new MonotonicTime(0), 10, 0.5)));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -882,20 +897,28 @@
                     {0, 0.5}, {2000, 0.5}, {Double.NaN, 0.5}, {10, 1}, {10, Double.NaN}
                 }) {
             gainStanding();
-            tell(() -> host.arrived(line, ++tag, arrival("acme", now, figures[0], figures[1])));
+            tell(
+                    () ->
+                            processor.arrived(
+                                    line, ++tag, arrival("acme", now, figures[0], figures[1])));
             assertThat(printed())
                     .isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " ABANDONED\n");
         }
     }
 
     @Test
-    void whereTheSettingsNameNoCustomersTicketsNeedNone() {
+    void whereTheSettingsNameNoTenantsRequestsNeedNone() {
         machine.set("customers.count=0");
         make(8192);
-        host.welcomed(false, Span.ZERO);
-        for (String customer : List.of("", "anyone")) {
-            tell(() -> host.arrived(line, ++tag, arrival(customer, Span.ZERO, Span.ZERO, false)));
-            exit(tag, Ending.WELL, "x");
+        processor.welcomed(false, NanoDuration.ZERO);
+        for (String tenant : List.of("", "anyone")) {
+            tell(
+                    () ->
+                            processor.arrived(
+                                    line,
+                                    ++tag,
+                                    arrival(tenant, NanoDuration.ZERO, NanoDuration.ZERO, false)));
+            exit(tag, Completion.WELL, "x");
         }
         assertThat(printed()).endsWith("0 run 1 \n0 1 SATISFIED x\n0 run 2 \n0 2 SATISFIED x\n");
     }
@@ -903,44 +926,54 @@
     @Test
     void theCallersOwnTimeBoundsTheAnswerAndAHintOrAMarkReachesTheDecisions() {
         start();
-        List<Ticket> told = new ArrayList<>();
-        host =
-                new Host(
+        List<Request> reported = new ArrayList<>();
+        processor =
+                new RequestProcessor(
                         machine.settings,
                         7,
                         (server, seed, map) ->
-                                new Watched(new Brain(server, seed, map), told::add, () -> {}),
-                        new Host.Ports(this, this, this, this::log),
+                                new RuleCheckingPolicy(
+                                        new AdmissionController(server, seed, map),
+                                        reported::add,
+                                        () -> {}),
+                        new RequestProcessor.Ports(this, this, this, this::log),
                         deadlines,
-                        new Host.Bounds(4, 40, 64, 8192),
+                        new RequestProcessor.TableLimits(4, 40, 64, 8192),
                         now);
-        line = host.connected();
-        host.welcomed(false, Span.ZERO);
+        line = processor.connected();
+        processor.welcomed(false, NanoDuration.ZERO);
         trace.setLength(0);
-        Span patience = Span.ofSeconds(1.5);
-        tell(() -> host.arrived(line, ++tag, arrival("acme", patience, Span.ofSeconds(0.2), true)));
-        now = now.plus(Span.ofSeconds(0.5));
-        host.advance(now);
+        NanoDuration clientTimeout = NanoDuration.ofSeconds(1.5);
+        tell(
+                () ->
+                        processor.arrived(
+                                line,
+                                ++tag,
+                                arrival("acme", clientTimeout, NanoDuration.ofSeconds(0.2), true)));
+        now = now.plus(NanoDuration.ofSeconds(0.5));
+        processor.advance(now);
         tell(
                 () ->
-                        host.arrived(
+                        processor.arrived(
                                 line,
                                 ++tag,
-                                arrival("acme", patience, Span.ZERO, false)
-                                        .reachedAt(now.minus(Span.ofSeconds(0.4)))));
+                                arrival("acme", clientTimeout, NanoDuration.ZERO, false)
+                                        .reachedAt(now.minus(NanoDuration.ofSeconds(0.4)))));
         tell(
                 () ->
-                        host.arrived(
+                        processor.arrived(
                                 line,
                                 ++tag,
-                                arrival("acme", patience, Span.ZERO, false)
-                                        .reachedAt(now.minus(Span.ofSeconds(1.6)))));
+                                arrival("acme", clientTimeout, NanoDuration.ZERO, false)
+                                        .reachedAt(now.minus(NanoDuration.ofSeconds(1.6)))));
         pass(2000);
-        assertThat(told)
-                .extracting(Ticket::patience, Ticket::work, Ticket::repeat)
+        assertThat(reported)
+                .extracting(Request::clientTimeout, Request::work, Request::repeat)
                 .containsExactly(
-                        org.assertj.core.groups.Tuple.tuple(patience, Span.ofSeconds(0.2), true),
-                        org.assertj.core.groups.Tuple.tuple(Span.ofSeconds(1.1), Span.ZERO, false));
+                        org.assertj.core.groups.Tuple.tuple(
+                                clientTimeout, NanoDuration.ofSeconds(0.2), true),
+                        org.assertj.core.groups.Tuple.tuple(
+                                NanoDuration.ofSeconds(1.1), NanoDuration.ZERO, false));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -954,16 +987,16 @@
     }
 
     @Test
-    void aTimeThatIsNoneCostsItsTicketAloneAndManyOfThemTheConnection() {
+    void aTimeThatIsNoneCostsItsRequestAloneAndManyOfThemTheConnection() {
         start();
         long other = arrive("pure", null, "a");
-        line = host.connected();
+        line = processor.connected();
         long before = tag;
         for (int i = 0; i < 16; i++) {
-            Span none = i % 2 == 0 ? Arrival.NO_TIME : Span.ZERO;
-            Span hint = i % 2 == 0 ? Span.ZERO : Arrival.NO_TIME;
+            NanoDuration none = i % 2 == 0 ? IncomingRequest.NO_TIME : NanoDuration.ZERO;
+            NanoDuration hint = i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.NO_TIME;
             assertThat(printed()).doesNotContain("close");
-            tell(() -> host.arrived(line, ++tag, arrival("acme", none, hint, false)));
+            tell(() -> processor.arrived(line, ++tag, arrival("acme", none, hint, false)));
             assertThat(printed()).contains(" " + tag + " ABANDONED\n");
         }
         assertThat(tag - before).isEqualTo(16);
@@ -977,15 +1010,15 @@
         machine.set("domain.stop_mode=freeze");
         start();
         long gone = arrive("pure", null, "a");
-        tell(() -> host.aborted(line, gone));
-        exit(gone, Ending.STOPPED, "");
+        tell(() -> processor.aborted(line, gone));
+        exit(gone, Completion.STOPPED, "");
         long late = arrive("pure", null, "b");
         pass(5000);
-        tell(() -> host.notCarriedOut("KILL", id(late)));
-        exit(late, Ending.WELL, "unwanted");
+        tell(() -> processor.notCarriedOut("KILL", id(late)));
+        exit(late, Completion.WELL, "unwanted");
         long third = arrive("pure", null, "c");
-        tell(() -> host.aborted(line, third));
-        exit(third, Ending.WELL, "unwanted");
+        tell(() -> processor.aborted(line, third));
+        exit(third, Completion.WELL, "unwanted");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -997,7 +1030,7 @@
                 5000 log the executor did not carry out KILL 0000000000000002
                 5000 run 3 c
                 """);
-        assertThat(host.figures()).contains("tickets 0");
+        assertThat(processor.figures()).contains("tickets 0");
     }
 
     @Test
@@ -1006,21 +1039,21 @@
         start();
         long one = arrive("pure", null, "a");
         callOut(one);
-        tell(() -> host.callEnded(id(one), Ending.SLOW_BELOW, null));
+        tell(() -> processor.callEnded(id(one), Completion.TIMED_OUT_DOWNSTREAM, null));
         linked = false;
-        tell(() -> host.welcomed(false, Span.ZERO));
-        exit(one, Ending.WELL, "poorer");
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
+        exit(one, Completion.WELL, "poorer");
         linked = true;
         long two = arrive("pure", null, "b");
         callOut(two);
-        tell(() -> host.callEnded(id(two), Ending.SLOW_BELOW, null));
-        tell(() -> host.notCarriedOut("BYPASS", id(two)));
+        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
+        tell(() -> processor.notCarriedOut("BYPASS", id(two)));
         pass(300);
-        tell(() -> host.callEnded(id(two), Ending.SLOW_BELOW, null));
+        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
         pass(300); // for as long as a call given up may stay in the dependency's hands
         long three = arrive("pure", null, "c");
         callOut(three);
-        tell(() -> host.callEnded(id(three), Ending.SLOW_BELOW, null));
+        tell(() -> processor.callEnded(id(three), Completion.TIMED_OUT_DOWNSTREAM, null));
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -1045,19 +1078,22 @@
      * there for good.
      */
     @Test
-    void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorTicket() {
+    void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorRequest() {
         machine.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
         start();
         long one = arrive("pure", null, "a");
         callOut(one);
-        tell(() -> host.callEnded(id(one), Ending.SLOW_BELOW, null));
+        tell(() -> processor.callEnded(id(one), Completion.TIMED_OUT_DOWNSTREAM, null));
         long two = arrive("side_effect", null, "b");
         callOut(two);
-        tell(() -> host.callEnded(id(two), Ending.SLOW_BELOW, null));
-        tell(() -> host.notCarriedOut("-", new TryId("-")));
-        tell(() -> host.callEnded(id(one), Ending.WELL, "r".getBytes(StandardCharsets.UTF_8)));
-        tell(() -> host.notCarriedOut("-", new TryId("-")));
-        exit(one, Ending.WELL, "whole");
+        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
+        tell(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        tell(
+                () ->
+                        processor.callEnded(
+                                id(one), Completion.WELL, "r".getBytes(StandardCharsets.UTF_8)));
+        tell(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        exit(one, Completion.WELL, "whole");
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -1077,13 +1113,13 @@
     }
 
     @Test
-    void ofMoreThan32OpenOnOneConnectionTheRestIsBounced() {
+    void ofMoreThan32OpenOnOneConnectionTheRestIsRejected() {
         machine.set("domain.cpus=40");
         start();
         for (int open = 1; open <= 33; open++) {
             arrive("pure", null, "a");
         }
-        exit(7, Ending.WELL, "x");
+        exit(7, Completion.WELL, "x");
         arrive("pure", null, "a");
         assertThat(printed())
                 .endsWith(
@@ -1097,21 +1133,21 @@
     }
 
     @Test
-    void allIsAnsweredBeforeTheAbandonTimeReckonedFromWhenItCame() {
+    void allIsAnsweredBeforeTheTimeoutTimeReckonedFromWhenItCame() {
         start();
-        Arrival late =
-                new Arrival(
+        IncomingRequest late =
+                new IncomingRequest(
                         id(1),
                         "pure",
                         "acme",
                         new SubjectId(0),
-                        new CallerId(1),
-                        now.minus(Span.ofSeconds(1)),
+                        new UpstreamId(1),
+                        now.minus(NanoDuration.ofSeconds(1)),
                         10,
                         0.5,
                         null,
                         "late".getBytes(StandardCharsets.UTF_8));
-        tell(() -> host.arrived(line, ++tag, late));
+        tell(() -> processor.arrived(line, ++tag, late));
         arrive("side_effect", null, "a");
         pass(6000);
         assertThat(printed())
@@ -1129,8 +1165,8 @@
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
-        now = now.plus(Span.ofSeconds(20));
-        tell(() -> host.advance(now));
+        now = now.plus(NanoDuration.ofSeconds(20));
+        tell(() -> processor.advance(now));
         pass(0);
         assertThat(printed())
                 .isEqualTo(
@@ -1143,12 +1179,12 @@
     }
 
     @Test
-    void runsOfAnExecutorThatStartedAnewAreAbandonedAndTheirCoresAreFree() {
+    void runsOfAnExecutorThatStartedAnewAreFailedAndTheirCoresAreFree() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
         arrive("pure", null, "c");
-        tell(host::executorStartedAnew);
+        tell(processor::executorStartedAnew);
         arrive("token", "k", "b");
         arrive("pure", null, "d");
         assertThat(printed())
@@ -1169,11 +1205,11 @@
     void idleAndHalfClosedConnectionsGoOnceNothingIsOpenOnThem() {
         start();
         long one = arrive("pure", null, "a");
-        tell(() -> host.halfClosed(line));
+        tell(() -> processor.halfClosed(line));
         pass(4000);
-        exit(one, Ending.WELL, "result");
-        ConnectionId idle = host.connected();
-        tell(() -> host.checked(idle, 5, false));
+        exit(one, Completion.WELL, "result");
+        ConnectionId idle = processor.connected();
+        tell(() -> processor.checked(idle, 5, false));
         pass(9000);
         assertThat(printed())
                 .isEqualTo(
@@ -1194,10 +1230,10 @@
         start();
         takesAnswers = false;
         arrive("no such track", null, "");
-        line = host.connected();
+        line = processor.connected();
         arrive("no such track", null, "");
         pass(1000);
-        host.written(line);
+        processor.written(line);
         pass(60_000);
         assertThat(printed())
                 .isEqualTo(
@@ -1218,15 +1254,15 @@
     void leavingAsksForNoMoreRunsNothingNewAndAnswersAll() {
         start();
         arrive("pure", null, "a");
-        tell(() -> host.leave(Span.ofSeconds(3)));
+        tell(() -> processor.leave(NanoDuration.ofSeconds(3)));
         pass(700);
         arrive("pure", null, "b");
-        assertThat(host.sinceLastTicket()).isEqualTo(Span.ZERO);
-        assertThat(host.isAnswered()).isFalse();
+        assertThat(processor.sinceLastRequest()).isEqualTo(NanoDuration.ZERO);
+        assertThat(processor.isAnswered()).isFalse();
         pass(2200);
-        assertThat(host.isAnswered()).isTrue();
-        tell(() -> host.checked(line, 9, true));
-        host.closeConnections();
+        assertThat(processor.isAnswered()).isTrue();
+        tell(() -> processor.checked(line, 9, true));
+        processor.closeConnections();
         assertThat(printed())
                 .isEqualTo(
                         """
@@ -1239,17 +1275,18 @@
     }
 
     @Test
-    void theLastAnswersOfANodeThatLeavesWaitForNoGaugesAndGoOutBeforeWhatIsDueAfterThem() {
+    void theLastAnswersOfANodeThatLeavesWaitForNoResourceUsageAndGoOutBeforeWhatIsDueAfterThem() {
         start();
         arrive("pure", null, "a");
-        gaugesCome = false;
-        tell(() -> host.leave(Span.ofSeconds(1)));
-        deadlines.at(now.plus(Span.ofSeconds(0.96)), () -> host.closeConnections());
-        now = now.plus(Span.ofSeconds(1)); // a stall, past both
+        resourceUsageCome = false;
+        tell(() -> processor.leave(NanoDuration.ofSeconds(1)));
+        deadlines.schedule(
+                now.plus(NanoDuration.ofSeconds(0.96)), () -> processor.closeConnections());
+        now = now.plus(NanoDuration.ofSeconds(1)); // a stall, past both
         tell(
                 () -> {
-                    host.advance(now);
-                    deadlines.ring(now);
+                    processor.advance(now);
+                    deadlines.runDue(now);
                 });
         assertThat(printed())
                 .isEqualTo(
@@ -1263,8 +1300,8 @@
     @Test
     void aNodeThatLeavesBeforeItsExecutorIsUpBeginsNothing() {
         make(8192);
-        tell(() -> host.leave(Span.ofSeconds(3)));
-        tell(() -> host.welcomed(false, Span.ZERO));
+        tell(() -> processor.leave(NanoDuration.ofSeconds(3)));
+        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
         arrive("pure", null, "a");
         assertThat(printed())
                 .isEqualTo(
@@ -1276,7 +1313,7 @@
 
     @Test
     void lateNewsNeverHitsASlotThatIsUsedAgain() {
-        Slots<String> slots = new Slots<>(2);
+        SlotTable<String> slots = new SlotTable<>(2);
         long first = slots.put("a");
         slots.put("b");
         assertThat(slots.isFull()).isTrue();
@@ -1290,34 +1327,34 @@
 
     @Test
     void deadlinesRingInOrderAndWhatTheyAddWaits() {
-        deadlines.at(new Moment(2), () -> say("second"));
-        deadlines.at(
-                new Moment(1),
+        deadlines.schedule(new MonotonicTime(2), () -> say("second"));
+        deadlines.schedule(
+                new MonotonicTime(1),
                 () -> {
                     say("first");
-                    deadlines.at(new Moment(1), () -> say("added"));
+                    deadlines.schedule(new MonotonicTime(1), () -> say("added"));
                 });
-        Deadlines.Deadline off = deadlines.at(new Moment(1), () -> say("called off"));
-        deadlines.callOff(off);
-        deadlines.ring(new Moment(3));
+        TimerService.Timer off = deadlines.schedule(new MonotonicTime(1), () -> say("called off"));
+        deadlines.cancel(off);
+        deadlines.runDue(new MonotonicTime(3));
         say("--");
-        deadlines.ring(new Moment(3));
+        deadlines.runDue(new MonotonicTime(3));
         assertThat(printed()).isEqualTo("0 first\n0 second\n0 --\n0 added\n");
     }
 
     @Test
-    void onlyWhatWasNeverSentOrSeenProvesThatNothingRan() {
+    void onlyWhatWasNeverSentOrObservedProvesThatNothingRan() {
         assertThat(
-                        Arrays.stream(Ending.values())
+                        Arrays.stream(Completion.values())
                                 .filter(ending -> ending.outcome().provesNeverRan()))
                 .containsExactly(
-                        Ending.NOT_CARRIED_OUT,
-                        Ending.NOTHING_STARTED,
-                        Ending.SHED,
-                        Ending.NOBODY_WAITS,
-                        Ending.CONNECTION_REFUSED,
-                        Ending.NEVER_CONNECTED,
-                        Ending.NOT_WRITTEN,
-                        Ending.NO_PONG);
+                        Completion.NOT_CARRIED_OUT,
+                        Completion.NOTHING_STARTED,
+                        Completion.SHED,
+                        Completion.NOBODY_WAITS,
+                        Completion.CONNECTION_REFUSED,
+                        Completion.NEVER_CONNECTED,
+                        Completion.NOT_WRITTEN,
+                        Completion.NO_PONG);
     }
 }
--- a/src/test/java/lupinwood/reload/PlanTest.java
+++ b/src/test/java/lupinwood/reload/ConfigDiffTest.java
@@ -6,14 +6,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lupinwood.settings.Change;
-import lupinwood.settings.Fault;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ChangeEffect;
+import lupinwood.settings.ParsedSettings;
 import lupinwood.settings.Schema;
+import lupinwood.settings.SettingsError;
 import org.junit.jupiter.api.Test;
 
 /** What a plan says of changes, and what a node goes by after them. */
-final class PlanTest {
+final class ConfigDiffTest {
     private static final Map<String, String> FLAT =
             Map.ofEntries(
                     Map.entry("name", "n1"),
@@ -32,7 +32,7 @@
                     Map.entry("settings.domain.class_calls", "false,true"),
                     Map.entry("settings.azs", "a,b"));
 
-    private static Meaning with(Object... changes) {
+    private static ParsedSettings with(Object... changes) {
         Map<String, String> flat = new LinkedHashMap<>(FLAT);
         for (int i = 0; i < changes.length; i += 2) {
             if (changes[i + 1] == null) {
@@ -41,20 +41,20 @@
                 flat.put(changes[i].toString(), changes[i + 1].toString());
             }
         }
-        List<Fault> faults = new ArrayList<>();
-        Meaning meaning = Meaning.of(flat, faults);
+        List<SettingsError> faults = new ArrayList<>();
+        ParsedSettings meaning = ParsedSettings.of(flat, faults);
         assertThat(faults).isEmpty();
         return meaning;
     }
 
-    private static List<String> said(Plan plan) {
-        return plan.steps().stream().map(Plan.Step::said).toList();
+    private static List<String> said(ConfigDiff plan) {
+        return plan.steps().stream().map(ConfigDiff.Step::said).toList();
     }
 
     @Test
     void eachChangeSaysWhenItCounts() {
-        Plan plan =
-                Plan.between(
+        ConfigDiff plan =
+                ConfigDiff.between(
                         with(),
                         with(
                                 "name",
@@ -87,25 +87,28 @@
         assertThat(plan.result().value("executor")).isEqualTo("127.0.0.1:2");
         assertThat(plan.result().value("track look calls")).isEqualTo("false");
         assertThat(plan.result().value("machine idle-connections")).isEqualTo("5000000000");
-        assertThat(said(Plan.between(plan.result(), with())))
+        assertThat(said(ConfigDiff.between(plan.result(), with())))
                 .hasSize(5)
                 .noneMatch(step -> step.contains("restart"));
     }
 
     @Test
     void oneRefusedChangeLeavesAllAsItWas() {
-        Plan plan =
-                Plan.between(with(), with("settings.services.1.effect", "pure", "stop_ms", "4000"));
+        ConfigDiff plan =
+                ConfigDiff.between(
+                        with(), with("settings.services.1.effect", "pure", "stop_ms", "4000"));
         assertThat(plan.isRefused()).isTrue();
         assertThat(plan.takesEffect()).isFalse();
         assertThat(plan.result()).isEqualTo(with());
     }
 
     @Test
-    void numbersThatAreWrittenOtherwiseMeanTheSameAndSoDoTracksInAnotherOrder() {
-        assertThat(Plan.between(with(), with("settings.customers.0.quota_rps", "3e1")).isEmpty())
+    void numbersThatAreWrittenOtherwiseMeanTheSameAndSoDoRequestClassesInAnotherOrder() {
+        assertThat(
+                        ConfigDiff.between(with(), with("settings.customers.0.quota_rps", "3e1"))
+                                .isEmpty())
                 .isTrue();
-        Meaning swapped =
+        ParsedSettings swapped =
                 with(
                         "settings.services.0.name",
                         "unlock",
@@ -125,14 +128,14 @@
                         null,
                         "settings.domain.class_calls",
                         "true,false");
-        assertThat(Plan.between(with(), swapped).steps()).isEmpty();
-        assertThat(Plan.between(with(), swapped).result()).isEqualTo(with());
+        assertThat(ConfigDiff.between(with(), swapped).steps()).isEmpty();
+        assertThat(ConfigDiff.between(with(), swapped).result()).isEqualTo(with());
     }
 
     @Test
-    void tracksComeAndGoAsAWholeAndWhatOthersHaveInCommonChanges() {
-        Plan plan =
-                Plan.between(
+    void requestClassesComeAndGoAsAWholeAndWhatOthersHaveInCommonChanges() {
+        ConfigDiff plan =
+                ConfigDiff.between(
                         with(),
                         with(
                                 "settings.services.0.name",
@@ -144,7 +147,7 @@
                         "removed track look, needs a restart",
                         "added track glance, needs a restart",
                         "track unlock window 13.02s -> 14s, for new tickets");
-        assertThat(plan.result().tracks()).containsExactly("look", "unlock");
+        assertThat(plan.result().requestClasses()).containsExactly("look", "unlock");
         assertThat(plan.result().value("track unlock window")).isEqualTo("14000000000");
     }
 
@@ -160,6 +163,6 @@
                                     .as(entry.name())
                                     .isTrue();
                         });
-        assertThat(Schema.named("track * effect").change()).isEqualTo(Change.REFUSED);
+        assertThat(Schema.named("track * effect").change()).isEqualTo(ChangeEffect.REFUSED);
     }
 }
--- a/src/test/java/lupinwood/reload/MoveTest.java
+++ b/src/test/java/lupinwood/reload/ExecutorMigrationTest.java
@@ -4,23 +4,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
 import org.junit.jupiter.api.Test;
 
 /** Moves between executors that answer or don't, as a trace of where the node connects to. */
-final class MoveTest {
-    private static final Span SECOND = Span.ofSeconds(1);
+final class ExecutorMigrationTest {
+    private static final NanoDuration SECOND = NanoDuration.ofSeconds(1);
 
-    private final Move<String> move = new Move<>("old");
-    private Moment now = new Moment(0);
+    private final ExecutorMigration<String> move = new ExecutorMigration<>("old");
+    private MonotonicTime now = new MonotonicTime(0);
 
     private List<String> pass(int seconds) {
         List<String> trace = new ArrayList<>();
         for (int i = 0; i < seconds * 10; i++) {
-            now = now.plus(Span.ofSeconds(0.1));
-            Move.Next next = move.look(now);
-            if (next != Move.Next.NOTHING) {
+            now = now.plus(NanoDuration.ofSeconds(0.1));
+            ExecutorMigration.Step next = move.look(now);
+            if (next != ExecutorMigration.Step.NOTHING) {
                 trace.add(next + " " + move.current());
             }
         }
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aNewExecutorThatAnswersIsKept() {
+    void aNewExecutorThatAnswersIsStored() {
         move.welcomed();
         assertThat(move.to("new", SECOND, now)).isTrue();
         assertThat(move.to("new", SECOND, now)).isFalse();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void oneThatDoesNotIsLeftForTheOldOneUntilAskedAgain() {
+    void oneThatDoesNotIsLeftForTheOldOneUntilRequestedAgain() {
         move.welcomed();
         move.to("new", SECOND, now);
         assertThat(pass(1)).containsExactly("GO_BACK old");
@@ -64,7 +64,7 @@
         move.to("new", SECOND, now);
         assertThat(pass(5)).isEmpty();
         move.welcomed();
-        move.to("third", Span.ZERO, now);
+        move.to("third", NanoDuration.ZERO, now);
         assertThat(pass(60)).isEmpty();
     }
 }
--- a/src/test/java/lupinwood/reload/TriggersTest.java
+++ b/src/test/java/lupinwood/reload/ReloadSchedulerTest.java
@@ -4,28 +4,28 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
-import lupinwood.reload.Triggers.Reading;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.reload.ReloadScheduler.Reading;
 import org.junit.jupiter.api.Test;
 
 /**
  * A file with a version that is written to, and what the decisions make of it, as a printed trace.
  */
-final class TriggersTest {
-    private Moment now = new Moment(100_000_000_000L);
+final class ReloadSchedulerTest {
+    private MonotonicTime now = new MonotonicTime(100_000_000_000L);
     private int version = 1;
-    private Moment written = new Moment(1);
+    private MonotonicTime written = new MonotonicTime(1);
     private Reading reading = Reading.WHOLE;
     private final List<String> trace = new ArrayList<>();
-    private Triggers triggers;
+    private ReloadScheduler triggers;
 
-    private Look look() {
-        return new Look("v" + version, written);
+    private FileFingerprint look() {
+        return new FileFingerprint("v" + version, written);
     }
 
     private void start(boolean watches) {
-        triggers = new Triggers(watches, look(), now);
+        triggers = new ReloadScheduler(watches, look(), now);
     }
 
     private void write(Reading next) {
@@ -36,7 +36,7 @@
 
     /** Goes on for as long, doing what is due. */
     private void pass(double seconds) {
-        Moment end = now.plus(Span.ofSeconds(seconds));
+        MonotonicTime end = now.plus(NanoDuration.ofSeconds(seconds));
         while (!end.isBefore(triggers.next())) {
             now = now.isBefore(triggers.next()) ? triggers.next() : now;
             look(look());
@@ -44,11 +44,11 @@
         now = end;
     }
 
-    private void look(Look before) {
+    private void look(FileFingerprint before) {
         if (triggers.looked(before, now)) {
-            Triggers.Verdict verdict = triggers.judge(before, look(), reading, now);
-            if (verdict != Triggers.Verdict.READ_AGAIN) {
-                long ms = now.since(new Moment(100_000_000_000L)).nanos() / 1_000_000;
+            ReloadScheduler.Verdict verdict = triggers.judge(before, look(), reading, now);
+            if (verdict != ReloadScheduler.Verdict.READ_AGAIN) {
+                long ms = now.since(new MonotonicTime(100_000_000_000L)).nanos() / 1_000_000;
                 trace.add(ms + " " + verdict + " v" + version);
             }
         }
@@ -65,11 +65,11 @@
         triggers.signalled(now);
         pass(5);
         assertThat(trace).containsExactly("1000 APPLY v2", "6000 APPLY v2");
-        assertThat(triggers.next()).isEqualTo(Moment.NEVER);
+        assertThat(triggers.next()).isEqualTo(MonotonicTime.NEVER);
     }
 
     @Test
-    void withoutASignalAChangedFileIsSeenWhereItIsWatchedAndNowhereElse() {
+    void withoutASignalAChangedFileIsObservedWhereItIsWatchedAndNowhereElse() {
         start(true);
         pass(1);
         write(Reading.WHOLE);
@@ -124,7 +124,7 @@
         start(false);
         pass(1);
         version++;
-        written = new Moment(5); // kept its old date
+        written = new MonotonicTime(5); // kept its old date
         reading = Reading.USABLE;
         triggers.signalled(now);
         pass(1);
@@ -135,7 +135,7 @@
     void aChangeDuringTheReadingDoesNotCount() {
         start(false);
         triggers.signalled(now);
-        Look before = look();
+        FileFingerprint before = look();
         write(Reading.WHOLE);
         look(before);
         assertThat(trace).isEmpty();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aWriterThatNeverStopsIsReportedToWhoAsked() {
+    void aWriterThatNeverStopsIsReportedToWhoRequested() {
         start(false);
         triggers.signalled(now);
         for (int i = 0; i < 300; i++) {
@@ -158,7 +158,7 @@
     void aDateInTheFutureHoldsNothingBackForLong() {
         start(true);
         write(Reading.USABLE);
-        written = now.plus(Span.ofSeconds(3600));
+        written = now.plus(NanoDuration.ofSeconds(3600));
         pass(2);
         assertThat(trace).hasSize(1).first().asString().endsWith("APPLY v2");
     }
--- a/src/test/java/lupinwood/release/ConductorTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -1,38 +1,42 @@
-package lupinwood.release;
+package lupinwood.rollout;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import lupinwood.fleet.Book;
-import lupinwood.fleet.Deed;
-import lupinwood.fleet.DutyName;
-import lupinwood.fleet.Life;
-import lupinwood.fleet.NodeName;
-import lupinwood.fleet.Release;
-import lupinwood.fleet.Report;
-import lupinwood.fleet.Seen;
-import lupinwood.fleet.Site;
-import lupinwood.fleet.Standing;
-import lupinwood.fleet.Tally;
-import lupinwood.fleet.Token;
-import lupinwood.node.Moment;
-import lupinwood.node.Span;
+import lupinwood.admission.MonotonicTime;
+import lupinwood.admission.NanoDuration;
+import lupinwood.cluster.ClusterCommand;
+import lupinwood.cluster.ClusterState;
+import lupinwood.cluster.DutyName;
+import lupinwood.cluster.FencingToken;
+import lupinwood.cluster.Incarnation;
+import lupinwood.cluster.NodeName;
+import lupinwood.cluster.NodeReport;
+import lupinwood.cluster.NodeStatus;
+import lupinwood.cluster.NodeView;
+import lupinwood.cluster.RequestCounts;
+import lupinwood.cluster.Rollout;
+import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
 /** A release of nine nodes in three zones, by the real book. */
-final class ConductorTest {
-    private static final Limits LIMITS =
-            Limits.of(Span.ofSeconds(20), Span.ofSeconds(100), 0.05, Span.ofSeconds(3));
-    private final Book book = new Book(100);
+final class RolloutControllerTest {
+    private static final CanaryLimits LIMITS =
+            CanaryLimits.of(
+                    NanoDuration.ofSeconds(20),
+                    NanoDuration.ofSeconds(100),
+                    0.05,
+                    NanoDuration.ofSeconds(3));
+    private final ClusterState book = new ClusterState(100);
     private final String[] runs = {"", "", "", "", "", "", "", "", ""};
     private final boolean[] there = {true, true, true, true, true, true, true, true, true};
     private final boolean[] refuses = new boolean[9];
     private final boolean[] bad = new boolean[9];
     private final long[][] counts = new long[9][2];
-    private Conductor conductor = new Conductor(name(0), LIMITS);
-    private Token token;
+    private RolloutController rolloutController = new RolloutController(name(0), LIMITS);
+    private FencingToken token;
     private double now;
 
     private static NodeName name(int i) {
@@ -40,18 +44,25 @@
     }
 
     private void begin(boolean backsOnHalt) {
-        book.apply(new Deed.Found(10));
+        book.apply(new ClusterCommand.Bootstrap(10));
         for (int i = 0; i < 9; i++) {
-            book.apply(new Deed.Join(name(i), new Life(i), new Site("r", "z" + i % 3)));
+            book.apply(
+                    new ClusterCommand.Join(
+                            name(i), new Incarnation(i), new Site("r", "z" + i % 3)));
         }
-        book.apply(new Deed.Give(DutyName.CONDUCTOR, name(0), new Life(0), new Token(0)));
-        token = book.duty(DutyName.CONDUCTOR).token();
+        book.apply(
+                new ClusterCommand.GrantLease(
+                        DutyName.ROLLOUT_CONTROLLER,
+                        name(0),
+                        new Incarnation(0),
+                        new FencingToken(0)));
+        token = book.duty(DutyName.ROLLOUT_CONTROLLER).token();
         assertThat(
                         book.apply(
-                                new Deed.Begin(
+                                new ClusterCommand.BeginRollout(
                                         "o",
                                         "ann",
-                                        Release.Kind.CONFIGURATION,
+                                        Rollout.Kind.CONFIGURATION,
                                         "new",
                                         "text",
                                         backsOnHalt,
@@ -59,33 +70,39 @@
                 .isTrue();
     }
 
-    private Picture picture() {
-        List<Seen> seen = new ArrayList<>();
+    private RolloutSnapshot picture() {
+        List<NodeView> nodeViews = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            Report.Checked checked =
-                    new Report.Checked(
+            NodeReport.ConfigCheck checked =
+                    new NodeReport.ConfigCheck(
                             "new", !refuses[i], false, refuses[i] ? "no such track" : "");
-            Tally tally =
-                    new Tally(
+            RequestCounts tally =
+                    new RequestCounts(
                             List.of(
-                                    new Tally.Count(
+                                    new RequestCounts.ClassCounts(
                                             "look",
                                             counts[i][0],
                                             0,
                                             0,
                                             counts[i][1],
                                             counts[i][0] * 0.05)));
-            seen.add(
-                    new Seen(
+            nodeViews.add(
+                    new NodeView(
                             name(i),
-                            new Life(i),
+                            new Incarnation(i),
                             new Site("r", "z" + i % 3),
-                            there[i] ? Standing.WARM : Standing.UNKNOWN,
-                            Span.ZERO,
-                            new Report("1", runs[i], checked, List.of(), 0, List.of(), tally)));
+                            there[i] ? NodeStatus.WARM : NodeStatus.UNKNOWN,
+                            NanoDuration.ZERO,
+                            new NodeReport("1", runs[i], checked, List.of(), 0, List.of(), tally)));
         }
-        return new Picture(
-                book.release(), book.good(), book.haltedBy(), seen, book.permits(), 3, book.past());
+        return new RolloutSnapshot(
+                book.release(),
+                book.good(),
+                book.haltedBy(),
+                nodeViews,
+                book.permits(),
+                3,
+                book.past());
     }
 
     /** Seconds go by, and nodes do as they are told. */
@@ -98,9 +115,9 @@
                     runs[node] = book.wanted(name(node)).runs();
                 }
             }
-            conductor
-                    .decide(picture(), token, new Moment(Math.round(now * 1e9)))
-                    .forEach(act -> book.apply(((Act.Write) act).deed()));
+            rolloutController
+                    .decide(picture(), token, new MonotonicTime(Math.round(now * 1e9)))
+                    .forEach(act -> book.apply(((RolloutAction.Propose) act).command()));
         }
     }
 
@@ -142,7 +159,7 @@
         List<NodeName> given = book.release().given();
         play(200);
         assertThat(book.release().given()).isEqualTo(given);
-        book.apply(new Deed.Turn("t", 1, "ann", 2));
+        book.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         play(40);
         assertThat(book.release()).isNull();
         assertThat(runs).containsOnly("");
@@ -166,19 +183,26 @@
     }
 
     @Test
-    void aSuccessorGoesOnFromTheBookWithWhatWasKeptOfThePast() {
+    void aSuccessorGoesOnFromTheBookWithWhatWasStoredOfThePast() {
         begin(false);
         play(25);
-        book.apply(new Deed.Free(DutyName.CONDUCTOR, token, Deed.Why.LAPSED));
-        Token old = token;
-        book.apply(new Deed.Give(DutyName.CONDUCTOR, name(1), new Life(1), token));
-        token = book.duty(DutyName.CONDUCTOR).token();
-        assertThat(book.apply(new Deed.Step(old, 1, 2, false, List.of(name(8)), "", null, 1)))
+        book.apply(
+                new ClusterCommand.ReleaseLease(
+                        DutyName.ROLLOUT_CONTROLLER, token, ClusterCommand.LeaseEnd.LAPSED));
+        FencingToken old = token;
+        book.apply(
+                new ClusterCommand.GrantLease(
+                        DutyName.ROLLOUT_CONTROLLER, name(1), new Incarnation(1), token));
+        token = book.duty(DutyName.ROLLOUT_CONTROLLER).token();
+        assertThat(
+                        book.apply(
+                                new ClusterCommand.AdvanceRollout(
+                                        old, 1, 2, false, List.of(name(8)), "", null, 1)))
                 .as("the old one's word")
                 .isFalse();
-        conductor = new Conductor(name(1), LIMITS);
+        rolloutController = new RolloutController(name(1), LIMITS);
         play(1);
-        assertThat(conductor.wantsPast()).as("it was told").isFalse();
+        assertThat(rolloutController.wantsPast()).as("it was told").isFalse();
         assertThat(book.past()).hasSize(9);
         play(100);
         assertThat(book.release()).isNull();
@@ -189,7 +213,7 @@
     void aWayBackThatFailsHaltsAndSaysSo() {
         begin(false);
         play(40);
-        book.apply(new Deed.Turn("t", 1, "ann", 2));
+        book.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         play(2);
         for (int i = 0; i < 9; i++) {
             there[i] = book.release().isGiven(name(i)) || i > 3;
--- a/src/test/java/lupinwood/routes/RoutesTest.java
+++ b/src/test/java/lupinwood/routes/RoutesTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import lupinwood.routes.Routes.Refusal;
-import lupinwood.settings.Meaning;
+import lupinwood.settings.ParsedSettings;
 import org.junit.jupiter.api.Test;
 
-/** Which request is which ticket. */
+/** Which request is which request. */
 final class RoutesTest {
     private final Map<String, String> values =
             new LinkedHashMap<>(
@@ -36,9 +36,10 @@
                             "unlock"));
 
     /** Those that the settings name. */
-    private List<String> customers = List.of("north");
+    private List<String> tenants = List.of("north");
 
-    private record One(String method, String path, Map<String, String> headers) implements Asked {
+    private record One(String method, String path, Map<String, String> headers)
+            implements RequestMatchInput {
         @Override
         public String header(String smallName) {
             return headers.get(smallName);
@@ -51,46 +52,46 @@
             all.put(headers[i], headers[i + 1]);
         }
         return new Routes(
-                        new Meaning(
+                        new ParsedSettings(
                                 Map.of(
                                         "track",
                                         List.of("look", "unlock"),
                                         "route",
                                         List.of("a", "b", "c"),
                                         "customer",
-                                        customers),
+                                        tenants),
                                 values))
                 .match(new One(method, path, all));
     }
 
     @Test
-    void theLongestPathThatFitsSaysTheTrack() {
+    void theLongestPathThatFitsSaysTheRequestClass() {
         values.put("route b customer", "north");
         values.put("route b memory", "50000");
-        assertThat(match("GET", "/look/closely").customer()).isEqualTo("north");
+        assertThat(match("GET", "/look/closely").tenant()).isEqualTo("north");
         assertThat(match("GET", "/look/closely").memoryKb()).isEqualTo(50);
         assertThat(match("GET", "/look/away", "x-customer", "south"))
-                .satisfies(one -> assertThat(one.customer()).isEqualTo("south"))
+                .satisfies(one -> assertThat(one.tenant()).isEqualTo("south"))
                 .satisfies(one -> assertThat(one.memoryKb()).isEqualTo(20))
-                .satisfies(one -> assertThat(one.track()).isEqualTo("look"));
+                .satisfies(one -> assertThat(one.className()).isEqualTo("look"));
         assertThat(match("GET", "/look").refusal()).isEqualTo(Refusal.NO_ROUTE);
         assertThat(match("GET", "/Look/away").refusal()).isEqualTo(Refusal.NO_ROUTE);
     }
 
     @Test
-    void whereNoCustomerIsNamedNoneIsNeeded() {
-        customers = List.of();
+    void whereNoTenantIsNamedNoneIsNeeded() {
+        tenants = List.of();
         assertThat(match("GET", "/look/away").refusal()).isNull();
-        assertThat(match("GET", "/look/away").customer()).isEmpty();
+        assertThat(match("GET", "/look/away").tenant()).isEmpty();
         assertThat(match("POST", "/unlock", "x-mark", "ab12").mark()).isEqualTo("ab12");
     }
 
     @Test
-    void whatATicketNeedsMustBeThere() {
+    void whatARequestNeedsMustBeThere() {
         values.put("route c method", "POST");
         values.put("route c mark-header", "X-Lock");
         assertThat(match("GET", "/unlock").refusal()).isEqualTo(Refusal.OTHER_METHOD);
-        assertThat(match("POST", "/unlock").refusal()).isEqualTo(Refusal.NO_CUSTOMER);
+        assertThat(match("POST", "/unlock").refusal()).isEqualTo(Refusal.NO_TENANT);
         assertThat(match("POST", "/unlock", "x-customer", "n").refusal())
                 .isEqualTo(Refusal.NO_MARK);
         assertThat(match("POST", "/unlock", "x-customer", "n", "x-lock", "zz").refusal())
--- a/src/test/java/lupinwood/settings/ChecksTest.java
+++ b/src/test/java/lupinwood/settings/SettingsValidatorTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What must hold of routes and servers. */
-final class ChecksTest {
+final class SettingsValidatorTest {
     private final Map<String, String> values =
             new LinkedHashMap<>(
                     Map.of(
@@ -26,8 +26,8 @@
                             "127.0.0.1:5050"));
 
     private List<String> texts() {
-        Meaning meaning =
-                new Meaning(
+        ParsedSettings meaning =
+                new ParsedSettings(
                         Map.of(
                                 "track",
                                 List.of("look"),
@@ -38,8 +38,8 @@
                                 "server",
                                 List.of("s")),
                         values);
-        return Checks.of(meaning, List.of()).stream()
-                .map(Fault::text)
+        return SettingsValidator.of(meaning, List.of()).stream()
+                .map(SettingsError::text)
                 .filter(text -> !text.contains("missing"))
                 .sorted()
                 .toList();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void withoutASecretAjpIsOnLoopbackAndTracksThatCallAreNotForServers() {
+    void withoutASecretAjpIsOnLoopbackAndRequestClassesThatCallAreNotForServers() {
         values.put("route b path", "b");
         values.put("ajp listen", "10.0.0.1:8009");
         values.put("track look calls", "true");
--- a/src/test/java/lupinwood/sim/GoldenSimulatorWireTest.java
+++ b/src/test/java/lupinwood/simulator/GoldenSimulatorWireTest.java
@@ -1,4 +1,4 @@
-package lupinwood.sim;
+package lupinwood.simulator;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -16,15 +16,15 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
-import lupinwood.Brain;
-import lupinwood.GoldenFile;
-import lupinwood.ScriptedNode;
+import lupinwood.admission.AdmissionController;
+import lupinwood.admission.GoldenFile;
+import lupinwood.admission.ScriptedPolicy;
 import org.junit.jupiter.api.Test;
 
 /** Whole plays on the simulator's wire, in hexadecimal: each batch that came, and each reply. */
 final class GoldenSimulatorWireTest {
     private static final int START = 16;
-    private static final int TICKET = 17;
+    private static final int REQUEST = 17;
     private static final int ENDED = 18;
     private static final int NEEDS_CALL = 19;
     private static final int CALL_ENDED = 20;
@@ -70,37 +70,43 @@
         return event(START, fields(instance).putLong(seed).putInt(text.length).put(text));
     }
 
-    private static byte[] about(int code, int instance, long ticket) {
-        return event(code, fields(instance).putInt((int) ticket));
+    private static byte[] about(int code, int instance, long requestId) {
+        return event(code, fields(instance).putInt((int) requestId));
     }
 
-    private static byte[] ended(int instance, long ticket, int outcome, long took) {
+    private static byte[] ended(int instance, long requestId, int outcome, long took) {
         return event(
                 ENDED,
-                fields(instance).putInt((int) ticket).putShort((short) outcome).putLong(took));
+                fields(instance).putInt((int) requestId).putShort((short) outcome).putLong(took));
     }
 
-    private static byte[] callEnded(int instance, long ticket, int outcome, long took) {
+    private static byte[] callEnded(int instance, long requestId, int outcome, long took) {
         return event(
                 CALL_ENDED,
-                fields(instance).putInt((int) ticket).putLong(took).putShort((short) outcome));
+                fields(instance).putInt((int) requestId).putLong(took).putShort((short) outcome));
     }
 
-    private static byte[] wake(int instance, float... gauges) {
-        ByteBuffer fields = fields(instance).putInt(7).put((byte) gauges.length);
-        for (float gauge : gauges) {
-            fields.putFloat(gauge);
+    private static byte[] wake(int instance, float... resourceUsage) {
+        ByteBuffer fields = fields(instance).putInt(7).put((byte) resourceUsage.length);
+        for (float value : resourceUsage) {
+            fields.putFloat(value);
         }
         return event(WAKE, fields);
     }
 
-    private static byte[] ticket(
-            int instance, long id, int track, int marks, float memory, float rank, long original) {
+    private static byte[] request(
+            int instance,
+            long id,
+            int classIndex,
+            int marks,
+            float memory,
+            float rank,
+            long original) {
         return event(
-                TICKET,
+                REQUEST,
                 fields(instance)
                         .putInt((int) id)
-                        .put((byte) track)
+                        .put((byte) classIndex)
                         .putInt((int) id % 2)
                         .putLong(id * 31)
                         .putLong(id % 3 * 900 * MS)
@@ -114,7 +120,8 @@
     }
 
     /** Notes a batch and the reply to it, and returns what was said. */
-    private List<Said> batch(Drill drill, long clock, List<byte[]> events) throws IOException {
+    private List<Said> batch(SimulatorAdapter simulator, long clock, List<byte[]> events)
+            throws IOException {
         int length = 8 + events.stream().mapToInt(each -> each.length).sum();
         ByteBuffer frame = ByteBuffer.allocate(4 + length).putInt(length).putLong(clock);
         transcript.append(HexFormat.of().formatHex(frame.array(), 0, frame.position()));
@@ -125,7 +132,7 @@
         }
         ByteArrayOutputStream reply = new ByteArrayOutputStream();
         // A drill keeps its nodes from one input to the next, so the replies come one by one.
-        drill.play(new ByteArrayInputStream(frame.array()), reply);
+        simulator.play(new ByteArrayInputStream(frame.array()), reply);
         return note(ByteBuffer.wrap(reply.toByteArray()));
     }
 
@@ -172,9 +179,11 @@
     @Test
     void everyEventAndEveryCodeHaveTheSameBytes() throws IOException {
         List<String> heard = new ArrayList<>();
-        Drill drill = new Drill((server, seed, settings) -> new ScriptedNode(server, heard::add));
+        SimulatorAdapter simulator =
+                new SimulatorAdapter(
+                        (server, seed, settings) -> new ScriptedPolicy(server, heard::add));
         batch(
-                drill,
+                simulator,
                 100 * MS,
                 List.of(
                         start(3, -1, "domain.gauges=links,core_use,heap_share,on_cores,more"),
@@ -186,34 +195,34 @@
         for (int script : scripts) {
             id++;
             long clock = (100 + id) * MS;
-            batch(drill, clock, List.of(ticket(3, id, 1, 3, script, 0.25f, 0)));
-            batch(drill, clock, List.of(about(NEEDS_CALL, 3, id)));
+            batch(simulator, clock, List.of(request(3, id, 1, 3, script, 0.25f, 0)));
+            batch(simulator, clock, List.of(about(NEEDS_CALL, 3, id)));
             for (int outcome : OUTCOMES) {
-                batch(drill, clock, List.of(callEnded(3, id, outcome, 5)));
+                batch(simulator, clock, List.of(callEnded(3, id, outcome, 5)));
             }
-            batch(drill, clock, List.of(about(LEFT, 3, id)));
+            batch(simulator, clock, List.of(about(LEFT, 3, id)));
             int outcome = OUTCOMES[(int) (id % OUTCOMES.length)];
-            batch(drill, clock, List.of(ended(3, id, outcome, 7)));
+            batch(simulator, clock, List.of(ended(3, id, outcome, 7)));
         }
         long again = 0xffff_fff0L;
         batch(
-                drill,
+                simulator,
                 500 * MS,
                 List.of(
-                        ticket(0xfffe, again, 2, 0, 20, 0.5f, 0),
-                        ticket(0xfffe, again + 1, 2, 2, 20, 0.5f, again),
+                        request(0xfffe, again, 2, 0, 20, 0.5f, 0),
+                        request(0xfffe, again + 1, 2, 2, 20, 0.5f, again),
                         wake(3, 1.5f, 0.25f, Float.NaN),
                         wake(3, 1, 2, 3, 4, 5),
-                        event(TICKET, fields(3).putInt(900).put((byte) 1).putInt(1)),
+                        event(REQUEST, fields(3).putInt(900).put((byte) 1).putInt(1)),
                         event(63, fields(3)),
                         event(25, ByteBuffer.allocate(0)),
                         about(LEFT, 3, 12345),
                         event(LEAVE, fields(3).putLong(2000 * MS)),
-                        ticket(3, 901, 1, 1, 20, 0.5f, 0),
+                        request(3, 901, 1, 1, 20, 0.5f, 0),
                         event(KILLED, fields(0xfffe)),
                         wake(0xfffe),
                         wake(77)));
-        batch(drill, 501 * MS, List.of());
+        batch(simulator, 501 * MS, List.of());
         heard.forEach(line -> transcript.append("node: ").append(line).append('\n'));
         assertThat(codes)
                 .containsAll(IntStream.rangeClosed(FIRST_CODE, LAST_CODE).boxed().toList());
@@ -288,35 +297,41 @@
         }
 
         byte[] arrive(Random chance, long id) {
-            int track = chance.nextInt(3);
+            int classIndex = chance.nextInt(3);
             long original = 0;
-            if (track == 1 && !remembered.isEmpty() && chance.nextInt(3) == 0) {
+            if (classIndex == 1 && !remembered.isEmpty() && chance.nextInt(3) == 0) {
                 original = remembered.get(chance.nextInt(remembered.size()));
             }
             float memory = 10 + chance.nextInt(200);
-            return ticket(
-                    instance, id, track, chance.nextInt(4), memory, chance.nextFloat(), original);
+            return request(
+                    instance,
+                    id,
+                    classIndex,
+                    chance.nextInt(4),
+                    memory,
+                    chance.nextFloat(),
+                    original);
         }
     }
 
     @Test
     void theDecisionsOfALongPlayHaveTheSameBytes() throws IOException {
         Random chance = new Random(20260101);
-        Drill drill = new Drill(Brain::new);
+        SimulatorAdapter simulator = new SimulatorAdapter(AdmissionController::new);
         Map<Integer, Life> lives = new LinkedHashMap<>();
         String settings = GoldenFile.text("simulator/decisions-settings.in");
-        Map<Integer, String> told = new TreeMap<>();
-        told.put(3, settings + "domain.stop_mode=freeze\ndomain.advert=allowance\n");
-        told.put(4, settings + "domain.stop_mode=discard\ndomain.advert=floor\n");
-        told.put(5, settings + "domain.stop_mode=off\ndomain.advert=weight\n");
+        Map<Integer, String> reported = new TreeMap<>();
+        reported.put(3, settings + "domain.stop_mode=freeze\ndomain.advert=allowance\n");
+        reported.put(4, settings + "domain.stop_mode=discard\ndomain.advert=floor\n");
+        reported.put(5, settings + "domain.stop_mode=off\ndomain.advert=weight\n");
         long clock = 1000 * MS;
         long id = 0;
         for (int step = 0; step < 260; step++) {
             clock += (1 + chance.nextInt(25)) * MS;
             List<byte[]> events = new ArrayList<>();
-            for (int instance : told.keySet()) {
+            for (int instance : reported.keySet()) {
                 if (step == 0 || (step == 190 && instance == 4)) {
-                    events.add(start(instance, 1000L + step, told.get(instance)));
+                    events.add(start(instance, 1000L + step, reported.get(instance)));
                     lives.put(instance, new Life(instance));
                 } else if (step == 180 && instance == 4) {
                     events.add(event(KILLED, fields(instance)));
@@ -333,7 +348,7 @@
                     events.add(about(LEFT, life.instance, 1 + chance.nextInt((int) id)));
                 }
             }
-            for (Said said : batch(drill, clock, events)) {
+            for (Said said : batch(simulator, clock, events)) {
                 lives.get(said.instance()).take(said);
             }
         }
