--- a/src/main/java/lupinwood/admission/Histogram.java
+++ b/src/main/java/lupinwood/admission/Histogram.java
@@ -2,6 +2,12 @@
 
 /** A small histogram of positive figures in coarse bins, halved when it has taken in so many. */
 public final class Histogram {
+    /** Samples that most histograms take in before they are halved: follows a change in seconds. */
+    static final int RECENT_SAMPLES = 32;
+
+    /** Samples without which no mean or median is trusted. */
+    static final double MIN_SAMPLES = 6;
+
     private static final int BINS = 48;
     private static final double LOWEST = 1e-4;
     private static final double STEP = Math.sqrt(2);
--- a/src/main/java/lupinwood/admission/RequestClass.java
+++ b/src/main/java/lupinwood/admission/RequestClass.java
@@ -20,34 +20,4 @@
         NanoDuration window,
         double priorityWeight,
         double lateValue,
-        double skippedCallValue) {
-
-    public static RequestClass read(SettingsMap settings, int place) {
-        String at = "services." + place + ".";
-        String skip = settings.item("domain.class_skip_worth", place);
-        Idempotency idempotency =
-                switch (settings.text(at + "effect")) {
-                    case "pure" -> Idempotency.SAFE;
-                    case "token" -> Idempotency.IDEMPOTENT;
-                    default -> Idempotency.UNSAFE;
-                };
-        NanoDuration timeout = settings.duration(at + "give_up_ns");
-        // Who may repeat a request gives it up by then, over all its tries.
-        NanoDuration window =
-                settings.text(at + "window_ns").isEmpty()
-                        ? timeout
-                        : settings.duration(at + "window_ns");
-        boolean downstream =
-                !settings.is("domain.below", "off") && !settings.is("domain.below", "");
-        return new RequestClass(
-                downstream && settings.item("domain.class_calls", place).equals("true"),
-                idempotency,
-                settings.duration(at + "aim_ns"),
-                settings.number(at + "aim_stretch", 0),
-                timeout,
-                window,
-                settings.number(at + "worth", 1),
-                settings.number(at + "late_value", 0),
-                skip.isEmpty() ? 0 : Double.parseDouble(skip));
-    }
-}
+        double skippedCallValue) {}
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -9,6 +9,7 @@
 import lupinwood.admission.Idempotency;
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
+import lupinwood.admission.PolicySettingsMapper;
 import lupinwood.admission.RequestClass;
 import lupinwood.admission.RequestClassId;
 import lupinwood.admission.SettingsMap;
@@ -42,7 +43,7 @@
         number(settings, "services", requestClasses);
         number(settings, "customers", tenants);
         for (int i = 0; i < requestClasses.size(); i++) {
-            says.add(RequestClass.read(settings, i));
+            says.add(PolicySettingsMapper.requestClass(settings, i));
         }
     }
 
--- a/src/test/java/lupinwood/admission/AdmissionControllerTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -95,7 +95,7 @@
                 0 run 1
                 0 health bad
                 400 run 2
-                1200 log bounce 3: leaving
+                1200 log request rejected id=3 reason=draining
                 1200 bounce 3, come back later
                 2850 fail 1
                 2850 fail 2
@@ -112,7 +112,7 @@
                 .isEqualTo(
                         """
                 0 run 1
-                0 log bounce 3: memory full
+                0 log request rejected id=3 reason=memory_full
                 0 bounce 3, come back later
                 """);
     }
@@ -133,7 +133,7 @@
                     .isEqualTo(
                             """
                     0 run 1
-                    0 log bounce 3: would wait in vain
+                    0 log request rejected id=3 reason=cannot_finish_in_time
                     0 bounce 3, come back later
                     """);
         }
@@ -151,7 +151,7 @@
         assertThat(machine.printed())
                 .isEqualTo(
                         """
-                0 log bounce 21: count at limit
+                0 log request rejected id=21 reason=in_flight_limit
                 0 bounce 21, come back later
                 """);
     }
@@ -176,7 +176,7 @@
                         """
                 900 run 17
                 900 call 9
-                900 log bounce 29: count at limit
+                900 log request rejected id=29 reason=in_flight_limit
                 900 bounce 29, come back later
                 """);
     }
@@ -205,7 +205,7 @@
                         """
                 800 run 9
                 800 call 9
-                10800 log limit cut to 18.0
+                10800 log in-flight limit reduced limit=18.0
                 """);
     }
 
@@ -227,8 +227,8 @@
                 .as("too few")
                 .isEqualTo(
                         """
-                2600 log limit cut to 18.0
-                2600 log limit cut to 16.2
+                2600 log in-flight limit reduced limit=18.0
+                2600 log in-flight limit reduced limit=16.2
                 """);
         machine.baseline(30);
         machine.baseline(30);
@@ -258,7 +258,7 @@
                 40000 call 9
                 52000 run 10
                 52000 call 10
-                68532 log limit cut to 18.0
+                68532 log in-flight limit reduced limit=18.0
                 """);
     }
 
@@ -381,7 +381,7 @@
         assertThat(machine.printed())
                 .isEqualTo(
                         """
-                0 log bounce 15: would wait in vain
+                0 log request rejected id=15 reason=cannot_finish_in_time
                 0 bounce 15, ask no other
                 """);
     }
@@ -407,7 +407,9 @@
         for (int i = 0; i < 20; i++) {
             machine.arrive(RecordingServer.LOCAL, 0, 1, 1);
         }
-        assertThat(machine.printed()).contains("would wait in vain").doesNotContain("ask no other");
+        assertThat(machine.printed())
+                .contains("cannot_finish_in_time")
+                .doesNotContain("ask no other");
     }
 
     @Test
@@ -447,7 +449,7 @@
         assertThat(machine.printed())
                 .isEqualTo(
                         """
-                0 log bounce 1: would wait in vain
+                0 log request rejected id=1 reason=cannot_finish_in_time
                 0 bounce 1, come back later, ask no other
                 """);
     }
--- a/src/test/java/lupinwood/net/CrossingEventsTest.java
+++ b/src/test/java/lupinwood/net/CrossingEventsTest.java
@@ -151,10 +151,12 @@
                         Thread.getAllStackTraces().entrySet().stream()
                                 .anyMatch(
                                         thread ->
-                                                thread.getKey().getName().startsWith("Processor-")
+                                                thread.getKey()
+                                                                .getName()
+                                                                .startsWith("SelectorProcessor-")
                                                         && List.of(thread.getValue())
                                                                 .toString()
-                                                                .contains("Decider.tell")));
+                                                                .contains("EventLoop.tell")));
         silent.say(request(101, "look", "said in the pause"));
         half.say(halved.substring(60));
         skipOnly(5);
--- a/src/test/java/lupinwood/net/GoldenExchange.java
+++ b/src/test/java/lupinwood/net/GoldenExchange.java
@@ -1,5 +1,7 @@
 package lupinwood.net;
 
+import static org.assertj.core.api.Assertions.assertThat;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -9,6 +11,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import lupinwood.admission.GoldenFile;
 import lupinwood.admission.ScriptedPolicy;
 import lupinwood.log.WallClock;
@@ -60,6 +64,10 @@
     /** Waits for the node that is made once the executor is up; one was made for the warm-up. */
     final void untilMade() throws Exception {
         until(() -> reported.size() == 2);
+        // What the event loop logs beside that must not pass for news that comes later.
+        CountDownLatch round = new CountDownLatch(1);
+        serving.eventLoop().tell(round::countDown);
+        assertThat(round.await(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)).isTrue();
     }
 
     /** How far the log has got, for {@link #untilMoreIsLogged}. */
--- a/src/test/java/lupinwood/net/NodeConfigTest.java
+++ b/src/test/java/lupinwood/net/NodeConfigTest.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import lupinwood.admission.Idempotency;
 import lupinwood.admission.NanoDuration;
+import lupinwood.admission.PolicySettingsMapper;
 import lupinwood.admission.RequestClass;
 import lupinwood.admission.SettingsMap;
 import lupinwood.reload.ConfigDiff;
@@ -214,11 +215,11 @@
             assertThat(config.sockets()).isBetween(1024, 1_000_000);
         }
         RequestClass unlock =
-                RequestClass.read(
+                PolicySettingsMapper.requestClass(
                         new SettingsMap(edited("settings/services/2/window_ns", "").settings()), 2);
         assertThat(unlock.window()).as("its own abandon time").isEqualTo(NanoDuration.ofSeconds(4));
         assertThat(
-                        RequestClass.read(
+                        PolicySettingsMapper.requestClass(
                                         new SettingsMap(
                                                 edited("settings/services/0/effect", "")
                                                         .settings()),
@@ -227,7 +228,7 @@
                 .isEqualTo(Idempotency.UNSAFE);
         // A calm default never stands for what is told.
         assertThat(
-                        RequestClass.read(
+                        PolicySettingsMapper.requestClass(
                                         new SettingsMap(
                                                 edited("settings/services/2/window_ns", "0")
                                                         .settings()),
--- a/src/test/java/lupinwood/net/ParserTest.java
+++ b/src/test/java/lupinwood/net/ParserTest.java
@@ -143,10 +143,10 @@
                 """
                         .replace("\n", "\r\n"),
                 """
-                Reply[status=204, keepsOpen=true]
-                Reply[status=500, keepsOpen=true]
-                Reply[status=204, keepsOpen=false]
-                Reply[status=404, keepsOpen=false]""");
+                HttpResponse[status=204, keepsOpen=true]
+                HttpResponse[status=500, keepsOpen=true]
+                HttpResponse[status=204, keepsOpen=false]
+                HttpResponse[status=404, keepsOpen=false]""");
     }
 
     @Test
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -255,7 +255,7 @@
     }
 
     private void log(String text) {
-        if (!text.startsWith("bounce ")) {
+        if (!text.startsWith("request rejected ")) {
             say("log " + text);
         }
     }
@@ -286,7 +286,7 @@
                 0 run 1 a
                 0 call for 1 q
                 30 reply for 1 r
-                30 1 SATISFIED result
+                30 1 SERVED result
                 """);
     }
 
@@ -335,11 +335,11 @@
                         """
                 0 run 1 a
                 0 log abandoned a ticket with the mark of another
-                0 3 ABANDONED
-                0 1 SATISFIED result
-                0 2 SATISFIED result
+                0 3 FAILED
+                0 1 SERVED result
+                0 2 SERVED result
                 3000 no more
-                7000 4 SATISFIED result
+                7000 4 SERVED result
                 8000 close 0 CLOSED_HERE
                 8500 close 0 SLOW_READER
                 9000 run 5 a
@@ -363,12 +363,12 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 1 ABANDONED
-                0 2 ABANDONED
+                0 1 FAILED
+                0 2 FAILED
                 0 run 3 b
                 0 run 4 c
-                0 6 ABANDONED
-                0 3 SATISFIED x
+                0 6 FAILED
+                0 3 SERVED x
                 0 run 7 d
                 """);
     }
@@ -412,9 +412,9 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 1 SATISFIED paid
-                7000 2 SATISFIED paid
-                14500 3 SATISFIED paid
+                0 1 SERVED paid
+                7000 2 SERVED paid
+                14500 3 SERVED paid
                 """);
         assertThat(processor.figures()).contains("receipts 1");
         pass(4000);
@@ -431,8 +431,8 @@
         arrive("pure", null, "b");
         pass(30_000);
         assertThat(printed())
-                .containsPattern("(?m)^49\\d\\d 1 ABANDONED$")
-                .containsPattern("(?m)^199\\d\\d 2 ABANDONED$");
+                .containsPattern("(?m)^49\\d\\d 1 FAILED$")
+                .containsPattern("(?m)^199\\d\\d 2 FAILED$");
         processor.leave(NanoDuration.ofSeconds(3));
         assertThat(processor.retune(new RequestProcessor.ReloadableSettings(machine.settings)))
                 .isFalse();
@@ -451,11 +451,11 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 1 SATISFIED 12345678
+                0 1 SERVED 12345678
                 0 run 2 b
-                0 2 SATISFIED 12345678
-                0 3 ABANDONED
-                0 4 SATISFIED 12345678
+                0 2 SERVED 12345678
+                0 3 FAILED
+                0 4 SERVED 12345678
                 """);
     }
 
@@ -490,8 +490,8 @@
                 .isEqualTo(
                         """
                 1500 run 1\s
-                1700 1 SATISFIED x
-                1700 2 SATISFIED x
+                1700 1 SERVED x
+                1700 2 SERVED x
                 """);
     }
 
@@ -512,10 +512,10 @@
                         """
                 0 run 1 a
                 1000 run 3 a
-                1000 1 SATISFIED one
-                1000 2 SATISFIED one
-                1000 3 SATISFIED two
-                1000 4 SATISFIED two
+                1000 1 SERVED one
+                1000 2 SERVED one
+                1000 3 SERVED two
+                1000 4 SERVED two
                 """);
     }
 
@@ -537,12 +537,12 @@
         assertThat(printed())
                 .isEqualTo(
                         """
-                0 5 ABANDONED
-                0 6 SATISFIED 12345678
-                0 7 SATISFIED 12345678
-                0 1 SATISFIED 1234
-                0 8 ABANDONED
-                0 9 SATISFIED 1234
+                0 5 FAILED
+                0 6 SERVED 12345678
+                0 7 SERVED 12345678
+                0 1 SERVED 1234
+                0 8 FAILED
+                0 9 SERVED 1234
                 """);
     }
 
@@ -560,8 +560,8 @@
                 .isEqualTo(
                         """
                 0 log bounced a ticket whose mark there is no room to remember
-                0 65 BOUNCED
-                0 66 SATISFIED r
+                0 65 REJECTED
+                0 66 SERVED r
                 0 run 67 p
                 """);
         pass(30_000);
@@ -630,7 +630,7 @@
                 40 reply for 1 r
                 64 log commands lost with a link, given again: 1
                 64 reply for 1 r
-                100 1 SATISFIED result
+                100 1 SERVED result
                 """);
     }
 
@@ -655,19 +655,19 @@
                 .isEqualTo(
                         """
                 0 log abandoned a ticket of no known track
-                0 1 ABANDONED
+                0 1 FAILED
                 0 close 1 UNSOUND
-                0 2 BOUNCED
+                0 2 REJECTED
                 0 run 3 b
                 0 log the executor did not carry out EXEC 0000000000000003
-                0 3 ABANDONED
+                0 3 FAILED
                 0 close 2 UNSOUND
                 500 close 1 SLOW_READER
                 500 close 2 SLOW_READER
                 1100 no more
                 3000 no more
                 3200 log abandoned a ticket on a connection asked to close
-                3200 37 ABANDONED
+                3200 37 FAILED
                 3200 close 3 UNSOUND
                 """);
     }
@@ -683,7 +683,7 @@
                         """
                 0 run 1 a
                 0 log the executor did not carry out EXEC 0000000000000001
-                0 1 ABANDONED
+                0 1 FAILED
                 0 run 2 b
                 """);
     }
@@ -709,18 +709,18 @@
         assertThat(printed())
                 .isEqualTo(
                         """
-                100 1 GOOD
+                100 1 HEALTHY
                 100 run 1 a
                 110 close 2 MADE_ROOM
                 110 one more
-                110 1 GOOD
+                110 1 HEALTHY
                 120 close 3 MADE_ROOM
                 120 one more
-                120 1 GOOD
+                120 1 HEALTHY
                 130 no more
                 130 close 1 MADE_ROOM
                 130 one more
-                130 1 GOOD
+                130 1 HEALTHY
                 130 no more
                 130 close 2 MADE_ROOM
                 1630 close 2 SAID_NOTHING
@@ -751,7 +751,7 @@
         processor.connected();
         assertThat(
                         printed()
-                                .replaceAll("(?m)^.*GOOD\n", "")
+                                .replaceAll("(?m)^.*HEALTHY\n", "")
                                 .replaceAll("(?s).*150 no more", "150 no more"))
                 .isEqualTo(
                         """
@@ -795,10 +795,10 @@
         assertThat(printed())
                 .isEqualTo(
                         """
-                0 1 GOOD
+                0 1 HEALTHY
                 0 close 1 SAID_NOTHING
                 500 close 1 SLOW_READER
-                1500 2 GOOD
+                1500 2 HEALTHY
                 8000 close 0 SAID_NOTHING
                 """);
     }
@@ -823,11 +823,11 @@
                 0 run 1 a
                 0 call for 1 q
                 200 call for 1 q
-                500 1 ABANDONED
+                500 1 FAILED
                 500 run 2 b
                 500 call for 2 q
                 2500 give up the call for 2
-                2500 2 ABANDONED
+                2500 2 FAILED
                 """);
     }
 
@@ -842,7 +842,7 @@
                         """
                 0 run 1 a
                 0 log the executor did not carry out EXEC 0000000000000001
-                0 1 ABANDONED
+                0 1 FAILED
                 0 log the executor did not carry out RETURN 0000000000000001
                 """);
     }
@@ -873,24 +873,24 @@
                 .isEqualTo(
                         """
                 0 log abandoned a ticket of no known track
-                0 2 ABANDONED
+                0 2 FAILED
                 0 log abandoned a ticket that can't be read
-                0 3 ABANDONED
+                0 3 FAILED
                 0 log abandoned a ticket out of bounds
-                0 4 ABANDONED
+                0 4 FAILED
                 0 run 5 a
                 0 log abandoned a ticket named like another
-                0 6 ABANDONED
+                0 6 FAILED
                 0 log abandoned a ticket with a mark on the wrong track, or without one
-                0 7 ABANDONED
+                0 7 FAILED
                 0 log abandoned a ticket with a mark on the wrong track, or without one
-                0 8 ABANDONED
+                0 8 FAILED
                 0 log abandoned a ticket of no known customer
-                0 9 ABANDONED
+                0 9 FAILED
                 0 log abandoned a ticket from the future
-                0 10 ABANDONED
+                0 10 FAILED
                 0 log abandoned a ticket past its abandon time
-                0 11 ABANDONED
+                0 11 FAILED
                 """);
         for (double[] figures :
                 new double[][] {
@@ -902,7 +902,7 @@
                             processor.arrived(
                                     line, ++tag, arrival("acme", now, figures[0], figures[1])));
             assertThat(printed())
-                    .isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " ABANDONED\n");
+                    .isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " FAILED\n");
         }
     }
 
@@ -920,7 +920,7 @@
                                     arrival(tenant, NanoDuration.ZERO, NanoDuration.ZERO, false)));
             exit(tag, Completion.WELL, "x");
         }
-        assertThat(printed()).endsWith("0 run 1 \n0 1 SATISFIED x\n0 run 2 \n0 2 SATISFIED x\n");
+        assertThat(printed()).endsWith("0 run 1 \n0 1 SERVED x\n0 run 2 \n0 2 SERVED x\n");
     }
 
     @Test
@@ -980,9 +980,9 @@
                 0 run 1\s
                 500 run 2\s
                 500 log abandoned a ticket past its abandon time
-                500 3 ABANDONED
-                1498 1 ABANDONED
-                1598 2 ABANDONED
+                500 3 FAILED
+                1498 1 FAILED
+                1598 2 FAILED
                 """);
     }
 
@@ -997,12 +997,12 @@
             NanoDuration hint = i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.NO_TIME;
             assertThat(printed()).doesNotContain("close");
             tell(() -> processor.arrived(line, ++tag, arrival("acme", none, hint, false)));
-            assertThat(printed()).contains(" " + tag + " ABANDONED\n");
+            assertThat(printed()).contains(" " + tag + " FAILED\n");
         }
         assertThat(tag - before).isEqualTo(16);
         assertThat(printed())
                 .endsWith("close 1 UNSOUND\n")
-                .doesNotContain("0 " + other + " ABANDONED");
+                .doesNotContain("0 " + other + " FAILED");
     }
 
     @Test
@@ -1025,7 +1025,7 @@
                 0 run 1 a
                 0 stop 1
                 0 run 2 b
-                4998 2 ABANDONED
+                4998 2 FAILED
                 4998 stop 2
                 5000 log the executor did not carry out KILL 0000000000000002
                 5000 run 3 c
@@ -1060,16 +1060,16 @@
                 0 run 1 a
                 0 call for 1 q
                 0 no call for 1
-                0 1 SATISFIED poorer
+                0 1 SERVED poorer
                 0 run 2 b
                 0 call for 2 q
                 0 no call for 2
                 0 log the executor did not carry out BYPASS 0000000000000002
                 200 call for 2 q
-                300 2 ABANDONED
+                300 2 FAILED
                 600 run 3 c
                 600 call for 3 q
-                600 3 ABANDONED
+                600 3 FAILED
                 """);
     }
 
@@ -1104,11 +1104,11 @@
                 0 call for 2 q
                 0 no call for 2
                 0 log the executor did not carry out - -
-                0 2 ABANDONED
+                0 2 FAILED
                 0 call for 1 q
                 0 reply for 1 r
                 0 log the executor did not carry out - -
-                0 1 SATISFIED whole
+                0 1 SERVED whole
                 """);
     }
 
@@ -1126,8 +1126,8 @@
                         """
                 0 run 32 a
                 0 log bounced a ticket that came beyond what may be open
-                0 33 BOUNCED
-                0 7 SATISFIED x
+                0 33 REJECTED
+                0 7 SERVED x
                 0 run 34 a
                 """);
     }
@@ -1155,8 +1155,8 @@
                         """
                 0 run 1 late
                 0 run 2 a
-                3998 1 ABANDONED
-                4998 2 ABANDONED
+                3998 1 FAILED
+                4998 2 FAILED
                 """);
     }
 
@@ -1173,8 +1173,8 @@
                         """
                 0 run 1 a
                 0 run 2 b
-                20000 1 ABANDONED
-                20000 2 ABANDONED
+                20000 1 FAILED
+                20000 2 FAILED
                 """);
     }
 
@@ -1193,10 +1193,10 @@
                 0 run 1 a
                 0 run 2 b
                 0 log the executor was started anew, its runs are lost
-                0 1 ABANDONED
-                0 2 ABANDONED
+                0 1 FAILED
+                0 2 FAILED
                 0 run 3 c
-                0 4 ABANDONED
+                0 4 FAILED
                 0 run 5 d
                 """);
     }
@@ -1215,9 +1215,9 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                4000 1 SATISFIED result
+                4000 1 SERVED result
                 4000 close 0 CLOSED_BY_PEER
-                4000 5 GOOD
+                4000 5 HEALTHY
                 4500 close 0 SLOW_READER
                 7000 no more
                 12000 close 1 CLOSED_HERE
@@ -1239,9 +1239,9 @@
                 .isEqualTo(
                         """
                 0 log abandoned a ticket of no known track
-                0 1 ABANDONED
+                0 1 FAILED
                 0 log abandoned a ticket of no known track
-                0 2 ABANDONED
+                0 2 FAILED
                 0 close 1 UNSOUND
                 1500 close 1 SLOW_READER
                 3000 no more
@@ -1267,9 +1267,9 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                700 2 BOUNCED
-                2850 1 ABANDONED
-                2900 9 NOT_GOOD
+                700 2 REJECTED
+                2850 1 FAILED
+                2900 9 UNHEALTHY
                 2900 no more
                 """);
     }
@@ -1292,7 +1292,7 @@
                 .isEqualTo(
                         """
                 0 run 1 a
-                1000 1 ABANDONED
+                1000 1 FAILED
                 1000 no more
                 """);
     }
@@ -1307,7 +1307,7 @@
                 .isEqualTo(
                         """
                 0 log bounced a ticket that came before the executor was up
-                0 1 BOUNCED
+                0 1 REJECTED
                 """);
     }
 
