--- a/src/main/java/lupinwood/admission/AdmissionPolicy.java
+++ b/src/main/java/lupinwood/admission/AdmissionPolicy.java
@@ -3,25 +3,31 @@
 import java.util.Map;
 
 /**
- * The deciding side of one machine. News comes in by these calls, results leave through {@link
- * Server}.
+ * The deciding side of one machine: events come in by these calls, decisions leave through {@link
+ * ServerActions}. Not thread-safe: one thread makes all calls, also those on the listeners.
  */
 public interface AdmissionPolicy {
-    /** A request was read and is now held; it is owed one final answer. */
+    /**
+     * A request was read; it is owed one final answer.
+     *
+     * @return what hears of everything that happens to the request later
+     */
     RequestListener admit(Request request);
 
     /**
-     * The settings changed, in entries that may change while the node runs. Requests in hand keep
-     * the times that they came under.
+     * The settings changed, in entries that may change while the node runs. Open requests keep the
+     * times under which they arrived.
+     *
+     * @param settings the platform's, whole, by its own names
      */
     void updateSettings(Map<String, String> settings);
 
-    /** Notice that the machine will be stopped after this long. */
-    void drain(NanoDuration until);
+    /** The machine will be stopped after this long: a graceful shutdown begins. */
+    void drain(NanoDuration untilStop);
 
-    /** A wake-up asked for is due, or the resource usage were read anew. */
+    /** A wake-up that was asked for is due, or the resource usage was read anew. */
     void wake(ResourceUsage resourceUsage);
 
-    /** All that came in at this moment has been told: decide. */
+    /** All events of this moment have been told: decide what runs, calls and is rejected. */
     void decide();
 }
--- a/src/main/java/lupinwood/admission/Histogram.java
+++ b/src/main/java/lupinwood/admission/Histogram.java
@@ -29,10 +29,12 @@
 
     private double median = Double.NaN;
 
+    /** Takes in so many samples before all counts are halved. */
     public Histogram(double fullAt) {
         this.fullAt = fullAt;
     }
 
+    /** Takes in one sample; those under the lowest bin count as that. */
     public void add(double figure) {
         double place = Math.log(Math.max(figure, LOWEST) / LOWEST) / Math.log(STEP);
         bins[Math.min(BINS - 1, (int) place)] += 1;
@@ -47,10 +49,12 @@
         }
     }
 
+    /** How many samples count, after halving. */
     public double weight() {
         return weight;
     }
 
+    /** The middle of the bin that holds the median; of an empty histogram that of the lowest. */
     public double median() {
         if (Double.isNaN(median)) {
             int bin = 0;
@@ -64,6 +68,7 @@
         return median;
     }
 
+    /** The mean over the bins' middles; 0 of an empty histogram. */
     public double mean() {
         if (Double.isNaN(mean)) {
             double sum = 0;
--- a/src/main/java/lupinwood/admission/PolicySettingsMapper.java
+++ b/src/main/java/lupinwood/admission/PolicySettingsMapper.java
@@ -6,8 +6,8 @@
 
 /**
  * Turns the platform's settings, a map of its own names to texts, into the terms of the decisions.
- * The only place of the package that knows these names. An absent entry has its default; a number
- * that can't be read is refused with the entry's name.
+ * The only place of the package that knows these names. An absent entry has its default; a text
+ * that should be a number and is none is refused with a {@link NumberFormatException}.
  *
  * <p>Stateless; any thread.
  */
--- a/src/main/java/lupinwood/admission/Request.java
+++ b/src/main/java/lupinwood/admission/Request.java
@@ -3,13 +3,13 @@
 /**
  * A request as it was read.
  *
- * @param clientTimeout how much longer its caller waits; zero where that isn't told
+ * @param clientTimeout how much longer its client waits; zero where that isn't told
  * @param work the hint of its cost on a standard core; zero where there is none
- * @param memoryKb what it takes while held
- * @param rank its place from 0 to 1 among all requests, by credit
- * @param repeat it is marked as a further try or a second copy of another
+ * @param memoryKb what it takes while it is open, in kilobytes of 1,000 bytes
+ * @param rank its place from 0 to 1 among all requests, by priority weight
+ * @param repeat it is marked as a retry or a hedged copy of another
  * @param waited how long ago it reached the machine
- * @param original the remembered request that this one repeats, or null
+ * @param original the remembered request that this one is a retry of, or null
  */
 public record Request(
         RequestId id,
--- a/src/main/java/lupinwood/admission/RequestClass.java
+++ b/src/main/java/lupinwood/admission/RequestClass.java
@@ -3,13 +3,14 @@
 /**
  * What the settings say of a request class.
  *
- * @param calls its requests may call below
+ * @param calls its requests may call downstream
  * @param objectiveStretch the latency objective grows by this multiple of a request's own work
- * @param idempotency where it isn't told, what is never run twice
+ * @param idempotency unsafe where it isn't told
  * @param window how long an idempotent request may come again; until its caller gives up, where it
  *     isn't told
- * @param lateValue the part of the credit that an answer after the latency objective earns
- * @param skippedCallValue the part of the credit that an answer without its call earns
+ * @param lateValue the part of the priority weight that an answer after the latency objective earns
+ * @param skippedCallValue the part of the priority weight that an answer without its downstream
+ *     call earns
  */
 public record RequestClass(
         boolean calls,
--- a/src/main/java/lupinwood/admission/RequestListener.java
+++ b/src/main/java/lupinwood/admission/RequestListener.java
@@ -1,14 +1,14 @@
 package lupinwood.admission;
 
-/** A request that was taken: everything that happens to it later is a call on this. */
+/** Hears of everything that happens to one admitted request, on the thread of its policy. */
 public interface RequestListener {
-    /** Its run, or its reuse of another's result, is over. */
+    /** Its run ended, or its original's result was handed out. */
     void onCompleted(Outcome outcome, NanoDuration took);
 
-    /** Its run can't go on without a call below. */
+    /** Its run can't go on without a downstream call. */
     void onCallNeeded();
 
-    /** The call made for it came to this end. */
+    /** The downstream call made for it came to this end. */
     void onCallCompleted(Outcome outcome, NanoDuration took);
 
     /** Whether nothing more will be asked of this request, nor heard. */
--- a/src/main/java/lupinwood/admission/ResourceUsage.java
+++ b/src/main/java/lupinwood/admission/ResourceUsage.java
@@ -2,9 +2,17 @@
 
 import java.util.List;
 
-/** What the machine reads off itself; NaN for what it can't tell. */
+/**
+ * What the machine reads off itself; NaN for what it can't tell.
+ *
+ * @param coreUse share of the cores in use
+ * @param wantingCore runs that want a core and wait for no disk
+ * @param memoryShare share of the memory in use
+ * @param connections of upstreams that stand open
+ */
 public record ResourceUsage(
         double coreUse, double wantingCore, double memoryShare, double connections) {
+    /** Nothing was read. */
     public static final ResourceUsage UNKNOWN = named(List.of(), new double[0]);
 
     /**
--- a/src/main/java/lupinwood/admission/SettingsMap.java
+++ b/src/main/java/lupinwood/admission/SettingsMap.java
@@ -1,15 +1,16 @@
 package lupinwood.admission;
 
-import java.util.HashMap;
 import java.util.Map;
 
-/** A plain map of names to values, read as what they stand for. An absent name is not an error. */
+/**
+ * The platform's settings as they come: names and texts, read as what they stand for. An absent
+ * name is not an error. Immutable, for any thread; the decisions see {@link PolicySettings}
+ * instead.
+ */
 public final class SettingsMap {
     private final Map<String, String> values;
 
-    /** Numbers are asked for often; each is parsed once. */
-    private final Map<String, Double> numbers = new HashMap<>();
-
+    /** Takes a copy of the platform's map. */
     public SettingsMap(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
@@ -19,29 +20,34 @@
         return text.replace(' ', '_').replace(',', '_');
     }
 
+    /** The entry as it stands; empty where it is absent. */
     public String text(String name) {
         return values.getOrDefault(name, "");
     }
 
+    /**
+     * A number.
+     *
+     * @param otherwise where the entry is absent or empty
+     * @throws NumberFormatException for any other text that is no number
+     */
     public double number(String name, double otherwise) {
-        Double known = numbers.get(name);
-        if (known == null) {
-            String text = text(name);
-            known = text.isEmpty() ? Double.NaN : Double.valueOf(text);
-            numbers.put(name, known);
-        }
-        return known.isNaN() ? otherwise : known;
+        String text = text(name);
+        double number = text.isEmpty() ? Double.NaN : Double.parseDouble(text);
+        return Double.isNaN(number) ? otherwise : number;
     }
 
+    /** A duration that stands in nanoseconds; zero where the entry is absent. */
     public NanoDuration duration(String name) {
         return new NanoDuration(Math.round(number(name, 0)));
     }
 
+    /** Whether the entry has this text. */
     public boolean is(String name, String value) {
         return text(name).equals(value);
     }
 
-    /** One item of a list; empty where the list is shorter. */
+    /** One item of a list that commas part; empty where the list is shorter. */
     public String item(String name, int place) {
         String[] items = text(name).split(",", 0);
         return place < items.length ? items[place] : "";
--- a/src/main/java/lupinwood/experiment/ClusterTour.java
+++ b/src/main/java/lupinwood/experiment/ClusterWalkthrough.java
@@ -9,7 +9,7 @@
  * A first look at a fleet: three nodes as processes, what 'fleet status' tells of them, and what
  * happens as one dies.
  */
-final class ClusterTour implements Experiment {
+final class ClusterWalkthrough implements Experiment {
     private static final int NODES = 3;
     private static final long LEASE_MILLIS = 2000;
     private static final int RESPONSE_TIMEOUT = 600; // looks, 50 ms apart
@@ -17,7 +17,7 @@
     private final long seed;
     private final PrintStream out;
 
-    ClusterTour(long seed, PrintStream out) {
+    ClusterWalkthrough(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
--- a/src/main/java/lupinwood/experiment/Experiments.java
+++ b/src/main/java/lupinwood/experiment/Experiments.java
@@ -65,7 +65,7 @@
                             log);
             case "fleet-cost" -> new ClusterCostExperiment(seed, size, seconds > 0 ? seconds : 60);
             case "trials" -> new HealthChecksExperiment(seed, size > 0 ? size : 12);
-            case "fleet-tour" -> new ClusterTour(seed, out);
+            case "fleet-tour" -> new ClusterWalkthrough(seed, out);
             case "hand-overs" -> new LeaseHandoverExperiment(seed, size > 0 ? size : 40);
             case "fleet-on-off" -> new ClusterOverheadExperiment(seed, seconds > 0 ? seconds : 30);
             case "release" ->
@@ -76,7 +76,7 @@
                             plot,
                             log);
             case "rest" -> new CordonExperiment(seed, size > 0 ? size : 4, log);
-            case "release-tour" -> new RolloutTour(seed, out);
+            case "release-tour" -> new RolloutWalkthrough(seed, out);
             case "release-ways" ->
                     new RolloutStrategiesExperiment(seed, size > 0 ? size : 300, plot);
             case "failover-time" -> new SimulatedFailover(seed, size > 0 ? size : 12);
--- a/src/main/java/lupinwood/experiment/RolloutTour.java
+++ b/src/main/java/lupinwood/experiment/RolloutWalkthrough.java
@@ -11,7 +11,7 @@
  * A first look at releases: a good one, a bad one that goes back by itself, and a rest, as they
  * look in a terminal.
  */
-final class RolloutTour implements Experiment {
+final class RolloutWalkthrough implements Experiment {
     private static final int NODES = 6;
     private static final long LEASE_MILLIS = 1500;
     private static final String RULES = "release { watch 4s; watch-most 1min; harm 8% }\n";
@@ -22,7 +22,7 @@
     private final PrintStream out;
     private final List<String> broken = new ArrayList<>();
 
-    RolloutTour(long seed, PrintStream out) {
+    RolloutWalkthrough(long seed, PrintStream out) {
         this.seed = seed;
         this.out = out;
     }
