--- a/src/main/java/lupinwood/admission/UtilityModel.java
+++ b/src/main/java/lupinwood/admission/UtilityModel.java
@@ -28,7 +28,7 @@
     private final double[] servedInTime;
     private PolicySettings settings;
     private double offeredWeight;
-    private int requestsSeen;
+    private int requestsOffered;
     private int worst = NO_CLASS;
 
     UtilityModel(List<ClassState> classes, PolicySettings settings) {
@@ -46,10 +46,10 @@
     void onOffered(int classIndex) {
         offered[classIndex]++;
         offeredWeight = 0;
-        double kept = ++requestsSeen % HALVING_INTERVAL == 0 ? 0.5 : 1;
+        double decay = ++requestsOffered % HALVING_INTERVAL == 0 ? 0.5 : 1;
         for (int i = 0; i < offered.length; i++) {
-            offered[i] *= kept;
-            servedInTime[i] *= kept;
+            offered[i] *= decay;
+            servedInTime[i] *= decay;
             offeredWeight += offered[i] * classes.get(i).settings().priorityWeight();
             boolean worse =
                     worst == NO_CLASS
