--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -71,10 +71,10 @@
         boolean vouched;
 
         /** It came back, and has yet to do well. */
-        boolean onTrial;
+        boolean onProbation;
 
         /** Nothing new is sent there, by agreement with others and not for what is seen of it. */
-        boolean rests;
+        boolean cordons;
 
         ServerState(String name) {
             this.name = name;
@@ -92,25 +92,25 @@
         }
     }
 
-    private final List<ServerState> books = new ArrayList<>();
-    private final OutlierLimits rules;
+    private final List<ServerState> states = new ArrayList<>();
+    private final OutlierLimits limits;
     private final Random random;
 
     /** What runs took while a server had less than half of what it may: the pool's own calm. */
     private final Histogram baseline = new Histogram(BASELINE);
 
     private int turn;
-    private HealthChecker trials = HealthChecker.ALONE;
+    private HealthChecker healthChecker = HealthChecker.ALONE;
 
-    public ServerPool(List<String> servers, OutlierLimits rules, long seed) {
-        servers.forEach(name -> books.add(new ServerState(name)));
-        this.rules = rules;
+    public ServerPool(List<String> servers, OutlierLimits limits, long seed) {
+        servers.forEach(name -> states.add(new ServerState(name)));
+        this.limits = limits;
         random = new Random(seed);
     }
 
     /** Asks before each trial, and tells what it came to. */
-    public void trialsBy(HealthChecker requested) {
-        trials = requested;
+    public void checkHealthBy(HealthChecker requested) {
+        healthChecker = requested;
     }
 
     /**
@@ -120,14 +120,14 @@
      */
     public void onHealthCheckResult(
             String server, boolean well, MonotonicTime at, MonotonicTime now) {
-        for (ServerState book : books) {
+        for (ServerState book : states) {
             if (well
                     && book.name.equals(server)
                     && book.backAt != null
                     && !book.vouched
                     && book.leftOutAt.isBefore(at)) {
                 book.vouched = true;
-                MonotonicTime soon = now.plus(rules.leftOutFirst().times(random.nextDouble()));
+                MonotonicTime soon = now.plus(limits.leftOutFirst().times(random.nextDouble()));
                 book.backAt = soon.isBefore(book.backAt) ? soon : book.backAt;
             }
         }
@@ -138,58 +138,58 @@
      * begins with one request at a time, and is at work once that did well.
      */
     public void rest(Collection<String> names) {
-        for (ServerState book : books) {
-            boolean rests = names.contains(book.name);
-            if (book.rests && !rests) {
-                book.onTrial = true;
+        for (ServerState book : states) {
+            boolean cordons = names.contains(book.name);
+            if (book.cordons && !cordons) {
+                book.onProbation = true;
                 book.backAt = null;
                 book.limit = 1;
             }
-            book.rests = rests;
+            book.cordons = cordons;
         }
     }
 
     /** Those that rest and have nothing of this node any more. */
     public List<String> drained() {
-        return books.stream()
-                .filter(book -> book.rests && book.out == 0)
+        return states.stream()
+                .filter(book -> book.cordons && book.out == 0)
                 .map(book -> book.name)
                 .toList();
     }
 
     /** The servers that are left out now. */
     public List<String> leftOut() {
-        return books.stream().filter(book -> book.backAt != null).map(book -> book.name).toList();
+        return states.stream().filter(book -> book.backAt != null).map(book -> book.name).toList();
     }
 
     private boolean mayComeBack(ServerState book, MonotonicTime now) {
-        return !now.isBefore(book.backAt) && (book.vouched || trials.mayTry(book.name));
+        return !now.isBefore(book.backAt) && (book.vouched || healthChecker.mayTry(book.name));
     }
 
     public int size() {
-        return books.size();
+        return states.size();
     }
 
     public String name(int server) {
-        return books.get(server).name;
+        return states.get(server).name;
     }
 
     public int out(int server) {
-        return books.get(server).out;
+        return states.get(server).out;
     }
 
     /** How many may be out to it now. */
     public int limit(int server) {
-        ServerState book = books.get(server);
-        return book.onTrial || book.backAt != null ? 1 : (int) Math.floor(book.limit);
+        ServerState book = states.get(server);
+        return book.onProbation || book.backAt != null ? 1 : (int) Math.floor(book.limit);
     }
 
-    public boolean isOnTrial(int server) {
-        return books.get(server).onTrial;
+    public boolean isOnProbation(int server) {
+        return states.get(server).onProbation;
     }
 
     public boolean isLeftOut(int server) {
-        return books.get(server).backAt != null;
+        return states.get(server).backAt != null;
     }
 
     /**
@@ -213,10 +213,10 @@
             best = best(now, List.of(), may);
         }
         if (best >= 0) {
-            ServerState book = books.get(best);
+            ServerState book = states.get(best);
             if (book.backAt != null) {
                 book.backAt = null;
-                book.onTrial = true;
+                book.onProbation = true;
             }
             book.out++;
             turn = best + 1;
@@ -227,11 +227,11 @@
     private int best(MonotonicTime now, List<Integer> tried, IntPredicate may) {
         int best = -1;
         double soonest = Double.MAX_VALUE;
-        for (int i = 0; i < books.size(); i++) {
-            int server = (turn + i) % books.size();
-            ServerState book = books.get(server);
+        for (int i = 0; i < states.size(); i++) {
+            int server = (turn + i) % states.size();
+            ServerState book = states.get(server);
             boolean back = book.backAt == null || mayComeBack(book, now);
-            if (book.rests
+            if (book.cordons
                     || !back
                     || book.out >= limit(server)
                     || tried.contains(server)
@@ -256,7 +256,7 @@
      */
     private double expected(ServerState book, MonotonicTime now) {
         double fastest =
-                books.stream()
+                states.stream()
                         .filter(one -> one.took >= 0)
                         .mapToDouble(one -> one.took)
                         .min()
@@ -276,7 +276,7 @@
 
     /** A run is past TARGET and still out; to be told once a run. */
     public void slow(int server) {
-        cut(books.get(server));
+        cut(states.get(server));
     }
 
     private static void cut(ServerState book) {
@@ -290,30 +290,30 @@
      */
     public void ended(
             int server, AttemptEnd end, NanoDuration took, boolean wasSlow, MonotonicTime now) {
-        ServerState book = books.get(server);
+        ServerState book = states.get(server);
         boolean halfUsed = book.out * 2 >= book.limit;
         boolean wasBaseline = book.out * 2 < Math.max(START, book.limit);
         book.out--;
         if (end == AttemptEnd.UNKNOWN) {
             return;
         }
-        if (book.onTrial) {
-            trials.tried(book.name, end == AttemptEnd.WELL);
+        if (book.onProbation) {
+            healthChecker.tried(book.name, end == AttemptEnd.WELL);
         }
         if (end == AttemptEnd.FAILED) {
             book.learn(Math.max(took.seconds(), SLOWER * expectedBaseline()), now);
             if (!wasSlow) {
                 cut(book);
             }
-            if (++book.failuresInRow >= rules.failures() || book.onTrial) {
+            if (++book.failuresInRow >= limits.failures() || book.onProbation) {
                 leaveOut(book, now);
             }
             return;
         }
         book.learn(took.seconds(), now);
         book.failuresInRow = 0;
-        if (book.onTrial) {
-            book.onTrial = false;
+        if (book.onProbation) {
+            book.onProbation = false;
             book.limit = 1;
         }
         book.timesLeftOut = Math.max(0, book.timesLeftOut - (wasSlow ? 0 : 1));
@@ -324,7 +324,7 @@
             // calm at once
         }
         if (!wasSlow && !odd && halfUsed) {
-            book.limit = Math.min(rules.mostOut(), book.limit + 1);
+            book.limit = Math.min(limits.mostOut(), book.limit + 1);
         }
     }
 
@@ -340,19 +340,19 @@
         double factor =
                 Math.pow(2, Math.min(30, book.timesLeftOut++)) * (0.75 + random.nextDouble() / 2);
         NanoDuration duration =
-                rules.leftOutFirst().times(Math.min(factor, 1e6)).min(rules.leftOutMost());
+                limits.leftOutFirst().times(Math.min(factor, 1e6)).min(limits.leftOutMost());
         book.backAt = now.plus(duration);
         book.leftOutAt = now;
         book.vouched = false;
-        book.onTrial = false;
+        book.onProbation = false;
         book.failuresInRow = 0;
         book.limit = 1;
     }
 
     /** When a server that is left out may be tried again, the soonest; never where none is. */
     public MonotonicTime nextBack(MonotonicTime now) {
-        return books.stream()
-                .filter(book -> book.backAt != null && !book.rests)
+        return states.stream()
+                .filter(book -> book.backAt != null && !book.cordons)
                 .map(
                         book ->
                                 now.isBefore(book.backAt) || mayComeBack(book, now)
--- a/src/main/java/lupinwood/cli/ConfigActions.java
+++ b/src/main/java/lupinwood/cli/ConfigActions.java
@@ -118,16 +118,16 @@
     private int checkLanguage(String file) {
         FileSources sources = new FileSources();
         Config config = operator ? Reader.readPart(sources, file) : Reader.read(sources, file);
-        return report(config.problems(), config);
+        return report(config.diagnostics(), config);
     }
 
-    private int report(Diagnostics problems, Config config) {
+    private int report(Diagnostics diagnostics, Config config) {
         if (json) {
-            out.println(DiagnosticReport.json(problems));
+            out.println(DiagnosticReport.json(diagnostics));
         } else {
-            out.print(DiagnosticReport.text(problems, config::source));
+            out.print(DiagnosticReport.text(diagnostics, config::source));
         }
-        return problems.isEmpty() ? FINE : FOUND;
+        return diagnostics.isEmpty() ? FINE : FOUND;
     }
 
     /** The platform's form, whose entries have no place in lines. */
@@ -190,15 +190,15 @@
     }
 
     private int formatOne(Path file) throws IOException {
-        Diagnostics problems = new Diagnostics();
+        Diagnostics diagnostics = new Diagnostics();
         String text = Files.readString(file);
         Source source = new Source(file.toString(), text);
-        String formatted = Formatter.format(source, problems);
+        String formatted = Formatter.format(source, diagnostics);
         if (formatted == null) {
             out.print(
                     json
-                            ? DiagnosticReport.json(problems) + "\n"
-                            : DiagnosticReport.text(problems, place -> source));
+                            ? DiagnosticReport.json(diagnostics) + "\n"
+                            : DiagnosticReport.text(diagnostics, place -> source));
             return FOUND;
         }
         if (formatted.equals(text)) {
@@ -224,10 +224,10 @@
     private ParsedSettings meaning(String file) {
         if (Loader.isLanguage(Path.of(file))) {
             Config config = Reader.read(new FileSources(), file);
-            return report(config.problems(), config) == FINE ? config.meaning() : null;
+            return report(config.diagnostics(), config) == FINE ? config.parsedSettings() : null;
         }
         try {
-            return NodeConfig.read(Path.of(file)).meaning();
+            return NodeConfig.read(Path.of(file)).parsedSettings();
         } catch (NodeConfig.UnusableConfiguration e) {
             out.println(file + ": error: " + e.getMessage());
             return null;
@@ -245,9 +245,9 @@
         if (before == null || after == null) {
             return USAGE;
         }
-        ConfigDiff plan = ConfigDiff.between(before, after);
+        ConfigDiff diff = ConfigDiff.between(before, after);
         JsonArray all = new JsonArray();
-        for (ConfigDiff.Step step : plan.steps()) {
+        for (ConfigDiff.Step step : diff.steps()) {
             JsonObject one = new JsonObject();
             one.addProperty("name", step.name());
             one.addProperty(
@@ -266,18 +266,18 @@
         if (asJson) {
             out.println(GSON.toJson(all));
         }
-        return plan.isEmpty() ? FINE : FOUND;
+        return diff.isEmpty() ? FINE : FOUND;
     }
 
     private int importJson(String file) {
         if (!canRead(List.of(file))) {
             return USAGE;
         }
-        ParsedSettings meaning = meaning(file);
-        if (meaning == null) {
+        ParsedSettings parsedSettings = meaning(file);
+        if (parsedSettings == null) {
             return FOUND;
         }
-        out.print(Writer.write(meaning, name -> ""));
+        out.print(Writer.write(parsedSettings, name -> ""));
         return FINE;
     }
 
@@ -289,15 +289,17 @@
             return importJson(file);
         }
         Config config = Reader.read(new FileSources(), file);
-        if (!config.problems().isEmpty()) {
-            return report(config.problems(), config);
+        if (!config.diagnostics().isEmpty()) {
+            return report(config.diagnostics(), config);
         }
         if (!json) {
-            out.print(Writer.write(config.meaning(), name -> config.places().get(name).toString()));
+            out.print(
+                    Writer.write(
+                            config.parsedSettings(), name -> config.places().get(name).toString()));
             return FINE;
         }
         JsonArray all = new JsonArray();
-        config.meaning()
+        config.parsedSettings()
                 .values()
                 .forEach(
                         (name, value) -> {
--- a/src/main/java/lupinwood/cli/FleetActions.java
+++ b/src/main/java/lupinwood/cli/FleetActions.java
@@ -79,15 +79,15 @@
             return USAGE;
         }
         Config config = Reader.readPart(new FileSources(), operator);
-        if (!config.problems().isEmpty()) {
+        if (!config.diagnostics().isEmpty()) {
             System.err.println(
                     "lupinwood: "
-                            + config.problems().all().get(0).place()
+                            + config.diagnostics().all().get(0).place()
                             + ": "
-                            + config.problems().all().get(0).text());
+                            + config.diagnostics().all().get(0).text());
             return USAGE;
         }
-        ClusterSettings settings = ClusterSettings.of(config.meaning());
+        ClusterSettings settings = ClusterSettings.of(config.parsedSettings());
         if (settings == null) {
             System.err.println("lupinwood: " + operator + " names no voters, so there is no fleet");
             return USAGE;
@@ -432,15 +432,15 @@
             System.out.println(said(state));
         }
         RaftReplica.ReplicaView whole = ClusterJson.read(state, RaftReplica.ReplicaView.class);
-        whole.rests()
+        whole.cordons()
                 .forEach(
-                        rest -> {
-                            String left = DrainTracker.left(whole, rest.server());
+                        cordon -> {
+                            String left = DrainTracker.left(whole, cordon.server());
                             System.out.println(
                                     "server "
-                                            + rest.server()
+                                            + cordon.server()
                                             + " rests, by "
-                                            + rest.by()
+                                            + cordon.by()
                                             + ": "
                                             + (left.isEmpty()
                                                     ? "empty"
--- a/src/main/java/lupinwood/cli/Serve.java
+++ b/src/main/java/lupinwood/cli/Serve.java
@@ -128,7 +128,7 @@
         if (config.doubtful() != null) {
             log.line("in doubt, and served all the same: " + config.doubtful());
         }
-        boolean inFleet = !config.meaning().items(Schema.VOTER).isEmpty();
+        boolean inFleet = !config.parsedSettings().items(Schema.VOTER).isEmpty();
         Object latencyObjective =
                 inFleet
                         ? StartupConfig.ask(loader, config, log)
--- a/src/main/java/lupinwood/cluster/CapacityPlans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -26,17 +26,17 @@
     private Map<String, Map<String, Integer>> alone = Map.of();
     private long last;
 
-    void open(Snapshot page) {
+    void open(Snapshot snapshot) {
         live.clear();
-        if (page != null) { // null in the page of an older version
-            live.addAll(page.live());
-            bears = page.bears();
-            alone = page.alone();
-            last = page.last();
+        if (snapshot != null) { // null in the page of an older version
+            live.addAll(snapshot.live());
+            bears = snapshot.bears();
+            alone = snapshot.alone();
+            last = snapshot.last();
         }
     }
 
-    Snapshot page() {
+    Snapshot snapshot() {
         return new Snapshot(new ArrayList<>(live), bears, alone, last);
     }
 
--- a/src/main/java/lupinwood/cluster/ClusterCommand.java
+++ b/src/main/java/lupinwood/cluster/ClusterCommand.java
@@ -17,10 +17,10 @@
     record Bootstrap(long above) implements ClusterCommand {}
 
     /** A node comes, or comes back under a new life. */
-    record Join(NodeName name, Incarnation life, Site site) implements ClusterCommand {}
+    record Join(NodeName name, Incarnation incarnation, Site site) implements ClusterCommand {}
 
     /** A node goes, by its own word. */
-    record Leave(NodeName name, Incarnation life) implements ClusterCommand {}
+    record Leave(NodeName name, Incarnation incarnation) implements ClusterCommand {}
 
     /** An operator's word that a node is gone for good; the cluster state forgets it. */
     record RemoveNode(NodeName name) implements ClusterCommand {}
@@ -30,7 +30,7 @@
      *
      * @param after the duty's token before, so that one decision made twice is done once
      */
-    record GrantLease(DutyName duty, NodeName heir, Incarnation life, FencingToken after)
+    record GrantLease(DutyName duty, NodeName heir, Incarnation incarnation, FencingToken after)
             implements ClusterCommand {}
 
     /** The duty is nobody's any more. */
@@ -53,7 +53,7 @@
             NodeName node,
             String by,
             long atMillis,
-            DisruptionLimits rules,
+            DisruptionLimits limits,
             List<NodeName> unavailableNodes)
             implements ClusterCommand {}
 
@@ -91,7 +91,7 @@
      */
     record AdvanceRollout(
             FencingToken token,
-            long release,
+            long rollout,
             int step,
             boolean back,
             List<NodeName> nodes,
@@ -104,11 +104,11 @@
      * A release turns back, which ends a halt: an operator's word, or the program's where the
      * release said so.
      */
-    record RollBack(String order, long release, String by, long atMillis)
+    record RollBack(String order, long rollout, String by, long atMillis)
             implements ClusterCommand {}
 
     /** A release has ended; counts under the rollout controller's token. */
-    record FinishRollout(FencingToken token, long release, boolean done, String why, long atMillis)
+    record FinishRollout(FencingToken token, long rollout, boolean done, String why, long atMillis)
             implements ClusterCommand {}
 
     /**
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -20,12 +20,12 @@
 
     private static final double LONGEST_PAUSE = 4; // heartbeats
 
-    private final LeaseTiming rules;
+    private final LeaseTiming timing;
     private final NodeName name;
-    private final Incarnation life;
+    private final Incarnation incarnation;
     private final Site site;
     private final Random random;
-    private final HeldLeases holding;
+    private final HeldLeases heldLeases;
     private List<NodeName> voters;
     private NodeName to;
     private long number;
@@ -41,27 +41,27 @@
     private final Map<DutyName, Lease> failsAt = new TreeMap<>();
     private List<String> leftOut = List.of();
     private NodeReport report;
-    private final CapacityLease allotment = new CapacityLease(Map.of());
+    private final CapacityLease capacityLease = new CapacityLease(Map.of());
     private final Map<String, HealthCheckResult> found = new LinkedHashMap<>();
     private final Map<String, MonotonicTime> foundAt = new LinkedHashMap<>();
 
     public ClusterSession(
-            LeaseTiming rules,
+            LeaseTiming timing,
             NodeName name,
-            Incarnation life,
+            Incarnation incarnation,
             Site site,
             List<NodeName> voters,
             long seed,
             MonotonicTime now) {
-        this.rules = rules;
+        this.timing = timing;
         this.name = name;
-        this.life = life;
+        this.incarnation = incarnation;
         this.site = site;
         random = new Random(seed);
-        holding = new HeldLeases(rules);
+        heldLeases = new HeldLeases(timing);
         follow(voters);
         // Spread from the start: a fleet may be started at once.
-        next = now.plus(rules.heartbeatInterval().times(random.nextDouble()));
+        next = now.plus(timing.heartbeatInterval().times(random.nextDouble()));
     }
 
     /** The voters are these from now on. */
@@ -85,7 +85,7 @@
             silences++;
         }
         number++;
-        holding.asks(number, now);
+        heldLeases.asks(number, now);
         awaitsSince = now;
         next = now.plus(pause(condition, now));
         List<HealthCheckResult> aged = new ArrayList<>();
@@ -95,11 +95,11 @@
                 new Heartbeat(
                                 Heartbeat.VERSION,
                                 name,
-                                life,
+                                incarnation,
                                 site,
                                 condition,
                                 number,
-                                holding.holds(now),
+                                heldLeases.holds(now),
                                 List.copyOf(releasing.values()),
                                 List.copyOf(failsAt.values()),
                                 leftOut,
@@ -116,10 +116,10 @@
 
     private NanoDuration pause(NodeCondition condition, MonotonicTime now) {
         boolean urgent =
-                !holding.holds(now).isEmpty()
+                !heldLeases.holds(now).isEmpty()
                         || !releasing.isEmpty()
                         || condition == NodeCondition.LEAVING;
-        NanoDuration usual = urgent ? rules.holderHeartbeatInterval() : rules.heartbeatInterval();
+        NanoDuration usual = urgent ? timing.holderHeartbeatInterval() : timing.heartbeatInterval();
         // The first round through the voters is quick; then the pauses double.
         double factor =
                 silences <= voters.size() ? 1 : Math.pow(2, Math.min(10, silences - voters.size()));
@@ -141,22 +141,22 @@
         silences = 0;
         latestWord = now;
         latest = reply;
-        MonotonicTime requested = holding.requestSent(reply.number());
+        MonotonicTime requested = heldLeases.requestSent(reply.number());
         if (reply.share() != null && requested != null) {
-            allotment.update(
+            capacityLease.update(
                     reply.share().plan(),
                     reply.share().slots(),
                     requested.plus(
-                            rules.holderLease().min(reply.lease().times(1 - rules.drift()))));
+                            timing.holderLease().min(reply.lease().times(1 - timing.drift()))));
         }
-        holding.onReply(reply, now);
+        heldLeases.onReply(reply, now);
         releasing
                 .values()
-                .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
+                .removeIf(lease -> reply.number() == number && !reply.leases().contains(lease));
         failsAt.values()
-                .removeIf(grant -> reply.number() == number && !reply.grants().contains(grant));
+                .removeIf(lease -> reply.number() == number && !reply.leases().contains(lease));
         foundAt.entrySet()
-                .removeIf(one -> rules.lease().times(4).compareTo(now.since(one.getValue())) < 0);
+                .removeIf(one -> timing.lease().times(4).compareTo(now.since(one.getValue())) < 0);
         found.keySet().retainAll(foundAt.keySet());
     }
 
@@ -174,19 +174,19 @@
         // storm.
         MonotonicTime soon =
                 now.plus(
-                        rules.holderHeartbeatInterval()
+                        timing.holderHeartbeatInterval()
                                 .times(known && silences < 4 ? 0.1 : 0.5 + random.nextDouble()));
         next = soon.isBefore(next) ? soon : next;
     }
 
     /** What this node may have at places below by plans; standing rights are not in it. */
     public CapacityLease allotment() {
-        return allotment;
+        return capacityLease;
     }
 
     /** Which duties are this node's. */
     public HeldLeases holding() {
-        return holding;
+        return heldLeases;
     }
 
     /**
@@ -194,30 +194,30 @@
      * which is due at once.
      */
     public void handOn(DutyName duty, MonotonicTime now) {
-        Lease grant = holding.giveUp(duty);
-        if (grant != null) {
-            releasing.put(duty, grant);
+        Lease lease = heldLeases.giveUp(duty);
+        if (lease != null) {
+            releasing.put(duty, lease);
             next = now;
         }
     }
 
     /** The same, since the duty can't be done here. */
     public void failAt(DutyName duty, MonotonicTime now) {
-        Lease grant = holding.giveUp(duty);
-        if (grant != null) {
-            failsAt.put(duty, grant);
+        Lease lease = heldLeases.giveUp(duty);
+        if (lease != null) {
+            failsAt.put(duty, lease);
             next = now;
         }
     }
 
     /** All duties are handed on. */
     public void handOnAll(MonotonicTime now) {
-        holding.holds(now).forEach(grant -> handOn(grant.duty(), now));
+        heldLeases.holds(now).forEach(lease -> handOn(lease.duty(), now));
     }
 
     /** Whether the consensus group knows that nothing is held here any more. */
     public boolean isClear(MonotonicTime now) {
-        return holding.holds(now).isEmpty() && releasing.isEmpty();
+        return heldLeases.holds(now).isEmpty() && releasing.isEmpty();
     }
 
     public void leavesOut(List<String> servers) {
@@ -242,7 +242,7 @@
      */
     public boolean isInTouch(MonotonicTime now) {
         return latestWord != null
-                && now.since(latestWord).compareTo(rules.lease()) <= 0
+                && now.since(latestWord).compareTo(timing.lease()) <= 0
                 && latest.trouble().isEmpty();
     }
 
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -19,22 +19,23 @@
      *
      * @param in whether it has come and not gone
      */
-    public record Member(NodeName name, Incarnation life, Site site, boolean in) {}
+    public record Member(NodeName name, Incarnation incarnation, Site site, boolean in) {}
 
     /**
      * A duty.
      *
      * @param holder null while it is nobody's
-     * @param life of the holder
+     * @param incarnation of the holder
      * @param token the one it was last given under
      */
-    public record DutyLease(DutyName duty, NodeName holder, Incarnation life, FencingToken token) {
+    public record DutyLease(
+            DutyName duty, NodeName holder, Incarnation incarnation, FencingToken token) {
         public boolean isFree() {
             return holder == null;
         }
 
         public boolean isBy(NodeName name, Incarnation ofLife) {
-            return holder != null && holder.equals(name) && life.equals(ofLife);
+            return holder != null && holder.equals(name) && incarnation.equals(ofLife);
         }
     }
 
@@ -56,8 +57,8 @@
             String haltedBy,
             List<CompletedOrder> done,
             List<HistoryEntry> history,
-            Rollouts.Snapshot releases,
-            List<Cordon> rests,
+            Rollouts.Snapshot rollouts,
+            List<Cordon> cordons,
             CapacityPlans.Snapshot plans) {}
 
     private static final int MOST_DUTIES = 64;
@@ -70,9 +71,9 @@
     private final TreeMap<NodeName, Member> members = new TreeMap<>();
     private final TreeMap<DutyName, DutyLease> duties = new TreeMap<>();
     private final TreeMap<Long, DisruptionPermit> permits = new TreeMap<>();
-    private final Rollouts releases = new Rollouts();
+    private final Rollouts rollouts = new Rollouts();
     private final CapacityPlans plans = new CapacityPlans();
-    private final TreeMap<String, Cordon> rests = new TreeMap<>();
+    private final TreeMap<String, Cordon> cordons = new TreeMap<>();
     private final ArrayDeque<CompletedOrder> done = new ArrayDeque<>();
     private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
     private long lastPermit;
@@ -89,31 +90,31 @@
     }
 
     /** Takes over a whole page in the place of all it had. */
-    public void open(Snapshot page) {
+    public void open(Snapshot snapshot) {
         members.clear();
-        page.members().forEach(member -> members.put(member.name(), member));
+        snapshot.members().forEach(member -> members.put(member.name(), member));
         duties.clear();
-        page.duties().forEach(lease -> duties.put(lease.duty(), lease));
-        lastToken = page.lastToken();
-        digest = page.digest();
-        commands = page.commands();
+        snapshot.duties().forEach(lease -> duties.put(lease.duty(), lease));
+        lastToken = snapshot.lastToken();
+        digest = snapshot.digest();
+        commands = snapshot.commands();
         permits.clear();
-        page.permits().forEach(permit -> permits.put(permit.number(), permit));
-        lastPermit = page.lastPermit();
-        haltedBy = page.haltedBy();
+        snapshot.permits().forEach(permit -> permits.put(permit.number(), permit));
+        lastPermit = snapshot.lastPermit();
+        haltedBy = snapshot.haltedBy();
         done.clear();
-        done.addAll(page.done());
+        done.addAll(snapshot.done());
         history.clear();
-        history.addAll(page.history());
-        releases.open(page.releases());
-        plans.open(page.plans());
-        rests.clear();
-        if (page.rests() != null) { // null in the page of an older version
-            page.rests().forEach(rest -> rests.put(rest.server(), rest));
+        history.addAll(snapshot.history());
+        rollouts.open(snapshot.rollouts());
+        plans.open(snapshot.plans());
+        cordons.clear();
+        if (snapshot.cordons() != null) { // null in the page of an older version
+            snapshot.cordons().forEach(cordon -> cordons.put(cordon.server(), cordon));
         }
     }
 
-    public Snapshot page() {
+    public Snapshot snapshot() {
         return new Snapshot(
                 new ArrayList<>(members.values()),
                 new ArrayList<>(duties.values()),
@@ -125,9 +126,9 @@
                 haltedBy,
                 new ArrayList<>(done),
                 new ArrayList<>(history),
-                releases.page(),
-                new ArrayList<>(rests.values()),
-                plans.page());
+                rollouts.snapshot(),
+                new ArrayList<>(cordons.values()),
+                plans.snapshot());
     }
 
     /** Whether the command fitted and was done; one that no longer fits changes nothing. */
@@ -138,11 +139,12 @@
         }
         if (command instanceof ClusterCommand.Leave leave) {
             Member member = members.get(leave.name());
-            if (member == null || !member.life().equals(leave.life())) {
+            if (member == null || !member.incarnation().equals(leave.incarnation())) {
                 return false;
             }
             members.put(
-                    leave.name(), new Member(member.name(), member.life(), member.site(), false));
+                    leave.name(),
+                    new Member(member.name(), member.incarnation(), member.site(), false));
             return true;
         }
         if (command instanceof ClusterCommand.RemoveNode forget) {
@@ -217,9 +219,9 @@
             if (answer(let.order()) != null) {
                 return true;
             }
-            boolean fits = againstRest(let.server(), let.most()).isEmpty();
+            boolean fits = reasonAgainstCordon(let.server(), let.most()).isEmpty();
             if (fits) {
-                rests.put(let.server(), new Cordon(let.server(), let.by()));
+                cordons.put(let.server(), new Cordon(let.server(), let.by()));
                 did(let.order(), let.server() + " rests");
                 write(let.atMillis(), let.by() + " let " + let.server() + " rest");
             }
@@ -229,7 +231,7 @@
             if (answer(end.order()) != null) {
                 return true;
             }
-            boolean fits = rests.remove(end.server()) != null;
+            boolean fits = cordons.remove(end.server()) != null;
             if (fits) {
                 did(end.order(), end.server() + " is back");
                 write(end.atMillis(), end.by() + " took " + end.server() + " back");
@@ -243,13 +245,13 @@
             return turn(turn);
         }
         if (command instanceof ClusterCommand.FinishRollout finish) {
-            Rollout release = releases.release();
+            Rollout rollout = rollouts.rollout();
             boolean fits =
-                    isUnder(DutyName.ROLLOUT_CONTROLLER, finish.token()) && releases.finish(finish);
+                    isUnder(DutyName.ROLLOUT_CONTROLLER, finish.token()) && rollouts.finish(finish);
             if (fits) {
                 write(
                         finish.atMillis(),
-                        release
+                        rollout
                                 + (finish.done()
                                         ? " is done"
                                         : " has ended, nodes run what they ran before")
@@ -274,15 +276,15 @@
         if (answer(begin.order()) != null) {
             return true; // it was done before
         }
-        if (!haltedBy.isEmpty() || !rests.isEmpty() || !releases.begin(begin)) {
+        if (!haltedBy.isEmpty() || !cordons.isEmpty() || !rollouts.begin(begin)) {
             return false;
         }
-        did(begin.order(), releases.release() + " of " + begin.to());
+        did(begin.order(), rollouts.rollout() + " of " + begin.to());
         write(
                 begin.atMillis(),
                 begin.by()
                         + " began "
-                        + releases.release()
+                        + rollouts.rollout()
                         + " of "
                         + (begin.kind() == Rollout.Kind.PROGRAM
                                 ? "the program "
@@ -294,12 +296,12 @@
     private boolean step(ClusterCommand.AdvanceRollout step) {
         if (!isUnder(DutyName.ROLLOUT_CONTROLLER, step.token())
                 || !haltedBy.isEmpty()
-                || !releases.step(step)) {
+                || !rollouts.step(step)) {
             return false;
         }
         write(
                 step.atMillis(),
-                releases.release()
+                rollouts.rollout()
                         + (step.back() ? " taken back from " : " given to ")
                         + step.nodes().size()
                         + (step.nodes().size() == 1 ? " node, " : " nodes, ")
@@ -314,35 +316,35 @@
         if (answer(turn.order()) != null) {
             return true;
         }
-        if (!releases.turn(turn.release())) {
+        if (!rollouts.turn(turn.rollout())) {
             return false;
         }
         haltedBy = "";
-        did(turn.order(), releases.release() + " turns back");
-        write(turn.atMillis(), turn.by() + " turned " + releases.release() + " back");
+        did(turn.order(), rollouts.rollout() + " turns back");
+        write(turn.atMillis(), turn.by() + " turned " + rollouts.rollout() + " back");
         return true;
     }
 
     /** Why a release may not begin now; empty where it may. */
-    public String againstRelease(Rollout.Kind kind, String to, String text) {
+    public String reasonAgainstRollout(Rollout.Kind kind, String to, String text) {
         return !haltedBy.isEmpty()
                 ? haltedBy + " halted"
-                : !rests.isEmpty()
-                        ? rests.firstKey() + " rests; it has to be back first"
-                        : releases.against(kind, to, text);
+                : !cordons.isEmpty()
+                        ? cordons.firstKey() + " rests; it has to be back first"
+                        : rollouts.against(kind, to, text);
     }
 
     /** Why a server may not rest now; empty where it may. */
-    public String againstRest(String server, int most) {
-        Rollout release = releases.release();
+    public String reasonAgainstCordon(String server, int most) {
+        Rollout rollout = rollouts.rollout();
         return !haltedBy.isEmpty()
                 ? haltedBy + " halted"
-                : release != null
-                        ? release + " by " + release.by() + " is open; it has to end first"
-                        : rests.containsKey(server)
+                : rollout != null
+                        ? rollout + " by " + rollout.by() + " is open; it has to end first"
+                        : cordons.containsKey(server)
                                 ? server + " rests already"
-                                : rests.size() >= most
-                                        ? rests.keySet()
+                                : cordons.size() >= most
+                                        ? cordons.keySet()
                                                 + " rest, and no more than "
                                                 + most
                                                 + " may"
@@ -365,42 +367,42 @@
     }
 
     /** The servers that rest. */
-    public Collection<Cordon> rests() {
-        return Collections.unmodifiableCollection(rests.values());
+    public Collection<Cordon> cordons() {
+        return Collections.unmodifiableCollection(cordons.values());
     }
 
     /** The release that is open; null while none is. */
-    public Rollout release() {
-        return releases.release();
+    public Rollout rollout() {
+        return rollouts.rollout();
     }
 
     /** The digest of the text that all run while no release is open; empty for none. */
     public String good() {
-        return releases.good();
+        return rollouts.good();
     }
 
     /** What each node answered over a watch before the open release, by its name. */
     public Map<String, RequestCounts> past() {
-        return releases.past();
+        return rollouts.past();
     }
 
     /** What a node is to run. */
     public HeartbeatReply.Wanted wanted(NodeName node) {
         return new HeartbeatReply.Wanted(
-                releases.wanted(node),
-                releases.toCheck(),
-                releases.release() != null,
-                List.copyOf(rests.keySet()));
+                rollouts.wanted(node),
+                rollouts.toCheck(),
+                rollouts.rollout() != null,
+                List.copyOf(cordons.keySet()));
     }
 
     /** The program that a node is to be started with; empty for whatever there is. */
     public String wantedProgram(NodeName node) {
-        return releases.wantedProgram(node);
+        return rollouts.wantedProgram(node);
     }
 
     /** The fleet's text of that digest; null where it isn't kept. */
     public String text(String digest) {
-        return releases.text(digest);
+        return rollouts.text(digest);
     }
 
     private boolean allow(ClusterCommand.GrantPermit allow) {
@@ -415,7 +417,7 @@
                 || has
                 || permits.size() >= MOST_PERMITS
                 || !new DisruptionBudget(
-                                allow.rules(),
+                                allow.limits(),
                                 members.values(),
                                 permits.values(),
                                 allow.unavailableNodes())
@@ -425,7 +427,11 @@
         }
         DisruptionPermit permit =
                 new DisruptionPermit(
-                        ++lastPermit, member.name(), member.life(), member.site(), allow.by());
+                        ++lastPermit,
+                        member.name(),
+                        member.incarnation(),
+                        member.site(),
+                        allow.by());
         permits.put(permit.number(), permit);
         did(allow.order(), "permit " + permit.number() + " for " + permit.node());
         write(
@@ -459,14 +465,14 @@
 
     /** Why a node may not go now; empty where it may. */
     public String against(
-            NodeName node, DisruptionLimits rules, Collection<NodeName> unavailableNodes) {
+            NodeName node, DisruptionLimits limits, Collection<NodeName> unavailableNodes) {
         if (!haltedBy.isEmpty()) {
             return haltedBy + " halted";
         }
         boolean has = permits.values().stream().anyMatch(permit -> permit.node().equals(node));
         return has
                 ? node + " has a permit already"
-                : new DisruptionBudget(rules, members.values(), permits.values(), unavailableNodes)
+                : new DisruptionBudget(limits, members.values(), permits.values(), unavailableNodes)
                         .against(node);
     }
 
@@ -495,7 +501,7 @@
                 return false;
             }
         }
-        members.put(join.name(), new Member(join.name(), join.life(), join.site(), true));
+        members.put(join.name(), new Member(join.name(), join.incarnation(), join.site(), true));
         return true;
     }
 
@@ -506,13 +512,16 @@
                 lease == null
                         ? give.after().number() == 0 && duties.size() < MOST_DUTIES
                         : lease.isFree() && lease.token().equals(give.after());
-        if (!fits || heir == null || !heir.in() || !heir.life().equals(give.life())) {
+        if (!fits || heir == null || !heir.in() || !heir.incarnation().equals(give.incarnation())) {
             return false;
         }
         duties.put(
                 give.duty(),
                 new DutyLease(
-                        give.duty(), give.heir(), give.life(), new FencingToken(++lastToken)));
+                        give.duty(),
+                        give.heir(),
+                        give.incarnation(),
+                        new FencingToken(++lastToken)));
         return true;
     }
 
--- a/src/main/java/lupinwood/cluster/DisruptionBudget.java
+++ b/src/main/java/lupinwood/cluster/DisruptionBudget.java
@@ -6,18 +6,18 @@
 
 /** Who is out, whatever the reason, and whether one more may go. */
 final class DisruptionBudget {
-    private final DisruptionLimits rules;
+    private final DisruptionLimits limits;
     private final Collection<ClusterState.Member> members;
 
     /** By permits, and by what was seen: not in, unknown, cold or leaving. */
     private final Set<NodeName> out;
 
     DisruptionBudget(
-            DisruptionLimits rules,
+            DisruptionLimits limits,
             Collection<ClusterState.Member> members,
             Collection<DisruptionPermit> permits,
             Collection<NodeName> unavailableNodes) {
-        this.rules = rules;
+        this.limits = limits;
         this.members = members;
         out = new HashSet<>(unavailableNodes);
         permits.forEach(permit -> out.add(permit.node()));
@@ -43,24 +43,24 @@
         }
         int all = members.size();
         int gone = count() + 1;
-        if (gone > rules.mostOf(all)) {
+        if (gone > limits.mostOf(all)) {
             return "of "
                     + all
                     + " nodes "
                     + (gone - 1)
                     + " are out, and no more than "
-                    + rules.mostOf(all)
+                    + limits.mostOf(all)
                     + " may be";
         }
-        if (all - gone < rules.leastIn()) {
-            return "fewer than " + rules.leastIn() + " nodes would stay in";
+        if (all - gone < limits.leastIn()) {
+            return "fewer than " + limits.leastIn() + " nodes would stay in";
         }
         // Null in a command of an older version.
-        if (rules.voters() != null && rules.voters().contains(node)) {
-            int without = 1 + (int) rules.voters().stream().filter(out::contains).count();
-            if (without * 2 >= rules.voters().size()) {
+        if (limits.voters() != null && limits.voters().contains(node)) {
+            int without = 1 + (int) limits.voters().stream().filter(out::contains).count();
+            if (without * 2 >= limits.voters().size()) {
                 return "of "
-                        + rules.voters().size()
+                        + limits.voters().size()
                         + " voters "
                         + (without - 1)
                         + " are out, and a majority has to stay";
@@ -76,7 +76,7 @@
                                                         one.site().equals(member.site())
                                                                 && out.contains(one.name()))
                                         .count();
-        if (outOfZone > rules.mostOfZone(inZone)) {
+        if (outOfZone > limits.mostOfZone(inZone)) {
             return "of "
                     + inZone
                     + " nodes in "
@@ -84,7 +84,7 @@
                     + " "
                     + (outOfZone - 1)
                     + " are out, and no more than "
-                    + rules.mostOfZone(inZone)
+                    + limits.mostOfZone(inZone)
                     + " may be";
         }
         return "";
--- a/src/main/java/lupinwood/cluster/DisruptionPermit.java
+++ b/src/main/java/lupinwood/cluster/DisruptionPermit.java
@@ -6,8 +6,9 @@
  * never used.
  *
  * @param number counts up; names it
- * @param life under which the node was when it was given; another life that is well gives it back
+ * @param incarnation under which the node was when it was given; another life that is well gives it
+ *     back
  * @param by who asked
  */
 public record DisruptionPermit(
-        long number, NodeName node, Incarnation life, Site site, String by) {}
+        long number, NodeName node, Incarnation incarnation, Site site, String by) {}
--- a/src/main/java/lupinwood/cluster/Heartbeat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -17,7 +17,7 @@
 public record Heartbeat(
         int version,
         NodeName name,
-        Incarnation life,
+        Incarnation incarnation,
         Site site,
         NodeCondition condition,
         long number,
@@ -40,7 +40,7 @@
         return new Heartbeat(
                 version,
                 name,
-                life,
+                incarnation,
                 site,
                 condition,
                 number,
--- a/src/main/java/lupinwood/cluster/HeartbeatReply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -12,7 +12,7 @@
  * @param leader who leads, as far as the one who says it knows; null where nobody is known to
  * @param trouble why the node stands outside; empty where it doesn't
  * @param lease how long each grant is good, from before the heartbeat was sent
- * @param grants what the node holds; a duty that isn't named isn't its
+ * @param leases what the node holds; a duty that isn't named isn't its
  * @param found what the holder of the duty trial found lately
  * @param leave the permit under which the node is to go; zero where it is to stay
  * @param wanted what the node is to run; null of an older version
@@ -26,7 +26,7 @@
         NodeName leader,
         String trouble,
         NanoDuration lease,
-        List<Lease> grants,
+        List<Lease> leases,
         List<HealthCheckResult> found,
         long leave,
         Wanted wanted,
@@ -45,11 +45,11 @@
      * @param runs the digest of the fleet's text that it is to go by; empty for none
      * @param checks the digest of a text that it is to check; empty for none
      * @param busy whether a release is open, or some node has yet to take what was agreed on
-     * @param rests servers below to which it is to send nothing new
+     * @param cordons servers below to which it is to send nothing new
      */
-    public record Wanted(String runs, String checks, boolean busy, List<String> rests) {
+    public record Wanted(String runs, String checks, boolean busy, List<String> cordons) {
         Wanted busyOr(boolean also) {
-            return new Wanted(runs, checks, busy || also, rests);
+            return new Wanted(runs, checks, busy || also, cordons);
         }
     }
 
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -20,7 +20,7 @@
 
     private record LeaseExpiry(FencingToken token, MonotonicTime time) {}
 
-    private final LeaseTiming rules;
+    private final LeaseTiming timing;
     private final Map<Long, MonotonicTime> requestedAt = new HashMap<>();
     private long latest;
     private final TreeMap<DutyName, LeaseExpiry> leases = new TreeMap<>();
@@ -28,8 +28,8 @@
     /** Given back or failed at, and not to be taken again under the same token. */
     private final Map<DutyName, FencingToken> done = new HashMap<>();
 
-    public HeldLeases(LeaseTiming rules) {
-        this.rules = rules;
+    public HeldLeases(LeaseTiming timing) {
+        this.timing = timing;
     }
 
     /** A heartbeat is about to go out. */
@@ -54,16 +54,16 @@
         requestedAt.keySet().removeIf(old -> old < latest);
         // The consensus group's lease counts where it is the shorter one: two files may differ.
         MonotonicTime until =
-                requested.plus(rules.holderLease().min(reply.lease().times(1 - rules.drift())));
+                requested.plus(timing.holderLease().min(reply.lease().times(1 - timing.drift())));
         TreeMap<DutyName, LeaseExpiry> next = new TreeMap<>();
-        for (Lease grant : reply.grants()) {
-            LeaseExpiry before = leases.get(grant.duty());
-            boolean newer = before == null || before.token().compareTo(grant.token()) <= 0;
+        for (Lease lease : reply.leases()) {
+            LeaseExpiry before = leases.get(lease.duty());
+            boolean newer = before == null || before.token().compareTo(lease.token()) <= 0;
             boolean over =
-                    done.containsKey(grant.duty())
-                            && done.get(grant.duty()).compareTo(grant.token()) >= 0;
+                    done.containsKey(lease.duty())
+                            && done.get(lease.duty()).compareTo(lease.token()) >= 0;
             if (newer && !over && now.isBefore(until)) {
-                next.put(grant.duty(), new LeaseExpiry(grant.token(), until));
+                next.put(lease.duty(), new LeaseExpiry(lease.token(), until));
             }
         }
         leases.clear();
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -40,7 +40,7 @@
     }
 
     /** One life of a node. */
-    private record NodeIncarnation(NodeName name, Incarnation life) {}
+    private record NodeIncarnation(NodeName name, Incarnation incarnation) {}
 
     private record Ineligibility(int times, MonotonicTime until) {}
 
@@ -54,7 +54,7 @@
 
     private static final double UNUSED_FOR = 20;
 
-    private final LeaseTiming rules;
+    private final LeaseTiming timing;
     private final List<DutyName> duties;
     private final Map<NodeName, LatestHeartbeat> heard = new HashMap<>();
 
@@ -62,7 +62,7 @@
     private final TreeMap<DutyName, MonotonicTime> lapses = new TreeMap<>();
 
     private final Map<DutyName, Map<NodeName, Ineligibility>> shunned = new HashMap<>();
-    private final Map<String, HealthCheckResult> findings = new LinkedHashMap<>();
+    private final Map<String, HealthCheckResult> results = new LinkedHashMap<>();
     private final Map<String, MonotonicTime> foundAt = new HashMap<>();
 
     /**
@@ -82,24 +82,25 @@
     /** Whether some node runs another text than it is to. */
     private boolean lags;
 
-    public LeaseManager(LeaseTiming rules, List<DutyName> duties) {
-        this.rules = rules;
+    public LeaseManager(LeaseTiming timing, List<DutyName> duties) {
+        this.timing = timing;
         this.duties = List.copyOf(duties);
     }
 
     /** This voter leads from now on. */
-    public void leads(ClusterState book, MonotonicTime now) {
+    public void leads(ClusterState clusterState, MonotonicTime now) {
         leadsSince = now;
         heard.clear();
         lapses.clear();
         takenBack.clear();
         permitNoticeSentAt.clear();
         plansInUse.clear();
-        findings.clear();
+        results.clear();
         foundAt.clear();
-        book.duties().stream()
-                .filter(lease -> !lease.isFree())
-                .forEach(lease -> lapses.put(lease.duty(), now.plus(rules.expiresAfter())));
+        clusterState.duties().stream()
+                .filter(dutyLease -> !dutyLease.isFree())
+                .forEach(
+                        dutyLease -> lapses.put(dutyLease.duty(), now.plus(timing.expiresAfter())));
     }
 
     /** It leads no more; what it decided before may or may not be in the cluster state. */
@@ -116,7 +117,7 @@
      *
      * @return why the node stands outside, or an empty text
      */
-    public String heard(Heartbeat heartbeat, ClusterState book, MonotonicTime now) {
+    public String heard(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         if (heartbeat.version() != Heartbeat.VERSION) {
             return "it speaks form "
                     + heartbeat.version()
@@ -124,20 +125,23 @@
                     + Heartbeat.VERSION;
         }
         LatestHeartbeat before = heard.get(heartbeat.name());
-        ClusterState.Member member = book.member(heartbeat.name());
-        boolean another = member != null && member.in() && !member.life().equals(heartbeat.life());
+        ClusterState.Member member = clusterState.member(heartbeat.name());
+        boolean another =
+                member != null
+                        && member.in()
+                        && !member.incarnation().equals(heartbeat.incarnation());
         if (another
                 && before != null
-                && before.heartbeat.life().equals(member.life())
+                && before.heartbeat.incarnation().equals(member.incarnation())
                 && isFresh(before, now)) {
             // Guards against two processes under one name: the one that is there stays, until it is
             // silent.
             return "the name " + heartbeat.name() + " is in use by another process";
         }
-        if (member == null && book.isFull()) {
-            return "the book holds no more than " + book.members().size() + " nodes";
+        if (member == null && clusterState.isFull()) {
+            return "the book holds no more than " + clusterState.members().size() + " nodes";
         }
-        if (before != null && before.heartbeat.life().equals(heartbeat.life())) {
+        if (before != null && before.heartbeat.incarnation().equals(heartbeat.incarnation())) {
             if (heartbeat.number() < before.heartbeat.number()) {
                 return ""; // it was overtaken
             }
@@ -154,86 +158,92 @@
             first.wellSince = heartbeat.condition() == NodeCondition.WARM ? now : null;
             heard.put(heartbeat.name(), first);
         }
-        found(heartbeat, book, now);
+        found(heartbeat, clusterState, now);
         return "";
     }
 
     /** Findings count under the token of today's holder only, the latest for each server. */
-    private void found(Heartbeat heartbeat, ClusterState book, MonotonicTime now) {
-        ClusterState.DutyLease trial = book.duty(DutyName.HEALTH_CHECK);
-        for (HealthCheckResult finding : heartbeat.found()) {
-            MonotonicTime at = now.minus(finding.age());
-            MonotonicTime before = foundAt.get(finding.server());
-            if (trial.isBy(heartbeat.name(), heartbeat.life())
-                    && trial.token().equals(finding.token())
+    private void found(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
+        ClusterState.DutyLease trial = clusterState.duty(DutyName.HEALTH_CHECK);
+        for (HealthCheckResult result : heartbeat.found()) {
+            MonotonicTime at = now.minus(result.age());
+            MonotonicTime before = foundAt.get(result.server());
+            if (trial.isBy(heartbeat.name(), heartbeat.incarnation())
+                    && trial.token().equals(result.token())
                     && (before == null || before.isBefore(at))
                     && (before != null || foundAt.size() < Heartbeat.MOST)) {
-                findings.put(finding.server(), finding);
-                foundAt.put(finding.server(), at);
+                results.put(result.server(), result);
+                foundAt.put(result.server(), at);
             }
         }
-        foundAt.values().removeIf(at -> rules.lease().times(4).compareTo(now.since(at)) < 0);
-        findings.keySet().retainAll(foundAt.keySet());
+        foundAt.values().removeIf(at -> timing.lease().times(4).compareTo(now.since(at)) < 0);
+        results.keySet().retainAll(foundAt.keySet());
     }
 
     private boolean isFresh(LatestHeartbeat one, MonotonicTime now) {
-        return now.since(one.at).compareTo(rules.silent()) <= 0;
+        return now.since(one.at).compareTo(timing.silent()) <= 0;
     }
 
     /**
      * What is to be written into the cluster state now. Said again until it is there, so a lost
      * command does no harm.
      */
-    public List<ClusterCommand> decide(ClusterState book, long tokensAbove, MonotonicTime now) {
+    public List<ClusterCommand> decide(
+            ClusterState clusterState, long tokensAbove, MonotonicTime now) {
         List<ClusterCommand> commands = new ArrayList<>();
         if (!isLeading()) {
             return commands;
         }
-        if (!book.isFounded()) {
+        if (!clusterState.isFounded()) {
             commands.add(new ClusterCommand.Bootstrap(tokensAbove));
             return commands;
         }
-        roster(book, now, commands);
+        roster(clusterState, now, commands);
         lags =
                 heard.values().stream()
                         .anyMatch(
                                 one ->
                                         isFresh(one, now)
                                                 && one.heartbeat.report() != null
-                                                && !book.wanted(one.heartbeat.name())
+                                                && !clusterState
+                                                        .wanted(one.heartbeat.name())
                                                         .runs()
                                                         .equals(one.heartbeat.report().runs()));
-        permits(book, now, commands);
-        plans(book, now, commands);
+        permits(clusterState, now, commands);
+        plans(clusterState, now, commands);
         for (DutyName duty : duties) {
-            ClusterState.DutyLease lease = book.duty(duty);
-            if (lease.isFree()) {
+            ClusterState.DutyLease dutyLease = clusterState.duty(duty);
+            if (dutyLease.isFree()) {
                 lapses.remove(duty);
-                takenBack.removeIf(grant -> grant.duty().equals(duty));
-                heir(duty, book, now)
+                takenBack.removeIf(lease -> lease.duty().equals(duty));
+                heir(duty, clusterState, now)
                         .ifPresent(
                                 heir ->
                                         commands.add(
                                                 new ClusterCommand.GrantLease(
                                                         duty,
                                                         heir.name(),
-                                                        heir.life(),
-                                                        lease.token())));
+                                                        heir.incarnation(),
+                                                        dutyLease.token())));
             } else {
-                takeBack(lease, now, commands);
+                takeBack(dutyLease, now, commands);
             }
         }
         return commands;
     }
 
-    private void roster(ClusterState book, MonotonicTime now, List<ClusterCommand> commands) {
+    private void roster(
+            ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
         for (LatestHeartbeat one : heard.values()) {
             Heartbeat heartbeat = one.heartbeat;
-            ClusterState.Member member = book.member(heartbeat.name());
-            boolean in = member != null && member.in() && member.life().equals(heartbeat.life());
+            ClusterState.Member member = clusterState.member(heartbeat.name());
+            boolean in =
+                    member != null
+                            && member.in()
+                            && member.incarnation().equals(heartbeat.incarnation());
             boolean changed = member != null && !member.site().equals(heartbeat.site());
             if (in && heartbeat.condition() == NodeCondition.GONE) {
-                commands.add(new ClusterCommand.Leave(heartbeat.name(), heartbeat.life()));
+                commands.add(new ClusterCommand.Leave(heartbeat.name(), heartbeat.incarnation()));
                 continue;
             }
             boolean comes =
@@ -242,7 +252,7 @@
             if (isFresh(one, now) && ((!in && comes) || (in && changed))) {
                 commands.add(
                         new ClusterCommand.Join(
-                                heartbeat.name(), heartbeat.life(), heartbeat.site()));
+                                heartbeat.name(), heartbeat.incarnation(), heartbeat.site()));
             }
         }
     }
@@ -251,66 +261,73 @@
      * A permit ends when its node has been well for a while under another life, or stays and never
      * used it.
      */
-    private void permits(ClusterState book, MonotonicTime now, List<ClusterCommand> commands) {
-        for (DisruptionPermit permit : book.permits()) {
+    private void permits(
+            ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
+        for (DisruptionPermit permit : clusterState.permits()) {
             LatestHeartbeat one = heard.get(permit.node());
             MonotonicTime since = one == null || !isFresh(one, now) ? null : one.wellSince;
-            boolean another = one != null && !one.heartbeat.life().equals(permit.life());
+            boolean another =
+                    one != null && !one.heartbeat.incarnation().equals(permit.incarnation());
             if (since == null) {
                 permitNoticeSentAt.remove(permit.number());
-            } else if (another && now.since(since).compareTo(rules.lease().times(WELL_FOR)) >= 0) {
+            } else if (another && now.since(since).compareTo(timing.lease().times(WELL_FOR)) >= 0) {
                 commands.add(new ClusterCommand.ReturnPermit(permit.number(), "well again", 0));
             } else if (!another) {
                 MonotonicTime reported =
                         permitNoticeSentAt.computeIfAbsent(permit.number(), none -> now);
-                if (now.since(reported).compareTo(rules.lease().times(UNUSED_FOR)) >= 0) {
+                if (now.since(reported).compareTo(timing.lease().times(UNUSED_FOR)) >= 0) {
                     commands.add(new ClusterCommand.ReturnPermit(permit.number(), "never used", 0));
                 }
             }
         }
         permitNoticeSentAt
                 .keySet()
-                .retainAll(book.permits().stream().map(DisruptionPermit::number).toList());
+                .retainAll(clusterState.permits().stream().map(DisruptionPermit::number).toList());
     }
 
     /** Members that are out by what is seen here: all that aren't heard to be warm. */
-    public List<NodeName> unavailableNodes(ClusterState book, MonotonicTime now) {
-        return picture(book, now).stream()
-                .filter(nodeView -> nodeView.standing() != NodeStatus.WARM)
+    public List<NodeName> unavailableNodes(ClusterState clusterState, MonotonicTime now) {
+        return snapshot(clusterState, now).stream()
+                .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
                 .map(NodeView::name)
                 .toList();
     }
 
     private void takeBack(
-            ClusterState.DutyLease lease, MonotonicTime now, List<ClusterCommand> commands) {
+            ClusterState.DutyLease dutyLease, MonotonicTime now, List<ClusterCommand> commands) {
         // A duty that was given since this voter leads has no end noted yet: it counts from when it
         // is first seen here.
         MonotonicTime expiry =
-                lapses.computeIfAbsent(lease.duty(), duty -> now.plus(rules.expiresAfter()));
-        LatestHeartbeat holder = heard.get(lease.holder());
-        if (holder != null && holder.heartbeat.life().equals(lease.life())) {
-            Lease grant = new Lease(lease.duty(), lease.token());
-            if (holder.heartbeat.failsAt().contains(grant)) {
-                takenBack.add(grant);
-                shun(lease.duty(), lease.holder(), now);
+                lapses.computeIfAbsent(dutyLease.duty(), duty -> now.plus(timing.expiresAfter()));
+        LatestHeartbeat holder = heard.get(dutyLease.holder());
+        if (holder != null && holder.heartbeat.incarnation().equals(dutyLease.incarnation())) {
+            Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
+            if (holder.heartbeat.failsAt().contains(lease)) {
+                takenBack.add(lease);
+                shun(dutyLease.duty(), dutyLease.holder(), now);
                 commands.add(
                         new ClusterCommand.ReleaseLease(
-                                lease.duty(), lease.token(), ClusterCommand.LeaseEnd.FAILED));
+                                dutyLease.duty(),
+                                dutyLease.token(),
+                                ClusterCommand.LeaseEnd.FAILED));
                 return;
             }
-            if (holder.heartbeat.releasing().contains(grant)) {
-                takenBack.add(grant);
+            if (holder.heartbeat.releasing().contains(lease)) {
+                takenBack.add(lease);
                 commands.add(
                         new ClusterCommand.ReleaseLease(
-                                lease.duty(), lease.token(), ClusterCommand.LeaseEnd.HANDED_ON));
+                                dutyLease.duty(),
+                                dutyLease.token(),
+                                ClusterCommand.LeaseEnd.HANDED_ON));
                 return;
             }
         }
-        if (!now.isBefore(expiry) || takenBack.contains(new Lease(lease.duty(), lease.token()))) {
-            takenBack.add(new Lease(lease.duty(), lease.token()));
+        if (!now.isBefore(expiry)
+                || takenBack.contains(new Lease(dutyLease.duty(), dutyLease.token()))) {
+            takenBack.add(new Lease(dutyLease.duty(), dutyLease.token()));
             commands.add(
                     new ClusterCommand.ReleaseLease(
-                            lease.duty(), lease.token(), ClusterCommand.LeaseEnd.LAPSED));
+                            dutyLease.duty(), dutyLease.token(), ClusterCommand.LeaseEnd.LAPSED));
         }
     }
 
@@ -322,7 +339,7 @@
         }
         int times = before == null ? 0 : before.times() + 1;
         NanoDuration duration =
-                rules.shunned().times(Math.pow(2, Math.min(20, times))).min(rules.shunnedMost());
+                timing.shunned().times(Math.pow(2, Math.min(20, times))).min(timing.shunnedMost());
         all.put(name, new Ineligibility(times, now.plus(duration)));
     }
 
@@ -336,19 +353,19 @@
      * then who holds least, then who has been well for longest.
      */
     private Optional<ClusterState.Member> heir(
-            DutyName duty, ClusterState book, MonotonicTime now) {
-        if (now.since(leadsSince).compareTo(rules.heartbeatInterval()) < 0) {
+            DutyName duty, ClusterState clusterState, MonotonicTime now) {
+        if (now.since(leadsSince).compareTo(timing.heartbeatInterval()) < 0) {
             return Optional.empty(); // else the first to be heard would get all
         }
         Map<Site, int[]> zones = new HashMap<>();
-        for (ClusterState.Member member : book.members()) {
+        for (ClusterState.Member member : clusterState.members()) {
             if (member.in()) {
                 int[] zone = zones.computeIfAbsent(member.site(), none -> new int[2]);
                 zone[0]++;
                 zone[1] += isWell(member, now) ? 1 : 0;
             }
         }
-        return book.members().stream()
+        return clusterState.members().stream()
                 .filter(
                         member ->
                                 member.in()
@@ -362,12 +379,13 @@
                                         })
                                 .thenComparingLong(
                                         member ->
-                                                book.duties().stream()
+                                                clusterState.duties().stream()
                                                         .filter(
-                                                                lease ->
-                                                                        lease.isBy(
+                                                                dutyLease ->
+                                                                        dutyLease.isBy(
                                                                                 member.name(),
-                                                                                member.life()))
+                                                                                member
+                                                                                        .incarnation()))
                                                         .count())
                                 .thenComparing(
                                         member -> heard.get(member.name()).wellSince, EARLIER)
@@ -377,9 +395,9 @@
     private boolean isWell(ClusterState.Member member, MonotonicTime now) {
         LatestHeartbeat one = heard.get(member.name());
         return one != null
-                && one.heartbeat.life().equals(member.life())
+                && one.heartbeat.incarnation().equals(member.incarnation())
                 && one.heartbeat.condition() == NodeCondition.WARM
-                && now.since(one.at).compareTo(rules.heartbeatInterval().times(1.6)) <= 0;
+                && now.since(one.at).compareTo(timing.heartbeatInterval().times(1.6)) <= 0;
     }
 
     /**
@@ -389,29 +407,30 @@
     public HeartbeatReply replyTo(
             Heartbeat heartbeat,
             String trouble,
-            ClusterState book,
+            ClusterState clusterState,
             NodeName self,
             MonotonicTime now) {
-        List<Lease> grants = new ArrayList<>();
+        List<Lease> leases = new ArrayList<>();
         if (trouble.isEmpty()) {
-            for (ClusterState.DutyLease lease : book.duties()) {
-                Lease grant = new Lease(lease.duty(), lease.token());
+            for (ClusterState.DutyLease dutyLease : clusterState.duties()) {
+                Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
                 boolean stops =
-                        heartbeat.releasing().contains(grant)
-                                || heartbeat.failsAt().contains(grant);
-                if (lease.isBy(heartbeat.name(), heartbeat.life()) && !takenBack.contains(grant)) {
+                        heartbeat.releasing().contains(lease)
+                                || heartbeat.failsAt().contains(lease);
+                if (dutyLease.isBy(heartbeat.name(), heartbeat.incarnation())
+                        && !takenBack.contains(lease)) {
                     // Named as long as the cluster state has it, so that the node knows what is
                     // still to be
                     // taken back.
-                    grants.add(grant);
+                    leases.add(lease);
                     if (!stops) {
-                        lapses.put(lease.duty(), now.plus(rules.expiresAfter()));
+                        lapses.put(dutyLease.duty(), now.plus(timing.expiresAfter()));
                     }
                 }
             }
         }
         List<HealthCheckResult> reported = new ArrayList<>();
-        findings.forEach(
+        results.forEach(
                 (server, one) ->
                         reported.add(
                                 new HealthCheckResult(
@@ -422,11 +441,12 @@
         int others = (int) heard.values().stream().filter(one -> isFresh(one, now)).count();
         long leave =
                 trouble.isEmpty()
-                        ? book.permits().stream()
+                        ? clusterState.permits().stream()
                                 .filter(
                                         permit ->
                                                 permit.node().equals(heartbeat.name())
-                                                        && permit.life().equals(heartbeat.life()))
+                                                        && permit.incarnation()
+                                                                .equals(heartbeat.incarnation()))
                                 .mapToLong(DisruptionPermit::number)
                                 .findFirst()
                                 .orElse(0)
@@ -436,12 +456,12 @@
                 true,
                 self,
                 trouble,
-                rules.lease(),
-                grants,
+                timing.lease(),
+                leases,
                 reported,
                 leave,
-                book.wanted(heartbeat.name()).busyOr(lags),
-                trouble.isEmpty() ? share(heartbeat, book, now) : null,
+                clusterState.wanted(heartbeat.name()).busyOr(lags),
+                trouble.isEmpty() ? share(heartbeat, clusterState, now) : null,
                 others);
     }
 
@@ -450,16 +470,16 @@
      * counts until later.
      */
     private HeartbeatReply.CapacityShare share(
-            Heartbeat heartbeat, ClusterState book, MonotonicTime now) {
-        CapacityPlan plan = book.plan();
+            Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
+        CapacityPlan plan = clusterState.plan();
         if (plan == null) {
             return null;
         }
         plansInUse
                 .computeIfAbsent(
-                        new NodeIncarnation(heartbeat.name(), heartbeat.life()),
+                        new NodeIncarnation(heartbeat.name(), heartbeat.incarnation()),
                         none -> new TreeMap<>())
-                .put(plan.number(), now.plus(rules.expiresAfter()));
+                .put(plan.number(), now.plus(timing.expiresAfter()));
         return new HeartbeatReply.CapacityShare(plan.number(), plan.of(heartbeat.name()));
     }
 
@@ -468,11 +488,12 @@
      * has said that it goes by a newer, or its lease has run out. A new leader can't know what was
      * told before it, so it waits for a lease first.
      */
-    private void plans(ClusterState book, MonotonicTime now, List<ClusterCommand> commands) {
-        CapacityPlan newest = book.plan();
+    private void plans(
+            ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
+        CapacityPlan newest = clusterState.plan();
         if (newest == null
-                || book.livePlans().size() < 2
-                || now.since(leadsSince).compareTo(rules.expiresAfter()) < 0) {
+                || clusterState.livePlans().size() < 2
+                || now.since(leadsSince).compareTo(timing.expiresAfter()) < 0) {
             return;
         }
         long oldest = newest.number();
@@ -483,7 +504,7 @@
             LatestHeartbeat latest = heard.get(one.getKey().name());
             boolean same =
                     latest != null
-                            && latest.heartbeat.life().equals(one.getKey().life())
+                            && latest.heartbeat.incarnation().equals(one.getKey().incarnation())
                             && latest.heartbeat.report() != null;
             long acknowledged = same ? latest.heartbeat.report().plan() : 0;
             one.getValue()
@@ -496,7 +517,7 @@
                 oldest = Math.min(oldest, one.getValue().firstKey());
             }
         }
-        if (oldest > book.livePlans().get(0).number()) {
+        if (oldest > clusterState.livePlans().get(0).number()) {
             commands.add(new ClusterCommand.RetireCapacityPlans(oldest));
         }
     }
@@ -507,18 +528,18 @@
     }
 
     /** What is known of each node of the cluster state. */
-    public List<NodeView> picture(ClusterState book, MonotonicTime now) {
+    public List<NodeView> snapshot(ClusterState clusterState, MonotonicTime now) {
         List<NodeView> picture = new ArrayList<>();
-        for (ClusterState.Member member : book.members()) {
+        for (ClusterState.Member member : clusterState.members()) {
             LatestHeartbeat one = heard.get(member.name());
-            boolean same = one != null && one.heartbeat.life().equals(member.life());
-            NodeStatus standing;
+            boolean same = one != null && one.heartbeat.incarnation().equals(member.incarnation());
+            NodeStatus status;
             if (!member.in()) {
-                standing = NodeStatus.OUT;
+                status = NodeStatus.OUT;
             } else if (!same || !isFresh(one, now)) {
-                standing = NodeStatus.UNKNOWN;
+                status = NodeStatus.UNKNOWN;
             } else {
-                standing =
+                status =
                         switch (one.heartbeat.condition()) {
                             case WARM -> NodeStatus.WARM;
                             case COLD -> NodeStatus.UP;
@@ -529,9 +550,9 @@
             picture.add(
                     new NodeView(
                             member.name(),
-                            member.life(),
+                            member.incarnation(),
                             member.site(),
-                            standing,
+                            status,
                             same ? now.since(one.at) : null,
                             same ? one.heartbeat.report() : null));
         }
@@ -554,6 +575,6 @@
 
     /** How soon something is decided again without a heartbeat. */
     public NanoDuration looksEvery() {
-        return rules.holderHeartbeatInterval().times(0.5);
+        return timing.holderHeartbeatInterval().times(0.5);
     }
 }
--- a/src/main/java/lupinwood/cluster/NodeReport.java
+++ b/src/main/java/lupinwood/cluster/NodeReport.java
@@ -12,7 +12,7 @@
  *     more
  * @param plan the plan that it heard of last; nothing older is gone by any more
  * @param uses what it does at places below
- * @param tally what it answered in this life
+ * @param requestCounts what it answered in this life
  */
 public record NodeReport(
         String program,
@@ -21,7 +21,7 @@
         List<String> drained,
         long plan,
         List<LocationUse> uses,
-        RequestCounts tally) {
+        RequestCounts requestCounts) {
     /**
      * What a node does at one place; counts only grow within one life.
      *
@@ -61,7 +61,7 @@
                 drained,
                 plan,
                 places ? uses : List.of(),
-                tallies ? tally : RequestCounts.NOTHING);
+                tallies ? requestCounts : RequestCounts.NOTHING);
     }
 
     NodeReport cut() {
@@ -90,6 +90,6 @@
                         : uses.size() <= Heartbeat.MOST
                                 ? uses
                                 : List.copyOf(uses.subList(0, Heartbeat.MOST)),
-                tally == null ? RequestCounts.NOTHING : tally.cut());
+                requestCounts == null ? RequestCounts.NOTHING : requestCounts.cut());
     }
 }
--- a/src/main/java/lupinwood/cluster/NodeView.java
+++ b/src/main/java/lupinwood/cluster/NodeView.java
@@ -10,8 +10,8 @@
  */
 public record NodeView(
         NodeName name,
-        Incarnation life,
+        Incarnation incarnation,
         Site site,
-        NodeStatus standing,
+        NodeStatus status,
         NanoDuration heard,
         NodeReport report) {}
--- a/src/main/java/lupinwood/cluster/Rollouts.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -46,22 +46,22 @@
     /** How the nodes did before the release; whoever leads it later has this from here. */
     private Map<String, RequestCounts> past = Map.of();
 
-    void open(Snapshot page) {
-        if (page != null) { // null in the page of an older version
-            good = page.good();
-            program = page.program();
-            next = page.next();
-            open = page.open();
-            last = page.last();
-            past = page.past();
+    void open(Snapshot snapshot) {
+        if (snapshot != null) { // null in the page of an older version
+            good = snapshot.good();
+            program = snapshot.program();
+            next = snapshot.next();
+            open = snapshot.open();
+            last = snapshot.last();
+            past = snapshot.past();
         }
     }
 
-    Snapshot page() {
+    Snapshot snapshot() {
         return new Snapshot(good, program, next, open, last, past);
     }
 
-    Rollout release() {
+    Rollout rollout() {
         return open;
     }
 
@@ -106,7 +106,7 @@
     /** A wave: there the nodes get it, on the way back they have it no more. */
     boolean step(ClusterCommand.AdvanceRollout step) {
         if (open == null
-                || step.release() != open.number()
+                || step.rollout() != open.number()
                 || step.step() != open.steps() + 1
                 || step.back() != open.back()) {
             return false;
@@ -130,7 +130,7 @@
 
     boolean finish(ClusterCommand.FinishRollout finish) {
         if (open == null
-                || finish.release() != open.number()
+                || finish.rollout() != open.number()
                 || finish.done() == (open.back() || open.steps() == 0)
                 || (!finish.done() && !open.given().isEmpty())) {
             return false;
--- a/src/main/java/lupinwood/config/Config.java
+++ b/src/main/java/lupinwood/config/Config.java
@@ -7,14 +7,14 @@
 /**
  * A configuration as read from its texts.
  *
- * @param meaning what it says; only to be gone by where there is no problem
+ * @param parsedSettings what it says; only to be gone by where there is no problem
  * @param places where each value was given, by the name of its entry
  * @param sources all texts, the first one first
  */
 public record Config(
-        ParsedSettings meaning,
+        ParsedSettings parsedSettings,
         Map<String, SourcePosition> places,
-        Diagnostics problems,
+        Diagnostics diagnostics,
         List<Source> sources) {
     /** The text in which something stands, or null. */
     public Source source(SourcePosition place) {
--- a/src/main/java/lupinwood/config/DiagnosticReport.java
+++ b/src/main/java/lupinwood/config/DiagnosticReport.java
@@ -14,24 +14,24 @@
     private DiagnosticReport() {}
 
     /** {@code FILE:LINE:COL: error: TEXT}, the line itself, a caret, and what to write instead. */
-    public static String text(Diagnostics problems, Function<SourcePosition, Source> sources) {
+    public static String text(Diagnostics diagnostics, Function<SourcePosition, Source> sources) {
         StringBuilder out = new StringBuilder();
-        for (Diagnostic problem : problems.all()) {
-            out.append(problem.place())
+        for (Diagnostic diagnostic : diagnostics.all()) {
+            out.append(diagnostic.place())
                     .append(": error: ")
-                    .append(visible(problem.text()))
+                    .append(visible(diagnostic.text()))
                     .append('\n');
-            Source source = sources.apply(problem.place());
-            String line = source == null ? "" : source.line(problem.place().line());
+            Source source = sources.apply(diagnostic.place());
+            String line = source == null ? "" : source.line(diagnostic.place().line());
             if (!line.isBlank()) {
-                excerpt(line, problem.place(), out);
+                excerpt(line, diagnostic.place(), out);
             }
-            if (!problem.instead().isEmpty()) {
-                out.append("    ").append(visible(problem.instead())).append('\n');
+            if (!diagnostic.instead().isEmpty()) {
+                out.append("    ").append(visible(diagnostic.instead())).append('\n');
             }
         }
-        if (problems.more() > 0) {
-            out.append("and ").append(problems.more()).append(" more\n");
+        if (diagnostics.more() > 0) {
+            out.append("and ").append(diagnostics.more()).append(" more\n");
         }
         return out.toString();
     }
@@ -69,16 +69,16 @@
     }
 
     /** An array of objects with file, line, column, length, text and instead. */
-    public static String json(Diagnostics problems) {
+    public static String json(Diagnostics diagnostics) {
         JsonArray all = new JsonArray();
-        for (Diagnostic problem : problems.all()) {
+        for (Diagnostic diagnostic : diagnostics.all()) {
             JsonObject one = new JsonObject();
-            one.addProperty("file", problem.place().file());
-            one.addProperty("line", problem.place().line());
-            one.addProperty("column", problem.place().column());
-            one.addProperty("length", problem.place().length());
-            one.addProperty("text", problem.text());
-            one.addProperty("instead", problem.instead());
+            one.addProperty("file", diagnostic.place().file());
+            one.addProperty("line", diagnostic.place().line());
+            one.addProperty("column", diagnostic.place().column());
+            one.addProperty("length", diagnostic.place().length());
+            one.addProperty("text", diagnostic.text());
+            one.addProperty("instead", diagnostic.instead());
             all.add(one);
         }
         return GSON.toJson(all);
--- a/src/main/java/lupinwood/config/Diagnostics.java
+++ b/src/main/java/lupinwood/config/Diagnostics.java
@@ -31,7 +31,7 @@
     /** File by file, in the order of lines. */
     public List<Diagnostic> all() {
         List<String> files =
-                found.stream().map(problem -> problem.place().file()).distinct().toList();
+                found.stream().map(diagnostic -> diagnostic.place().file()).distinct().toList();
         return found.stream()
                 .sorted(
                         Comparator.<Diagnostic>comparingInt(p -> files.indexOf(p.place().file()))
--- a/src/main/java/lupinwood/config/Formatter.java
+++ b/src/main/java/lupinwood/config/Formatter.java
@@ -32,10 +32,10 @@
     private Formatter() {}
 
     /** The text in its form, or null where it can't be read, which the problems tell. */
-    public static String format(Source source, Diagnostics problems) {
-        boolean sound = problems.isEmpty();
-        Parser.parse(source, problems);
-        if (sound && !problems.isEmpty()) {
+    public static String format(Source source, Diagnostics diagnostics) {
+        boolean sound = diagnostics.isEmpty();
+        Parser.parse(source, diagnostics);
+        if (sound && !diagnostics.isEmpty()) {
             return null;
         }
         Formatter formatter = new Formatter();
--- a/src/main/java/lupinwood/config/Parser.java
+++ b/src/main/java/lupinwood/config/Parser.java
@@ -21,7 +21,7 @@
     private record Open(Statement of, SourcePosition place, List<Statement> into) {}
 
     private final Source source;
-    private final Diagnostics problems;
+    private final Diagnostics diagnostics;
     private final List<Token> words = new ArrayList<>();
     private final Deque<Open> open = new ArrayDeque<>();
     private final List<Statement> top = new ArrayList<>();
@@ -29,13 +29,13 @@
     private int count;
     private boolean lost;
 
-    private Parser(Source source, Diagnostics problems) {
+    private Parser(Source source, Diagnostics diagnostics) {
         this.source = source;
-        this.problems = problems;
+        this.diagnostics = diagnostics;
     }
 
-    static Parsed parse(Source source, Diagnostics problems) {
-        Parser parser = new Parser(source, problems);
+    static Parsed parse(Source source, Diagnostics diagnostics) {
+        Parser parser = new Parser(source, diagnostics);
         parser.read();
         return new Parsed(parser.top, !parser.lost);
     }
@@ -66,7 +66,7 @@
             }
         }
         if (!lost && !open.isEmpty()) {
-            problems.add(
+            diagnostics.add(
                     open.peek().place(),
                     "this { is never closed",
                     "write } after the last entry inside");
@@ -101,7 +101,7 @@
     }
 
     private void stop(SourcePosition place, String text, String instead) {
-        problems.add(place, text, instead);
+        diagnostics.add(place, text, instead);
         lost = true;
     }
 
@@ -216,13 +216,13 @@
 
     private void broken(Statement statement, SourcePosition place, String text, String instead) {
         if (!statement.broken) {
-            problems.add(place, text, instead);
+            diagnostics.add(place, text, instead);
             statement.broken = true;
         }
     }
 
     private ValueToken slip(Token word, String text, String instead) {
-        problems.add(place(word), text, instead);
+        diagnostics.add(place(word), text, instead);
         return new ValueToken(ValueToken.Kind.BARE, word.getText(), "", place(word), false);
     }
 
--- a/src/main/java/lupinwood/config/Reader.java
+++ b/src/main/java/lupinwood/config/Reader.java
@@ -38,7 +38,7 @@
 
     private final Sources from;
     private final boolean part;
-    private final Diagnostics problems = new Diagnostics();
+    private final Diagnostics diagnostics = new Diagnostics();
     private final List<Source> sources = new ArrayList<>();
 
     /** All texts' statements with those that they include in the place of the including. */
@@ -88,14 +88,14 @@
             start = new SourcePosition(name, 1, 1, 1);
             include(name, start, new ArrayDeque<>());
         } catch (Sources.Unreadable e) {
-            problems.add(start, e.getMessage(), "");
+            diagnostics.add(start, e.getMessage(), "");
             whole = false;
         }
         if (structured) {
             statements.forEach(this::let);
             statements.forEach(this::top);
             if (statements.isEmpty() && whole) {
-                problems.add(
+                diagnostics.add(
                         start,
                         "there is no entry in this configuration",
                         "begin with name, listen, executor,"
@@ -107,13 +107,14 @@
         given.forEach((name, one) -> values.put(name, one.value()));
         Map<String, List<String>> lists = new LinkedHashMap<>();
         items.forEach((list, names) -> lists.put(list, List.copyOf(names)));
-        ParsedSettings meaning = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
+        ParsedSettings parsedSettings =
+                new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
         if (whole) {
-            judge(meaning, start);
+            judge(parsedSettings, start);
         }
         Map<String, SourcePosition> places = new LinkedHashMap<>();
         given.forEach((name, one) -> places.put(name, one.place()));
-        return new Config(meaning, places, problems, sources);
+        return new Config(parsedSettings, places, diagnostics, sources);
     }
 
     // ---- texts ----
@@ -129,14 +130,14 @@
             bytes += read.length;
             source = Source.of(name, read);
         } catch (Source.NoText e) {
-            problems.add(
+            diagnostics.add(
                     e.place, "there are bytes here that are no UTF-8", "save the file as UTF-8");
             whole = false;
             return;
         }
         sources.add(source);
         includedAt.put(name, by);
-        Parser.Parsed parsed = Parser.parse(source, problems);
+        Parser.Parsed parsed = Parser.parse(source, diagnostics);
         structured &= parsed.whole();
         whole &= parsed.whole();
         for (Statement statement : parsed.statements()) {
@@ -156,7 +157,7 @@
         if (statement.values.size() != 1
                 || statement.inside != null
                 || statement.property != null) {
-            problems.add(place, "include takes one file", "write include \"FILE\"");
+            diagnostics.add(place, "include takes one file", "write include \"FILE\"");
             whole = false;
             return;
         }
@@ -190,7 +191,7 @@
             }
             include(name, place, chain);
         } catch (Sources.Unreadable e) {
-            problems.add(
+            diagnostics.add(
                     place,
                     e.getMessage(),
                     e.getMessage().contains("includ")
@@ -213,7 +214,7 @@
                         && statement.property == null
                         && statement.values.get(0).kind() == ValueToken.Kind.BARE;
         if (!sound) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     "let takes a name and one value",
                     "write let NAME VALUE");
@@ -228,7 +229,7 @@
         ValueToken name = statement.values.get(0);
         ValueToken before = named.putIfAbsent(name.text(), statement.values.get(1));
         if (before != null) {
-            problems.add(
+            diagnostics.add(
                     name.place(),
                     name.text() + " was given a value before, at " + before.place(),
                     "give this one another name");
@@ -243,14 +244,14 @@
         ValueToken value = named.get(word.text().substring(1));
         if (value == null) {
             String near = Names.nearest(word.text().substring(1), named.keySet());
-            problems.add(
+            diagnostics.add(
                     word.place(),
                     "nothing is named " + word.text().substring(1),
                     near == null
                             ? "add let " + word.text().substring(1) + " VALUE"
                             : "write $" + near);
         } else if (value.kind() == ValueToken.Kind.BARE && value.text().startsWith("$")) {
-            problems.add(
+            diagnostics.add(
                     word.place(),
                     word.text() + " stands for another name, " + value.text(),
                     "let each name stand for a value");
@@ -308,7 +309,7 @@
                 || statement.inside == null
                 || statement.property != null) {
             if (!statement.broken) {
-                problems.add(
+                diagnostics.add(
                         statement.name.place(),
                         "a " + list + " takes one name and its entries in braces",
                         "write " + list + " NAME { ... }");
@@ -323,7 +324,7 @@
         }
         String item = word.text();
         if (item.isEmpty() || item.contains(" ") || item.contains(",")) {
-            problems.add(
+            diagnostics.add(
                     word.place(),
                     "a " + list + "'s name has no blank and no comma",
                     "write it with - or _");
@@ -340,7 +341,7 @@
         String name = statement.name.text();
         if (!statement.values.isEmpty() || statement.inside == null || statement.property != null) {
             if (!statement.broken) {
-                problems.add(
+                diagnostics.add(
                         statement.name.place(),
                         name + " takes its entries in braces",
                         "write " + name + " { ... }");
@@ -355,7 +356,7 @@
         boolean overrides = statement.name.note().equals(OVERRIDE);
         SourcePosition before = blocks.putIfAbsent(name, statement.name.place());
         if (before != null && !overrides) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     name + " was given before, at " + before,
                     "put its entries there, or write (override)"
@@ -364,7 +365,7 @@
             return;
         }
         if (before == null && overrides) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     "there is no " + name + " before this to override",
                     "take (override) out, or put this after what it overrides");
@@ -385,7 +386,7 @@
     private void note(Statement statement) {
         String note = statement.name.note();
         if (!note.isEmpty() && !note.equals(OVERRIDE)) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     "(" + note + ") means nothing before an entry",
                     "write (override), or nothing");
@@ -404,7 +405,7 @@
             return;
         }
         if (statement.inside != null) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     entry.own() + " takes a value and no braces",
                     ParsedSettings.wanted(entry));
@@ -412,7 +413,7 @@
             return;
         }
         if (statement.property != null) {
-            problems.add(
+            diagnostics.add(
                     statement.property,
                     "an entry's value has no name of its own and no =",
                     "write it as an entry of its own, like " + entry.own() + " VALUE");
@@ -433,12 +434,12 @@
         Given before = given.get(name);
         boolean overrides = inOverride || statement.name.note().equals(OVERRIDE);
         if (before != null && !overrides) {
-            problems.add(
+            diagnostics.add(
                     place,
                     statement.name.text() + " was given before, at " + before.place(),
                     "take one of them out, or write (override)" + statement.name.text() + " here");
         } else if (before == null && statement.name.note().equals(OVERRIDE)) {
-            problems.add(
+            diagnostics.add(
                     place,
                     "there is no " + statement.name.text() + " before this to override",
                     "take (override) out, or put this after what it overrides");
@@ -451,12 +452,12 @@
         ValueToken word = statement.values.size() == 1 ? plain(statement.values.get(0)) : null;
         String key = "settings." + statement.name.text();
         if (Schema.keyed(key) != null) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     statement.name.text() + " has an entry of its own: " + Schema.keyed(key).name(),
                     "write it there");
         } else if (word == null || statement.inside != null || statement.property != null) {
-            problems.add(
+            diagnostics.add(
                     statement.name.place(),
                     "an extra entry takes one text",
                     "write \"" + statement.name.text() + "\" \"VALUE\"");
@@ -488,7 +489,7 @@
         String where = prefix.isEmpty() ? "" : " in " + prefix.strip();
         if (elsewhere != null) {
             boolean list = Schema.LISTS.contains(elsewhere);
-            problems.add(
+            diagnostics.add(
                     place,
                     own + " has no place" + (where.isEmpty() ? " here" : where),
                     elsewhere.isEmpty()
@@ -499,10 +500,10 @@
                         || own.equals(LET)
                         || Schema.LISTS.contains(own)
                         || SECTIONS.contains(own))) {
-            problems.add(place, own + " has no place" + where, "write it outside of all braces");
+            diagnostics.add(place, own + " has no place" + where, "write it outside of all braces");
         } else {
             String near = Names.nearest(own, here);
-            problems.add(
+            diagnostics.add(
                     place,
                     "there is no entry " + own + where,
                     near == null ? "see 'config explain' for all entries" : "write " + near);
@@ -537,7 +538,7 @@
                     && entry.kind().isNumber()
                     && Quantities.isUnit(statement.values.get(1).text())) {
                 ValueToken number = statement.values.get(0);
-                problems.add(
+                diagnostics.add(
                         number.place(),
                         "there is a blank between " + number.text() + " and its unit",
                         "write " + number.text() + statement.values.get(1).text());
@@ -545,7 +546,7 @@
             }
             boolean none = statement.values.isEmpty();
             SourcePosition place = none ? statement.name.place() : statement.values.get(1).place();
-            problems.add(
+            diagnostics.add(
                     place,
                     none
                             ? entry.own() + " has no value"
@@ -555,20 +556,20 @@
         }
         ValueToken word = plain(statement.values.get(0));
         if (word != null && word.kind() == ValueToken.Kind.BARE && word.text().endsWith(",")) {
-            problems.add(word.place(), "a comma behind a value means nothing", "take it out");
+            diagnostics.add(word.place(), "a comma behind a value means nothing", "take it out");
             return null;
         }
-        return word == null || !word.sound() ? null : ValueConversion.of(word, entry, problems);
+        return word == null || !word.sound() ? null : ValueConversion.of(word, entry, diagnostics);
     }
 
     // ---- the whole ----
 
-    private void judge(ParsedSettings meaning, SourcePosition start) {
-        for (SettingsError fault :
+    private void judge(ParsedSettings parsedSettings, SourcePosition start) {
+        for (SettingsError error :
                 part
-                        ? SettingsValidator.ofPart(meaning, wrong)
-                        : SettingsValidator.of(meaning, wrong)) {
-            problems.add(place(fault.name(), start), fault.text(), fault.instead());
+                        ? SettingsValidator.ofPart(parsedSettings, wrong)
+                        : SettingsValidator.of(parsedSettings, wrong)) {
+            diagnostics.add(place(error.name(), start), error.text(), error.instead());
         }
     }
 
--- a/src/main/java/lupinwood/config/ValueConversion.java
+++ b/src/main/java/lupinwood/config/ValueConversion.java
@@ -11,10 +11,10 @@
     private ValueConversion() {}
 
     /** Null where it can't be used, which was then told. */
-    static String of(ValueToken word, Entry entry, Diagnostics problems) {
+    static String of(ValueToken word, Entry entry, Diagnostics diagnostics) {
         Quantities.Read read = read(word, entry);
         if (read.text() != null && !read.text().isEmpty()) {
-            problems.add(word.place(), read.text(), read.instead());
+            diagnostics.add(word.place(), read.text(), read.instead());
             return null;
         }
         return read.value() != null ? plain(read.value()) : read.instead();
--- a/src/main/java/lupinwood/config/Writer.java
+++ b/src/main/java/lupinwood/config/Writer.java
@@ -16,10 +16,10 @@
      *
      * @param remark what to say behind an entry, by its name; empty for nothing
      */
-    public static String write(ParsedSettings meaning, Function<String, String> remark) {
+    public static String write(ParsedSettings parsedSettings, Function<String, String> remark) {
         StringBuilder out = new StringBuilder();
         String section = "";
-        for (Map.Entry<String, String> each : meaning.values().entrySet()) {
+        for (Map.Entry<String, String> each : parsedSettings.values().entrySet()) {
             String name = each.getKey();
             Entry entry = ParsedSettings.entry(name);
             int space = name.lastIndexOf(' ');
@@ -50,17 +50,18 @@
                     .append(said.isEmpty() ? "" : " // " + said)
                     .append('\n');
         }
-        items(meaning, out, section);
+        items(parsedSettings, out, section);
         return out.toString();
     }
 
     /** Tenants of whom nothing is told but that they are there. */
-    private static void items(ParsedSettings meaning, StringBuilder out, String section) {
+    private static void items(ParsedSettings parsedSettings, StringBuilder out, String section) {
         out.append(section.isEmpty() ? "" : "}\n");
         for (String list : Schema.LISTS) {
-            for (String item : meaning.items(list)) {
+            for (String item : parsedSettings.items(list)) {
                 String prefix = list + " " + item + " ";
-                if (meaning.values().keySet().stream().noneMatch(name -> name.startsWith(prefix))) {
+                if (parsedSettings.values().keySet().stream()
+                        .noneMatch(name -> name.startsWith(prefix))) {
                     out.append('\n').append(list).append(' ').append(text(item)).append(" {}\n");
                 }
             }
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -62,7 +62,7 @@
      *
      * @param drained servers that rest, and have nothing of this node
      * @param uses what it does at places below
-     * @param tally what it answered so far
+     * @param requestCounts what it answered so far
      * @param configApplier checks and takes the fleet's text
      * @param leave has the node leave as by the notice; returns at once
      */
@@ -71,7 +71,7 @@
             Supplier<List<String>> leftOut,
             Supplier<List<String>> drained,
             Supplier<List<NodeReport.LocationUse>> uses,
-            Supplier<RequestCounts> tally,
+            Supplier<RequestCounts> requestCounts,
             Supplier<ConfigApplier> configApplier,
             Runnable leave) {}
 
@@ -81,7 +81,7 @@
     private final ThreadTaskLoop loop;
     private final RaftTransport transport;
     private final Random random = new Random();
-    private final Incarnation life = new Incarnation(random.nextLong());
+    private final Incarnation incarnation = new Incarnation(random.nextLong());
     private final ClusterSession session;
     private final Set<Lease> known = new HashSet<>();
 
@@ -104,10 +104,10 @@
     private StatusReporter statusReporter;
     private SharedConfigFollower texts;
     private RolloutController rolloutController;
-    private boolean releaseOpen;
+    private boolean rolloutOpen;
     private CapacityPlanner planner;
     private FencingToken plansUnder;
-    private List<String> restsAtStart = List.of();
+    private List<String> cordonsAtStart = List.of();
     private boolean over;
 
     public ClusterNode(ClusterSettings settings, Self self, Log log) {
@@ -119,9 +119,9 @@
         transport = new RaftTransport(this::heard, log);
         session =
                 new ClusterSession(
-                        settings.rules(),
+                        settings.timing(),
                         settings.name(),
-                        life,
+                        incarnation,
                         settings.site(),
                         settings.names(),
                         random.nextLong(),
@@ -145,7 +145,7 @@
         }
         statusReporter =
                 settings.report() == null ? null : new StatusReporter(settings.report(), log);
-        restsAtStart = self.configApplier().get().restsAtStart();
+        cordonsAtStart = self.configApplier().get().cordonsAtStart();
         publish();
         texts =
                 new SharedConfigFollower(
@@ -159,7 +159,7 @@
                         + " in "
                         + settings.site()
                         + ", life "
-                        + life
+                        + incarnation
                         + ", voters "
                         + settings.names());
     }
@@ -245,7 +245,7 @@
                         settings.name(),
                         id,
                         founders,
-                        settings.rules(),
+                        settings.timing(),
                         DUTIES,
                         above,
                         new RaftReplica.ReplicaContext(
@@ -529,14 +529,14 @@
                         self.drained().get(),
                         session.allotment().plan(),
                         self.uses().get(),
-                        self.tally().get()));
+                        self.requestCounts().get()));
         ClusterSession.Sent sent =
                 session.heartbeat(leaving ? NodeCondition.LEAVING : self.condition().get(), now);
         if (sent != null) {
             say(sent);
         }
         loop.after(
-                session.due().since(now).max(LOOK).min(settings.rules().heartbeatInterval()),
+                session.due().since(now).max(LOOK).min(settings.timing().heartbeatInterval()),
                 this::talk);
     }
 
@@ -561,7 +561,7 @@
         }
         if (reply.taken()) {
             texts.follow(reply.wanted());
-            releaseOpen = reply.wanted() != null && reply.wanted().busy();
+            rolloutOpen = reply.wanted() != null && reply.wanted().busy();
         }
         if (reply.taken() && reply.leave() > 0 && !leaving) {
             log.line("fleet: leaves under permit " + reply.leave());
@@ -578,14 +578,14 @@
         session.holding()
                 .holds(now)
                 .forEach(
-                        grant ->
+                        lease ->
                                 leases.add(
                                         new ClusterView.LeaseView(
-                                                grant.duty(),
-                                                grant.token(),
+                                                lease.duty(),
+                                                lease.token(),
                                                 now.plus(
                                                         session.holding()
-                                                                .left(grant.duty(), now)))));
+                                                                .left(lease.duty(), now)))));
         HeartbeatReply latest = session.latest();
         if (latest != publishedReply && latest != null) {
             publishedReply = latest;
@@ -601,12 +601,12 @@
         }
         MonotonicTime touch =
                 session.isInTouch(now)
-                        ? session.latestWord().plus(settings.rules().lease())
+                        ? session.latestWord().plus(settings.timing().lease())
                         : new MonotonicTime(Long.MIN_VALUE);
-        List<String> rests =
-                latest == null || latest.wanted() == null || latest.wanted().rests() == null
-                        ? restsAtStart
-                        : latest.wanted().rests();
+        List<String> cordons =
+                latest == null || latest.wanted() == null || latest.wanted().cordons() == null
+                        ? cordonsAtStart
+                        : latest.wanted().cordons();
         CapacityLease may = session.allotment();
         view =
                 new ClusterView(
@@ -614,22 +614,22 @@
                         leases,
                         found,
                         new ClusterView.CapacityShare(may.plan(), may.slots(), may.until()),
-                        rests,
+                        cordons,
                         latest == null ? null : latest.leader());
         Set<Lease> holds = new HashSet<>(session.holding().holds(now));
         List<Lease> news = new ArrayList<>(holds);
         news.removeAll(known);
         news.sort(Comparator.comparing(Lease::token));
-        news.forEach(grant -> log.line("fleet: holds " + grant.duty() + " under " + grant.token()));
+        news.forEach(lease -> log.line("fleet: holds " + lease.duty() + " under " + lease.token()));
         known.stream()
-                .filter(grant -> !holds.contains(grant))
+                .filter(lease -> !holds.contains(lease))
                 .forEach(
-                        grant ->
+                        lease ->
                                 log.line(
                                         "fleet: holds "
-                                                + grant.duty()
+                                                + lease.duty()
                                                 + " no more, under "
-                                                + grant.token()));
+                                                + lease.token()));
         known.clear();
         known.addAll(holds);
     }
@@ -646,13 +646,13 @@
             texts.follow(session.latest().wanted());
         }
         boolean plans =
-                !settings.places().isEmpty()
+                !settings.locations().isEmpty()
                         && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
-        if (token != null || (leads != null && releaseOpen) || plans) {
+        if (token != null || (leads != null && rolloutOpen) || plans) {
             JsonObject ask = new JsonObject();
             ask.addProperty("k", "ask");
             ask.addProperty("number", 0);
-            if (leads != null && releaseOpen) {
+            if (leads != null && rolloutOpen) {
                 ask.addProperty("tallies", true);
             }
             if (leads != null && rolloutController.wantsPast()) {
@@ -663,7 +663,7 @@
             }
             transport.say(voters.get(session.talksTo()), ask);
         }
-        loop.after(settings.rules().holderHeartbeatInterval().times(0.5), this::look);
+        loop.after(settings.timing().holderHeartbeatInterval().times(0.5), this::look);
     }
 
     private MonotonicTime recordedAt = new MonotonicTime(Long.MIN_VALUE / 2);
@@ -685,7 +685,7 @@
             return;
         }
         MonotonicTime now = loop.now();
-        if (now.since(recordedAt).compareTo(settings.rules().lease().times(KEEP_EVERY)) > 0) {
+        if (now.since(recordedAt).compareTo(settings.timing().lease().times(KEEP_EVERY)) > 0) {
             recordedAt = now;
             JsonObject text = new JsonObject();
             text.addProperty("k", "keep");
@@ -710,9 +710,9 @@
             return;
         }
         RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
-        RolloutSnapshot picture =
+        RolloutSnapshot snapshot =
                 new RolloutSnapshot(
-                        state.release(),
+                        state.rollout(),
                         state.good(),
                         state.haltedBy(),
                         state.nodeViews(),
@@ -720,19 +720,19 @@
                         settings.disruptionLimits().mostOf(state.nodeViews().size()),
                         state.past());
         String before = rolloutController.says();
-        List<RolloutAction> acts = rolloutController.decide(picture, token, loop.now());
+        List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
         if (!rolloutController.says().equals(before) && !rolloutController.says().isEmpty()) {
             log.line(
                     "fleet: "
-                            + (state.release() == null ? "" : state.release() + ": ")
+                            + (state.rollout() == null ? "" : state.rollout() + ": ")
                             + rolloutController.says());
         }
-        for (RolloutAction act : acts) {
+        for (RolloutAction action : actions) {
             JsonObject text = new JsonObject();
-            if (act instanceof RolloutAction.Propose write) {
+            if (action instanceof RolloutAction.Propose write) {
                 text.addProperty("k", "deed");
                 text.addProperty("d", CommandCodec.of(write.command()));
-            } else if (act instanceof RolloutAction.PermitRestart let) {
+            } else if (action instanceof RolloutAction.PermitRestart let) {
                 text.addProperty("k", "order");
                 text.add(
                         "o",
@@ -741,9 +741,9 @@
                                         let.order(),
                                         "leave",
                                         let.node(),
-                                        state.release() == null
+                                        state.rollout() == null
                                                 ? "the conductor"
-                                                : state.release().toString())));
+                                                : state.rollout().toString())));
             }
             transport.say(voters.get(session.talksTo()), text);
         }
@@ -761,12 +761,12 @@
         RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
         if (!token.equals(plansUnder)) {
             plansUnder = token;
-            planner = new CapacityPlanner(settings.rules().lease());
+            planner = new CapacityPlanner(settings.timing().lease());
         }
         ClusterCommand.SetCapacityPlan plan =
                 planner.decide(
                         new CapacityPlanner.View(
-                                settings.places(),
+                                settings.locations(),
                                 state.members(),
                                 state.nodeViews(),
                                 state.plans(),
--- a/src/main/java/lupinwood/consensus/ClusterQuery.java
+++ b/src/main/java/lupinwood/consensus/ClusterQuery.java
@@ -20,14 +20,14 @@
     private static final long AGAIN_MILLIS = 500;
 
     /** Which text, and which program, a node is to be started with, and which servers rest. */
-    public record Wanted(String digest, String text, String program, List<String> rests) {}
+    public record Wanted(String digest, String text, String program, List<String> cordons) {}
 
     private ClusterQuery() {}
 
-    private static List<String> rests(JsonObject text) {
-        List<String> rests = new ArrayList<>();
-        text.getAsJsonArray("rests").forEach(one -> rests.add(one.getAsString()));
-        return rests;
+    private static List<String> cordons(JsonObject text) {
+        List<String> cordons = new ArrayList<>();
+        text.getAsJsonArray("rests").forEach(one -> cordons.add(one.getAsString()));
+        return cordons;
     }
 
     /** What the one who leads knows; null where nobody who does answered in time. */
@@ -67,7 +67,7 @@
                                                 text.get("digest").getAsString(),
                                                 text.get("text").getAsString(),
                                                 text.get("program").getAsString(),
-                                                rests(text)));
+                                                cordons(text)));
                             }
                         },
                         log);
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -25,7 +25,7 @@
  * @param listen where this node listens for others; null unless it is a voter
  * @param directory where a voter keeps what it must not forget; null unless it is one
  * @param servers what servers below carry out, by their names
- * @param places servers that are planned in common
+ * @param locations servers that are planned in common
  * @param mostResting so many of them may rest at once
  * @param report where the status reporter tells the fleet's picture; null for nowhere
  */
@@ -36,12 +36,12 @@
         InetSocketAddress listen,
         Path directory,
         InetSocketAddress report,
-        LeaseTiming rules,
+        LeaseTiming timing,
         DisruptionLimits disruptionLimits,
         CanaryLimits limits,
         Map<String, Set<String>> servers,
         int mostResting,
-        List<Location> places) {
+        List<Location> locations) {
     private static final BigDecimal LEASE = new BigDecimal(3_000_000_000L);
     private static final BigDecimal WATCH = new BigDecimal(60_000_000_000L);
     private static final BigDecimal WATCH_MOST = new BigDecimal(900_000_000_000L);
@@ -49,8 +49,8 @@
     private static final BigDecimal DRIFT = new BigDecimal("0.01");
 
     /** Null where the file says nothing of a fleet. */
-    public static ClusterSettings of(ParsedSettings meaning) {
-        List<String> names = meaning.items(Schema.VOTER);
+    public static ClusterSettings of(ParsedSettings parsedSettings) {
+        List<String> names = parsedSettings.items(Schema.VOTER);
         if (names.isEmpty()) {
             return null;
         }
@@ -59,40 +59,44 @@
                 name ->
                         voters.put(
                                 new NodeName(name),
-                                address(meaning.value("voter " + name + " address"))));
+                                address(parsedSettings.value("voter " + name + " address"))));
         String name =
-                meaning.values().getOrDefault("name", ""); // an operator's file by itself has none
+                parsedSettings
+                        .values()
+                        .getOrDefault("name", ""); // an operator's file by itself has none
         boolean votes = names.contains(name);
-        String listen = meaning.value("fleet listen");
-        NanoDuration lease = new NanoDuration(meaning.number("fleet lease", LEASE).longValue());
-        LeaseTiming rules =
-                LeaseTiming.of(lease, meaning.number("fleet drift", DRIFT).doubleValue());
+        String listen = parsedSettings.value("fleet listen");
+        NanoDuration lease =
+                new NanoDuration(parsedSettings.number("fleet lease", LEASE).longValue());
+        LeaseTiming timing =
+                LeaseTiming.of(lease, parsedSettings.number("fleet drift", DRIFT).doubleValue());
         return new ClusterSettings(
                 new NodeName(name),
                 new Site(
-                        meaning.values().getOrDefault("fleet region", "region"),
-                        meaning.values().getOrDefault("fleet zone", "zone")),
+                        parsedSettings.values().getOrDefault("fleet region", "region"),
+                        parsedSettings.values().getOrDefault("fleet zone", "zone")),
                 voters,
                 !votes ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
-                votes ? Path.of(meaning.values().getOrDefault("fleet folder", "")) : null,
-                meaning.value("fleet report") == null
+                votes ? Path.of(parsedSettings.values().getOrDefault("fleet folder", "")) : null,
+                parsedSettings.value("fleet report") == null
                         ? null
-                        : address(meaning.value("fleet report")),
-                rules,
-                disruptionLimits(meaning, new ArrayList<>(voters.keySet())),
-                limits(meaning, lease),
-                servers(meaning),
-                meaning.number("out below-most", BigDecimal.ONE).intValue(),
-                places(meaning));
+                        : address(parsedSettings.value("fleet report")),
+                timing,
+                disruptionLimits(parsedSettings, new ArrayList<>(voters.keySet())),
+                limits(parsedSettings, lease),
+                servers(parsedSettings),
+                parsedSettings.number("out below-most", BigDecimal.ONE).intValue(),
+                places(parsedSettings));
     }
 
-    private static Map<String, Set<String>> servers(ParsedSettings meaning) {
+    private static Map<String, Set<String>> servers(ParsedSettings parsedSettings) {
         Map<String, Set<String>> servers = new LinkedHashMap<>();
-        for (String name : meaning.items(Schema.SERVER)) {
+        for (String name : parsedSettings.items(Schema.SERVER)) {
             servers.put(
                     name,
                     Set.of(
-                            meaning.values()
+                            parsedSettings
+                                    .values()
                                     .getOrDefault("server " + name + " tracks", "")
                                     .split(",")));
         }
@@ -100,27 +104,30 @@
     }
 
     /** Servers of which the file says what they bear; only those are planned. */
-    public static List<Location> places(ParsedSettings meaning) {
-        List<Location> places = new ArrayList<>();
-        for (String name : meaning.items(Schema.SERVER)) {
+    public static List<Location> places(ParsedSettings parsedSettings) {
+        List<Location> locations = new ArrayList<>();
+        for (String name : parsedSettings.items(Schema.SERVER)) {
             String at = "server " + name + " ";
-            if (meaning.value(at + "bears") != null) {
-                int bears = meaning.number(at + "bears", null).intValue();
-                places.add(
+            if (parsedSettings.value(at + "bears") != null) {
+                int bears = parsedSettings.number(at + "bears", null).intValue();
+                locations.add(
                         new Location(
                                 name,
                                 new Site(
-                                        meaning.values().getOrDefault(at + "region", "region"),
-                                        meaning.values().getOrDefault(at + "zone", "zone")),
+                                        parsedSettings
+                                                .values()
+                                                .getOrDefault(at + "region", "region"),
+                                        parsedSettings.values().getOrDefault(at + "zone", "zone")),
                                 bears,
-                                meaning.number(at + "near", BigDecimal.ONE).intValue(),
-                                meaning.number(at + "far", BigDecimal.ZERO).intValue(),
+                                parsedSettings.number(at + "near", BigDecimal.ONE).intValue(),
+                                parsedSettings.number(at + "far", BigDecimal.ZERO).intValue(),
                                 Boolean.parseBoolean(
-                                        meaning.values()
+                                        parsedSettings
+                                                .values()
                                                 .getOrDefault(at + "stays-in-region", "false"))));
             }
         }
-        return places;
+        return locations;
     }
 
     /**
@@ -146,24 +153,30 @@
         return "";
     }
 
-    private static CanaryLimits limits(ParsedSettings meaning, NanoDuration lease) {
+    private static CanaryLimits limits(ParsedSettings parsedSettings, NanoDuration lease) {
         return CanaryLimits.of(
-                new NanoDuration(meaning.number("release watch", WATCH).longValue()),
-                new NanoDuration(meaning.number("release watch-most", WATCH_MOST).longValue()),
-                meaning.number("release harm", HARM).doubleValue(),
+                new NanoDuration(parsedSettings.number("release watch", WATCH).longValue()),
+                new NanoDuration(
+                        parsedSettings.number("release watch-most", WATCH_MOST).longValue()),
+                parsedSettings.number("release harm", HARM).doubleValue(),
                 lease);
     }
 
     private static DisruptionLimits disruptionLimits(
-            ParsedSettings meaning, List<NodeName> voters) {
+            ParsedSettings parsedSettings, List<NodeName> voters) {
         DisruptionLimits usual = DisruptionLimits.USUAL;
         return new DisruptionLimits(
-                meaning.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
-                meaning.number("out share", BigDecimal.valueOf(usual.share())).doubleValue(),
-                meaning.number("out zone-most", BigDecimal.valueOf(usual.zoneMost())).intValue(),
-                meaning.number("out zone-share", BigDecimal.valueOf(usual.zoneShare()))
+                parsedSettings.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
+                parsedSettings.number("out share", BigDecimal.valueOf(usual.share())).doubleValue(),
+                parsedSettings
+                        .number("out zone-most", BigDecimal.valueOf(usual.zoneMost()))
+                        .intValue(),
+                parsedSettings
+                        .number("out zone-share", BigDecimal.valueOf(usual.zoneShare()))
                         .doubleValue(),
-                meaning.number("out least-in", BigDecimal.valueOf(usual.leastIn())).intValue(),
+                parsedSettings
+                        .number("out least-in", BigDecimal.valueOf(usual.leastIn()))
+                        .intValue(),
                 voters);
     }
 
--- a/src/main/java/lupinwood/consensus/ClusterView.java
+++ b/src/main/java/lupinwood/consensus/ClusterView.java
@@ -16,7 +16,7 @@
  * @param leases what this node holds, each with its end
  * @param found what the holder of the duty trial found, in no order
  * @param share what it may have at places below by the plan, and until when
- * @param rests servers to which nothing new is to be sent, by the consensus group's last word,
+ * @param cordons servers to which nothing new is to be sent, by the consensus group's last word,
  *     however old that is
  * @param leader who leads the consensus group; null where nobody is known to
  */
@@ -25,7 +25,7 @@
         List<LeaseView> leases,
         List<ServerHealth> found,
         CapacityShare share,
-        List<String> rests,
+        List<String> cordons,
         NodeName leader) {
     static final ClusterView NONE =
             new ClusterView(
--- a/src/main/java/lupinwood/consensus/CommandCodec.java
+++ b/src/main/java/lupinwood/consensus/CommandCodec.java
@@ -28,8 +28,8 @@
         return kind == null ? null : ClusterJson.read(read, kind);
     }
 
-    static List<Object> pieces(ClusterState.Snapshot page) {
-        String text = ClusterJson.gson().toJson(page);
+    static List<Object> pieces(ClusterState.Snapshot snapshot) {
+        String text = ClusterJson.gson().toJson(snapshot);
         List<Object> pieces = new ArrayList<>();
         for (int from = 0; from < text.length(); from += PIECE) {
             pieces.add(text.substring(from, Math.min(text.length(), from + PIECE)));
--- a/src/main/java/lupinwood/consensus/ConfigApplier.java
+++ b/src/main/java/lupinwood/consensus/ConfigApplier.java
@@ -15,7 +15,7 @@
                 }
 
                 @Override
-                public List<String> restsAtStart() {
+                public List<String> cordonsAtStart() {
                     return List.of();
                 }
 
@@ -37,7 +37,7 @@
     String runs();
 
     /** The servers that rested when this node asked before its start. */
-    List<String> restsAtStart();
+    List<String> cordonsAtStart();
 
     /** Says whether it could go by the text, and changes nothing. */
     void check(String digest, String text, Consumer<NodeReport.ConfigCheck> done);
--- a/src/main/java/lupinwood/consensus/DrainTracker.java
+++ b/src/main/java/lupinwood/consensus/DrainTracker.java
@@ -19,10 +19,10 @@
     public static String left(RaftReplica.ReplicaView state, String server) {
         List<String> left = new ArrayList<>();
         for (NodeView nodeView : state.nodeViews()) {
-            if (nodeView.standing() == NodeStatus.OUT) {
+            if (nodeView.status() == NodeStatus.OUT) {
                 continue;
             }
-            if (nodeView.standing() == NodeStatus.UNKNOWN) {
+            if (nodeView.status() == NodeStatus.UNKNOWN) {
                 left.add(nodeView.name() + " isn't heard");
             } else if (nodeView.report() == null || !nodeView.report().drained().contains(server)) {
                 left.add(nodeView.name() + " has not said so");
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -84,9 +84,9 @@
             List<DisruptionPermit> permits,
             String haltedBy,
             List<ClusterState.HistoryEntry> history,
-            Rollout release,
+            Rollout rollout,
             String good,
-            List<Cordon> rests,
+            List<Cordon> cordons,
             Map<String, RequestCounts> past,
             List<ClusterState.Member> members,
             List<CapacityPlan> plans,
@@ -165,7 +165,7 @@
 
     private final NodeName self;
     private final ReplicaContext means;
-    private final ClusterState book;
+    private final ClusterState clusterState;
     private final LeaseManager leaseManager;
     private final long tokensAbove;
     private final RaftNode raft;
@@ -188,16 +188,16 @@
             NodeName self,
             String endpoint,
             Collection<String> founders,
-            LeaseTiming rules,
+            LeaseTiming timing,
             List<DutyName> duties,
             long tokensAbove,
             ReplicaContext means) {
         this.self = self;
         this.means = means;
         this.tokensAbove = tokensAbove;
-        book = new ClusterState(rules.mostMembers());
-        leaseManager = new LeaseManager(rules, duties);
-        speed = ENGINE_SECONDS_A_LEASE / rules.lease().seconds();
+        clusterState = new ClusterState(timing.mostMembers());
+        leaseManager = new LeaseManager(timing, duties);
+        speed = ENGINE_SECONDS_A_LEASE / timing.lease().seconds();
         RaftConfig config =
                 RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
@@ -299,8 +299,8 @@
 
     private void answer(PendingHeartbeat one) {
         MonotonicTime now = means.loop().now();
-        String trouble = one.again() ? "" : leaseManager.heard(one.heartbeat(), book, now);
-        one.to().accept(leaseManager.replyTo(one.heartbeat(), trouble, book, self, now));
+        String trouble = one.again() ? "" : leaseManager.heard(one.heartbeat(), clusterState, now);
+        one.to().accept(leaseManager.replyTo(one.heartbeat(), trouble, clusterState, self, now));
     }
 
     /** Whether this voter leads; notices when it begins to, or ends. */
@@ -312,7 +312,7 @@
                         && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (leads && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
-            leaseManager.leads(book, means.loop().now());
+            leaseManager.leads(clusterState, means.loop().now());
             means.log().accept("leads the council in term " + ledTerm);
         } else if (!leads && ledTerm >= 0) {
             ledTerm = -1;
@@ -338,7 +338,8 @@
     }
 
     private void act() {
-        for (ClusterCommand command : leaseManager.decide(book, tokensAbove, means.loop().now())) {
+        for (ClusterCommand command :
+                leaseManager.decide(clusterState, tokensAbove, means.loop().now())) {
             propose(command, null);
         }
     }
@@ -373,7 +374,7 @@
                 : command instanceof ClusterCommand.AdvanceRollout one
                         ? new ClusterCommand.AdvanceRollout(
                                 one.token(),
-                                one.release(),
+                                one.rollout(),
                                 one.step(),
                                 one.back(),
                                 one.nodes(),
@@ -382,11 +383,11 @@
                                 millis())
                         : command instanceof ClusterCommand.RollBack one
                                 ? new ClusterCommand.RollBack(
-                                        one.order(), one.release(), one.by(), millis())
+                                        one.order(), one.rollout(), one.by(), millis())
                                 : command instanceof ClusterCommand.FinishRollout one
                                         ? new ClusterCommand.FinishRollout(
                                                 one.token(),
-                                                one.release(),
+                                                one.rollout(),
                                                 one.done(),
                                                 one.why(),
                                                 millis())
@@ -432,7 +433,7 @@
     /** The servers that rest. */
     Set<String> resting() {
         Set<String> names = new HashSet<>();
-        book.rests().forEach(rest -> names.add(rest.server()));
+        clusterState.cordons().forEach(cordon -> names.add(cordon.server()));
         return names;
     }
 
@@ -441,15 +442,15 @@
      * known here.
      */
     String text(String digest) {
-        return book.text(digest);
+        return clusterState.text(digest);
     }
 
     String wanted(NodeName node) {
-        return leads() ? book.wanted(node).runs() : null;
+        return leads() ? clusterState.wanted(node).runs() : null;
     }
 
     String wantedProgram(NodeName node) {
-        return leads() ? book.wantedProgram(node) : null;
+        return leads() ? clusterState.wantedProgram(node) : null;
     }
 
     private static long millis() {
@@ -466,16 +467,16 @@
     public ReplicaView state(boolean withTallies, boolean withPast, boolean withPlans) {
         List<NodeView> nodeViews =
                 leads()
-                        ? leaseManager.picture(book, means.loop().now()).stream()
+                        ? leaseManager.snapshot(clusterState, means.loop().now()).stream()
                                 .map(
                                         one ->
                                                 one.report() == null
                                                         ? one
                                                         : new NodeView(
                                                                 one.name(),
-                                                                one.life(),
+                                                                one.incarnation(),
                                                                 one.site(),
-                                                                one.standing(),
+                                                                one.status(),
                                                                 one.heard(),
                                                                 one.report()
                                                                         .with(
@@ -488,19 +489,19 @@
                 leader(),
                 raft.getTerm().getTerm(),
                 nodeViews,
-                new ArrayList<>(book.duties()),
-                book.digest(),
-                book.commands(),
-                new ArrayList<>(book.permits()),
-                book.haltedBy(),
-                book.history(),
-                book.release(),
-                book.good(),
-                new ArrayList<>(book.rests()),
-                withPast ? book.past() : null,
-                withPlans ? new ArrayList<>(book.members()) : null,
-                withPlans ? book.livePlans() : null,
-                book.lastPlan());
+                new ArrayList<>(clusterState.duties()),
+                clusterState.digest(),
+                clusterState.commands(),
+                new ArrayList<>(clusterState.permits()),
+                clusterState.haltedBy(),
+                clusterState.history(),
+                clusterState.rollout(),
+                clusterState.good(),
+                new ArrayList<>(clusterState.cordons()),
+                withPast ? clusterState.past() : null,
+                withPlans ? new ArrayList<>(clusterState.members()) : null,
+                withPlans ? clusterState.livePlans() : null,
+                clusterState.lastPlan());
     }
 
     /**
@@ -516,24 +517,27 @@
             to.accept(null);
             return;
         }
-        String before = book.answer(order.id());
+        String before = clusterState.answer(order.id());
         long at = millis();
-        List<NodeName> out = leaseManager.unavailableNodes(book, means.loop().now());
+        List<NodeName> out = leaseManager.unavailableNodes(clusterState, means.loop().now());
         RolloutRequest wish = order.wish();
         String against =
                 switch (order.what()) {
-                    case "leave" -> book.against(order.node(), disruptionLimits, out);
-                    case "release" -> book.againstRelease(wish.kind(), wish.to(), wish.text());
+                    case "leave" -> clusterState.against(order.node(), disruptionLimits, out);
+                    case "release" ->
+                            clusterState.reasonAgainstRollout(wish.kind(), wish.to(), wish.text());
                     case "back" ->
-                            book.release() == null
+                            clusterState.rollout() == null
                                     ? "no release is open"
-                                    : book.release().back()
-                                            ? book.release() + " is on its way back already"
+                                    : clusterState.rollout().back()
+                                            ? clusterState.rollout() + " is on its way back already"
                                             : "";
-                    case "rest" -> book.againstRest(order.server(), mostResting);
+                    case "rest" -> clusterState.reasonAgainstCordon(order.server(), mostResting);
                     case "unrest" ->
-                            book.rests().stream()
-                                            .anyMatch(rest -> rest.server().equals(order.server()))
+                            clusterState.cordons().stream()
+                                            .anyMatch(
+                                                    cordon ->
+                                                            cordon.server().equals(order.server()))
                                     ? ""
                                     : order.server() + " doesn't rest";
                     default -> "";
@@ -570,7 +574,9 @@
                     case "back" ->
                             new ClusterCommand.RollBack(
                                     order.id(),
-                                    book.release() == null ? 0 : book.release().number(),
+                                    clusterState.rollout() == null
+                                            ? 0
+                                            : clusterState.rollout().number(),
                                     order.by(),
                                     at);
                     default -> null;
@@ -592,8 +598,8 @@
                         to.accept(
                                 new OrderResult(
                                         fitted,
-                                        book.answer(order.id()) != null
-                                                ? book.answer(order.id())
+                                        clusterState.answer(order.id()) != null
+                                                ? clusterState.answer(order.id())
                                                 : fitted
                                                         ? order.what() + " " + order.node()
                                                         : "it did not fit any more, or may be written yet; ask again")));
@@ -676,17 +682,17 @@
                 return null; // a question
             }
             ClusterCommand command = text.equals(NEW_TERM) ? null : CommandCodec.command(text);
-            return command != null && book.apply(command);
+            return command != null && clusterState.apply(command);
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> pieces) {
-            CommandCodec.pieces(book.page()).forEach(pieces);
+            CommandCodec.pieces(clusterState.snapshot()).forEach(pieces);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> pieces) {
-            book.open(CommandCodec.page(pieces));
+            clusterState.open(CommandCodec.page(pieces));
         }
 
         @Override
--- a/src/main/java/lupinwood/experiment/ConfigCost.java
+++ b/src/main/java/lupinwood/experiment/ConfigCost.java
@@ -41,13 +41,17 @@
         try {
             Config config = Reader.read(new FileSources(), file.toString());
             List<String> broken = new ArrayList<>();
-            config.problems().all().forEach(problem -> broken.add(problem.text()));
+            config.diagnostics().all().forEach(diagnostic -> broken.add(diagnostic.text()));
             Source source = new Source("cost", Files.readString(file));
             double read =
                     micros(() -> new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
             double check = micros(() -> Reader.read(new FileSources(), file.toString()));
             double format = micros(() -> Formatter.format(source, new Diagnostics()));
-            double plan = micros(() -> ConfigDiff.between(config.meaning(), config.meaning()));
+            double plan =
+                    micros(
+                            () ->
+                                    ConfigDiff.between(
+                                            config.parsedSettings(), config.parsedSettings()));
             return new Outcome(
                     String.format(
                             Locale.ROOT,
--- a/src/main/java/lupinwood/experiment/CordonExperiment.java
+++ b/src/main/java/lupinwood/experiment/CordonExperiment.java
@@ -55,12 +55,12 @@
     public Outcome run() throws Exception {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         StringBuilder more = new StringBuilder();
-        List<LoopbackServer> doors = new ArrayList<>();
+        List<LoopbackServer> proxies = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             StandInServer server = new StandInServer(new Audit(), random.nextLong(), 0);
             servers.add(server);
             LoopbackServer proxy = new LoopbackServer(0, server::talk);
-            doors.add(proxy);
+            proxies.add(proxy);
             more.append("server s")
                     .append(i)
                     .append(" { address \"")
@@ -104,7 +104,7 @@
                             broken.size()),
                     broken);
         } finally {
-            for (LoopbackServer proxy : doors) {
+            for (LoopbackServer proxy : proxies) {
                 proxy.close();
             }
         }
--- a/src/main/java/lupinwood/experiment/FailoverExperiment.java
+++ b/src/main/java/lupinwood/experiment/FailoverExperiment.java
@@ -39,7 +39,7 @@
     private final boolean planned;
     private final Log log;
     private final List<String> broken = new ArrayList<>();
-    private final List<ServerBehavior> bearings = new ArrayList<>();
+    private final List<ServerBehavior> behaviors = new ArrayList<>();
     private final List<StandInServer> servers = new ArrayList<>();
 
     /**
@@ -58,15 +58,15 @@
     public Outcome run() throws Exception {
         Random random = new Random(seed * 0x9E3779B97F4A7C15L);
         StringBuilder more = new StringBuilder();
-        List<LoopbackServer> doors = new ArrayList<>();
+        List<LoopbackServer> proxies = new ArrayList<>();
         for (int zone = 0; zone < ZONES; zone++) {
             ServerBehavior behavior = new ServerBehavior(BEARS, TAKES_MILLIS);
-            bearings.add(behavior);
+            behaviors.add(behavior);
             StandInServer server =
                     new StandInServer(new Audit(), random.nextLong(), 0).with(behavior);
             servers.add(server);
             LoopbackServer proxy = new LoopbackServer(0, server::talk);
-            doors.add(proxy);
+            proxies.add(proxy);
             more.append("server p")
                     .append(zone)
                     .append(" { address \"")
@@ -102,8 +102,8 @@
                         random);
             }
             broken.addAll(fleet.leaveAll());
-            int most = bearings.stream().mapToInt(ServerBehavior::most).max().orElse(0);
-            int broke = bearings.stream().mapToInt(ServerBehavior::broke).sum();
+            int most = behaviors.stream().mapToInt(ServerBehavior::most).max().orElse(0);
+            int broke = behaviors.stream().mapToInt(ServerBehavior::broke).sum();
             if (planned && most > BEARS) {
                 broken.add("a place that bears " + BEARS + " had " + most + " tickets at once");
             }
@@ -127,7 +127,7 @@
                             broken.size()),
                     broken);
         } finally {
-            for (LoopbackServer proxy : doors) {
+            for (LoopbackServer proxy : proxies) {
                 proxy.close();
             }
         }
@@ -142,10 +142,10 @@
                         ? planner(fleet)
                         : fleet.members.get(nodes - 1 - random.nextInt(nodes / 2));
         switch (fault) {
-            case PLACE_ERRS -> bearings.get(zone).errs(true);
+            case PLACE_ERRS -> behaviors.get(zone).errs(true);
             case REGION_ERRS -> {
-                bearings.get(zone / 2 * 2).errs(true);
-                bearings.get(zone / 2 * 2 + 1).errs(true);
+                behaviors.get(zone / 2 * 2).errs(true);
+                behaviors.get(zone / 2 * 2 + 1).errs(true);
             }
             case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, FaultProxy::cut);
             case PLANNER_STALLS -> {
@@ -156,7 +156,7 @@
         }
         Thread.sleep(6 * LEASE_MILLIS);
         switch (fault) {
-            case PLACE_ERRS, REGION_ERRS -> bearings.forEach(behavior -> behavior.errs(false));
+            case PLACE_ERRS, REGION_ERRS -> behaviors.forEach(behavior -> behavior.errs(false));
             case ZONE_CUT_OFF -> fleet.zone(zone, VOTERS, FaultProxy::mend);
             case PLANNER_STALLS -> {
                 one.process.goOn();
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -74,7 +74,7 @@
     private static final DutyName DUTY = DutyName.PLANNER;
 
     private final class Server {
-        final Location place;
+        final Location location;
         final int index;
         int inHand;
 
@@ -88,8 +88,8 @@
         int broke;
         int life;
 
-        Server(Location place, int index) {
-            this.place = place;
+        Server(Location location, int index) {
+            this.location = location;
             this.index = index;
         }
 
@@ -110,7 +110,7 @@
             // Past what it bears each gets its part only.
             return SERVICE
                     / speed
-                    * Math.max(1, (double) inHand / place.bears())
+                    * Math.max(1, (double) inHand / location.bears())
                     * (0.7 + 0.6 * random.nextDouble());
         }
     }
@@ -143,11 +143,11 @@
             site = site(zone);
             pool =
                     new ServerPool(
-                            servers.stream().map(one -> one.place.name()).toList(),
+                            servers.stream().map(one -> one.location.name()).toList(),
                             lupinwood.balancing.OutlierLimits.USUAL,
                             random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
-            servers.forEach(one -> alone.put(one.place.name(), one.place.alone(site)));
+            servers.forEach(one -> alone.put(one.location.name(), one.location.alone(site)));
             share = new CapacityLease(alone);
         }
 
@@ -216,8 +216,8 @@
         private boolean may(int server) {
             Server one = servers.get(server);
             return way == Way.TRUTH
-                    ? one.up && !one.errors && one.sent < one.place.bears()
-                    : pool.out(server) < share.may(one.place.name(), time());
+                    ? one.up && !one.errors && one.sent < one.location.bears()
+                    : pool.out(server) < share.may(one.location.name(), time());
         }
 
         private void carry(SimulatedRequest request, Server server) {
@@ -245,17 +245,17 @@
                         server.inHand++;
                         server.most = Math.max(server.most, server.inHand);
                         int of = server.life;
-                        if (way == Way.PLANNED && server.inHand > server.place.bears()) {
+                        if (way == Way.PLANNED && server.inHand > server.location.bears()) {
                             breaks(
-                                    server.place.name()
+                                    server.location.name()
                                             + " has "
                                             + server.inHand
                                             + " tickets at "
                                             + now()
                                             + " s, and bears "
-                                            + server.place.bears());
+                                            + server.location.bears());
                         }
-                        if (server.inHand > server.place.bears() * BREAKS_AT) {
+                        if (server.inHand > server.location.bears() * BREAKS_AT) {
                             server.broke++;
                             server.dies(DOWN_WHEN_BROKEN);
                         }
@@ -306,7 +306,7 @@
             for (Server server : servers) {
                 uses.add(
                         new NodeReport.LocationUse(
-                                server.place.name(),
+                                server.location.name(),
                                 pool.out(server.index),
                                 demanded,
                                 ended[server.index][0],
@@ -337,13 +337,14 @@
                                     RequestCounts.NOTHING));
             talk(
                     () -> {
-                        String trouble = leaseManager.heard(heartbeat, book, time());
+                        String trouble = leaseManager.heard(heartbeat, clusterState, time());
                         HeartbeatReply reply =
-                                leaseManager.replyTo(heartbeat, trouble, book, name, time());
+                                leaseManager.replyTo(
+                                        heartbeat, trouble, clusterState, name, time());
                         talk(() -> hears(reply));
                     });
             time.after(
-                    rules.heartbeatInterval().seconds() * (0.8 + 0.4 * random.nextDouble()),
+                    timing.heartbeatInterval().seconds() * (0.8 + 0.4 * random.nextDouble()),
                     this::heartbeats);
         }
 
@@ -353,7 +354,7 @@
                 share.update(
                         reply.share().plan(),
                         reply.share().slots(),
-                        requested.plus(rules.holderLease()));
+                        requested.plus(timing.holderLease()));
                 for (int left = waiting.size(); left > 0; left--) {
                     send(waiting.poll());
                 }
@@ -370,9 +371,9 @@
     private final Way way;
     private final Random random;
     private final SimulatedTime time = new SimulatedTime();
-    private final LeaseTiming rules = LeaseTiming.of(LEASE, 0.01);
-    private final ClusterState book = new ClusterState(4096);
-    private final LeaseManager leaseManager = new LeaseManager(rules, List.of(DUTY));
+    private final LeaseTiming timing = LeaseTiming.of(LEASE, 0.01);
+    private final ClusterState clusterState = new ClusterState(4096);
+    private final LeaseManager leaseManager = new LeaseManager(timing, List.of(DUTY));
     private final List<Server> servers = new ArrayList<>();
     private final List<Node> nodes = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
@@ -438,8 +439,8 @@
     }
 
     Played play() {
-        book.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(book, time());
+        clusterState.apply(new ClusterCommand.Bootstrap(1));
+        leaseManager.leads(clusterState, time());
         for (Node node : nodes) {
             time.after(random.nextDouble() * 0.5, node::heartbeats);
             time.after(6 + random.nextDouble() / rate, node::comes);
@@ -465,7 +466,7 @@
         int broke = servers.stream().mapToInt(server -> server.broke).sum();
         double over =
                 servers.stream()
-                        .mapToDouble(server -> (double) server.most / server.place.bears())
+                        .mapToDouble(server -> (double) server.most / server.location.bears())
                         .max()
                         .orElse(0);
         return new Played(
@@ -479,20 +480,20 @@
     }
 
     private void decides() {
-        leaseManager.decide(book, 1, time()).forEach(book::apply);
-        ClusterState.DutyLease lease = book.duty(DUTY);
+        leaseManager.decide(clusterState, 1, time()).forEach(clusterState::apply);
+        ClusterState.DutyLease lease = clusterState.duty(DUTY);
         if (way == Way.PLANNED && !lease.isFree()) {
             ClusterCommand.SetCapacityPlan plan =
                     planner.decide(
                             new CapacityPlanner.View(
-                                    servers.stream().map(server -> server.place).toList(),
-                                    book.members(),
-                                    leaseManager.picture(book, time()),
-                                    book.livePlans(),
-                                    book.lastPlan()),
+                                    servers.stream().map(server -> server.location).toList(),
+                                    clusterState.members(),
+                                    leaseManager.snapshot(clusterState, time()),
+                                    clusterState.livePlans(),
+                                    clusterState.lastPlan()),
                             lease.token(),
                             time());
-            if (plan != null && !book.apply(plan)) {
+            if (plan != null && !clusterState.apply(plan)) {
                 breaks("a plan did not fit: " + plan);
             } else if (plan != null) {
                 trace.accept(
@@ -500,7 +501,7 @@
                                 Locale.ROOT,
                                 "%.1f plan %d: %s",
                                 now(),
-                                book.lastPlan(),
+                                clusterState.lastPlan(),
                                 plan.why()));
                 plans++;
                 planBytes += plan.toString().length();
--- a/src/main/java/lupinwood/experiment/HealthChecksExperiment.java
+++ b/src/main/java/lupinwood/experiment/HealthChecksExperiment.java
@@ -99,7 +99,7 @@
                 pools.add(pool);
                 int place = i;
                 if (inCommon) {
-                    pool.trialsBy(
+                    pool.checkHealthBy(
                             new HealthChecker() {
                                 @Override
                                 public boolean mayTry(String server) {
--- a/src/main/java/lupinwood/experiment/LeaseHandoverExperiment.java
+++ b/src/main/java/lupinwood/experiment/LeaseHandoverExperiment.java
@@ -62,13 +62,13 @@
     }
 
     private static double play(Way way, long seed, List<String> broken) {
-        LeaseTiming rules = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
+        LeaseTiming timing = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
         SimulatedCluster fleet =
                 new SimulatedCluster(
                         VOTERS,
                         NODES - VOTERS,
                         3,
-                        rules,
+                        timing,
                         0.01,
                         SimulatedCluster.Without.NOTHING,
                         seed);
@@ -113,6 +113,6 @@
             gap += holder.holds(DutyName.STATUS_REPORTER) ? 0 : 0.01;
         }
         broken.addAll(fleet.broken);
-        return gap / rules.lease().seconds();
+        return gap / timing.lease().seconds();
     }
 }
--- a/src/main/java/lupinwood/experiment/MixedListenersExperiment.java
+++ b/src/main/java/lupinwood/experiment/MixedListenersExperiment.java
@@ -320,9 +320,9 @@
                                 servers[1].address(),
                                 servers[2].address());
         Config config = Reader.read(new TextSource(text), "mixed");
-        if (!config.problems().isEmpty()) {
-            throw new IllegalStateException(config.problems().all().toString());
+        if (!config.diagnostics().isEmpty()) {
+            throw new IllegalStateException(config.diagnostics().all().toString());
         }
-        return NodeConfig.of(config.meaning());
+        return NodeConfig.of(config.parsedSettings());
     }
 }
--- a/src/main/java/lupinwood/experiment/QuickStart.java
+++ b/src/main/java/lupinwood/experiment/QuickStart.java
@@ -153,9 +153,9 @@
 
     private static NodeConfig config(String text) throws NodeConfig.UnusableConfiguration {
         Config config = Reader.read(new TextSource(text), "tour");
-        if (!config.problems().isEmpty()) {
-            throw new IllegalStateException(config.problems().all().toString());
+        if (!config.diagnostics().isEmpty()) {
+            throw new IllegalStateException(config.diagnostics().all().toString());
         }
-        return NodeConfig.of(config.meaning());
+        return NodeConfig.of(config.parsedSettings());
     }
 }
--- a/src/main/java/lupinwood/experiment/ReloadStormExperiment.java
+++ b/src/main/java/lupinwood/experiment/ReloadStormExperiment.java
@@ -122,9 +122,9 @@
     }
 
     private void closeAll() throws IOException {
-        for (LoopbackServer[] doors :
+        for (LoopbackServer[] proxies :
                 new LoopbackServer[][] {executors, indexes, namings, {mute}}) {
-            for (LoopbackServer proxy : doors) {
+            for (LoopbackServer proxy : proxies) {
                 proxy.close();
             }
         }
@@ -224,7 +224,7 @@
         long begun = System.nanoTime();
         reloader.signal();
         Thread.sleep(random.nextInt(20));
-        boolean early = node.goesBy().meaning().value("customer north quota").equals("1");
+        boolean early = node.goesBy().parsedSettings().value("customer north quota").equals("1");
         Files.writeString(file, text);
         audit.count("half-written");
         if (early && System.nanoTime() - begun < ReloadScheduler.QUIET.nanos()) {
@@ -265,7 +265,7 @@
                 "the newest configuration",
                 () -> {
                     NodeConfig now = node.goesBy();
-                    return now.meaning()
+                    return now.parsedSettings()
                                     .value("customer north quota")
                                     .equals(Integer.toString(quota))
                             && now.executor().getPort() == executors[place].port()
--- a/src/main/java/lupinwood/experiment/RolloutExperiment.java
+++ b/src/main/java/lupinwood/experiment/RolloutExperiment.java
@@ -321,10 +321,10 @@
         while (System.currentTimeMillis() < deadline) {
             state = fleet.state();
             draw();
-            if (state != null && state.release() == null) {
+            if (state != null && state.rollout() == null) {
                 break;
             }
-            if (state != null && state.release().steps() > 0 && !faulted) {
+            if (state != null && state.rollout().steps() > 0 && !faulted) {
                 faulted = true;
                 fault(fault, state);
             } else if (state != null && !state.haltedBy().isEmpty()) {
@@ -376,7 +376,7 @@
                                 .reduce((a, b) -> b)
                                 .orElse("");
         boolean done = last.contains(" is done");
-        boolean open = state == null || state.release() != null;
+        boolean open = state == null || state.rollout() != null;
         ends.merge(what + (open ? " open" : done ? " done" : " back"), 1, Integer::sum);
         log.line("round " + round + " ended: " + last);
         boolean isGood =
@@ -392,9 +392,9 @@
                             + ", did not end: "
                             + (state == null
                                     ? "nobody leads"
-                                    : state.release()
+                                    : state.rollout()
                                             + " step "
-                                            + state.release().steps()
+                                            + state.rollout().steps()
                                             + " "
                                             + state.haltedBy()));
             order("back", null);
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -162,7 +162,7 @@
                 counts[i] = new long[4];
                 seconds[i] = 0;
             }
-            String wanted = book.wanted(name).runs();
+            String wanted = clusterState.wanted(name).runs();
             if (!wanted.equals(runs)) {
                 changedAt = wanted.equals(NEW) ? time : -1;
             }
@@ -228,7 +228,7 @@
                                 counts[i][3],
                                 seconds[i]));
             }
-            String wanted = book.wanted(name).runs();
+            String wanted = clusterState.wanted(name).runs();
             NodeReport.ConfigCheck says =
                     kind.byRestarts() && !wanted.equals(runs)
                             ? new NodeReport.ConfigCheck(wanted, true, true, "")
@@ -268,9 +268,9 @@
     private final Random random;
     private final double rate;
     private final DisruptionLimits disruptionLimits;
-    private final LeaseTiming rules = LeaseTiming.of(LEASE, 0.01);
-    private final ClusterState book = new ClusterState(4096);
-    private final LeaseManager leaseManager = new LeaseManager(rules, List.of(DUTY));
+    private final LeaseTiming timing = LeaseTiming.of(LEASE, 0.01);
+    private final ClusterState clusterState = new ClusterState(4096);
+    private final LeaseManager leaseManager = new LeaseManager(timing, List.of(DUTY));
     private final List<Node> nodes = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final Consumer<String> trace;
@@ -394,12 +394,12 @@
     }
 
     Played play() {
-        book.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(book, now());
+        clusterState.apply(new ClusterCommand.Bootstrap(1));
+        leaseManager.leads(clusterState, now());
         for (; time < 30; time++) {
             second();
         }
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.BeginRollout(
                         "o1", "ann", Rollout.Kind.CONFIGURATION, NEW, "text", true, 0));
         begun = time;
@@ -410,8 +410,8 @@
         while (end == End.OPEN && time - begun < LONGEST) {
             time++;
             second();
-            Rollout release = book.release();
-            if (firstWave < 0 && release != null && release.steps() == 1) {
+            Rollout rollout = clusterState.rollout();
+            if (firstWave < 0 && rollout != null && rollout.steps() == 1) {
                 firstWave = time;
                 boolean faulty =
                         kind == Kind.GOOD_WITH_ZONE_FAULT
@@ -419,17 +419,17 @@
                 faultFrom = faulty ? time + random.nextInt(20) : faultFrom;
                 faultUntil = faultFrom + 100 + random.nextInt(200);
             }
-            boolean stops = release == null || release.back() || !book.haltedBy().isEmpty();
+            boolean stops = rollout == null || rollout.back() || !clusterState.haltedBy().isEmpty();
             if (stops && caught < 0) {
                 caught = time - Math.max(firstWave, begun);
                 had = share(NEW);
-                List<ClusterState.HistoryEntry> history = book.history();
+                List<ClusterState.HistoryEntry> history = clusterState.history();
                 why = history.get(history.size() - 1).text();
             }
-            if (release == null) {
-                boolean done = book.wanted(nodes.get(0).name).runs().equals(NEW);
+            if (rollout == null) {
+                boolean done = clusterState.wanted(nodes.get(0).name).runs().equals(NEW);
                 end = done ? End.DONE : firstWave < 0 ? End.REFUSED : End.BACK;
-            } else if (!book.haltedBy().isEmpty()) {
+            } else if (!clusterState.haltedBy().isEmpty()) {
                 end = End.HALTED;
             }
         }
@@ -475,10 +475,10 @@
             node.serves();
             follow(node);
             Heartbeat heartbeat = node.heartbeat();
-            String trouble = leaseManager.heard(heartbeat, book, now());
-            leaseManager.replyTo(heartbeat, trouble, book, node.name, now());
+            String trouble = leaseManager.heard(heartbeat, clusterState, now());
+            leaseManager.replyTo(heartbeat, trouble, clusterState, node.name, now());
         }
-        leaseManager.decide(book, 1, now()).forEach(book::apply);
+        leaseManager.decide(clusterState, 1, now()).forEach(clusterState::apply);
         conduct();
         audit();
         if (begun >= 0) {
@@ -503,7 +503,7 @@
                 && firstWave > 0
                 && time - firstWave > 40) {
             killed = true;
-            ClusterState.DutyLease lease = book.duty(DUTY);
+            ClusterState.DutyLease lease = clusterState.duty(DUTY);
             nodes.stream()
                     .filter(node -> node.up && node.name.equals(lease.holder()))
                     .forEach(node -> node.goes(10));
@@ -512,11 +512,11 @@
 
     /** What a node does by the consensus group's word. */
     private void follow(Node node) {
-        String wanted = book.wanted(node.name).runs();
-        String checks = book.wanted(node.name).checks();
+        String wanted = clusterState.wanted(node.name).runs();
+        String checks = clusterState.wanted(node.name).checks();
         node.checked =
                 checks.isEmpty()
-                        ? node.checked && book.release() != null
+                        ? node.checked && clusterState.rollout() != null
                         : node.checked || random.nextInt(3) == 0;
         if (!wanted.equals(node.takes)) {
             node.takes = wanted;
@@ -531,11 +531,12 @@
             node.changedAt = time;
         }
         boolean permit =
-                book.permits().stream()
+                clusterState.permits().stream()
                         .anyMatch(
                                 one ->
                                         one.node().equals(node.name)
-                                                && one.life().equals(new Incarnation(node.life)));
+                                                && one.incarnation()
+                                                        .equals(new Incarnation(node.life)));
         if (permit && !node.permitted) {
             node.goes(5 + random.nextInt(10));
         }
@@ -543,7 +544,7 @@
     }
 
     private void conduct() {
-        ClusterState.DutyLease lease = book.duty(DUTY);
+        ClusterState.DutyLease lease = clusterState.duty(DUTY);
         if (lease.isFree()
                 || nodes.stream().noneMatch(node -> node.up && node.name.equals(lease.holder()))) {
             return;
@@ -556,36 +557,36 @@
                             lease.holder(), without == Without.WATCH ? BLIND : limits);
             trace.accept(time + " " + lease.holder() + " leads under " + token);
         }
-        RolloutSnapshot picture =
+        RolloutSnapshot snapshot =
                 new RolloutSnapshot(
-                        book.release(),
-                        book.good(),
-                        book.haltedBy(),
-                        leaseManager.picture(book, now()),
-                        book.permits(),
+                        clusterState.rollout(),
+                        clusterState.good(),
+                        clusterState.haltedBy(),
+                        leaseManager.snapshot(clusterState, now()),
+                        clusterState.permits(),
                         disruptionLimits.mostOf(nodes.size()),
-                        book.past());
+                        clusterState.past());
         if (stalledToken != null) {
-            lateWord(picture);
+            lateWord(snapshot);
         }
         String before = rolloutController.says();
-        for (RolloutAction act : rolloutController.decide(picture, token, now())) {
-            if (act instanceof RolloutAction.Propose write) {
-                boolean fitted = book.apply(write.command());
+        for (RolloutAction action : rolloutController.decide(snapshot, token, now())) {
+            if (action instanceof RolloutAction.Propose write) {
+                boolean fitted = clusterState.apply(write.command());
                 trace.accept(time + " " + write.command() + " " + fitted);
-            } else if (act instanceof RolloutAction.PermitRestart let) {
+            } else if (action instanceof RolloutAction.PermitRestart let) {
                 DisruptionLimits bounds =
                         without == Without.PERMITS
                                 ? new DisruptionLimits(nodes.size(), 1, nodes.size(), 1, 0)
                                 : disruptionLimits;
-                book.apply(
+                clusterState.apply(
                         new ClusterCommand.GrantPermit(
                                 let.order(),
                                 let.node(),
                                 "release",
                                 0,
                                 bounds,
-                                leaseManager.unavailableNodes(book, now())));
+                                leaseManager.unavailableNodes(clusterState, now())));
             }
         }
         if (!rolloutController.says().equals(before)) {
@@ -597,21 +598,21 @@
      * The next wave that the one before had decided on when it was stopped comes late, under its
      * token.
      */
-    private void lateWord(RolloutSnapshot picture) {
-        Rollout release = picture.release();
-        if (release == null || release.steps() == 0 || release.back()) {
+    private void lateWord(RolloutSnapshot snapshot) {
+        Rollout rollout = snapshot.rollout();
+        if (rollout == null || rollout.steps() == 0 || rollout.back()) {
             return;
         }
         List<NodeName> next =
                 nodes.stream()
                         .map(node -> node.name)
-                        .filter(name -> !release.isGiven(name))
+                        .filter(name -> !rollout.isGiven(name))
                         .limit(3)
                         .toList();
         FencingToken shown = without == Without.TOKEN ? token : stalledToken;
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.AdvanceRollout(
-                        shown, release.number(), release.steps() + 1, false, next, "", null, 0));
+                        shown, rollout.number(), rollout.steps() + 1, false, next, "", null, 0));
         stalledToken = null;
     }
 
@@ -621,7 +622,7 @@
         if (versions.size() > 2) {
             breaks("versions " + versions + " at once");
         }
-        int permits = book.permits().size();
+        int permits = clusterState.permits().size();
         if (permits > disruptionLimits.mostOf(nodes.size())) {
             breaks(
                     permits
@@ -629,26 +630,26 @@
                             + disruptionLimits.mostOf(nodes.size())
                             + " allowed");
         }
-        for (DisruptionPermit permit : book.permits()) {
-            if (book.member(permit.node()) == null) {
+        for (DisruptionPermit permit : clusterState.permits()) {
+            if (clusterState.member(permit.node()) == null) {
                 breaks("a permit of an unknown node");
             }
         }
-        Rollout release = book.release();
-        if (release != null && !release.back() && release.steps() != stepsObserved) {
+        Rollout rollout = clusterState.rollout();
+        if (rollout != null && !rollout.back() && rollout.steps() != stepsObserved) {
             if (stepsObserved > 0 && time - stepAt < WATCH) {
                 breaks(
                         "step "
-                                + release.steps()
+                                + rollout.steps()
                                 + " was given "
                                 + (time - stepAt)
                                 + " s after the one before");
             }
-            stepsObserved = release.steps();
+            stepsObserved = rollout.steps();
             stepAt = time;
         }
         for (Node node : nodes) {
-            if (node.runs.equals(NEW) && release != null && release.steps() == 0) {
+            if (node.runs.equals(NEW) && rollout != null && rollout.steps() == 0) {
                 breaks(node.name + " has it before it was given");
             }
         }
--- a/src/main/java/lupinwood/experiment/SimulatedCluster.java
+++ b/src/main/java/lupinwood/experiment/SimulatedCluster.java
@@ -129,7 +129,7 @@
             condition = NodeCondition.COLD;
             session =
                     new ClusterSession(
-                            rules,
+                            timing,
                             name,
                             new Incarnation(random.nextLong()),
                             site,
@@ -161,7 +161,7 @@
                 execute(replica::start);
             }
             after(
-                    NanoDuration.ofSeconds(rules.lease().seconds() / 2),
+                    NanoDuration.ofSeconds(timing.lease().seconds() / 2),
                     () -> condition = NodeCondition.WARM);
             execute(this::talk);
             execute(this::poll);
@@ -195,7 +195,7 @@
                 session.handOnAll(now());
                 execute(this::say);
                 after(
-                        rules.lease(),
+                        timing.lease(),
                         () -> {
                             send(session.last(now()));
                             time.after(0.1, this::kill);
@@ -232,7 +232,7 @@
         private void talk() {
             say();
             NanoDuration wait = session.due().since(now()).max(NanoDuration.ofSeconds(0.001));
-            after(wait.min(rules.heartbeatInterval()), this::talk);
+            after(wait.min(timing.heartbeatInterval()), this::talk);
         }
 
         private void send(ClusterSession.Sent sent) {
@@ -292,7 +292,7 @@
                     links.send(place, SINK, () -> sink(duty, token));
                     if (stalls && random.nextInt(2000) == 0) {
                         // It was stopped between asking and acting.
-                        double stop = rules.lease().seconds() * 2 * random.nextDouble();
+                        double stop = timing.lease().seconds() * 2 * random.nextDouble();
                         int of = process;
                         stopFor(stop);
                         time.after(
@@ -346,7 +346,7 @@
     final SimulatedTime time = new SimulatedTime();
     final SimulatedNetwork links;
     final List<Node> nodes = new ArrayList<>();
-    final LeaseTiming rules;
+    final LeaseTiming timing;
     private final LeaseTiming replicaRules;
     private final Without without;
     private final int zones;
@@ -390,15 +390,15 @@
             int voters,
             int members,
             int zones,
-            LeaseTiming rules,
+            LeaseTiming timing,
             double drift,
             Without without,
             long seed) {
         random = new Random(seed);
         this.zones = zones;
         this.without = without;
-        this.rules = without == Without.DRIFT ? LeaseTiming.of(rules.lease(), 0) : rules;
-        replicaRules = this.rules;
+        this.timing = without == Without.DRIFT ? LeaseTiming.of(timing.lease(), 0) : timing;
+        replicaRules = this.timing;
         links = new SimulatedNetwork(time, new Random(random.nextLong()));
         for (int i = 0; i < voters + members; i++) {
             // Some at the bound itself, fast and slow.
@@ -492,7 +492,7 @@
             if (isLeased || !could) {
                 Long since = unheldSince.remove(duty);
                 if (since != null && isLeased) {
-                    gaps.add((time.now() - since) / 1e9 / rules.lease().seconds());
+                    gaps.add((time.now() - since) / 1e9 / timing.lease().seconds());
                 }
             } else {
                 unheldSince.putIfAbsent(duty, time.now());
--- a/src/main/java/lupinwood/experiment/SimulatedRollouts.java
+++ b/src/main/java/lupinwood/experiment/SimulatedRollouts.java
@@ -26,24 +26,24 @@
             RolloutSimulation.Kind kind, int nodes, RolloutSimulation.Played played, long seed) {}
 
     private final long seed;
-    private final int releases;
+    private final int rollouts;
     private final PrintStream out;
 
     /**
-     * @param releases how many; one is played by its own seed, and told in full
+     * @param rollouts how many; one is played by its own seed, and told in full
      */
-    SimulatedRollouts(long seed, int releases, PrintStream out) {
+    SimulatedRollouts(long seed, int rollouts, PrintStream out) {
         this.seed = seed;
-        this.releases = releases;
+        this.rollouts = rollouts;
         this.out = out;
     }
 
     @Override
     public Outcome run() {
         List<One> all =
-                IntStream.range(0, releases)
+                IntStream.range(0, rollouts)
                         .parallel()
-                        .mapToObj(i -> one(releases == 1 ? seed : seed * 1_000_003 + i))
+                        .mapToObj(i -> one(rollouts == 1 ? seed : seed * 1_000_003 + i))
                         .toList();
         List<String> broken = new ArrayList<>();
         Map<RolloutSimulation.Kind, List<One>> kinds = new EnumMap<>(RolloutSimulation.Kind.class);
@@ -101,7 +101,7 @@
         }
         StringBuilder found = new StringBuilder();
         for (RolloutSimulation.Without without :
-                releases > 1
+                rollouts > 1
                         ? RolloutSimulation.Without.values()
                         : new RolloutSimulation.Without[0]) {
             if (without != RolloutSimulation.Without.NOTHING) {
@@ -112,10 +112,10 @@
                 }
             }
         }
-        if (releases > 1 && inError > MOST_IN_ERROR * good) {
+        if (rollouts > 1 && inError > MOST_IN_ERROR * good) {
             broken.add(inError + " of " + good + " good releases were stopped");
         }
-        if (releases > 1 && missed > MOST_MISSED * bad) {
+        if (rollouts > 1 && missed > MOST_MISSED * bad) {
             broken.add(missed + " of " + bad + " bad releases went through");
         }
         return new Outcome(
@@ -180,7 +180,7 @@
                                 nodes,
                                 zones,
                                 random.nextLong(),
-                                releases == 1 ? out::println : text -> {})
+                                rollouts == 1 ? out::println : text -> {})
                         .play(),
                 ofSeed);
     }
