--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -31,7 +31,7 @@
 public final class CapacityPlanner {
     /** What came of one life of a node when it was looked at last. */
     private record Demand(
-            Incarnation life, long offered, double seconds, long well, MonotonicTime at) {}
+            Incarnation incarnation, long offered, double seconds, long well, MonotonicTime at) {}
 
     /** Of what is needed on the mean, since requests come unevenly and nodes have whole slots. */
     private static final double ROOM = 1.35;
@@ -83,7 +83,7 @@
      * @param live all plans that may be gone by still
      */
     public record View(
-            List<Location> places,
+            List<Location> locations,
             Collection<ClusterState.Member> members,
             List<NodeView> nodeViews,
             List<CapacityPlan> live,
@@ -96,7 +96,7 @@
 
     /** The next plan, or null where the one there is does. */
     public ClusterCommand.SetCapacityPlan decide(View view, FencingToken token, MonotonicTime now) {
-        if (view.places().isEmpty()
+        if (view.locations().isEmpty()
                 || view.members().isEmpty()
                 || (lastLook != null && now.since(lastLook).compareTo(every) < 0)) {
             return null;
@@ -105,7 +105,7 @@
         boolean settled =
                 view.live().size() < 2; // else what was planned last has yet to be heard everywhere
         TreeSet<String> names = new TreeSet<>();
-        view.places().forEach(place -> names.add(place.name()));
+        view.locations().forEach(location -> names.add(location.name()));
         health.look(view.nodeViews(), names, now);
         Map<String, Site> sites = new TreeMap<>();
         Map<String, Integer> counts = new TreeMap<>();
@@ -118,15 +118,15 @@
             return null;
         }
         Map<String, Map<String, Integer>> target =
-                whole(allot(view.places(), sites, counts), view.places());
+                whole(allot(view.locations(), sites, counts), view.locations());
         Map<String, Integer> bears = new TreeMap<>();
         Map<String, Map<String, Integer>> alone = new TreeMap<>();
-        for (Location place : view.places()) {
-            bears.put(place.name(), place.bears());
+        for (Location location : view.locations()) {
+            bears.put(location.name(), location.bears());
             sites.forEach(
                     (name, site) ->
                             alone.computeIfAbsent(name, none -> new TreeMap<>())
-                                    .put(place.name(), place.alone(site)));
+                                    .put(location.name(), location.alone(site)));
         }
         CapacityPlan newest =
                 view.live().isEmpty() ? null : view.live().get(view.live().size() - 1);
@@ -169,8 +169,8 @@
         Map<String, Double> came = new TreeMap<>();
         for (NodeView one : view.nodeViews()) {
             if (one.report() == null
-                    || one.standing() == NodeStatus.OUT
-                    || one.standing() == NodeStatus.UNKNOWN) {
+                    || one.status() == NodeStatus.OUT
+                    || one.status() == NodeStatus.UNKNOWN) {
                 demand.remove(one.name());
                 continue;
             }
@@ -182,9 +182,10 @@
                 seconds += use.seconds();
                 well += use.ended() - use.failed();
             }
-            Demand last = demand.put(one.name(), new Demand(one.life(), most, seconds, well, now));
+            Demand last =
+                    demand.put(one.name(), new Demand(one.incarnation(), most, seconds, well, now));
             if (last != null
-                    && last.life().equals(one.life())
+                    && last.incarnation().equals(one.incarnation())
                     && now.since(last.at()).isPositive()) {
                 came.merge(
                         one.site().toString(),
@@ -226,34 +227,35 @@
 
     /** Slots by site and place, before they are parted among nodes. */
     private Map<String, Map<String, Double>> allot(
-            List<Location> places, Map<String, Site> sites, Map<String, Integer> counts) {
+            List<Location> locations, Map<String, Site> sites, Map<String, Integer> counts) {
         Map<String, Double> left = new HashMap<>();
-        for (Location place : places) {
+        for (Location location : locations) {
             // Standing rights of all nodes come first, and are part of what each gets.
-            left.put(place.name(), Math.max(0, place.bears() * health.trust(place.name())));
+            left.put(
+                    location.name(), Math.max(0, location.bears() * health.trust(location.name())));
         }
         Map<String, Map<String, Double>> given = new TreeMap<>();
         Map<String, Double> open = new TreeMap<>(needs);
         sites.forEach((name, site) -> given.put(name, new TreeMap<>()));
-        for (Location place : places) {
+        for (Location location : locations) {
             sites.forEach(
                     (name, site) -> {
-                        double standing = (double) place.alone(site) * counts.get(name);
-                        given.get(name).put(place.name(), standing);
-                        left.merge(place.name(), -standing, Double::sum);
-                        if (health.trust(place.name()) > 0) {
+                        double standing = (double) location.alone(site) * counts.get(name);
+                        given.get(name).put(location.name(), standing);
+                        left.merge(location.name(), -standing, Double::sum);
+                        if (health.trust(location.name()) > 0) {
                             open.merge(name, -standing, Double::sum);
                         }
                     });
         }
         for (int distance = 0; distance <= 2; distance++) {
-            spread(places, sites, distance, open, left, given);
+            spread(locations, sites, distance, open, left, given);
         }
-        for (Location place : places) {
-            double spare = left.get(place.name()) * (1 - FREE);
-            String own = place.site().toString();
+        for (Location location : locations) {
+            double spare = left.get(location.name()) * (1 - FREE);
+            String own = location.site().toString();
             if (spare > 0 && given.containsKey(own)) {
-                given.get(own).merge(place.name(), spare, Double::sum);
+                given.get(own).merge(location.name(), spare, Double::sum);
             }
         }
         return given;
@@ -264,7 +266,7 @@
      * by room.
      */
     private static void spread(
-            List<Location> places,
+            List<Location> locations,
             Map<String, Site> sites,
             int distance,
             Map<String, Double> open,
@@ -277,39 +279,39 @@
                     (name, site) -> {
                         double room = 0;
                         List<Location> there = new ArrayList<>();
-                        for (Location place : places) {
-                            if (place.distance(site) == distance
-                                    && place.mayReach(site)
-                                    && left.get(place.name()) > 0) {
-                                room += left.get(place.name());
-                                there.add(place);
+                        for (Location location : locations) {
+                            if (location.distance(site) == distance
+                                    && location.mayReach(site)
+                                    && left.get(location.name()) > 0) {
+                                room += left.get(location.name());
+                                there.add(location);
                             }
                         }
-                        for (Location place : there) {
+                        for (Location location : there) {
                             double part =
                                     Math.max(0, open.getOrDefault(name, 0.0))
-                                            * left.get(place.name())
+                                            * left.get(location.name())
                                             / room;
                             asks.computeIfAbsent(name, none -> new TreeMap<>())
-                                    .put(place.name(), part);
-                            demand.merge(place.name(), part, Double::sum);
+                                    .put(location.name(), part);
+                            demand.merge(location.name(), part, Double::sum);
                         }
                     });
             asks.forEach(
                     (name, parts) ->
                             parts.forEach(
-                                    (place, part) -> {
-                                        double all = demand.get(place);
+                                    (location, part) -> {
+                                        double all = demand.get(location);
                                         double may =
-                                                all <= left.get(place)
+                                                all <= left.get(location)
                                                         ? part
-                                                        : part * left.get(place) / all;
-                                        given.get(name).merge(place, may, Double::sum);
+                                                        : part * left.get(location) / all;
+                                        given.get(name).merge(location, may, Double::sum);
                                         open.merge(name, -may, Double::sum);
                                     }));
             demand.forEach(
-                    (place, all) ->
-                            left.merge(place, -Math.min(all, left.get(place)), Double::sum));
+                    (location, all) ->
+                            left.merge(location, -Math.min(all, left.get(location)), Double::sum));
         }
     }
 
@@ -319,17 +321,20 @@
      * to nothing.
      */
     private Map<String, Map<String, Integer>> whole(
-            Map<String, Map<String, Double>> given, List<Location> places) {
+            Map<String, Map<String, Double>> given, List<Location> locations) {
         Map<String, Double> room = new HashMap<>();
-        for (Location place : places) {
+        for (Location location : locations) {
             double sum =
                     given.values().stream()
                             .mapToDouble(
                                     parts ->
                                             Math.floor(
-                                                    parts.getOrDefault(place.name(), 0.0) + 1e-9))
+                                                    parts.getOrDefault(location.name(), 0.0)
+                                                            + 1e-9))
                             .sum();
-            room.put(place.name(), Math.floor(place.bears() * health.trust(place.name())) - sum);
+            room.put(
+                    location.name(),
+                    Math.floor(location.bears() * health.trust(location.name())) - sum);
         }
         Map<String, Map<String, Integer>> slots = new TreeMap<>();
         given.forEach(
@@ -337,9 +342,9 @@
                     Map<String, Integer> own = new TreeMap<>();
                     Map<String, Double> lost = new TreeMap<>();
                     parts.forEach(
-                            (place, part) -> {
-                                own.put(place, (int) Math.floor(part + 1e-9));
-                                lost.put(place, part - Math.floor(part + 1e-9));
+                            (location, part) -> {
+                                own.put(location, (int) Math.floor(part + 1e-9));
+                                lost.put(location, part - Math.floor(part + 1e-9));
                             });
                     double all = lost.values().stream().mapToDouble(one -> one).sum();
                     List<String> most =
@@ -352,10 +357,10 @@
                                                     .thenComparing(Map.Entry::getKey))
                                     .map(Map.Entry::getKey)
                                     .toList();
-                    for (String place : most) {
-                        if (all > 0.1 && room.get(place) >= 1) {
-                            own.merge(place, 1, Integer::sum);
-                            room.merge(place, -1.0, Double::sum);
+                    for (String location : most) {
+                        if (all > 0.1 && room.get(location) >= 1) {
+                            own.merge(location, 1, Integer::sum);
+                            room.merge(location, -1.0, Double::sum);
                             all--;
                         }
                     }
@@ -385,12 +390,13 @@
         }
         boolean late =
                 plannedAt == null || now.since(plannedAt).compareTo(every.times(TIDIES_EVERY)) >= 0;
-        return !late || isNear(target, current, view.places());
+        return !late || isNear(target, current, view.locations());
     }
 
     private Map<String, Double> trusted(View view) {
         Map<String, Double> trusted = new TreeMap<>();
-        view.places().forEach(place -> trusted.put(place.name(), health.trust(place.name())));
+        view.locations()
+                .forEach(location -> trusted.put(location.name(), health.trust(location.name())));
         return trusted;
     }
 
@@ -405,15 +411,15 @@
     private static boolean isNear(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
-            List<Location> places) {
-        for (Location place : places) {
+            List<Location> locations) {
+        for (Location location : locations) {
             double moved = 0;
             for (String site : target.keySet()) {
-                int next = target.getOrDefault(site, Map.of()).getOrDefault(place.name(), 0);
-                int now = current.getOrDefault(site, Map.of()).getOrDefault(place.name(), 0);
+                int next = target.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
+                int now = current.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
                 moved += Math.abs(next - now);
             }
-            if (moved > Math.max(1, place.bears() * WORTH)) {
+            if (moved > Math.max(1, location.bears() * WORTH)) {
                 return false;
             }
         }
--- a/src/main/java/lupinwood/failover/LocationHealth.java
+++ b/src/main/java/lupinwood/failover/LocationHealth.java
@@ -58,7 +58,7 @@
 
     private record NodeLocation(NodeName node, String place) {}
 
-    private record PreviousUse(Incarnation life, long ended, long failed) {}
+    private record PreviousUse(Incarnation incarnation, long ended, long failed) {}
 
     private final Map<NodeLocation, PreviousUse> before = new HashMap<>();
     private final Map<String, Map<String, Row>> rows = new TreeMap<>();
@@ -83,8 +83,8 @@
                                                     row.nodes = 0;
                                                 }));
         for (NodeView nodeView : all) {
-            if (nodeView.standing() == NodeStatus.OUT
-                    || nodeView.standing() == NodeStatus.UNKNOWN
+            if (nodeView.status() == NodeStatus.OUT
+                    || nodeView.status() == NodeStatus.UNKNOWN
                     || nodeView.report() == null) {
                 continue; // what it said last is old
             }
@@ -92,8 +92,8 @@
                 PreviousUse last =
                         before.put(
                                 new NodeLocation(nodeView.name(), use.place()),
-                                new PreviousUse(nodeView.life(), use.ended(), use.failed()));
-                boolean same = last != null && last.life().equals(nodeView.life());
+                                new PreviousUse(nodeView.incarnation(), use.ended(), use.failed()));
+                boolean same = last != null && last.incarnation().equals(nodeView.incarnation());
                 Row row =
                         rows.computeIfAbsent(use.place(), none -> new TreeMap<>())
                                 .computeIfAbsent(nodeView.site().toString(), none -> new Row());
--- a/src/main/java/lupinwood/load/LanguageLoader.java
+++ b/src/main/java/lupinwood/load/LanguageLoader.java
@@ -31,7 +31,7 @@
         if (operator != null) {
             FileSources beside = new FileSources();
             ParsedSettings part = sound(Reader.readPart(beside, operator.toString()));
-            Map<String, String> values = new LinkedHashMap<>(config.meaning().values());
+            Map<String, String> values = new LinkedHashMap<>(config.parsedSettings().values());
             for (Map.Entry<String, String> each : part.values().entrySet()) {
                 if (ParsedSettings.entry(each.getKey()) == null
                         || !ParsedSettings.entry(each.getKey()).key().startsWith("operator.")) {
@@ -43,19 +43,19 @@
                 }
                 values.put(each.getKey(), each.getValue());
             }
-            Map<String, List<String>> lists = new LinkedHashMap<>(config.meaning().lists());
+            Map<String, List<String>> lists = new LinkedHashMap<>(config.parsedSettings().lists());
             for (String list : List.of(Schema.ROUTE, Schema.SERVER, Schema.VOTER)) {
                 lists.put(list, part.items(list));
             }
             ParsedSettings both = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
-            List<SettingsError> faults = SettingsValidator.of(both, config.doubts());
-            if (!faults.isEmpty()) {
+            List<SettingsError> errors = SettingsValidator.of(both, config.doubts());
+            if (!errors.isEmpty()) {
                 throw new NodeConfig.UnusableConfiguration(
                         operator
                                 + ": "
-                                + faults.get(0).text()
+                                + errors.get(0).text()
                                 + " ("
-                                + faults.get(0).instead()
+                                + errors.get(0).instead()
                                 + ")");
             }
             config = config.with(both);
@@ -66,8 +66,8 @@
     }
 
     private static ParsedSettings sound(Config config) throws NodeConfig.UnusableConfiguration {
-        if (!config.problems().isEmpty()) {
-            List<Diagnostic> all = config.problems().all();
+        if (!config.diagnostics().isEmpty()) {
+            List<Diagnostic> all = config.diagnostics().all();
             Diagnostic first = all.get(0);
             throw new NodeConfig.UnusableConfiguration(
                     first.place()
@@ -76,6 +76,6 @@
                             + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")")
                             + (all.size() > 1 ? ", and " + (all.size() - 1) + " more" : ""));
         }
-        return config.meaning();
+        return config.parsedSettings();
     }
 }
--- a/src/main/java/lupinwood/load/Reloader.java
+++ b/src/main/java/lupinwood/load/Reloader.java
@@ -22,7 +22,7 @@
     private final Loader loader;
     private final NodeServer serving;
     private final Log log;
-    private final ReloadScheduler triggers;
+    private final ReloadScheduler scheduler;
 
     /** The files of the configuration read last. */
     private List<Path> files;
@@ -53,7 +53,7 @@
         // This order: a change between the two then counts as one that was not seen yet.
         FileFingerprint all = FileFingerprints.at(files);
         FileFingerprint atStart = loader.look().equals(looked) ? all : looked;
-        triggers = new ReloadScheduler(watches, atStart, clock());
+        scheduler = new ReloadScheduler(watches, atStart, clock());
     }
 
     public void start() {
@@ -82,7 +82,7 @@
                     continue;
                 }
                 FileFingerprint before = FileFingerprints.at(files);
-                if (triggers.looked(before, clock())) {
+                if (scheduler.looked(before, clock())) {
                     read(before);
                 }
                 rest();
@@ -93,7 +93,7 @@
     }
 
     private synchronized void rest() {
-        idle = triggers.isAtRest();
+        idle = scheduler.isAtRest();
     }
 
     /** A job that is to be done here first, or null. */
@@ -102,7 +102,7 @@
             if (!jobs.isEmpty()) {
                 return jobs.poll();
             }
-            MonotonicTime next = triggers.next();
+            MonotonicTime next = scheduler.next();
             if (next.equals(MonotonicTime.NEVER)) {
                 wait();
                 continue;
@@ -118,7 +118,7 @@
         }
         signalled = false;
         idle = false;
-        triggers.signalled(clock());
+        scheduler.signalled(clock());
         return null;
     }
 
@@ -147,7 +147,7 @@
                         : loaded.provesWhole()
                                 ? ReloadScheduler.Reading.WHOLE
                                 : ReloadScheduler.Reading.USABLE;
-        switch (triggers.judge(before, FileFingerprints.at(files), reading, clock())) {
+        switch (scheduler.judge(before, FileFingerprints.at(files), reading, clock())) {
             case APPLY -> serving.reload(loaded.config());
             case REPORT ->
                     log.line(
--- a/src/main/java/lupinwood/load/SharedConfig.java
+++ b/src/main/java/lupinwood/load/SharedConfig.java
@@ -52,15 +52,15 @@
                             }
                         },
                         NAME);
-        if (!config.problems().isEmpty()) {
-            Diagnostic first = config.problems().all().get(0);
+        if (!config.diagnostics().isEmpty()) {
+            Diagnostic first = config.diagnostics().all().get(0);
             throw new NodeConfig.UnusableConfiguration(
                     first.place()
                             + ": "
                             + first.text()
                             + (first.instead().isEmpty() ? "" : " (" + first.instead() + ")"));
         }
-        ParsedSettings part = config.meaning();
+        ParsedSettings part = config.parsedSettings();
         if (!part.items(Schema.VOTER).isEmpty()) {
             throw new NodeConfig.UnusableConfiguration("voters are named in each node's own file");
         }
@@ -94,24 +94,24 @@
         if (digest.isEmpty()) {
             return own;
         }
-        ParsedSettings meaning = own.meaning();
-        Map<String, List<String>> lists = new LinkedHashMap<>(meaning.lists());
+        ParsedSettings parsedSettings = own.parsedSettings();
+        Map<String, List<String>> lists = new LinkedHashMap<>(parsedSettings.lists());
         for (String list : Schema.LISTS) {
             for (String item : part.items(list)) {
-                if (!meaning.items(list).contains(item)) {
+                if (!parsedSettings.items(list).contains(item)) {
                     throw new NodeConfig.UnusableConfiguration(
                             "there is no " + list + " " + item + " here");
                 }
             }
         }
-        Map<String, String> values = new LinkedHashMap<>(meaning.values());
+        Map<String, String> values = new LinkedHashMap<>(parsedSettings.values());
         values.putAll(part.values());
         ParsedSettings both = new ParsedSettings(lists, ParsedSettings.ordered(lists, values));
-        List<SettingsError> faults = SettingsValidator.of(both, List.of());
-        for (SettingsError fault : faults) {
-            if (fault.certain()) {
+        List<SettingsError> errors = SettingsValidator.of(both, List.of());
+        for (SettingsError error : errors) {
+            if (error.certain()) {
                 throw new NodeConfig.UnusableConfiguration(
-                        fault.text() + " (" + fault.instead() + ")");
+                        error.text() + " (" + error.instead() + ")");
             }
         }
         return own.with(both);
--- a/src/main/java/lupinwood/load/SharedConfigApplier.java
+++ b/src/main/java/lupinwood/load/SharedConfigApplier.java
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public List<String> restsAtStart() {
-        return atStart.rests();
+    public List<String> cordonsAtStart() {
+        return atStart.cordons();
     }
 
     @Override
@@ -61,18 +61,18 @@
 
     private NodeReport.ConfigCheck check(String digest, String text) {
         try {
-            ConfigDiff plan = plan(read(digest, text));
-            if (plan.isRefused()) {
+            ConfigDiff diff = plan(read(digest, text));
+            if (diff.isRefused()) {
                 return new NodeReport.ConfigCheck(
                         digest,
                         false,
                         false,
-                        plan.steps().stream()
+                        diff.steps().stream()
                                 .filter(step -> step.change() == ChangeEffect.REFUSED)
                                 .map(step -> step.name() + ": " + step.because())
                                 .collect(Collectors.joining("; ")));
             }
-            return new NodeReport.ConfigCheck(digest, true, restarts(plan), "");
+            return new NodeReport.ConfigCheck(digest, true, restarts(diff), "");
         } catch (NodeConfig.UnusableConfiguration e) {
             return new NodeReport.ConfigCheck(digest, false, false, e.getMessage());
         } catch (RuntimeException e) {
@@ -92,11 +92,12 @@
     }
 
     private ConfigDiff plan(SharedConfig common) throws NodeConfig.UnusableConfiguration {
-        return ConfigDiff.between(serving.goesBy().meaning(), common.onto(loader.own()).meaning());
+        return ConfigDiff.between(
+                serving.goesBy().parsedSettings(), common.onto(loader.own()).parsedSettings());
     }
 
-    private static boolean restarts(ConfigDiff plan) {
-        return plan.steps().stream().anyMatch(step -> step.change() == ChangeEffect.RESTART);
+    private static boolean restarts(ConfigDiff diff) {
+        return diff.steps().stream().anyMatch(step -> step.change() == ChangeEffect.RESTART);
     }
 
     @Override
@@ -113,7 +114,8 @@
             SharedConfig common = read(digest, text);
             NodeConfig next = common.onto(loader.own());
             serving.reload(next);
-            if (!ConfigDiff.between(serving.goesBy().meaning(), next.meaning()).isEmpty()) {
+            if (!ConfigDiff.between(serving.goesBy().parsedSettings(), next.parsedSettings())
+                    .isEmpty()) {
                 return "the node was told to leave";
             }
             loader.lay(common);
--- a/src/main/java/lupinwood/load/StartupConfig.java
+++ b/src/main/java/lupinwood/load/StartupConfig.java
@@ -15,12 +15,12 @@
  * @param config what it goes by: its files, with the text over them
  * @param digest of the text; empty for none
  */
-public record StartupConfig(NodeConfig config, String digest, List<String> rests) {
+public record StartupConfig(NodeConfig config, String digest, List<String> cordons) {
     private static final NanoDuration MOST = NanoDuration.ofSeconds(3);
 
     /** The loader lays the text over the files from then on. */
     public static StartupConfig ask(Loader loader, NodeConfig own, Log log) {
-        ClusterSettings settings = ClusterSettings.of(own.meaning());
+        ClusterSettings settings = ClusterSettings.of(own.parsedSettings());
         StartupConfig alone = new StartupConfig(own, "", List.of());
         ClusterQuery.Wanted wanted = null;
         try {
@@ -28,7 +28,7 @@
                     ClusterQuery.wanted(
                             settings.voters().values(),
                             settings.name(),
-                            settings.rules().lease().min(MOST),
+                            settings.timing().lease().min(MOST),
                             log);
             if (wanted == null) {
                 return alone;
@@ -39,10 +39,10 @@
                 loader.lay(common);
                 log.line("fleet: starts with the text " + common.digest());
             }
-            return new StartupConfig(config, common.digest(), wanted.rests());
+            return new StartupConfig(config, common.digest(), wanted.cordons());
         } catch (NodeConfig.UnusableConfiguration e) {
             log.line("fleet: starts without the text agreed on: " + e.getMessage());
-            return new StartupConfig(own, "", wanted.rests());
+            return new StartupConfig(own, "", wanted.cordons());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return alone;
--- a/src/main/java/lupinwood/net/AjpExecutor.java
+++ b/src/main/java/lupinwood/net/AjpExecutor.java
@@ -73,7 +73,7 @@
         }
     }
 
-    private final LinkContext means;
+    private final LinkContext context;
     private final List<Server> servers = new ArrayList<>();
     private final Set<String> requestClasses = new HashSet<>();
     private final Set<String> safe = new HashSet<>();
@@ -120,15 +120,15 @@
 
     private RequestProcessor processor;
 
-    AjpExecutor(ParsedSettings meaning, long seed, LinkContext means) {
-        this.means = means;
-        for (String name : meaning.items(Schema.SERVER)) {
+    AjpExecutor(ParsedSettings parsedSettings, long seed, LinkContext context) {
+        this.context = context;
+        for (String name : parsedSettings.items(Schema.SERVER)) {
             String at = "server " + name + " ";
-            Set<String> carried = Set.of(meaning.value(at + "tracks").split(","));
+            Set<String> carried = Set.of(parsedSettings.value(at + "tracks").split(","));
             servers.add(
                     new Server(
-                            NodeConfig.address(meaning.value(at + "address")),
-                            meaning.value(at + "secret"),
+                            NodeConfig.address(parsedSettings.value(at + "address")),
+                            parsedSettings.value(at + "secret"),
                             carried,
                             new ArrayDeque<>()));
             requestClasses.addAll(carried);
@@ -137,21 +137,23 @@
             timeout.put(
                     className,
                     new NanoDuration(
-                            Long.parseLong(meaning.value("track " + className + " abandon-time"))));
-            if (meaning.value("track " + className + " effect").equals("pure")) {
+                            Long.parseLong(
+                                    parsedSettings.value("track " + className + " abandon-time"))));
+            if (parsedSettings.value("track " + className + " effect").equals("pure")) {
                 safe.add(className);
             }
         }
         linger =
                 new NanoDuration(
-                        Long.parseLong(meaning.values().getOrDefault("machine linger", "0")));
-        pool = new ServerPool(meaning.items(Schema.SERVER), OutlierLimits.USUAL, seed);
+                        Long.parseLong(
+                                parsedSettings.values().getOrDefault("machine linger", "0")));
+        pool = new ServerPool(parsedSettings.items(Schema.SERVER), OutlierLimits.USUAL, seed);
         mostOpen = mostConnections();
         offered = new long[servers.size()];
         endedThere = new long[servers.size()];
         failedThere = new long[servers.size()];
         tookThere = new double[servers.size()];
-        means.eventLoop().addWriter(this::flush);
+        context.eventLoop().addWriter(this::flush);
     }
 
     void serve(RequestProcessor served) {
@@ -175,7 +177,7 @@
         watchForBack();
     }
 
-    void markTrials(Supplier<Map<String, String>> by) {
+    void markProbation(Supplier<Map<String, String>> by) {
         mark = by;
     }
 
@@ -207,7 +209,7 @@
             processor.exited(run.id, Completion.NOTHING_STARTED, NanoDuration.ZERO, null);
         } else {
             waiting.add(run);
-            means.deadlines()
+            context.deadlines()
                     .schedule(
                             run.began.plus(timeout.get(run.className)),
                             () -> {
@@ -294,11 +296,11 @@
      * reason enough.
      */
     private void watchForBack() {
-        means.deadlines().cancel(back);
+        context.deadlines().cancel(back);
         back =
                 waiting.isEmpty() || pool.nextBack(processor.now()).equals(MonotonicTime.NEVER)
                         ? null
-                        : means.deadlines()
+                        : context.deadlines()
                                 .schedule(pool.nextBack(processor.now()), this::sendWaiting);
     }
 
@@ -318,7 +320,7 @@
             line = new ServerConnection(server);
             open++;
             line.run = run;
-            line.connect(means.sockets(), servers.get(server).address());
+            line.connect(context.sockets(), servers.get(server).address());
         } else {
             line.take(run);
         }
@@ -353,20 +355,20 @@
         private boolean gone;
 
         ServerConnection(int server) {
-            super(means.eventLoop(), new ResponseParser());
+            super(context.eventLoop(), new ResponseParser());
             this.server = server;
         }
 
         private void take(Run next) {
             run = next;
             sentAt = processor.now();
-            means.deadlines().cancel(rest);
+            context.deadlines().cancel(rest);
             if (JUST_USED.compareTo(processor.now().since(restsSince)) < 0) {
                 requested = true;
                 outbox().add(Requests.ping());
                 toFlush.add(this);
                 pong =
-                        means.deadlines()
+                        context.deadlines()
                                 .schedule(
                                         processor.now().plus(PONG_WAIT),
                                         () -> end(Completion.NO_PONG));
@@ -381,7 +383,7 @@
             NanoDuration most = pool.target();
             if (most.isPositive()) {
                 target =
-                        means.deadlines()
+                        context.deadlines()
                                 .schedule(
                                         processor.now().plus(most),
                                         () -> {
@@ -390,7 +392,7 @@
                                         });
             }
             cap =
-                    means.deadlines()
+                    context.deadlines()
                             .schedule(
                                     run.began.plus(timeout.get(run.className)),
                                     () -> end(Completion.GIVEN_UP));
@@ -401,7 +403,7 @@
             headers.put("Host", "lupinwood");
             headers.put("Content-Type", "application/octet-stream");
             headers.put("X-Try", run.id.digits());
-            if (mark != null && pool.isOnTrial(server)) {
+            if (mark != null && pool.isOnProbation(server)) {
                 headers.putAll(mark.get());
             }
             outbox().add(
@@ -443,7 +445,7 @@
                 }
                 if (event instanceof BackReader.Pong && requested) {
                     requested = false;
-                    means.deadlines().cancel(pong);
+                    context.deadlines().cancel(pong);
                     write();
                 } else if (event instanceof BackReader.More more && written) {
                     part(more.most());
@@ -465,7 +467,9 @@
             if (reusable) {
                 restsSince = processor.now();
                 servers.get(server).resting().addFirst(this);
-                rest = means.deadlines().schedule(processor.now().plus(LONGEST_REST), this::close);
+                rest =
+                        context.deadlines()
+                                .schedule(processor.now().plus(LONGEST_REST), this::close);
             } else {
                 close();
             }
@@ -476,9 +480,9 @@
 
         /** The request is no longer out on this connection. */
         private void release(ServerPool.AttemptEnd end) {
-            means.deadlines().cancel(pong);
-            means.deadlines().cancel(target);
-            means.deadlines().cancel(cap);
+            context.deadlines().cancel(pong);
+            context.deadlines().cancel(target);
+            context.deadlines().cancel(cap);
             NanoDuration took = processor.now().since(sentAt);
             boolean wasSlow = slow;
             endedThere[server]++;
@@ -486,7 +490,7 @@
             tookThere[server] += end == ServerPool.AttemptEnd.WELL ? took.seconds() : 0;
             if (end == ServerPool.AttemptEnd.FAILED && written && linger.isPositive()) {
                 // AJP can't stop a run: it may go on there, and counts as out for as long.
-                means.deadlines()
+                context.deadlines()
                         .schedule(
                                 processor.now().plus(linger),
                                 () -> {
@@ -504,7 +508,7 @@
         private void close() {
             over = true;
             servers.get(server).resting().remove(this);
-            means.deadlines().cancel(rest);
+            context.deadlines().cancel(rest);
             toFlush.remove(this);
             hangUp();
         }
@@ -517,7 +521,7 @@
                 release(ServerPool.AttemptEnd.FAILED);
                 Completion ending =
                         wasWritten || why.outcome().provesNeverRan() ? why : Completion.NOT_WRITTEN;
-                means.log()
+                context.log()
                         .line("a ticket at the server " + pool.name(server) + " ended: " + ending);
                 conclude(lost, ending, null);
                 sendWaiting();
--- a/src/main/java/lupinwood/net/AjpListener.java
+++ b/src/main/java/lupinwood/net/AjpListener.java
@@ -49,12 +49,13 @@
      */
     private final AtomicLong ids = new AtomicLong(EventLoop.clock().nanos());
 
-    AjpListener(ParsedSettings meaning, EventLoop eventLoop, TimerService deadlines, Log log) {
+    AjpListener(
+            ParsedSettings parsedSettings, EventLoop eventLoop, TimerService deadlines, Log log) {
         super(eventLoop, deadlines, log);
-        routes = new Routes(meaning);
-        String reported = meaning.value("ajp secret");
+        routes = new Routes(parsedSettings);
+        String reported = parsedSettings.value("ajp secret");
         secret = reported == null ? null : reported.getBytes(StandardCharsets.ISO_8859_1);
-        packet = Integer.parseInt(meaning.values().getOrDefault("ajp packet-bytes", "8192"));
+        packet = Integer.parseInt(parsedSettings.values().getOrDefault("ajp packet-bytes", "8192"));
     }
 
     @Override
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -44,11 +44,11 @@
     private volatile List<String> drained = List.of();
     private List<String> rests = List.of();
     private final ClusterSettings settings;
-    private final List<Location> places;
+    private final List<Location> locations;
     private volatile List<NodeReport.LocationUse> uses = List.of();
     private ClusterView.CapacityShare shared;
-    private final RequestCounters counts = new RequestCounters();
-    private volatile RequestCounts tally = RequestCounts.NOTHING;
+    private final RequestCounters counters = new RequestCounters();
+    private volatile RequestCounts requestCounts = RequestCounts.NOTHING;
     private List<ClusterView.ServerHealth> heard = List.of();
 
     /** The token of the try that is under way. */
@@ -61,7 +61,7 @@
      * @param leave has this node leave as by the notice; returns at once
      */
     ClusterMembership(
-            ParsedSettings meaning,
+            ParsedSettings parsedSettings,
             AjpExecutor servers,
             TimerService deadlines,
             Supplier<ConfigApplier> configApplier,
@@ -69,10 +69,11 @@
             Log log) {
         this.deadlines = deadlines;
         this.servers = servers;
-        settings = ClusterSettings.of(meaning);
-        places = ClusterSettings.places(meaning);
+        settings = ClusterSettings.of(parsedSettings);
+        locations = ClusterSettings.places(parsedSettings);
         warmAfter =
-                new NanoDuration(meaning.number("rules warm-after", BigDecimal.ZERO).longValue());
+                new NanoDuration(
+                        parsedSettings.number("rules warm-after", BigDecimal.ZERO).longValue());
         fleet =
                 new ClusterNode(
                         settings,
@@ -81,7 +82,7 @@
                                 () -> leftOut,
                                 () -> drained,
                                 () -> uses,
-                                () -> tally,
+                                () -> requestCounts,
                                 () ->
                                         configApplier.get() == null
                                                 ? ConfigApplier.NONE
@@ -97,13 +98,13 @@
     /** On the event loop thread. */
     void serve(RequestProcessor served) {
         processor = served;
-        served.answersTo(counts);
-        if (servers != null && !places.isEmpty()) {
+        served.answersTo(counters);
+        if (servers != null && !locations.isEmpty()) {
             shareServers();
         }
         if (servers != null) {
-            servers.pool().trialsBy(new SharedHealthChecker());
-            servers.markTrials(
+            servers.pool().checkHealthBy(new SharedHealthChecker());
+            servers.markProbation(
                     () -> tries == null ? Map.of() : Map.of("X-Duty-Token", tries.toString()));
         }
         look();
@@ -116,23 +117,23 @@
     private void shareServers() {
         ServerPool pool = servers.pool();
         Map<String, Location> planned = new TreeMap<>();
-        places.forEach(place -> planned.put(place.name(), place));
+        locations.forEach(location -> planned.put(location.name(), location));
         int[] away = new int[pool.size()];
         for (int i = 0; i < away.length; i++) {
-            Location place = planned.get(pool.name(i));
-            away[i] = place == null ? 0 : place.distance(settings.site());
+            Location location = planned.get(pool.name(i));
+            away[i] = location == null ? 0 : location.distance(settings.site());
         }
         servers.share(
                 away,
                 server -> {
-                    Location place = planned.get(pool.name(server));
-                    if (place == null) {
+                    Location location = planned.get(pool.name(server));
+                    if (location == null) {
                         return Integer.MAX_VALUE;
                     }
                     ClusterView.CapacityShare share = fleet.view().share();
-                    int alone = place.alone(settings.site());
+                    int alone = location.alone(settings.site());
                     return monotonic().isBefore(share.until())
-                            ? Math.max(alone, share.slots().getOrDefault(place.name(), 0))
+                            ? Math.max(alone, share.slots().getOrDefault(location.name(), 0))
                             : alone;
                 });
     }
@@ -160,17 +161,17 @@
 
     @SuppressWarnings("ReferenceEquality") // a new share is a new object
     private void look() {
-        tally = counts.tally();
+        requestCounts = counters.tally();
         condition = processor.isWarm(warmAfter) ? NodeCondition.WARM : NodeCondition.COLD;
         if (servers != null) {
             ServerPool pool = servers.pool();
             leftOut = pool.leftOut();
-            if (!fleet.view().rests().equals(rests)) {
-                rests = fleet.view().rests();
+            if (!fleet.view().cordons().equals(rests)) {
+                rests = fleet.view().cordons();
                 servers.rest(rests);
             }
             drained = pool.drained();
-            if (!places.isEmpty()) {
+            if (!locations.isEmpty()) {
                 uses = uses();
                 if (shared != fleet.view().share()) {
                     shared = fleet.view().share();
@@ -194,8 +195,8 @@
     }
 
     /** A configuration was taken over. */
-    void reach(ParsedSettings meaning) {
-        fleet.reach(ClusterSettings.of(meaning).voters());
+    void reach(ParsedSettings parsedSettings) {
+        fleet.reach(ClusterSettings.of(parsedSettings).voters());
     }
 
     void leave() {
--- a/src/main/java/lupinwood/net/DependencyClient.java
+++ b/src/main/java/lupinwood/net/DependencyClient.java
@@ -38,7 +38,7 @@
     @SuppressWarnings("ArrayRecordComponent") // never compared
     private record Call(AttemptId id, NanoDuration cap, byte[] body) {}
 
-    private final LinkContext means;
+    private final LinkContext context;
 
     /** Connections at once; calls past that wait for one, within their caps. */
     private final int most;
@@ -61,11 +61,11 @@
     private final Set<DependencyConnection> toFlush = new HashSet<>();
     private RequestProcessor processor;
 
-    DependencyClient(InetSocketAddress address, int most, LinkContext means) {
+    DependencyClient(InetSocketAddress address, int most, LinkContext context) {
         this.most = most;
         this.address = address;
-        this.means = means;
-        means.eventLoop().addWriter(this::flush);
+        this.context = context;
+        context.eventLoop().addWriter(this::flush);
     }
 
     void serve(RequestProcessor served) {
@@ -83,7 +83,8 @@
     @Override
     public void call(AttemptId id, NanoDuration cap, byte[] body) {
         if (address == null) {
-            means.eventLoop().tell(() -> processor.callEnded(id, Completion.NEVER_CONNECTED, null));
+            context.eventLoop()
+                    .tell(() -> processor.callEnded(id, Completion.NEVER_CONNECTED, null));
             return;
         }
         // A reply names only the try: a late copy of an earlier one must not pass for this call's.
@@ -100,7 +101,7 @@
         if (line == null) {
             line = new DependencyConnection();
             open++;
-            line.connect(means.sockets(), address);
+            line.connect(context.sockets(), address);
         }
         lines.put(id, line);
         line.begin(new Call(id, cap, body));
@@ -152,13 +153,13 @@
 
         DependencyConnection() {
             super(
-                    means.eventLoop(),
+                    context.eventLoop(),
                     new LineParser(words -> words.length == 3 && words[1].equals("HIT")));
         }
 
         void begin(Call begun) {
             idle.remove(this);
-            means.deadlines().cancel(tooOld);
+            context.deadlines().cancel(tooOld);
             idleFor = idleSince == null ? null : processor.now().since(idleSince);
             call = begun;
             carried.add(call.id());
@@ -185,7 +186,7 @@
         private void close() {
             closing = true;
             idle.remove(this);
-            means.deadlines().cancel(tooOld);
+            context.deadlines().cancel(tooOld);
             toFlush.remove(this);
             hangUp();
         }
@@ -226,7 +227,7 @@
             } else {
                 idle.addFirst(this);
                 idleSince = processor.now();
-                tooOld = means.deadlines().schedule(processor.now().plus(JUST_USED), this::close);
+                tooOld = context.deadlines().schedule(processor.now().plus(JUST_USED), this::close);
             }
             processor.callEnded(id, ending, body);
             DependencyClient.this.next();
@@ -246,12 +247,12 @@
             AttemptId id = call == null ? null : call.id();
             closing = true;
             idle.remove(this);
-            means.deadlines().cancel(tooOld);
+            context.deadlines().cancel(tooOld);
             toFlush.remove(this);
             open--;
             if (id != null) {
                 release();
-                means.log()
+                context.log()
                         .line(
                                 "a connection to the index ended with a call out: "
                                         + ending
--- a/src/main/java/lupinwood/net/ExecutorClient.java
+++ b/src/main/java/lupinwood/net/ExecutorClient.java
@@ -30,7 +30,7 @@
     /** An executor that leaves more than this unread is stuck; the link is made anew. */
     private static final long MOST_WAITING = 4 * 1024 * 1024;
 
-    private final LinkContext means;
+    private final LinkContext context;
 
     /** Where to connect, and whether a move there is kept. */
     private final ExecutorMigration<InetSocketAddress> move;
@@ -62,11 +62,11 @@
     private boolean failing;
 
     ExecutorClient(
-            InetSocketAddress address, Consumer<InetSocketAddress> moved, LinkContext means) {
+            InetSocketAddress address, Consumer<InetSocketAddress> moved, LinkContext context) {
         move = new ExecutorMigration<>(address);
         this.moved = moved;
-        this.means = means;
-        means.eventLoop().addWriter(this::flush);
+        this.context = context;
+        context.eventLoop().addWriter(this::flush);
     }
 
     void serve(RequestProcessor served) {
@@ -87,13 +87,13 @@
 
     private void watch() {
         if (!move.due().equals(MonotonicTime.NEVER)) {
-            means.deadlines()
+            context.deadlines()
                     .schedule(
                             move.due(),
                             () -> {
                                 ExecutorMigration.Step next = move.look(processor.now());
                                 if (next != ExecutorMigration.Step.NOTHING) {
-                                    means.log()
+                                    context.log()
                                             .line(
                                                     (next == ExecutorMigration.Step.GO_BACK
                                                                     ? "the new executor said no WELCOME in time, back to "
@@ -129,9 +129,9 @@
     }
 
     private void connect() {
-        means.deadlines().cancel(again);
+        context.deadlines().cancel(again);
         newest = new ExecutorConnection();
-        newest.connect(means.sockets(), move.current());
+        newest.connect(context.sockets(), move.current());
     }
 
     @Override
@@ -179,7 +179,7 @@
         if (link != null) {
             link.outbox().flush();
             if (link.outbox().waiting() > MOST_WAITING) {
-                means.log().line("the executor doesn't read: " + Completion.SLOW_READER);
+                context.log().line("the executor doesn't read: " + Completion.SLOW_READER);
                 link.outbox().closeNow();
             }
         }
@@ -197,7 +197,7 @@
 
         ExecutorConnection() {
             super(
-                    means.eventLoop(),
+                    context.eventLoop(),
                     new LineParser(
                             words ->
                                     switch (words[0]) {
@@ -215,7 +215,7 @@
                 join();
             } else {
                 link.handovers = processor.askResourceUsage();
-                means.deadlines().schedule(processor.now().plus(HANDOVER), this::join);
+                context.deadlines().schedule(processor.now().plus(HANDOVER), this::join);
             }
         }
 
@@ -234,12 +234,12 @@
             if (link == this) {
                 link = null;
                 lostAt = lostAt == null ? processor.now() : lostAt;
-                means.log().line("the link to the executor is lost: " + ending);
+                context.log().line("the link to the executor is lost: " + ending);
                 if (newest.outbox() != null) {
                     newest.join();
                 }
             } else if (this == newest && !failing) {
-                means.log().line("no link to the executor: " + ending);
+                context.log().line("no link to the executor: " + ending);
             }
             if (this == newest) {
                 if (link != null) {
@@ -248,7 +248,7 @@
                 boolean settled =
                         welcomed && SETTLED.compareTo(processor.now().since(joinedAt)) < 0;
                 again =
-                        means.deadlines()
+                        context.deadlines()
                                 .schedule(
                                         processor
                                                 .now()
@@ -344,11 +344,11 @@
             }
             if (words[0].equals("LOG") && words.length > 1) {
                 String text = String.join(" ", Arrays.asList(words).subList(2, words.length));
-                return notice(words[1], () -> means.log().line("the executor says: " + text));
+                return notice(words[1], () -> context.log().line("the executor says: " + text));
             }
             // A whole line that means nothing here harms nothing; to close the link would cost all
             // runs time.
-            return () -> means.log().line("passed over, from the executor: " + words[0]);
+            return () -> context.log().line("passed over, from the executor: " + words[0]);
         }
 
         /** Guards against a notice read twice, on a link and again on the one that replaced it. */
@@ -357,7 +357,7 @@
             return () -> {
                 if (n > last) {
                     if (n > last + 1) {
-                        means.log()
+                        context.log()
                                 .line(
                                         "notices "
                                                 + (last + 1)
--- a/src/main/java/lupinwood/net/NodeConfig.java
+++ b/src/main/java/lupinwood/net/NodeConfig.java
@@ -33,7 +33,7 @@
  * @param stop how long after the notice the process is killed
  * @param sockets how many descriptors it may hold
  * @param settings what the node decides by, as the plain map that the simulator gives too
- * @param meaning the same and all else, entry by entry
+ * @param parsedSettings the same and all else, entry by entry
  * @param doubts what is unlikely to be meant, though a node can serve with it
  */
 public record NodeConfig(
@@ -46,7 +46,7 @@
         NanoDuration stop,
         int sockets,
         Map<String, String> settings,
-        ParsedSettings meaning,
+        ParsedSettings parsedSettings,
         List<SettingsError> doubts) {
 
     private static final String SETTINGS = "settings.";
@@ -78,16 +78,16 @@
         }
         Map<String, String> flat = new TreeMap<>();
         flatten("", read, flat);
-        List<SettingsError> faults = new ArrayList<>();
-        ParsedSettings meaning = ParsedSettings.of(flat, faults);
-        faults.addAll(SettingsValidator.of(meaning, faults));
-        faults.addAll(unknown(flat));
-        return of(flat, meaning, faults);
+        List<SettingsError> errors = new ArrayList<>();
+        ParsedSettings parsedSettings = ParsedSettings.of(flat, errors);
+        errors.addAll(SettingsValidator.of(parsedSettings, errors));
+        errors.addAll(unknown(flat));
+        return of(flat, parsedSettings, errors);
     }
 
     /** Of one that is right in all its entries. */
-    public static NodeConfig of(ParsedSettings meaning) throws UnusableConfiguration {
-        return of(meaning.flat(), meaning, List.of());
+    public static NodeConfig of(ParsedSettings parsedSettings) throws UnusableConfiguration {
+        return of(parsedSettings.flat(), parsedSettings, List.of());
     }
 
     /**
@@ -95,16 +95,16 @@
      * came.
      */
     public NodeConfig with(ParsedSettings next) throws UnusableConfiguration {
-        Map<String, String> flat = new TreeMap<>(meaning.flat());
+        Map<String, String> flat = new TreeMap<>(parsedSettings.flat());
         settings.forEach((key, stored) -> flat.put("settings." + key, stored));
         for (Entry entry : Schema.all()) {
             for (String name : next.named(entry)) {
                 String value = next.value(name);
-                if (!Objects.equals(value, meaning.value(name)) && !entry.isInPlainList()) {
+                if (!Objects.equals(value, parsedSettings.value(name)) && !entry.isInPlainList()) {
                     if (value == null) {
-                        flat.remove(meaning.key(name));
+                        flat.remove(parsedSettings.key(name));
                     } else {
-                        flat.put(meaning.key(name), ParsedSettings.stored(name, value));
+                        flat.put(parsedSettings.key(name), ParsedSettings.stored(name, value));
                     }
                 }
             }
@@ -113,10 +113,10 @@
     }
 
     private static NodeConfig of(
-            Map<String, String> flat, ParsedSettings meaning, List<SettingsError> faults)
+            Map<String, String> flat, ParsedSettings parsedSettings, List<SettingsError> errors)
             throws UnusableConfiguration {
         StringJoiner certain = new StringJoiner("; ");
-        faults.stream().filter(SettingsError::certain).forEach(fault -> certain.add(said(fault)));
+        errors.stream().filter(SettingsError::certain).forEach(error -> certain.add(said(error)));
         if (certain.length() > 0) {
             throw new UnusableConfiguration("the configuration can't be used: " + certain);
         }
@@ -127,7 +127,7 @@
                         settings.put(key.substring(SETTINGS.length()), stored);
                     }
                 });
-        settings.put(STEP, Long.toString(step(meaning)));
+        settings.put(STEP, Long.toString(step(parsedSettings)));
         return new NodeConfig(
                 flat.get("name"),
                 address(flat, "listen"),
@@ -135,11 +135,11 @@
                 address(flat, "index"),
                 address(flat, "naming"),
                 Long.parseUnsignedLong(flat.get("seed"), 16),
-                new NanoDuration(meaning.number("stop", null).longValue()),
-                meaning.number("limits descriptors", null).min(MOST_SOCKETS).intValue(),
+                new NanoDuration(parsedSettings.number("stop", null).longValue()),
+                parsedSettings.number("limits descriptors", null).min(MOST_SOCKETS).intValue(),
                 settings,
-                meaning,
-                List.copyOf(faults));
+                parsedSettings,
+                List.copyOf(errors));
     }
 
     /**
@@ -147,17 +147,17 @@
      * it stands in for one that isn't told, or that would leave a request of this deployment no
      * time.
      */
-    private static long step(ParsedSettings meaning) {
+    private static long step(ParsedSettings parsedSettings) {
         Entry entry = Schema.named("step");
         BigDecimal shortest =
-                meaning.requestClasses().stream()
+                parsedSettings.requestClasses().stream()
                         .map(
                                 className ->
-                                        meaning.number(
+                                        parsedSettings.number(
                                                 "track " + className + " abandon-time", null))
                         .min(Comparator.naturalOrder())
                         .orElse(entry.most());
-        BigDecimal reported = meaning.number("step", BigDecimal.ZERO);
+        BigDecimal reported = parsedSettings.number("step", BigDecimal.ZERO);
         boolean fits =
                 reported.compareTo(entry.least()) >= 0
                         && reported.multiply(new BigDecimal(4)).compareTo(shortest) <= 0;
@@ -165,8 +165,8 @@
     }
 
     /** A fault of a JSON file, whose entries have no place in lines. */
-    private static String said(SettingsError fault) {
-        return fault.text() + (fault.instead().isEmpty() ? "" : " (" + fault.instead() + ")");
+    private static String said(SettingsError error) {
+        return error.text() + (error.instead().isEmpty() ? "" : " (" + error.instead() + ")");
     }
 
     /** The doubts in one line, or null. */
--- a/src/main/java/lupinwood/net/NodeServer.java
+++ b/src/main/java/lupinwood/net/NodeServer.java
@@ -58,8 +58,8 @@
          * @param open what is open with all selectors made and no connection yet
          * @param voters of the fleet, each with a connection and the next one
          */
-        static int own(int open, int doors, int voters) {
-            return open + LATER + doors + EXECUTOR + RegistryClient.MOST_AT_ONCE + 2 * voters;
+        static int own(int open, int proxies, int voters) {
+            return open + LATER + proxies + EXECUTOR + RegistryClient.MOST_AT_ONCE + 2 * voters;
         }
 
         /**
@@ -200,28 +200,28 @@
         sockets = new Sockets(log);
         listener = new RespListener(eventLoop, deadlines, log);
         ajp =
-                config.meaning().value("ajp listen") == null
+                config.parsedSettings().value("ajp listen") == null
                         ? null
-                        : new AjpListener(config.meaning(), eventLoop, deadlines, log);
-        LinkContext means = new LinkContext(sockets, eventLoop, deadlines, log);
-        executor = new ExecutorClient(config.executor(), at -> executorAt = at, means);
+                        : new AjpListener(config.parsedSettings(), eventLoop, deadlines, log);
+        LinkContext context = new LinkContext(sockets, eventLoop, deadlines, log);
+        executor = new ExecutorClient(config.executor(), at -> executorAt = at, context);
         servers =
-                config.meaning().items(Schema.SERVER).isEmpty()
+                config.parsedSettings().items(Schema.SERVER).isEmpty()
                         ? null
-                        : new AjpExecutor(config.meaning(), config.seed(), means);
+                        : new AjpExecutor(config.parsedSettings(), config.seed(), context);
         fleet =
-                config.meaning().items(Schema.VOTER).isEmpty()
+                config.parsedSettings().items(Schema.VOTER).isEmpty()
                         ? null
                         : new ClusterMembership(
-                                config.meaning(),
+                                config.parsedSettings(),
                                 servers,
                                 deadlines,
                                 () -> configApplier == null ? null : configApplier.get(),
                                 () -> drainRequested.run(),
                                 log);
-        TableSizes tables = TableSizes.of(TableSizes.share(1));
+        TableSizes sizes = TableSizes.of(TableSizes.share(1));
         int all = Math.min(config.sockets(), OpenFiles.limit());
-        int voters = config.meaning().items(Schema.VOTER).size();
+        int voters = config.parsedSettings().items(Schema.VOTER).size();
         int own =
                 Descriptors.own(
                         OpenFiles.count(), (ajp == null ? 1 : 2) + (fleet == null ? 0 : 1), voters);
@@ -249,14 +249,14 @@
                         + ", own "
                         + own
                         + "; tickets "
-                        + tables.requests()
+                        + sizes.requests()
                         + ", receipts "
-                        + tables.idempotencyRecords()
+                        + sizes.idempotencyRecords()
                         + " with "
-                        + tables.idempotencyBytes() / 1024
+                        + sizes.idempotencyBytes() / 1024
                         + " KB");
-        dependencyClient = new DependencyClient(config.dependency(), descriptors.calls(), means);
-        registryClient = new RegistryClient(config.registryAddress(), config.name(), means);
+        dependencyClient = new DependencyClient(config.dependency(), descriptors.calls(), context);
+        registryClient = new RegistryClient(config.registryAddress(), config.name(), context);
         processor =
                 new RequestProcessor(
                         config.settings(),
@@ -270,9 +270,9 @@
                         deadlines,
                         new RequestProcessor.TableLimits(
                                 descriptors.upstreams(),
-                                tables.requests(),
-                                tables.idempotencyRecords(),
-                                tables.idempotencyBytes()),
+                                sizes.requests(),
+                                sizes.idempotencyRecords(),
+                                sizes.idempotencyBytes()),
                         eventLoop.time());
     }
 
@@ -326,7 +326,8 @@
             sockets.listen(config.listen(), listener::newPeer);
             log.line(config.name() + " listens on " + config.listen());
             if (ajp != null) {
-                InetSocketAddress also = NodeConfig.address(config.meaning().value("ajp listen"));
+                InetSocketAddress also =
+                        NodeConfig.address(config.parsedSettings().value("ajp listen"));
                 sockets.listenAlso(also, ajp::newPeer);
                 log.line(config.name() + " listens for AJP on " + also);
             }
@@ -350,32 +351,32 @@
      * thread, and tells whether it was taken. One caller at a time.
      */
     public ConfigDiff reload(NodeConfig next) {
-        ConfigDiff plan = ConfigDiff.between(config.meaning(), next.meaning());
-        plan.steps()
+        ConfigDiff diff = ConfigDiff.between(config.parsedSettings(), next.parsedSettings());
+        diff.steps()
                 .forEach(
                         step ->
                                 log.line(
-                                        (plan.isRefused() ? "not reloaded: " : "reload: ")
+                                        (diff.isRefused() ? "not reloaded: " : "reload: ")
                                                 + step.said()
                                                 + (step.change() == ChangeEffect.REFUSED
                                                         ? ", since " + step.because()
                                                         : "")));
-        if (plan.isRefused()) {
+        if (diff.isRefused()) {
             log.line(
                     "nothing reloaded: "
-                            + plan.steps().stream()
+                            + diff.steps().stream()
                                     .filter(s -> s.change() == ChangeEffect.REFUSED)
                                     .map(ConfigDiff.Step::name)
                                     .collect(Collectors.joining(", "))
                             + " can't change while the node runs");
-            return plan;
+            return diff;
         }
         NodeConfig now;
         try {
-            now = config.with(plan.result());
+            now = config.with(diff.result());
         } catch (NodeConfig.UnusableConfiguration e) {
             log.line("nothing reloaded: " + e.getMessage());
-            return plan;
+            return diff;
         }
         RequestProcessor.ReloadableSettings tuning =
                 new RequestProcessor.ReloadableSettings(now.settings());
@@ -395,11 +396,12 @@
         if (taken) {
             config = now;
             if (fleet != null) {
-                fleet.reach(now.meaning()); // here and not in the step: it may look a name up
+                fleet.reach(
+                        now.parsedSettings()); // here and not in the step: it may look a name up
             }
         }
         String stays =
-                plan.steps().stream()
+                diff.steps().stream()
                         .filter(s -> s.change() == ChangeEffect.RESTART)
                         .map(ConfigDiff.Step::name)
                         .collect(Collectors.joining(", "));
@@ -414,9 +416,9 @@
                                 + (now.dependency() == null ? "none" : now.dependency())
                                 + ", naming "
                                 + now.registryAddress()
-                                + (plan.isEmpty() ? "; nothing changed" : "")
+                                + (diff.isEmpty() ? "; nothing changed" : "")
                         : "nothing reloaded: the node was told to leave");
-        return plan;
+        return diff;
     }
 
     /** The step. Nothing in it can fail for what the configuration says. */
@@ -424,7 +426,8 @@
         if (!processor.retune(tuning)) {
             return false;
         }
-        long within = now.meaning().number("moves welcome-within", BigDecimal.ZERO).longValue();
+        long within =
+                now.parsedSettings().number("moves welcome-within", BigDecimal.ZERO).longValue();
         executor.moveTo(now.executor(), new NanoDuration(within));
         dependencyClient.moveTo(now.dependency());
         registryClient.moveTo(now.registryAddress());
--- a/src/main/java/lupinwood/net/RegistryClient.java
+++ b/src/main/java/lupinwood/net/RegistryClient.java
@@ -34,7 +34,7 @@
 
     private InetSocketAddress address;
     private final String path;
-    private final LinkContext means;
+    private final LinkContext context;
     private final Deque<RegistryConnection> free = new ArrayDeque<>();
 
     /** Those with a report under way, the oldest first. */
@@ -48,10 +48,10 @@
 
     private RequestProcessor processor;
 
-    RegistryClient(InetSocketAddress address, String name, LinkContext means) {
+    RegistryClient(InetSocketAddress address, String name, LinkContext context) {
         this.address = address;
         path = "/ns/hosts/" + URLEncoder.encode(name, StandardCharsets.UTF_8).replace("+", "%20");
-        this.means = means;
+        this.context = context;
     }
 
     void serve(RequestProcessor served) {
@@ -86,7 +86,7 @@
 
     private void sendHeartbeat() {
         if (!leaving) {
-            means.deadlines().schedule(processor.now().plus(EVERY), this::sendHeartbeat);
+            context.deadlines().schedule(processor.now().plus(EVERY), this::sendHeartbeat);
             report();
         }
     }
@@ -105,9 +105,9 @@
         RegistryConnection line = fresh ? new RegistryConnection() : free.poll();
         under.add(line);
         line.deadline =
-                means.deadlines().schedule(processor.now().plus(RESPONSE_TIMEOUT), line::giveUp);
+                context.deadlines().schedule(processor.now().plus(RESPONSE_TIMEOUT), line::giveUp);
         if (fresh) {
-            line.connect(means.sockets(), address);
+            line.connect(context.sockets(), address);
         } else {
             line.say();
         }
@@ -116,7 +116,7 @@
     private void heard(String trouble) {
         if (failing != (trouble != null)) {
             failing = trouble != null;
-            means.log()
+            context.log()
                     .line(
                             failing
                                     ? "the name service takes no reports: " + trouble
@@ -136,7 +136,7 @@
         private boolean over;
 
         RegistryConnection() {
-            super(means.eventLoop(), new HttpResponseParser());
+            super(context.eventLoop(), new HttpResponseParser());
         }
 
         void say() {
@@ -184,7 +184,7 @@
                 outbox().closeNow();
             }
             if (!taken) {
-                means.deadlines()
+                context.deadlines()
                         .schedule(processor.now().plus(EVERY), RegistryClient.this::lastAgain);
             } else {
                 lastAgain();
@@ -195,7 +195,7 @@
             if (requested) {
                 requested = false;
                 under.remove(this);
-                means.deadlines().cancel(deadline);
+                context.deadlines().cancel(deadline);
             }
         }
 
@@ -210,7 +210,7 @@
                 over = true;
                 if (requested) {
                     heard(ending.toString());
-                    means.deadlines()
+                    context.deadlines()
                             .schedule(processor.now().plus(EVERY), RegistryClient.this::lastAgain);
                 }
                 rest();
--- a/src/main/java/lupinwood/reload/ReloadScheduler.java
+++ b/src/main/java/lupinwood/reload/ReloadScheduler.java
@@ -92,12 +92,12 @@
     }
 
     /** The files were looked at: whether to read them now. */
-    public boolean looked(FileFingerprint look, MonotonicTime now) {
-        if (!look.equals(observed)) {
-            observed = look;
+    public boolean looked(FileFingerprint fingerprint, MonotonicTime now) {
+        if (!fingerprint.equals(observed)) {
+            observed = fingerprint;
             observedAt = now;
         }
-        boolean due = requested || (watches && !look.equals(settled));
+        boolean due = requested || (watches && !fingerprint.equals(settled));
         if (!due) {
             rest(now);
         }
@@ -135,9 +135,11 @@
      * By the files' own word, or by how long they have looked the same where that lies in the
      * future.
      */
-    private NanoDuration stillFor(FileFingerprint look, MonotonicTime now) {
+    private NanoDuration stillFor(FileFingerprint fingerprint, MonotonicTime now) {
         NanoDuration watched = now.since(observedAt);
-        return look.changed().isBefore(now) ? now.since(look.changed()).max(watched) : watched;
+        return fingerprint.changed().isBefore(now)
+                ? now.since(fingerprint.changed()).max(watched)
+                : watched;
     }
 
     private void rest(MonotonicTime now) {
--- a/src/main/java/lupinwood/rollout/CanaryAnalysis.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -298,13 +298,14 @@
             return true;
         }
 
-        private static boolean enough(RequestCounts tally, String className) {
-            RequestCounts.ClassCounts count = tally == null ? null : of(tally, className);
+        private static boolean enough(RequestCounts requestCounts, String className) {
+            RequestCounts.ClassCounts count =
+                    requestCounts == null ? null : of(requestCounts, className);
             return count != null && count.all() >= ENOUGH;
         }
 
-        private static RequestCounts.ClassCounts of(RequestCounts tally, String className) {
-            return className.isEmpty() ? tally.all() : tally.of(className);
+        private static RequestCounts.ClassCounts of(RequestCounts requestCounts, String className) {
+            return className.isEmpty() ? requestCounts.all() : requestCounts.of(className);
         }
 
         /**
--- a/src/main/java/lupinwood/rollout/NodeHistory.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -21,7 +21,7 @@
     private record Point(MonotonicTime at, RequestCounts total) {}
 
     private final Deque<Point> points = new ArrayDeque<>();
-    private Incarnation life;
+    private Incarnation incarnation;
     private RequestCounts ofLife = RequestCounts.NOTHING;
     private RequestCounts before = RequestCounts.NOTHING;
     private int lives;
@@ -47,20 +47,20 @@
      * @param every how far apart kept points are at the least
      */
     void heard(NodeView nodeView, MonotonicTime now, NanoDuration every) {
-        boolean well = nodeView.standing() == NodeStatus.WARM;
-        boolean another = !nodeView.life().equals(life);
+        boolean well = nodeView.status() == NodeStatus.WARM;
+        boolean another = !nodeView.incarnation().equals(incarnation);
         wellSince = !well ? null : wellSince == null || another ? now : wellSince;
         lastWell = well ? now : lastWell;
         if (another) {
             before = before.plus(ofLife);
             ofLife = RequestCounts.NOTHING;
-            life = nodeView.life();
+            incarnation = nodeView.incarnation();
             lives++;
         }
-        if (nodeView.report() == null || nodeView.report().tally() == null) {
+        if (nodeView.report() == null || nodeView.report().requestCounts() == null) {
             return;
         }
-        ofLife = nodeView.report().tally();
+        ofLife = nodeView.report().requestCounts();
         String runs = nodeView.report().runs() + " " + nodeView.report().program();
         if (!runs.equals(version)) {
             version = runs;
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -92,127 +92,127 @@
      * until it is in the cluster state.
      */
     public List<RolloutAction> decide(
-            RolloutSnapshot picture, FencingToken token, MonotonicTime now) {
-        Rollout release = picture.release();
-        if (release == null) {
+            RolloutSnapshot snapshot, FencingToken token, MonotonicTime now) {
+        Rollout rollout = snapshot.rollout();
+        if (rollout == null) {
             number = -1;
             says = "";
             histories.clear();
-            return picture.haltedBy().isEmpty() ? catchUp(picture) : List.of();
+            return snapshot.haltedBy().isEmpty() ? catchUp(snapshot) : List.of();
         }
-        if (release.number() != number) {
-            number = release.number();
+        if (rollout.number() != number) {
+            number = rollout.number();
             step = -1;
             histories.clear();
             hadIt.clear();
-            wantsPast = release.steps() > 0;
+            wantsPast = rollout.steps() > 0;
         }
         Set<NodeName> known = new HashSet<>();
-        for (NodeView nodeView : picture.nodeViews()) {
+        for (NodeView nodeView : snapshot.nodeViews()) {
             known.add(nodeView.name());
             histories
                     .computeIfAbsent(nodeView.name(), none -> new NodeHistory())
                     .heard(nodeView, now, limits.watch().times(1.0 / NodeHistory.POINTS_A_WATCH));
         }
         histories.keySet().retainAll(known);
-        hadIt.addAll(release.given());
-        if (wantsPast && picture.past() != null) {
+        hadIt.addAll(rollout.given());
+        if (wantsPast && snapshot.past() != null) {
             wantsPast = false;
-            picture.past()
+            snapshot.past()
                     .forEach(
-                            (node, tally) ->
+                            (node, requestCounts) ->
                                     Optional.ofNullable(histories.get(new NodeName(node)))
-                                            .ifPresent(history -> history.past(tally)));
+                                            .ifPresent(history -> history.past(requestCounts)));
         }
-        boolean halted = !picture.haltedBy().isEmpty();
-        if (release.steps() != step || release.back() != back || (wasHalted && !halted)) {
-            step = release.steps();
-            back = release.back();
+        boolean halted = !snapshot.haltedBy().isEmpty();
+        if (rollout.steps() != step || rollout.back() != back || (wasHalted && !halted)) {
+            step = rollout.steps();
+            back = rollout.back();
             stepObserved = now;
             watchFrom = null;
             missing.clear();
         }
         wasHalted = halted;
         if (halted) {
-            says = "halted by " + picture.haltedBy();
+            says = "halted by " + snapshot.haltedBy();
             return List.of();
         }
-        if (release.back()) {
-            return goBack(picture, release, token, now);
+        if (rollout.back()) {
+            return goBack(snapshot, rollout, token, now);
         }
-        return release.steps() == 0
-                ? check(picture, release, token, now)
-                : wave(picture, release, token, now);
+        return rollout.steps() == 0
+                ? check(snapshot, rollout, token, now)
+                : wave(snapshot, rollout, token, now);
     }
 
     /**
      * Nodes that were away, or came back while nobody could tell them, take what was agreed on, if
      * need be by a restart.
      */
-    private List<RolloutAction> catchUp(RolloutSnapshot picture) {
-        List<RolloutAction> acts = new ArrayList<>();
-        for (NodeView nodeView : picture.nodeViews()) {
+    private List<RolloutAction> catchUp(RolloutSnapshot snapshot) {
+        List<RolloutAction> actions = new ArrayList<>();
+        for (NodeView nodeView : snapshot.nodeViews()) {
             boolean lags =
                     isThere(nodeView)
                             && nodeView.report() != null
-                            && !nodeView.report().runs().equals(picture.good());
+                            && !nodeView.report().runs().equals(snapshot.good());
             if (lags
-                    && restartsFor(nodeView, picture.good())
-                    && !picture.hasPermit(nodeView.name())) {
-                acts.add(
+                    && restartsFor(nodeView, snapshot.good())
+                    && !snapshot.hasPermit(nodeView.name())) {
+                actions.add(
                         new RolloutAction.PermitRestart(
                                 "g"
-                                        + picture.good()
+                                        + snapshot.good()
                                         + "."
                                         + nodeView.name()
                                         + "."
-                                        + nodeView.life(),
+                                        + nodeView.incarnation(),
                                 nodeView.name()));
             }
         }
         says =
-                acts.isEmpty()
+                actions.isEmpty()
                         ? ""
-                        : acts.size() + " nodes need a restart to run what was agreed on";
-        return few(acts);
+                        : actions.size() + " nodes need a restart to run what was agreed on";
+        return few(actions);
     }
 
     // ---- before it starts ----
 
     private List<RolloutAction> check(
-            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
+            RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
         List<NodeView> there =
-                picture.nodeViews().stream().filter(RolloutController::isThere).toList();
+                snapshot.nodeViews().stream().filter(RolloutController::isThere).toList();
         for (NodeView nodeView : there) {
             NodeReport report = nodeView.report();
             if (report == null) {
                 return refuse(
-                        release,
+                        rollout,
                         token,
                         nodeView.name() + " is of a version that knows of no releases");
             }
             NodeReport.ConfigCheck checked = report.checked();
-            if (release.kind() == Rollout.Kind.CONFIGURATION
+            if (rollout.kind() == Rollout.Kind.CONFIGURATION
                     && checked != null
-                    && checked.digest().equals(release.to())
+                    && checked.digest().equals(rollout.to())
                     && !checked.fits()) {
                 return refuse(
-                        release, token, nodeView.name() + " would not take it: " + checked.why());
+                        rollout, token, nodeView.name() + " would not take it: " + checked.why());
             }
         }
         List<NodeName> open =
                 there.stream()
-                        .filter(nodeView -> !isChecked(nodeView, release))
+                        .filter(nodeView -> !isChecked(nodeView, rollout))
                         .map(NodeView::name)
                         .toList();
-        if (there.size() * 2 <= picture.nodeViews().size()) {
+        if (there.size() * 2 <= snapshot.nodeViews().size()) {
             says =
                     "only "
                             + there.size()
                             + " of "
-                            + picture.nodeViews().size()
+                            + snapshot.nodeViews().size()
                             + " nodes are there";
-            return late(release, token, now);
+            return late(rollout, token, now);
         }
         if (!open.isEmpty()) {
             says =
@@ -220,7 +220,7 @@
                             + open.get(0)
                             + (open.size() > 1 ? " and " + (open.size() - 1) + " more" : "")
                             + " to check it";
-            return late(release, token, now);
+            return late(rollout, token, now);
         }
         if (now.since(stepObserved).compareTo(limits.watch()) < 0) {
             says = "looks at the fleet as it was before";
@@ -228,9 +228,9 @@
         }
         Map<String, RequestCounts> past = new TreeMap<>();
         long counts =
-                picture.nodeViews().stream()
+                snapshot.nodeViews().stream()
                         .filter(nodeView -> nodeView.report() != null)
-                        .mapToLong(nodeView -> nodeView.report().tally().counts().size())
+                        .mapToLong(nodeView -> nodeView.report().requestCounts().counts().size())
                         .sum();
         histories.forEach(
                 (node, history) -> {
@@ -247,43 +247,43 @@
                     }
                     history.past(latest);
                 });
-        return give(release, token, canaries(picture, release), "all have checked it", past);
+        return give(rollout, token, canaries(snapshot, rollout), "all have checked it", past);
     }
 
     /** Whether it runs what all ran before, and would run the new. */
-    private static boolean isChecked(NodeView nodeView, Rollout release) {
+    private static boolean isChecked(NodeView nodeView, Rollout rollout) {
         NodeReport report = nodeView.report();
-        if (release.kind() == Rollout.Kind.PROGRAM) {
+        if (rollout.kind() == Rollout.Kind.PROGRAM) {
             return true;
         }
         boolean settled =
-                report.runs().equals(release.from()) || report.runs().equals(release.to());
+                report.runs().equals(rollout.from()) || report.runs().equals(rollout.to());
         return settled
                 && report.checked() != null
-                && report.checked().digest().equals(release.to());
+                && report.checked().digest().equals(rollout.to());
     }
 
-    private List<RolloutAction> late(Rollout release, FencingToken token, MonotonicTime now) {
+    private List<RolloutAction> late(Rollout rollout, FencingToken token, MonotonicTime now) {
         return now.since(stepObserved).compareTo(limits.watchMost()) < 0
                 ? List.of()
-                : refuse(release, token, says);
+                : refuse(rollout, token, says);
     }
 
-    private static List<RolloutAction> refuse(Rollout release, FencingToken token, String why) {
+    private static List<RolloutAction> refuse(Rollout rollout, FencingToken token, String why) {
         return List.of(
                 new RolloutAction.Propose(
-                        new ClusterCommand.FinishRollout(token, release.number(), false, why, 0)));
+                        new ClusterCommand.FinishRollout(token, rollout.number(), false, why, 0)));
     }
 
     private static boolean isThere(NodeView nodeView) {
-        return nodeView.standing() == NodeStatus.WARM || nodeView.standing() == NodeStatus.UP;
+        return nodeView.status() == NodeStatus.WARM || nodeView.status() == NodeStatus.UP;
     }
 
     // ---- waves ----
 
     /** One of each zone: well, and rather not this node. */
-    private List<NodeName> canaries(RolloutSnapshot picture, Rollout release) {
-        Map<String, List<NodeView>> zones = byZone(picture, release);
+    private List<NodeName> canaries(RolloutSnapshot snapshot, Rollout rollout) {
+        Map<String, List<NodeView>> zones = byZone(snapshot, rollout);
         List<NodeName> chosen = new ArrayList<>();
         zones.values()
                 .forEach(
@@ -298,13 +298,13 @@
      * Nodes that are well and haven't got it, in an order that begins with those that others need
      * least.
      */
-    private Map<String, List<NodeView>> byZone(RolloutSnapshot picture, Rollout release) {
+    private Map<String, List<NodeView>> byZone(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, List<NodeView>> zones = new TreeMap<>();
-        picture.nodeViews().stream()
+        snapshot.nodeViews().stream()
                 .filter(
                         nodeView ->
-                                nodeView.standing() == NodeStatus.WARM
-                                        && !release.isGiven(nodeView.name()))
+                                nodeView.status() == NodeStatus.WARM
+                                        && !rollout.isGiven(nodeView.name()))
                 .sorted(
                         Comparator.comparing((NodeView nodeView) -> nodeView.name().equals(self))
                                 .thenComparing(NodeView::name))
@@ -317,10 +317,10 @@
         return zones;
     }
 
-    private List<NodeName> next(RolloutSnapshot picture, Rollout release) {
-        Map<String, List<NodeView>> zones = byZone(picture, release);
+    private List<NodeName> next(RolloutSnapshot snapshot, Rollout rollout) {
+        Map<String, List<NodeView>> zones = byZone(snapshot, rollout);
         int left = zones.values().stream().mapToInt(List::size).sum();
-        int given = release.given().size();
+        int given = rollout.given().size();
         int all = given + left;
         int few = Math.max(zones.size(), all / 10);
         int size =
@@ -344,7 +344,7 @@
     }
 
     private static List<RolloutAction> give(
-            Rollout release,
+            Rollout rollout,
             FencingToken token,
             List<NodeName> nodes,
             String why,
@@ -355,8 +355,8 @@
                         new RolloutAction.Propose(
                                 new ClusterCommand.AdvanceRollout(
                                         token,
-                                        release.number(),
-                                        release.steps() + 1,
+                                        rollout.number(),
+                                        rollout.steps() + 1,
                                         false,
                                         nodes,
                                         why,
@@ -365,24 +365,29 @@
     }
 
     private List<RolloutAction> wave(
-            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
-        List<RolloutAction> acts = new ArrayList<>();
+            RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
+        List<RolloutAction> actions = new ArrayList<>();
         List<NodeName> waits = new ArrayList<>();
         unpermitted.clear();
-        for (NodeName node : release.given()) {
-            NodeView nodeView = picture.of(node).orElse(null);
+        for (NodeName node : rollout.given()) {
+            NodeView nodeView = snapshot.of(node).orElse(null);
             if (nodeView == null
-                    || (runs(nodeView, release.kind(), release.to()) && isWell(node, now))) {
+                    || (runs(nodeView, rollout.kind(), rollout.to()) && isWell(node, now))) {
                 missing.remove(node);
                 continue;
             }
             if (isThere(nodeView)
-                    && !runs(nodeView, release.kind(), release.to())
-                    && needsRestart(nodeView, release, release.to())) {
-                if (!picture.hasPermit(node)) {
-                    acts.add(
+                    && !runs(nodeView, rollout.kind(), rollout.to())
+                    && needsRestart(nodeView, rollout, rollout.to())) {
+                if (!snapshot.hasPermit(node)) {
+                    actions.add(
                             new RolloutAction.PermitRestart(
-                                    "r" + release.number() + "." + node + "." + nodeView.life(),
+                                    "r"
+                                            + rollout.number()
+                                            + "."
+                                            + node
+                                            + "."
+                                            + nodeView.incarnation(),
                                     node));
                     missing.remove(node); // it waits for its permit, which is nobody's fault
                     unpermitted.add(node);
@@ -401,35 +406,35 @@
                             + waits.get(0)
                             + (waits.size() > 1 ? " and " + (waits.size() - 1) + " more" : "")
                             + " to be well with it";
-            watchFrom = watchFrom == null || !acts.isEmpty() ? null : watchFrom;
+            watchFrom = watchFrom == null || !actions.isEmpty() ? null : watchFrom;
         } else if (watchFrom == null) {
             watchFrom = now;
             histories.values().forEach(NodeHistory::mark);
         }
         if (watchFrom == null) {
-            CanaryVerdict gone = CanaryAnalysis.losses(samples(picture, release, now));
+            CanaryVerdict gone = CanaryAnalysis.losses(samples(snapshot, rollout, now));
             if (gone != null) {
-                return List.of(bad(release, token, gone.text()));
+                return List.of(bad(rollout, token, gone.text()));
             }
             return now.since(stepObserved).compareTo(limits.watchMost().plus(limits.rejoin())) < 0
-                    ? few(acts)
-                    : List.of(halt(release, token, "it takes too long: " + says));
+                    ? few(actions)
+                    : List.of(halt(rollout, token, "it takes too long: " + says));
         }
-        acts.addAll(judge(picture, release, token, now, waits.isEmpty()));
-        return acts;
+        actions.addAll(judge(snapshot, rollout, token, now, waits.isEmpty()));
+        return actions;
     }
 
     private List<RolloutAction> judge(
-            RolloutSnapshot picture,
-            Rollout release,
+            RolloutSnapshot snapshot,
+            Rollout rollout,
             FencingToken token,
             MonotonicTime now,
             boolean settled) {
         NanoDuration watched = now.since(watchFrom);
-        CanaryVerdict verdict = CanaryAnalysis.judge(samples(picture, release, now), limits);
+        CanaryVerdict verdict = CanaryAnalysis.judge(samples(snapshot, rollout, now), limits);
         says = verdict.text();
         if (verdict.kind() == CanaryVerdict.Kind.WORSE) {
-            return List.of(bad(release, token, verdict.text()));
+            return List.of(bad(rollout, token, verdict.text()));
         }
         if (watched.compareTo(limits.watch()) < 0 || !settled) {
             return List.of();
@@ -439,48 +444,48 @@
                     ? List.of()
                     : List.of(
                             halt(
-                                    release,
+                                    rollout,
                                     token,
                                     "it can't be told whether it is well: " + verdict.text()));
         }
         boolean all =
-                picture.nodeViews().stream()
+                snapshot.nodeViews().stream()
                         .allMatch(
                                 nodeView ->
-                                        release.isGiven(nodeView.name())
+                                        rollout.isGiven(nodeView.name())
                                                 || (!isThere(nodeView)
-                                                        && nodeView.standing()
+                                                        && nodeView.status()
                                                                 != NodeStatus.LEAVING));
         if (!all) {
             long out =
-                    picture.nodeViews().stream()
-                            .filter(nodeView -> nodeView.standing() != NodeStatus.WARM)
+                    snapshot.nodeViews().stream()
+                            .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
                             .count();
-            return out > picture.mostOut()
+            return out > snapshot.mostOut()
                     ? List.of(
                             halt(
-                                    release,
+                                    rollout,
                                     token,
                                     out
                                             + " of "
-                                            + picture.nodeViews().size()
+                                            + snapshot.nodeViews().size()
                                             + " nodes are out, and no more than "
-                                            + picture.mostOut()
+                                            + snapshot.mostOut()
                                             + " may be"))
-                    : give(release, token, next(picture, release), verdict.text(), null);
+                    : give(rollout, token, next(snapshot, rollout), verdict.text(), null);
         }
         return List.of(
                 new RolloutAction.Propose(
                         new ClusterCommand.FinishRollout(
-                                token, release.number(), true, verdict.text(), 0)));
+                                token, rollout.number(), true, verdict.text(), 0)));
     }
 
-    private List<NodeSample> samples(RolloutSnapshot picture, Rollout release, MonotonicTime now) {
+    private List<NodeSample> samples(RolloutSnapshot snapshot, Rollout rollout, MonotonicTime now) {
         List<NodeSample> samples = new ArrayList<>();
-        for (NodeView nodeView : picture.nodeViews()) {
+        for (NodeView nodeView : snapshot.nodeViews()) {
             NodeHistory history = histories.get(nodeView.name());
             boolean changed =
-                    release.isGiven(nodeView.name()) && !unpermitted.contains(nodeView.name());
+                    rollout.isGiven(nodeView.name()) && !unpermitted.contains(nodeView.name());
             if (!changed && !history.wasEverWell()) {
                 continue; // it was away before this began
             }
@@ -496,7 +501,7 @@
                             changed,
                             history.past(),
                             history.sinceMark(),
-                            watchFrom == null || picture.hasPermit(nodeView.name())
+                            watchFrom == null || snapshot.hasPermit(nodeView.name())
                                     ? 0
                                     : history.restartsSinceMark(),
                             lost));
@@ -519,8 +524,8 @@
      * Whether a node that is there says that it would run the one or the other after a restart
      * only.
      */
-    private static boolean needsRestart(NodeView nodeView, Rollout release, String what) {
-        return release.kind() == Rollout.Kind.PROGRAM || restartsFor(nodeView, what);
+    private static boolean needsRestart(NodeView nodeView, Rollout rollout, String what) {
+        return rollout.kind() == Rollout.Kind.PROGRAM || restartsFor(nodeView, what);
     }
 
     private static boolean restartsFor(NodeView nodeView, String digest) {
@@ -531,24 +536,24 @@
 
     // ---- halts, and back ----
 
-    private RolloutAction bad(Rollout release, FencingToken token, String why) {
-        return release.backsOnHalt()
+    private RolloutAction bad(Rollout rollout, FencingToken token, String why) {
+        return rollout.backsOnHalt()
                 ? new RolloutAction.Propose(
                         new ClusterCommand.RollBack(
-                                "back" + release.number(),
-                                release.number(),
+                                "back" + rollout.number(),
+                                rollout.number(),
                                 "the watch (" + why + ")",
                                 0))
-                : halt(release, token, why);
+                : halt(rollout, token, why);
     }
 
-    private RolloutAction halt(Rollout release, FencingToken token, String why) {
-        String order = "r" + release.number() + "." + release.steps() + "." + token + "." + halts++;
+    private RolloutAction halt(Rollout rollout, FencingToken token, String why) {
+        String order = "r" + rollout.number() + "." + rollout.steps() + "." + token + "." + halts++;
         return new RolloutAction.Propose(
                 new ClusterCommand.SetHalt(
                         order,
                         true,
-                        release + (release.back() ? ", its way back: " : ", its watch: ") + why,
+                        rollout + (rollout.back() ? ", its way back: " : ", its watch: ") + why,
                         0));
     }
 
@@ -557,17 +562,17 @@
      * the rest.
      */
     private List<RolloutAction> goBack(
-            RolloutSnapshot picture, Rollout release, FencingToken token, MonotonicTime now) {
-        List<RolloutAction> acts = new ArrayList<>();
+            RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
+        List<RolloutAction> actions = new ArrayList<>();
         List<NodeName> waits = new ArrayList<>();
         NodeName late = null;
-        for (NodeView nodeView : picture.nodeViews()) {
+        for (NodeView nodeView : snapshot.nodeViews()) {
             NodeName node = nodeView.name();
             boolean old =
-                    release.kind() == Rollout.Kind.PROGRAM
-                            ? !runs(nodeView, release.kind(), release.to())
-                            : runs(nodeView, release.kind(), release.from());
-            if (release.isGiven(node)
+                    rollout.kind() == Rollout.Kind.PROGRAM
+                            ? !runs(nodeView, rollout.kind(), rollout.to())
+                            : runs(nodeView, rollout.kind(), rollout.from());
+            if (rollout.isGiven(node)
                     || (!isThere(nodeView) && !hadIt.contains(node))
                     || (old && isWell(node, now))) {
                 missing.remove(node);
@@ -576,11 +581,12 @@
             waits.add(node);
             if (isThere(nodeView)
                     && !old
-                    && needsRestart(nodeView, release, release.from())
-                    && !picture.hasPermit(node)) {
-                acts.add(
+                    && needsRestart(nodeView, rollout, rollout.from())
+                    && !snapshot.hasPermit(node)) {
+                actions.add(
                         new RolloutAction.PermitRestart(
-                                "b" + release.number() + "." + node + "." + nodeView.life(), node));
+                                "b" + rollout.number() + "." + node + "." + nodeView.incarnation(),
+                                node));
                 missing.remove(node); // it waits for its permit
                 continue;
             }
@@ -588,44 +594,44 @@
             late = late == null && now.since(since).compareTo(limits.rejoin()) >= 0 ? node : late;
         }
         if (late != null) {
-            return List.of(halt(release, token, late + " is not well with what it ran before"));
+            return List.of(halt(rollout, token, late + " is not well with what it ran before"));
         }
         if (!waits.isEmpty()) {
             says =
                     "on its way back, waits for "
                             + waits.get(0)
                             + (waits.size() > 1 ? " and " + (waits.size() - 1) + " more" : "");
-            return few(acts);
+            return few(actions);
         }
-        if (release.given().isEmpty()) {
+        if (rollout.given().isEmpty()) {
             return List.of(
                     new RolloutAction.Propose(
                             new ClusterCommand.FinishRollout(
-                                    token, release.number(), false, "all are back", 0)));
+                                    token, rollout.number(), false, "all are back", 0)));
         }
-        boolean first = release.steps() == release.turnedAt();
+        boolean first = rollout.steps() == rollout.turnedAt();
         return List.of(
                 new RolloutAction.Propose(
                         new ClusterCommand.AdvanceRollout(
                                 token,
-                                release.number(),
-                                release.steps() + 1,
+                                rollout.number(),
+                                rollout.steps() + 1,
                                 true,
-                                first ? worstFirst(picture, release) : release.given(),
+                                first ? worstFirst(snapshot, rollout) : rollout.given(),
                                 first ? "one of each zone first" : "the first are well again",
                                 null,
                                 0)));
     }
 
-    private static List<RolloutAction> few(List<RolloutAction> acts) {
-        return acts.subList(0, Math.min(acts.size(), MAX_REQUESTED));
+    private static List<RolloutAction> few(List<RolloutAction> actions) {
+        return actions.subList(0, Math.min(actions.size(), MAX_REQUESTED));
     }
 
     /** Of each zone the node that is served worst, in the order of how bad that is. */
-    private List<NodeName> worstFirst(RolloutSnapshot picture, Rollout release) {
+    private List<NodeName> worstFirst(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, NodeView> worst = new TreeMap<>();
-        picture.nodeViews().stream()
-                .filter(nodeView -> release.isGiven(nodeView.name()))
+        snapshot.nodeViews().stream()
+                .filter(nodeView -> rollout.isGiven(nodeView.name()))
                 .forEach(
                         nodeView ->
                                 worst.merge(
@@ -642,7 +648,7 @@
                                 Comparator.comparing((NodeName node) -> -bad(node))
                                         .thenComparing(node -> node))
                         .toList();
-        return nodes.isEmpty() ? release.given() : nodes; // who has it may be known no more
+        return nodes.isEmpty() ? rollout.given() : nodes; // who has it may be known no more
     }
 
     private double bad(NodeName node) {
--- a/src/main/java/lupinwood/rollout/RolloutSnapshot.java
+++ b/src/main/java/lupinwood/rollout/RolloutSnapshot.java
@@ -13,7 +13,7 @@
 /**
  * What the rollout controller goes by: the cluster state and what the one who leads sees.
  *
- * @param release null while none is open
+ * @param rollout null while none is open
  * @param good the digest of the text that all run while no release is open
  * @param haltedBy empty while nothing is halted
  * @param mostOut so many nodes may be out at once
@@ -21,7 +21,7 @@
  *     asked for
  */
 public record RolloutSnapshot(
-        Rollout release,
+        Rollout rollout,
         String good,
         String haltedBy,
         List<NodeView> nodeViews,
--- a/src/main/java/lupinwood/routes/Routes.java
+++ b/src/main/java/lupinwood/routes/Routes.java
@@ -67,30 +67,35 @@
     private final boolean noTenants;
 
     /** Those of a configuration that was checked. */
-    public Routes(ParsedSettings meaning) {
-        noTenants = meaning.tenants().isEmpty();
-        for (String name : meaning.items(Schema.ROUTE)) {
+    public Routes(ParsedSettings parsedSettings) {
+        noTenants = parsedSettings.tenants().isEmpty();
+        for (String name : parsedSettings.items(Schema.ROUTE)) {
             String at = "route " + name + " ";
-            String path = meaning.value(at + "path");
-            String className = meaning.value(at + "track");
+            String path = parsedSettings.value(at + "path");
+            String className = parsedSettings.value(at + "track");
             boolean start = path.endsWith("*");
-            String memory = meaning.values().getOrDefault(at + "memory", "20000");
+            String memory = parsedSettings.values().getOrDefault(at + "memory", "20000");
             routes.add(
                     new Route(
                             start ? path.substring(0, path.length() - 1) : path,
                             start,
-                            meaning.value(at + "method"),
+                            parsedSettings.value(at + "method"),
                             className,
-                            "receipted".equals(meaning.value("track " + className + " effect")),
-                            meaning.value(at + "customer"),
+                            "receipted"
+                                    .equals(parsedSettings.value("track " + className + " effect")),
+                            parsedSettings.value(at + "customer"),
                             small(
-                                    meaning.values()
+                                    parsedSettings
+                                            .values()
                                             .getOrDefault(at + "customer-header", "X-Customer")),
-                            small(meaning.values().getOrDefault(at + "mark-header", "X-Mark")),
+                            small(
+                                    parsedSettings
+                                            .values()
+                                            .getOrDefault(at + "mark-header", "X-Mark")),
                             Double.parseDouble(memory) / 1000,
                             new NanoDuration(
                                     Long.parseLong(
-                                            meaning.value(
+                                            parsedSettings.value(
                                                     "track " + className + " abandon-time")))));
         }
         routes.sort(
--- a/src/main/java/lupinwood/settings/ParsedSettings.java
+++ b/src/main/java/lupinwood/settings/ParsedSettings.java
@@ -89,9 +89,9 @@
     }
 
     /** What the JSON's flat map says; what is wrong with it goes to the faults. */
-    public static ParsedSettings of(Map<String, String> flat, List<SettingsError> faults) {
-        List<String> requestClasses = names(flat, "services", faults);
-        List<String> tenants = names(flat, "customers", faults);
+    public static ParsedSettings of(Map<String, String> flat, List<SettingsError> errors) {
+        List<String> requestClasses = names(flat, "services", errors);
+        List<String> tenants = names(flat, "customers", errors);
         Map<String, String> found = new TreeMap<>();
         flat.forEach(
                 (key, stored) -> {
@@ -108,7 +108,7 @@
                                     "track " + requestClasses.get(i) + " " + plain.own(),
                                     items[i],
                                     found,
-                                    faults);
+                                    errors);
                         }
                         return;
                     }
@@ -125,9 +125,9 @@
                                 entry.list() + " " + names.get(place) + " " + entry.own(),
                                 stored,
                                 found,
-                                faults);
+                                errors);
                     } else if (entry != null && !item.matches()) {
-                        put(entry, entry.name(), stored, found, faults);
+                        put(entry, entry.name(), stored, found, errors);
                     } else if (key.startsWith("settings.")) {
                         found.put(Schema.EXTRA + " " + key.substring("settings.".length()), stored);
                     }
@@ -143,12 +143,12 @@
     }
 
     private static List<String> names(
-            Map<String, String> flat, String list, List<SettingsError> faults) {
+            Map<String, String> flat, String list, List<SettingsError> errors) {
         List<String> names = new ArrayList<>();
         String reported = flat.getOrDefault("settings." + list + ".count", "0");
         BigDecimal count = Values.number(reported);
         if (count == null || count.signum() < 0 || count.compareTo(MOST_ITEMS) > 0) {
-            faults.add(
+            errors.add(
                     new SettingsError(
                             list + ".count",
                             "this is no number of " + list + ": " + reported,
@@ -168,13 +168,13 @@
             String name,
             String stored,
             Map<String, String> found,
-            List<SettingsError> faults) {
+            List<SettingsError> errors) {
         if (stored.isEmpty()) {
             return;
         }
         String value = Values.read(entry, stored);
         if (value == null) {
-            faults.add(
+            errors.add(
                     new SettingsError(
                             name,
                             "this is not what " + name + " takes: " + stored,
--- a/src/main/java/lupinwood/settings/SettingsValidator.java
+++ b/src/main/java/lupinwood/settings/SettingsValidator.java
@@ -22,20 +22,20 @@
 
     private static final BigDecimal SHARE_SLACK = new BigDecimal("0.005");
 
-    private final ParsedSettings meaning;
-    private final List<SettingsError> faults = new ArrayList<>();
+    private final ParsedSettings parsedSettings;
+    private final List<SettingsError> errors = new ArrayList<>();
 
     /** Entries that are known to be wrong already: one mistake gives one message. */
     private final Set<String> wrong = new HashSet<>();
 
-    private SettingsValidator(ParsedSettings meaning, List<SettingsError> known) {
-        this.meaning = meaning;
-        known.forEach(fault -> wrong.add(fault.name()));
+    private SettingsValidator(ParsedSettings parsedSettings, List<SettingsError> known) {
+        this.parsedSettings = parsedSettings;
+        known.forEach(error -> wrong.add(error.name()));
     }
 
     /** What is wrong besides the faults that are known. */
-    public static List<SettingsError> of(ParsedSettings meaning, List<SettingsError> known) {
-        SettingsValidator checks = new SettingsValidator(meaning, known);
+    public static List<SettingsError> of(ParsedSettings parsedSettings, List<SettingsError> known) {
+        SettingsValidator checks = new SettingsValidator(parsedSettings, known);
         checks.bounds();
         checks.needed();
         checks.lists();
@@ -47,36 +47,38 @@
         checks.routes();
         checks.servers();
         checks.fleet();
-        return checks.faults;
+        return checks.errors;
     }
 
     /** What is wrong within single entries of a meaning whose rest stands elsewhere. */
-    public static List<SettingsError> ofPart(ParsedSettings meaning, List<SettingsError> known) {
-        SettingsValidator checks = new SettingsValidator(meaning, known);
+    public static List<SettingsError> ofPart(
+            ParsedSettings parsedSettings, List<SettingsError> known) {
+        SettingsValidator checks = new SettingsValidator(parsedSettings, known);
         checks.bounds();
-        return checks.faults;
+        return checks.errors;
     }
 
     private void fault(String name, String text, String instead, boolean certain) {
         if (wrong.add(name)) {
-            faults.add(new SettingsError(name, text, instead, certain));
+            errors.add(new SettingsError(name, text, instead, certain));
         }
     }
 
     private boolean isSound(String name) {
-        return meaning.value(name) != null && !wrong.contains(name);
+        return parsedSettings.value(name) != null && !wrong.contains(name);
     }
 
     private BigDecimal number(String name) {
-        return meaning.number(name, null);
+        return parsedSettings.number(name, null);
     }
 
     private String said(String name) {
-        return ParsedSettings.said(name, meaning.value(name));
+        return ParsedSettings.said(name, parsedSettings.value(name));
     }
 
     private void bounds() {
-        meaning.values()
+        parsedSettings
+                .values()
                 .forEach(
                         (name, value) -> {
                             Entry entry = ParsedSettings.entry(name);
@@ -130,7 +132,8 @@
             if (entry.list().isEmpty()) {
                 need(entry.name(), "");
             } else {
-                meaning.named(entry)
+                parsedSettings
+                        .named(entry)
                         .forEach(
                                 name ->
                                         need(
@@ -138,7 +141,7 @@
                                                 " of " + name.substring(0, name.lastIndexOf(' '))));
             }
         }
-        if (meaning.requestClasses().isEmpty()) {
+        if (parsedSettings.requestClasses().isEmpty()) {
             fault(
                     "",
                     "there is no track, so no ticket could be taken",
@@ -148,7 +151,7 @@
     }
 
     private void need(String name, String of) {
-        if (meaning.value(name) == null) {
+        if (parsedSettings.value(name) == null) {
             Entry entry = ParsedSettings.entry(name);
             fault(
                     name,
@@ -164,9 +167,9 @@
     }
 
     private void lists() {
-        twice("track", meaning.requestClasses(), true);
+        twice("track", parsedSettings.requestClasses(), true);
         // Two of one name share what is theirs, and no request is served otherwise for it.
-        twice("customer", meaning.tenants(), false);
+        twice("customer", parsedSettings.tenants(), false);
     }
 
     private void twice(String list, List<String> names, boolean certain) {
@@ -184,13 +187,13 @@
 
     private void sums() {
         Map<String, BigDecimal> shares = new LinkedHashMap<>();
-        for (String tenant : meaning.tenants()) {
+        for (String tenant : parsedSettings.tenants()) {
             String name = "customer " + tenant + " share";
             if (isSound(name)) {
                 shares.put(name, number(name));
             }
         }
-        if (shares.size() == meaning.tenants().size()) {
+        if (shares.size() == parsedSettings.tenants().size()) {
             sum("the customers' shares", shares);
         }
         Map<String, BigDecimal> goal = new LinkedHashMap<>();
@@ -221,7 +224,7 @@
     }
 
     private void requestClasses() {
-        for (String className : meaning.requestClasses()) {
+        for (String className : parsedSettings.requestClasses()) {
             String at = "track " + className + " ";
             String latencyObjective = at + "agreed-time";
             String timeout = at + "abandon-time";
@@ -254,8 +257,8 @@
                         "write a quarter of the shortest abandon-time or less",
                         false);
             }
-            boolean idempotent = "receipted".equals(meaning.value(at + "effect"));
-            if (idempotent && meaning.value(window) == null) {
+            boolean idempotent = "receipted".equals(parsedSettings.value(at + "effect"));
+            if (idempotent && parsedSettings.value(window) == null) {
                 fault(
                         window,
                         "the receipted track "
@@ -280,7 +283,10 @@
             }
             if (calls(className)
                     && "nothing"
-                            .equals(meaning.values().getOrDefault("machine below", "nothing"))) {
+                            .equals(
+                                    parsedSettings
+                                            .values()
+                                            .getOrDefault("machine below", "nothing"))) {
                 fault(
                         at + "calls",
                         "tickets of track "
@@ -294,12 +300,12 @@
 
     /** Where requests call, there must be somewhere to call, and room for a call. */
     private void downstream() {
-        String downstream = meaning.values().getOrDefault("machine below", "nothing");
+        String downstream = parsedSettings.values().getOrDefault("machine below", "nothing");
         if (downstream.equals("nothing")) {
             return;
         }
-        if (meaning.value("index") == null) {
-            boolean calls = meaning.requestClasses().stream().anyMatch(this::calls);
+        if (parsedSettings.value("index") == null) {
+            boolean calls = parsedSettings.requestClasses().stream().anyMatch(this::calls);
             fault(
                     "index",
                     "'index' is missing, and machine below is " + downstream,
@@ -309,11 +315,12 @@
         String most = "machine calls-out";
         if (downstream.equals("one-for-all") && isSound(most) && number(most).signum() == 0) {
             boolean noneWithout =
-                    meaning.requestClasses().stream()
+                    parsedSettings.requestClasses().stream()
                             .allMatch(
                                     className ->
                                             calls(className)
-                                                    && meaning.number(
+                                                    && parsedSettings
+                                                                    .number(
                                                                             "track "
                                                                                     + className
                                                                                     + " skip-credit",
@@ -329,17 +336,18 @@
     }
 
     private boolean calls(String className) {
-        return "true".equals(meaning.value("track " + className + " calls"));
+        return "true".equals(parsedSettings.value("track " + className + " calls"));
     }
 
     private void addresses() {
         Map<String, String> first = new HashMap<>();
         for (String name : List.of("listen", "executor", "index", "naming", "ajp listen")) {
-            String other = isSound(name) ? first.putIfAbsent(meaning.value(name), name) : null;
+            String other =
+                    isSound(name) ? first.putIfAbsent(parsedSettings.value(name), name) : null;
             if (other != null) {
                 fault(
                         name,
-                        name + " has the address of " + other + ", " + meaning.value(name),
+                        name + " has the address of " + other + ", " + parsedSettings.value(name),
                         "give each its own address",
                         other.equals("listen"));
             }
@@ -379,11 +387,11 @@
 
     private void routes() {
         Map<String, String> paths = new HashMap<>();
-        for (String route : meaning.items(Schema.ROUTE)) {
+        for (String route : parsedSettings.items(Schema.ROUTE)) {
             String at = "route " + route + " ";
-            String path = meaning.values().getOrDefault(at + "path", "/");
-            String className = meaning.value(at + "track");
-            String tenant = meaning.value(at + "customer");
+            String path = parsedSettings.values().getOrDefault(at + "path", "/");
+            String className = parsedSettings.value(at + "track");
+            String tenant = parsedSettings.value(at + "customer");
             if (!path.startsWith("/")) {
                 fault(
                         at + "path",
@@ -393,7 +401,7 @@
             }
             String other =
                     paths.putIfAbsent(
-                            meaning.values().getOrDefault(at + "method", "any") + " " + path,
+                            parsedSettings.values().getOrDefault(at + "method", "any") + " " + path,
                             route);
             if (other != null) {
                 fault(
@@ -402,24 +410,24 @@
                         "give each its own",
                         true);
             }
-            if (className != null && !meaning.requestClasses().contains(className)) {
+            if (className != null && !parsedSettings.requestClasses().contains(className)) {
                 fault(
                         at + "track",
                         "there is no track " + className,
-                        "write one of: " + String.join(", ", meaning.requestClasses()),
+                        "write one of: " + String.join(", ", parsedSettings.requestClasses()),
                         true);
             }
-            if (tenant != null && !meaning.tenants().contains(tenant)) {
+            if (tenant != null && !parsedSettings.tenants().contains(tenant)) {
                 fault(
                         at + "customer",
                         "there is no customer " + tenant,
-                        "write one of: " + String.join(", ", meaning.tenants()),
+                        "write one of: " + String.join(", ", parsedSettings.tenants()),
                         true);
             }
         }
-        String listen = meaning.value("ajp listen");
+        String listen = parsedSettings.value("ajp listen");
         if (listen != null
-                && meaning.value("ajp secret") == null
+                && parsedSettings.value("ajp secret") == null
                 && !listen.matches("(127\\.[0-9.]+|localhost|\\[::1\\]):.*")) {
             fault(
                     "ajp listen",
@@ -427,7 +435,7 @@
                     "add secret, or write \"127.0.0.1:8009\"",
                     true);
         }
-        if (listen != null && meaning.items(Schema.ROUTE).isEmpty()) {
+        if (listen != null && parsedSettings.items(Schema.ROUTE).isEmpty()) {
             fault(
                     "ajp listen",
                     "no route says which requests are tickets",
@@ -437,14 +445,14 @@
     }
 
     private void servers() {
-        for (String server : meaning.items(Schema.SERVER)) {
+        for (String server : parsedSettings.items(Schema.SERVER)) {
             String name = "server " + server + " tracks";
-            for (String className : meaning.values().getOrDefault(name, "").split(",", 0)) {
-                if (isSound(name) && !meaning.requestClasses().contains(className)) {
+            for (String className : parsedSettings.values().getOrDefault(name, "").split(",", 0)) {
+                if (isSound(name) && !parsedSettings.requestClasses().contains(className)) {
                     fault(
                             name,
                             "there is no track " + className,
-                            "write some of: " + String.join(", ", meaning.requestClasses()),
+                            "write some of: " + String.join(", ", parsedSettings.requestClasses()),
                             true);
                 }
                 if (calls(className)) {
@@ -461,9 +469,9 @@
     }
 
     private void fleet() {
-        List<String> voters = meaning.items(Schema.VOTER);
+        List<String> voters = parsedSettings.items(Schema.VOTER);
         String said =
-                meaning.values().keySet().stream()
+                parsedSettings.values().keySet().stream()
                         .filter(name -> name.startsWith("fleet "))
                         .findFirst()
                         .orElse(null);
@@ -493,7 +501,8 @@
         Map<String, String> first = new HashMap<>();
         for (String voter : voters) {
             String name = "voter " + voter + " address";
-            String other = isSound(name) ? first.putIfAbsent(meaning.value(name), voter) : null;
+            String other =
+                    isSound(name) ? first.putIfAbsent(parsedSettings.value(name), voter) : null;
             if (other != null) {
                 fault(
                         name,
@@ -502,7 +511,8 @@
                         true);
             }
         }
-        if (voters.contains(meaning.value("name")) && meaning.value("fleet folder") == null) {
+        if (voters.contains(parsedSettings.value("name"))
+                && parsedSettings.value("fleet folder") == null) {
             fault(
                     "fleet folder",
                     "a voter without a folder would forget its votes",
--- a/src/test/java/lupinwood/admission/RandomConfigurationTest.java
+++ b/src/test/java/lupinwood/admission/RandomConfigurationTest.java
@@ -81,8 +81,8 @@
         machine.settings.putAll(config.settings());
         machine.start();
         boolean downstream = !config.settings().getOrDefault("domain.below", "off").equals("off");
-        List<String> requestClasses = config.meaning().requestClasses();
-        int tenants = config.meaning().tenants().size();
+        List<String> requestClasses = config.parsedSettings().requestClasses();
+        int tenants = config.parsedSettings().tenants().size();
         for (int i = 0; i < 3 * requestClasses.size(); i++) {
             machine.trace.clear();
             machine.clientTimeout = NanoDuration.ofSeconds(i % 2 * (0.3 + chance.nextInt(60)));
@@ -96,7 +96,7 @@
                     downstream
                             && "true"
                                     .equals(
-                                            config.meaning()
+                                            config.parsedSettings()
                                                     .value(
                                                             "track "
                                                                     + requestClasses.get(
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -13,9 +13,9 @@
 
 /** Shares of places: what fits, how they are parted, and when an older plan may be forgotten. */
 final class CapacityPlansTest {
-    private static final LeaseTiming RULES = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
-    private final ClusterState book = new ClusterState(100);
-    private final LeaseManager leaseManager = new LeaseManager(RULES, List.of());
+    private static final LeaseTiming TIMING = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.01);
+    private final ClusterState clusterState = new ClusterState(100);
+    private final LeaseManager leaseManager = new LeaseManager(TIMING, List.of());
     private FencingToken token;
     private long number;
 
@@ -32,22 +32,22 @@
     }
 
     private void found(int nodes) {
-        book.apply(new ClusterCommand.Bootstrap(1));
+        clusterState.apply(new ClusterCommand.Bootstrap(1));
         for (int i = 0; i < nodes; i++) {
-            book.apply(new ClusterCommand.Join(node(i), new Incarnation(i), site(i)));
+            clusterState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), site(i)));
         }
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.GrantLease(
                         DutyName.PLANNER, node(0), new Incarnation(0), new FencingToken(0)));
-        token = book.duty(DutyName.PLANNER).token();
-        leaseManager.leads(book, at(0));
+        token = clusterState.duty(DutyName.PLANNER).token();
+        leaseManager.leads(clusterState, at(0));
     }
 
     private boolean plan(int z0, int z1, Map<String, Map<String, Integer>> alone) {
-        return book.apply(
+        return clusterState.apply(
                 new ClusterCommand.SetCapacityPlan(
                         token,
-                        book.lastPlan(),
+                        clusterState.lastPlan(),
                         Map.of("p", 10),
                         alone,
                         Map.of("r/z0", Map.of("p", z0), "r/z1", Map.of("p", z1)),
@@ -73,14 +73,14 @@
                                 "1", "", null, List.of(), plan, List.of(), RequestCounts.NOTHING));
         return leaseManager.replyTo(
                 heartbeat,
-                leaseManager.heard(heartbeat, book, at(seconds)),
-                book,
+                leaseManager.heard(heartbeat, clusterState, at(seconds)),
+                clusterState,
                 node(0),
                 at(seconds));
     }
 
     private void decide(double seconds) {
-        leaseManager.decide(book, 1, at(seconds)).forEach(book::apply);
+        leaseManager.decide(clusterState, 1, at(seconds)).forEach(clusterState::apply);
     }
 
     @Test
@@ -95,7 +95,7 @@
         say(1, 2, 4.1);
         say(3, 2, 4.1);
         decide(4.2);
-        assertThat(book.livePlans())
+        assertThat(clusterState.livePlans())
                 .as("n0 was told of the first, and hasn't said that it dropped it")
                 .hasSize(2);
         assertThat(plan(2, 8, Map.of())).isFalse();
@@ -103,7 +103,7 @@
         say(0, 2, 4.6);
         say(2, 2, 4.6);
         decide(4.7);
-        assertThat(book.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
+        assertThat(clusterState.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
         assertThat(plan(2, 8, Map.of())).isTrue();
     }
 
@@ -114,16 +114,18 @@
         say(0, 0, 4);
         plan(2, 2, Map.of());
         decide(7);
-        assertThat(book.livePlans()).hasSize(2);
+        assertThat(clusterState.livePlans()).hasSize(2);
         decide(7.1);
-        assertThat(book.livePlans()).as("3 s and the drift later").hasSize(1);
+        assertThat(clusterState.livePlans()).as("3 s and the drift later").hasSize(1);
         plan(2, 1, Map.of());
         leaseManager.leadsNoMore();
-        leaseManager.leads(book, at(8));
+        leaseManager.leads(clusterState, at(8));
         decide(10.9);
-        assertThat(book.livePlans()).as("what the one before told isn't known here").hasSize(2);
+        assertThat(clusterState.livePlans())
+                .as("what the one before told isn't known here")
+                .hasSize(2);
         decide(11.1);
-        assertThat(book.livePlans()).hasSize(1);
+        assertThat(clusterState.livePlans()).hasSize(1);
     }
 
     @Test
@@ -132,14 +134,14 @@
         Map<String, Map<String, Integer>> alone = Map.of("r/z0", Map.of("p", 3));
         assertThat(plan(2, 6, alone)).as("two nodes of z0 may have six in any case").isFalse();
         assertThat(plan(2, 4, alone)).isTrue();
-        book.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
-        assertThat(book.plan().of(node(4))).isEmpty();
+        clusterState.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
+        assertThat(clusterState.plan().of(node(4))).isEmpty();
         assertThat(say(4, 0, 5).share().slots()).isEmpty();
-        book.apply(new ClusterCommand.RemoveNode(node(1)));
-        assertThat(book.plan().roster()).doesNotContainKey("n1");
+        clusterState.apply(new ClusterCommand.RemoveNode(node(1)));
+        assertThat(clusterState.plan().roster()).doesNotContainKey("n1");
         ClusterState again = new ClusterState(100);
-        again.open(book.page());
-        assertThat(again.page()).isEqualTo(book.page());
+        again.open(clusterState.snapshot());
+        assertThat(again.snapshot()).isEqualTo(clusterState.snapshot());
     }
 
     @Test
--- a/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
+++ b/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
@@ -14,7 +14,7 @@
         new Site("r", "a"), new Site("r", "b"), new Site("r", "c")
     };
     private static final DisruptionLimits RULES = new DisruptionLimits(3, 0.5, 2, 1, 4);
-    private final ClusterState book = new ClusterState(100);
+    private final ClusterState clusterState = new ClusterState(100);
 
     private static NodeName node(int i) {
         return new NodeName("n" + i);
@@ -22,12 +22,12 @@
 
     private void join(int nodes) {
         for (int i = 0; i < nodes; i++) {
-            book.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
+            clusterState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
         }
     }
 
     private boolean allow(String order, int node, NodeName... unavailableNodes) {
-        return book.apply(
+        return clusterState.apply(
                 new ClusterCommand.GrantPermit(
                         order, node(node), "ann", 5, RULES, List.of(unavailableNodes)));
     }
@@ -38,17 +38,17 @@
         assertThat(allow("o1", 0)).isTrue();
         assertThat(allow("o2", 3)).isTrue();
         assertThat(allow("o3", 6)).as("the third of zone a").isFalse();
-        assertThat(book.against(node(6), RULES, List.of()))
+        assertThat(clusterState.against(node(6), RULES, List.of()))
                 .isEqualTo("of 3 nodes in r/a 2 are out, and no more than 2 may be");
         assertThat(allow("o4", 1, node(4))).as("one is unknown, so four would be out").isFalse();
-        assertThat(book.against(node(1), RULES, List.of(node(4))))
+        assertThat(clusterState.against(node(1), RULES, List.of(node(4))))
                 .contains("of 9 nodes 3 are out, and no more than 3");
         assertThat(allow("o4", 4, node(4))).as("who isn't known to be well").isFalse();
         assertThat(allow("o5", 1)).isTrue();
         assertThat(allow("o6", 1)).as("it has one").isFalse();
-        book.apply(new ClusterCommand.ReturnPermit(1, "well again", 6));
+        clusterState.apply(new ClusterCommand.ReturnPermit(1, "well again", 6));
         assertThat(allow("o7", 2)).isTrue();
-        assertThat(book.history())
+        assertThat(clusterState.history())
                 .extracting(ClusterState.HistoryEntry::text)
                 .contains("ann let n0 go under permit 1", "permit 1 of n0 ended: well again");
         ClusterState small = new ClusterState(100);
@@ -63,29 +63,29 @@
     @Test
     void aMajorityOfVotersStaysWhateverElseTheRulesAllow() {
         join(9);
-        DisruptionLimits rules =
+        DisruptionLimits limits =
                 new DisruptionLimits(9, 1, 9, 1, 0, List.of(node(0), node(1), node(2)));
         assertThat(
-                        book.apply(
+                        clusterState.apply(
                                 new ClusterCommand.GrantPermit(
-                                        "o1", node(0), "ann", 1, rules, List.of())))
+                                        "o1", node(0), "ann", 1, limits, List.of())))
                 .isTrue();
         assertThat(
-                        book.apply(
+                        clusterState.apply(
                                 new ClusterCommand.GrantPermit(
-                                        "o2", node(4), "ann", 1, rules, List.of())))
+                                        "o2", node(4), "ann", 1, limits, List.of())))
                 .isTrue();
         assertThat(
-                        book.apply(
+                        clusterState.apply(
                                 new ClusterCommand.GrantPermit(
-                                        "o3", node(1), "ann", 1, rules, List.of())))
+                                        "o3", node(1), "ann", 1, limits, List.of())))
                 .isFalse();
-        assertThat(book.against(node(1), rules, List.of()))
+        assertThat(clusterState.against(node(1), limits, List.of()))
                 .isEqualTo("of 3 voters 1 are out, and a majority has to stay");
-        book.apply(new ClusterCommand.ReturnPermit(1, "well again", 2));
-        assertThat(book.against(node(1), rules, List.of(node(2))))
+        clusterState.apply(new ClusterCommand.ReturnPermit(1, "well again", 2));
+        assertThat(clusterState.against(node(1), limits, List.of(node(2))))
                 .contains("a majority has to stay");
-        assertThat(book.against(node(1), rules, List.of())).isEmpty();
+        assertThat(clusterState.against(node(1), limits, List.of())).isEmpty();
     }
 
     @Test
@@ -93,16 +93,16 @@
         join(9);
         assertThat(allow("o1", 0)).isTrue();
         assertThat(allow("o1", 0)).isTrue();
-        assertThat(book.permits()).hasSize(1);
-        book.apply(new ClusterCommand.SetHalt("h1", true, "bob", 7));
+        assertThat(clusterState.permits()).hasSize(1);
+        clusterState.apply(new ClusterCommand.SetHalt("h1", true, "bob", 7));
         assertThat(allow("o2", 1)).isFalse();
-        assertThat(book.against(node(1), RULES, List.of())).isEqualTo("bob halted");
-        book.apply(new ClusterCommand.SetHalt("h2", false, "ann", 8));
-        book.apply(new ClusterCommand.SetHalt("h1", true, "bob", 9));
+        assertThat(clusterState.against(node(1), RULES, List.of())).isEqualTo("bob halted");
+        clusterState.apply(new ClusterCommand.SetHalt("h2", false, "ann", 8));
+        clusterState.apply(new ClusterCommand.SetHalt("h1", true, "bob", 9));
         assertThat(allow("o2", 1)).as("an old halt that is told again halts nothing").isTrue();
         ClusterState again = new ClusterState(100);
-        again.open(book.page());
-        assertThat(again.page()).isEqualTo(book.page());
+        again.open(clusterState.snapshot());
+        assertThat(again.snapshot()).isEqualTo(clusterState.snapshot());
         assertThat(again.answer("o2")).isEqualTo("permit 2 for n1");
     }
 
@@ -112,7 +112,7 @@
             Random random = new Random(seed);
             ClusterState one = new ClusterState(100);
             int nodes = 4 + random.nextInt(20);
-            DisruptionLimits rules =
+            DisruptionLimits limits =
                     new DisruptionLimits(
                             1 + random.nextInt(6),
                             random.nextDouble(),
@@ -151,7 +151,7 @@
                                             node,
                                             "x",
                                             0,
-                                            rules,
+                                            limits,
                                             List.copyOf(unseen)));
                 }
                 if (one.permits().size() > before) {
@@ -160,8 +160,8 @@
                     assertThat(one.haltedBy()).isEmpty();
                     assertThat(out.size())
                             .as("seed " + seed)
-                            .isLessThanOrEqualTo(rules.mostOf(nodes));
-                    assertThat(nodes - out.size()).isGreaterThanOrEqualTo(rules.leastIn());
+                            .isLessThanOrEqualTo(limits.mostOf(nodes));
+                    assertThat(nodes - out.size()).isGreaterThanOrEqualTo(limits.leastIn());
                 }
             }
         }
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 final class LeaseManagerTest {
-    private static final LeaseTiming RULES = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.02);
+    private static final LeaseTiming TIMING = LeaseTiming.of(NanoDuration.ofSeconds(3), 0.02);
     private static final NodeName SELF = new NodeName("v");
-    private final ClusterState book = new ClusterState(3);
+    private final ClusterState clusterState = new ClusterState(3);
     private final LeaseManager leaseManager =
-            new LeaseManager(RULES, List.of(DutyName.HEALTH_CHECK));
+            new LeaseManager(TIMING, List.of(DutyName.HEALTH_CHECK));
     private long number;
 
     private static MonotonicTime at(double seconds) {
@@ -42,8 +42,8 @@
     }
 
     private HeartbeatReply say(Heartbeat heartbeat, double seconds) {
-        String trouble = leaseManager.heard(heartbeat, book, at(seconds));
-        return leaseManager.replyTo(heartbeat, trouble, book, SELF, at(seconds));
+        String trouble = leaseManager.heard(heartbeat, clusterState, at(seconds));
+        return leaseManager.replyTo(heartbeat, trouble, clusterState, SELF, at(seconds));
     }
 
     private HeartbeatReply warm(String name, double seconds) {
@@ -51,14 +51,14 @@
     }
 
     private List<ClusterCommand> done(double seconds) {
-        List<ClusterCommand> commands = leaseManager.decide(book, 100, at(seconds));
-        commands.forEach(book::apply);
+        List<ClusterCommand> commands = leaseManager.decide(clusterState, 100, at(seconds));
+        commands.forEach(clusterState::apply);
         return commands;
     }
 
     @BeforeEach
     void twoNodesAndTheFirstHolds() {
-        leaseManager.leads(book, at(0));
+        leaseManager.leads(clusterState, at(0));
         warm("a", 0.1);
         done(0.1);
         done(0.1);
@@ -67,13 +67,13 @@
         warm("b", 1.3);
         done(1.3);
         done(1.3);
-        assertThat(book.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("a"));
-        assertThat(book.duty(DutyName.HEALTH_CHECK).token().number()).isEqualTo(101);
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("a"));
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).token().number()).isEqualTo(101);
     }
 
     @Test
     void aDutyIsGivenOnOnlyOnceItsLeaseHasRunOutForCertain() {
-        assertThat(warm("a", 2).grants()).hasSize(1);
+        assertThat(warm("a", 2).leases()).hasSize(1);
         for (double now = 2.5; now < 5; now += 0.5) {
             warm("b", now);
             assertThat(done(now)).isEmpty();
@@ -86,45 +86,45 @@
                                 new FencingToken(101),
                                 ClusterCommand.LeaseEnd.LAPSED));
         assertThat(done(5.08)).hasSize(1);
-        assertThat(book.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("b"));
-        assertThat(book.duty(DutyName.HEALTH_CHECK).token().number()).isEqualTo(102);
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("b"));
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).token().number()).isEqualTo(102);
         // The first one is back, and doesn't take it back.
-        assertThat(warm("a", 5.1).grants()).isEmpty();
+        assertThat(warm("a", 5.1).leases()).isEmpty();
         assertThat(done(5.2)).isEmpty();
     }
 
     @Test
     void whatIsBeingTakenBackIsGrantedNoMoreHoweverLongTheBookTakes() {
         warm("a", 2);
-        assertThat(leaseManager.decide(book, 100, at(6)))
+        assertThat(leaseManager.decide(clusterState, 100, at(6)))
                 .hasSize(1); // under way, and not written yet
-        assertThat(warm("a", 6.1).grants()).isEmpty();
+        assertThat(warm("a", 6.1).leases()).isEmpty();
     }
 
     @Test
     void aNewLeaderCountsALeaseFromWhenItBeganToLead() {
         warm("a", 2);
         leaseManager.leadsNoMore();
-        leaseManager.leads(book, at(4));
-        assertThat(warm("b", 6.9).grants()).isEmpty();
+        leaseManager.leads(clusterState, at(4));
+        assertThat(warm("b", 6.9).leases()).isEmpty();
         assertThat(done(7)).isEmpty();
         assertThat(done(7.1)).hasSize(1);
     }
 
     @Test
     void handedOnItGoesToAnHeirAtOnceAndFailedAtItStaysAway() {
-        Lease grant = warm("a", 2).grants().get(0);
+        Lease lease = warm("a", 2).leases().get(0);
         warm("b", 2.1);
-        say(heartbeat("a", 1, NodeCondition.WARM, List.of(), List.of(grant)), 2.2);
+        say(heartbeat("a", 1, NodeCondition.WARM, List.of(), List.of(lease)), 2.2);
         assertThat(done(2.2))
                 .containsExactly(
                         new ClusterCommand.ReleaseLease(
                                 DutyName.HEALTH_CHECK,
-                                grant.token(),
+                                lease.token(),
                                 ClusterCommand.LeaseEnd.FAILED));
         done(2.2);
-        assertThat(book.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("b"));
-        Lease next = warm("b", 2.3).grants().get(0);
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(new NodeName("b"));
+        Lease next = warm("b", 2.3).leases().get(0);
         say(heartbeat("b", 1, NodeCondition.LEAVING, List.of(next), List.of()), 2.4);
         assertThat(done(2.4))
                 .containsExactly(
@@ -142,7 +142,7 @@
     void aSecondProcessUnderOneNameStandsOutsideUntilTheFirstIsSilent() {
         assertThat(say(heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()), 1.5).trouble())
                 .contains("in use");
-        assertThat(warm("a", 1.6).grants()).hasSize(1);
+        assertThat(warm("a", 1.6).leases()).hasSize(1);
         assertThat(say(heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()), 6).trouble())
                 .isEmpty();
     }
@@ -150,12 +150,13 @@
     @Test
     void silenceMakesANodeUnknownItsOwnWordOutAndAFullBookOrAnotherFormTellsSo() {
         warm("b", 5);
-        assertThat(leaseManager.picture(book, at(5)))
-                .extracting(NodeView::standing)
+        assertThat(leaseManager.snapshot(clusterState, at(5)))
+                .extracting(NodeView::status)
                 .containsExactly(NodeStatus.UNKNOWN, NodeStatus.WARM);
         say(heartbeat("b", 1, NodeCondition.GONE, List.of(), List.of()), 5.1);
         done(5.1);
-        assertThat(leaseManager.picture(book, at(5.2)).get(1).standing()).isEqualTo(NodeStatus.OUT);
+        assertThat(leaseManager.snapshot(clusterState, at(5.2)).get(1).status())
+                .isEqualTo(NodeStatus.OUT);
         for (String name : List.of("c", "d")) {
             warm(name, 5.3); // b went, and made room for one
             done(5.3);
@@ -175,48 +176,49 @@
                         List.of(),
                         List.of(),
                         null);
-        assertThat(leaseManager.heard(newer, book, at(5.5))).contains("form 9");
+        assertThat(leaseManager.heard(newer, clusterState, at(5.5))).contains("form 9");
     }
 
     @Test
     void aHolderCountsFromBeforeItRequestedAndStopsBeforeTheReplicaMayGiveOn() {
-        HeldLeases holding = new HeldLeases(RULES);
-        holding.asks(1, at(10));
+        HeldLeases heldLeases = new HeldLeases(TIMING);
+        heldLeases.asks(1, at(10));
         HeartbeatReply reply =
                 new HeartbeatReply(
                         1,
                         true,
                         SELF,
                         "",
-                        RULES.lease(),
+                        TIMING.lease(),
                         List.of(new Lease(DutyName.HEALTH_CHECK, new FencingToken(7))),
                         List.of(),
                         0,
                         null,
                         null,
                         1);
-        holding.onReply(reply, at(11.5));
-        assertThat(holding.mayAct(DutyName.HEALTH_CHECK, at(12.93))).isEqualTo(new FencingToken(7));
-        assertThat(holding.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
+        heldLeases.onReply(reply, at(11.5));
+        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.93)))
+                .isEqualTo(new FencingToken(7));
+        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
                 .as("3 s less the drift, from 10 s on")
                 .isNull();
-        holding.asks(2, at(13));
-        assertThat(holding.giveUp(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
-        holding.onReply(
+        heldLeases.asks(2, at(13));
+        assertThat(heldLeases.giveUp(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
+        heldLeases.onReply(
                 new HeartbeatReply(
                         2,
                         true,
                         SELF,
                         "",
-                        RULES.lease(),
-                        reply.grants(),
+                        TIMING.lease(),
+                        reply.leases(),
                         List.of(),
                         0,
                         null,
                         null,
                         1),
                 at(13.1));
-        assertThat(holding.mayAct(DutyName.HEALTH_CHECK, at(13.2)))
+        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(13.2)))
                 .as("given up for good under this token")
                 .isNull();
     }
--- a/src/test/java/lupinwood/config/CorpusTest.java
+++ b/src/test/java/lupinwood/config/CorpusTest.java
@@ -25,14 +25,15 @@
         String directory = CORPUS.resolve("broken") + "/";
         try (Stream<Path> files = Files.list(CORPUS.resolve("broken"))) {
             for (Path file : files.filter(Files::isRegularFile).sorted().toList()) {
-                Diagnostics problems = Reader.read(new FileSources(), file.toString()).problems();
-                for (Diagnostic problem : problems.all()) {
+                Diagnostics diagnostics =
+                        Reader.read(new FileSources(), file.toString()).diagnostics();
+                for (Diagnostic diagnostic : diagnostics.all()) {
                     got.add(
                             (file.getFileName()
                                             + " | "
-                                            + problem.place()
+                                            + diagnostic.place()
                                             + ": error: "
-                                            + DiagnosticReport.visible(problem.text()))
+                                            + DiagnosticReport.visible(diagnostic.text()))
                                     .replace(directory, "")
                                     .replace(CORPUS + "/", "../"));
                 }
--- a/src/test/java/lupinwood/config/LanguagePropertiesTest.java
+++ b/src/test/java/lupinwood/config/LanguagePropertiesTest.java
@@ -91,27 +91,32 @@
     @Property(tries = 1500, seed = "42")
     void aSlipInASoundTextMakesNoCascade(@ForAll("slips") String text) {
         Config config = holds(text);
-        assertThat(config.problems().all()).as(text).hasSizeLessThanOrEqualTo(6);
+        assertThat(config.diagnostics().all()).as(text).hasSizeLessThanOrEqualTo(6);
     }
 
     private static Config holds(String text) {
         Config config = MemorySources.read(text);
-        DiagnosticReport.text(config.problems(), config::source);
-        DiagnosticReport.json(config.problems());
-        Diagnostics problems = new Diagnostics();
-        String once = Formatter.format(new Source("a", text), problems);
-        assertThat(once == null).isEqualTo(!problems.isEmpty());
+        DiagnosticReport.text(config.diagnostics(), config::source);
+        DiagnosticReport.json(config.diagnostics());
+        Diagnostics diagnostics = new Diagnostics();
+        String once = Formatter.format(new Source("a", text), diagnostics);
+        assertThat(once == null).isEqualTo(!diagnostics.isEmpty());
         if (once != null) {
             assertThat(Formatter.format(new Source("a", once), new Diagnostics()))
                     .as(text)
                     .isEqualTo(once);
             Config formatted = MemorySources.read(once);
-            assertThat(formatted.meaning().values()).as(text).isEqualTo(config.meaning().values());
-            assertThat(formatted.problems().isEmpty())
+            assertThat(formatted.parsedSettings().values())
                     .as(text)
-                    .isEqualTo(config.problems().isEmpty());
-            if (config.problems().isEmpty()) {
-                assertThat(ConfigDiff.between(config.meaning(), formatted.meaning()).isEmpty())
+                    .isEqualTo(config.parsedSettings().values());
+            assertThat(formatted.diagnostics().isEmpty())
+                    .as(text)
+                    .isEqualTo(config.diagnostics().isEmpty());
+            if (config.diagnostics().isEmpty()) {
+                assertThat(
+                                ConfigDiff.between(
+                                                config.parsedSettings(), formatted.parsedSettings())
+                                        .isEmpty())
                         .isTrue();
             }
         }
--- a/src/test/java/lupinwood/config/ReaderTest.java
+++ b/src/test/java/lupinwood/config/ReaderTest.java
@@ -42,12 +42,12 @@
 
     private static ParsedSettings sound(String text) {
         Config config = MemorySources.read(text);
-        assertThat(DiagnosticReport.text(config.problems(), config::source)).isEmpty();
-        return config.meaning();
+        assertThat(DiagnosticReport.text(config.diagnostics(), config::source)).isEmpty();
+        return config.parsedSettings();
     }
 
     private static String messages(Config config) {
-        return DiagnosticReport.text(config.problems(), place -> null);
+        return DiagnosticReport.text(config.diagnostics(), place -> null);
     }
 
     @Test
@@ -97,7 +97,7 @@
                         NODE);
         Config config = Reader.read(new MemorySources(texts), "a");
         assertThat(messages(config)).isEmpty();
-        assertThat(config.meaning().flat())
+        assertThat(config.parsedSettings().flat())
                 .containsEntry("settings.services.0.aim_ns", "3000000000")
                 .containsEntry("settings.services.0.worth", "2")
                 .containsEntry("stop_ms", "5000");
@@ -107,7 +107,7 @@
 
     @Test
     void importingThePlatformsFormKeepsEveryEntry() throws Exception {
-        ParsedSettings json = NodeConfig.read(Path.of("examples/config.json")).meaning();
+        ParsedSettings json = NodeConfig.read(Path.of("examples/config.json")).parsedSettings();
         ParsedSettings language = sound(Writer.write(json, name -> ""));
         assertThat(language).isEqualTo(json);
         assertThat(ConfigDiff.between(json, language).isEmpty()).isTrue();
@@ -216,7 +216,7 @@
                         "\"\"\"\n",
                         "#\"",
                         "a=")) {
-            assertThat(MemorySources.read(deep.repeat(100_000 / deep.length())).problems().all())
+            assertThat(MemorySources.read(deep.repeat(100_000 / deep.length())).diagnostics().all())
                     .isNotEmpty()
                     .hasSizeLessThanOrEqualTo(200);
         }
--- a/src/test/java/lupinwood/config/ReferenceTest.java
+++ b/src/test/java/lupinwood/config/ReferenceTest.java
@@ -27,11 +27,12 @@
     @Test
     void theExamplesSayTheSameInBothFormsAndAreInTheirForm() throws Exception {
         Config config = Reader.read(new FileSources(), "examples/node.kdl");
-        assertThat(config.problems().all()).isEmpty();
+        assertThat(config.diagnostics().all()).isEmpty();
         assertThat(
                         ConfigDiff.between(
-                                        NodeConfig.read(Path.of("examples/config.json")).meaning(),
-                                        config.meaning())
+                                        NodeConfig.read(Path.of("examples/config.json"))
+                                                .parsedSettings(),
+                                        config.parsedSettings())
                                 .steps())
                 .isEmpty();
         for (String file :
@@ -41,7 +42,7 @@
                     .as(file)
                     .isEqualTo(text);
         }
-        assertThat(Reader.readPart(new FileSources(), "deploy/operator.kdl").problems().all())
+        assertThat(Reader.readPart(new FileSources(), "deploy/operator.kdl").diagnostics().all())
                 .isEmpty();
     }
 
--- a/src/test/java/lupinwood/consensus/GoldenCommands.java
+++ b/src/test/java/lupinwood/consensus/GoldenCommands.java
@@ -25,7 +25,7 @@
     static final NodeName N4 = new NodeName("n4");
     static final Site SITE = new Site("eu", "eu-1");
     static final Site OTHER_SITE = new Site("us", "us-2");
-    static final Incarnation LIFE = new Incarnation(-6172840429334713771L);
+    static final Incarnation INCARNATION = new Incarnation(-6172840429334713771L);
     static final RequestCounts TALLY =
             new RequestCounts(
                     List.of(
@@ -61,16 +61,17 @@
         return new ArrayList<>(
                 List.of(
                         new ClusterCommand.Bootstrap(FIRST_TOKEN - 1),
-                        new ClusterCommand.Join(N0, LIFE, SITE),
+                        new ClusterCommand.Join(N0, INCARNATION, SITE),
                         new ClusterCommand.Join(N1, new Incarnation(1), SITE),
                         new ClusterCommand.Join(N2, new Incarnation(2), OTHER_SITE),
                         new ClusterCommand.Join(N3, new Incarnation(3), OTHER_SITE),
-                        new ClusterCommand.GrantLease(DutyName.STATUS_REPORTER, N0, LIFE, NONE),
+                        new ClusterCommand.GrantLease(
+                                DutyName.STATUS_REPORTER, N0, INCARNATION, NONE),
                         new ClusterCommand.GrantLease(
                                 DutyName.ROLLOUT_CONTROLLER, N1, new Incarnation(1), NONE),
                         new ClusterCommand.GrantLease(
                                 DutyName.PLANNER, N2, new Incarnation(2), NONE),
-                        new ClusterCommand.GrantLease(DutyName.HEALTH_CHECK, N0, LIFE, NONE),
+                        new ClusterCommand.GrantLease(DutyName.HEALTH_CHECK, N0, INCARNATION, NONE),
                         new ClusterCommand.ReleaseLease(
                                 DutyName.HEALTH_CHECK,
                                 HEALTH_CHECK,
@@ -149,49 +150,49 @@
                 new ClusterCommand.SetHalt("order-7", true, "ann", AT + 24));
     }
 
-    static ClusterState book(List<ClusterCommand> commands) {
-        ClusterState book = new ClusterState(16);
+    static ClusterState clusterState(List<ClusterCommand> commands) {
+        ClusterState clusterState = new ClusterState(16);
         for (ClusterCommand command : commands) {
-            if (!book.apply(command)) {
+            if (!clusterState.apply(command)) {
                 throw new IllegalStateException(command + " doesn't fit");
             }
         }
-        return book;
+        return clusterState;
     }
 
     static ClusterState.Snapshot pageWithAll() {
         List<ClusterCommand> commands = story();
         commands.addAll(halfwayOut());
-        ClusterState.Snapshot page = book(commands).page();
+        ClusterState.Snapshot snapshot = clusterState(commands).snapshot();
         return new ClusterState.Snapshot(
-                page.members(),
-                page.duties(),
-                page.lastToken(),
-                page.digest(),
-                page.commands(),
-                page.permits(),
-                page.lastPermit(),
-                page.haltedBy(),
-                page.done(),
-                page.history(),
-                page.releases(),
+                snapshot.members(),
+                snapshot.duties(),
+                snapshot.lastToken(),
+                snapshot.digest(),
+                snapshot.commands(),
+                snapshot.permits(),
+                snapshot.lastPermit(),
+                snapshot.haltedBy(),
+                snapshot.done(),
+                snapshot.history(),
+                snapshot.rollouts(),
                 List.of(new Cordon("server-1", "ann"), new Cordon("server-2", "bob")),
-                page.plans());
+                snapshot.plans());
     }
 
     private static ClusterState.Snapshot pageOfAnOlderVersion() {
-        ClusterState.Snapshot page = book(story()).page();
+        ClusterState.Snapshot snapshot = clusterState(story()).snapshot();
         return new ClusterState.Snapshot(
-                page.members(),
-                page.duties(),
-                page.lastToken(),
-                page.digest(),
-                page.commands(),
-                page.permits(),
-                page.lastPermit(),
-                page.haltedBy(),
-                page.done(),
-                page.history(),
+                snapshot.members(),
+                snapshot.duties(),
+                snapshot.lastToken(),
+                snapshot.digest(),
+                snapshot.commands(),
+                snapshot.permits(),
+                snapshot.lastPermit(),
+                snapshot.haltedBy(),
+                snapshot.done(),
+                snapshot.history(),
                 null,
                 null,
                 null);
@@ -203,10 +204,10 @@
     }
 
     private static GoldenForm<ClusterState.Snapshot> snapshot(
-            String file, ClusterState.Snapshot page) {
+            String file, ClusterState.Snapshot snapshot) {
         return new GoldenForm<>(
                 "snapshot-" + file + ".json",
-                page,
+                snapshot,
                 one -> String.join("", CommandCodec.pieces(one).toArray(String[]::new)),
                 text -> CommandCodec.page(List.of(text)));
     }
@@ -222,20 +223,20 @@
 
     private static void addSnapshots(List<GoldenForm<?>> forms) {
         forms.add(snapshot("full", pageWithAll()));
-        forms.add(snapshot("empty", new ClusterState(16).page()));
+        forms.add(snapshot("empty", new ClusterState(16).snapshot()));
         forms.add(snapshot("older-version", pageOfAnOlderVersion()));
     }
 
     private static void addMembersAndLeases(List<GoldenForm<?>> forms) {
         forms.add(command("found", new ClusterCommand.Bootstrap(1_790_000_000_000L)));
-        forms.add(command("join", new ClusterCommand.Join(N0, LIFE, SITE)));
-        forms.add(command("leave", new ClusterCommand.Leave(N0, LIFE)));
+        forms.add(command("join", new ClusterCommand.Join(N0, INCARNATION, SITE)));
+        forms.add(command("leave", new ClusterCommand.Leave(N0, INCARNATION)));
         forms.add(command("forget", new ClusterCommand.RemoveNode(N0)));
         forms.add(
                 command(
                         "give",
                         new ClusterCommand.GrantLease(
-                                DutyName.HEALTH_CHECK, N1, LIFE, new FencingToken(5))));
+                                DutyName.HEALTH_CHECK, N1, INCARNATION, new FencingToken(5))));
         int whyNumber = 0;
         for (ClusterCommand.LeaseEnd why : ClusterCommand.LeaseEnd.values()) {
             forms.add(
--- a/src/test/java/lupinwood/consensus/GoldenMessages.java
+++ b/src/test/java/lupinwood/consensus/GoldenMessages.java
@@ -48,7 +48,7 @@
         return new Heartbeat(
                 1,
                 GoldenCommands.N0,
-                GoldenCommands.LIFE,
+                GoldenCommands.INCARNATION,
                 GoldenCommands.SITE,
                 condition,
                 1L << 33,
@@ -86,7 +86,7 @@
                         new Heartbeat(
                                 1,
                                 GoldenCommands.N0,
-                                GoldenCommands.LIFE,
+                                GoldenCommands.INCARNATION,
                                 GoldenCommands.SITE,
                                 NodeCondition.COLD,
                                 1,
@@ -103,7 +103,7 @@
                         new Heartbeat(
                                 0,
                                 GoldenCommands.N0,
-                                GoldenCommands.LIFE,
+                                GoldenCommands.INCARNATION,
                                 GoldenCommands.SITE,
                                 NodeCondition.WARM,
                                 1,
@@ -191,39 +191,39 @@
 
     private static RaftReplica.ReplicaView state() {
         List<NodeView> nodeViews = new ArrayList<>();
-        for (NodeStatus standing : NodeStatus.values()) {
+        for (NodeStatus status : NodeStatus.values()) {
             nodeViews.add(
                     new NodeView(
                             GoldenCommands.N0,
-                            GoldenCommands.LIFE,
+                            GoldenCommands.INCARNATION,
                             GoldenCommands.SITE,
-                            standing,
-                            standing == NodeStatus.UNKNOWN
+                            status,
+                            status == NodeStatus.UNKNOWN
                                     ? null
                                     : NanoDuration.ofSeconds(0.123456789),
-                            standing == NodeStatus.WARM ? report() : null));
+                            status == NodeStatus.WARM ? report() : null));
         }
-        ClusterState.Snapshot page = GoldenCommands.pageWithAll();
-        ClusterState book = new ClusterState(16);
-        book.open(page);
+        ClusterState.Snapshot snapshot = GoldenCommands.pageWithAll();
+        ClusterState clusterState = new ClusterState(16);
+        clusterState.open(snapshot);
         return new RaftReplica.ReplicaView(
                 GoldenCommands.N0,
                 GoldenCommands.N1,
                 7,
                 nodeViews,
-                page.duties(),
-                page.digest(),
-                page.commands(),
-                page.permits(),
-                page.haltedBy(),
-                page.history(),
-                book.release(),
-                book.good(),
-                page.rests(),
-                book.past(),
-                page.members(),
-                new ArrayList<>(book.livePlans()),
-                book.lastPlan());
+                snapshot.duties(),
+                snapshot.digest(),
+                snapshot.commands(),
+                snapshot.permits(),
+                snapshot.haltedBy(),
+                snapshot.history(),
+                clusterState.rollout(),
+                clusterState.good(),
+                snapshot.cordons(),
+                clusterState.past(),
+                snapshot.members(),
+                new ArrayList<>(clusterState.livePlans()),
+                clusterState.lastPlan());
     }
 
     private static RaftReplica.ReplicaView stateMinimal() {
--- a/src/test/java/lupinwood/consensus/GoldenRaftStorage.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorage.java
@@ -43,13 +43,13 @@
 
     /** The state that the snapshot holds, whose last entry has the number of the story's length. */
     static ClusterState.Snapshot snapshot() {
-        return GoldenCommands.book(GoldenCommands.story()).page();
+        return GoldenCommands.clusterState(GoldenCommands.story()).snapshot();
     }
 
     static ClusterState.Snapshot latest() {
         List<ClusterCommand> commands = GoldenCommands.story();
         commands.addAll(GoldenCommands.afterTheSnapshot());
-        return GoldenCommands.book(commands).page();
+        return GoldenCommands.clusterState(commands).snapshot();
     }
 
     /** Was run once, with the code of the version before the first that renamed a type. */
--- a/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
@@ -70,8 +70,8 @@
 
     @Test
     void theStateIsTheSame() {
-        ClusterState book = new ClusterState(16);
-        book.open(snapshot());
+        ClusterState clusterState = new ClusterState(16);
+        clusterState.open(snapshot());
         int unknown = 0;
         for (LogEntry entry : stored.getLogEntries()) {
             String text = (String) entry.getOperation();
@@ -80,39 +80,40 @@
                 if (command == null) {
                     unknown++;
                 } else {
-                    assertThat(book.apply(command)).as(text).isTrue();
+                    assertThat(clusterState.apply(command)).as(text).isTrue();
                 }
             }
         }
         assertThat(unknown).isEqualTo(1);
-        assertThat(book.page()).isEqualTo(GoldenRaftStorage.latest());
-        assertThat(book.members()).hasSize(5);
-        assertThat(book.member(GoldenCommands.N0).life()).isEqualTo(GoldenCommands.LIFE);
-        assertThat(book.member(GoldenCommands.N4).in()).isFalse();
-        assertThat(book.duty(DutyName.STATUS_REPORTER))
+        assertThat(clusterState.snapshot()).isEqualTo(GoldenRaftStorage.latest());
+        assertThat(clusterState.members()).hasSize(5);
+        assertThat(clusterState.member(GoldenCommands.N0).incarnation())
+                .isEqualTo(GoldenCommands.INCARNATION);
+        assertThat(clusterState.member(GoldenCommands.N4).in()).isFalse();
+        assertThat(clusterState.duty(DutyName.STATUS_REPORTER))
                 .isEqualTo(
                         new ClusterState.DutyLease(
                                 DutyName.STATUS_REPORTER,
                                 GoldenCommands.N0,
-                                GoldenCommands.LIFE,
+                                GoldenCommands.INCARNATION,
                                 new FencingToken(1_790_000_000_001L)));
-        assertThat(book.duty(DutyName.ROLLOUT_CONTROLLER).token())
+        assertThat(clusterState.duty(DutyName.ROLLOUT_CONTROLLER).token())
                 .isEqualTo(new FencingToken(1_790_000_000_002L));
-        assertThat(book.duty(DutyName.PLANNER).token())
+        assertThat(clusterState.duty(DutyName.PLANNER).token())
                 .isEqualTo(new FencingToken(1_790_000_000_003L));
-        assertThat(book.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(GoldenCommands.N1);
-        assertThat(book.duty(DutyName.HEALTH_CHECK).token())
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).holder()).isEqualTo(GoldenCommands.N1);
+        assertThat(clusterState.duty(DutyName.HEALTH_CHECK).token())
                 .isEqualTo(new FencingToken(1_790_000_000_005L));
-        assertThat(book.permits()).hasSize(1);
-        assertThat(book.rests()).containsExactly(new Cordon("server-1", "ann"));
-        assertThat(book.release()).isNull();
-        assertThat(book.good()).isEqualTo("d1");
-        assertThat(book.text("d1")).startsWith("class \"a\"");
-        assertThat(book.wantedProgram(GoldenCommands.N0)).isEqualTo("0.6");
-        assertThat(book.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
-        assertThat(book.lastPlan()).isEqualTo(2);
-        assertThat(book.digest()).isEqualTo("4 nodes known");
-        assertThat(book.answer("order-4")).isEqualTo("server-1 rests");
+        assertThat(clusterState.permits()).hasSize(1);
+        assertThat(clusterState.cordons()).containsExactly(new Cordon("server-1", "ann"));
+        assertThat(clusterState.rollout()).isNull();
+        assertThat(clusterState.good()).isEqualTo("d1");
+        assertThat(clusterState.text("d1")).startsWith("class \"a\"");
+        assertThat(clusterState.wantedProgram(GoldenCommands.N0)).isEqualTo("0.6");
+        assertThat(clusterState.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
+        assertThat(clusterState.lastPlan()).isEqualTo(2);
+        assertThat(clusterState.digest()).isEqualTo("4 nodes known");
+        assertThat(clusterState.answer("order-4")).isEqualTo("server-1 rests");
     }
 
     @SuppressWarnings("unchecked") // the engine keeps the pieces as an object
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -234,9 +234,9 @@
     }
 
     private static Map<NodeName, Incarnation> lives(RaftReplica.ReplicaView state) {
-        Map<NodeName, Incarnation> lives = new HashMap<>();
-        state.members().forEach(member -> lives.put(member.name(), member.life()));
-        return lives;
+        Map<NodeName, Incarnation> incarnations = new HashMap<>();
+        state.members().forEach(member -> incarnations.put(member.name(), member.incarnation()));
+        return incarnations;
     }
 
     private static boolean isWhole(RaftReplica.ReplicaView state) {
@@ -271,11 +271,11 @@
                 .filter(leased -> tokens(after).get(leased.duty()).equals(leased.token()))
                 .forEach(leased -> assertThat(after.duties()).contains(leased));
         assertThat(after.history().subList(0, before.history().size())).isEqualTo(before.history());
-        assertThat(after.rests()).isEqualTo(before.rests());
+        assertThat(after.cordons()).isEqualTo(before.cordons());
         assertThat(after.permits()).isEqualTo(before.permits());
         assertThat(after.haltedBy()).isEqualTo(before.haltedBy());
         assertThat(after.good()).isEqualTo(before.good());
-        assertThat(after.release()).isEqualTo(before.release());
+        assertThat(after.rollout()).isEqualTo(before.rollout());
         assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
         assertThat(after.plans().stream().filter(one -> one.number() <= before.lastPlan()))
                 .isSubsetOf(before.plans());
@@ -298,11 +298,11 @@
                 new RaftReplica.RolloutRequest(Rollout.Kind.PROGRAM, "0.6", "", false);
         String began = order("order-1", "release", program, null);
         order("order-2", "back", null, null);
-        await("the release is over", state -> state.release() == null);
+        await("the release is over", state -> state.rollout() == null);
         String rested = order("order-3", "rest", null, "s0");
         RaftReplica.ReplicaView old =
-                await("s0 rests", state -> !state.rests().isEmpty() && isWhole(state));
-        assertThat(old.rests()).containsExactly(new Cordon("s0", "ann"));
+                await("s0 rests", state -> !state.cordons().isEmpty() && isWhole(state));
+        assertThat(old.cordons()).containsExactly(new Cordon("s0", "ann"));
 
         RaftReplica.ReplicaView mixed = replaceAndCompare(0, old);
         assertThat(order("order-3", "rest", null, "s0")).as("done once").isEqualTo(rested);
@@ -311,14 +311,14 @@
 
         order("order-4", "unrest", null, "s0");
         order("order-5", "release", program, null);
-        mixed = await("a release is open", state -> state.release() != null && isWhole(state));
-        assertThat(mixed.rests()).isEmpty();
+        mixed = await("a release is open", state -> state.rollout() != null && isWhole(state));
+        assertThat(mixed.cordons()).isEmpty();
         RaftReplica.ReplicaView all = replaceAndCompare(2, mixed);
 
-        assertThat(all.release().number()).isEqualTo(2);
-        assertThat(all.release().to()).isEqualTo("0.6");
+        assertThat(all.rollout().number()).isEqualTo(2);
+        assertThat(all.rollout().to()).isEqualTo("0.6");
         assertThat(order("order-1", "release", program, null)).as("done once").isEqualTo(began);
         order("order-6", "back", null, null);
-        await("the release is over", state -> state.release() == null && isWhole(state));
+        await("the release is over", state -> state.rollout() == null && isWhole(state));
     }
 }
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -29,8 +29,8 @@
     private static final Site[] SITES = {
         new Site("r0", "z0"), new Site("r0", "z1"), new Site("r1", "z2")
     };
-    private final List<Location> places = new ArrayList<>();
-    private final ClusterState book = new ClusterState(100);
+    private final List<Location> locations = new ArrayList<>();
+    private final ClusterState clusterState = new ClusterState(100);
     private CapacityPlanner planner = new CapacityPlanner(LEASE);
     private final long[][][] counts = new long[6][3][2];
     private final boolean[][] leftOut = new boolean[6][3];
@@ -40,21 +40,21 @@
 
     CapacityPlannerTest() {
         for (int i = 0; i < 3; i++) {
-            places.add(new Location("p" + i, SITES[i], 20, 2, 0, false));
+            locations.add(new Location("p" + i, SITES[i], 20, 2, 0, false));
         }
-        book.apply(new ClusterCommand.Bootstrap(1));
+        clusterState.apply(new ClusterCommand.Bootstrap(1));
         for (int i = 0; i < 6; i++) {
-            book.apply(
+            clusterState.apply(
                     new ClusterCommand.Join(
                             new NodeName("n" + i), new Incarnation(i), SITES[i % 3]));
         }
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.GrantLease(
                         DutyName.PLANNER,
                         new NodeName("n0"),
                         new Incarnation(0),
                         new FencingToken(0)));
-        token = book.duty(DutyName.PLANNER).token();
+        token = clusterState.duty(DutyName.PLANNER).token();
     }
 
     /**
@@ -92,24 +92,25 @@
                                         "",
                                         null,
                                         List.of(),
-                                        book.lastPlan(),
+                                        clusterState.lastPlan(),
                                         uses,
                                         RequestCounts.NOTHING)));
             }
             ClusterCommand.SetCapacityPlan plan =
                     planner.decide(
                             new CapacityPlanner.View(
-                                    places,
-                                    book.members(),
+                                    locations,
+                                    clusterState.members(),
                                     nodeViews,
-                                    book.livePlans(),
-                                    book.lastPlan()),
+                                    clusterState.livePlans(),
+                                    clusterState.lastPlan()),
                             token,
                             new MonotonicTime(Math.round(now * 1e9)));
             if (plan != null) {
-                assertThat(book.apply(plan)).as("it fits").isTrue();
+                assertThat(clusterState.apply(plan)).as("it fits").isTrue();
             }
-            book.apply(new ClusterCommand.RetireCapacityPlans(book.lastPlan())); // all said so
+            clusterState.apply(
+                    new ClusterCommand.RetireCapacityPlans(clusterState.lastPlan())); // all said so
         }
     }
 
@@ -120,7 +121,8 @@
     }
 
     private int slots(int zone, int place) {
-        return book.plan()
+        return clusterState
+                .plan()
                 .slots()
                 .getOrDefault(SITES[zone].toString(), Map.of())
                 .getOrDefault("p" + place, 0);
@@ -133,9 +135,11 @@
             assertThat(slots(zone, zone)).isBetween(14, 20);
             assertThat(slots(zone, (zone + 1) % 3)).isZero();
         }
-        long plan = book.lastPlan();
+        long plan = clusterState.lastPlan();
         play(60);
-        assertThat(book.lastPlan()).as("nothing is planned anew without a cause").isEqualTo(plan);
+        assertThat(clusterState.lastPlan())
+                .as("nothing is planned anew without a cause")
+                .isEqualTo(plan);
     }
 
     @Test
@@ -146,7 +150,7 @@
         assertThat(slots(0, 0)).as("its standing right").isEqualTo(4);
         assertThat(slots(0, 1)).as("p1 in the region").isGreaterThan(slots(0, 2));
         assertThat(slots(0, 1) + slots(0, 2)).isGreaterThanOrEqualTo(8);
-        assertThat(book.history().get(book.history().size() - 1).text())
+        assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
                 .contains("p0 is trusted with 0%");
         sick(0, false);
         play(4);
@@ -159,12 +163,12 @@
     @Test
     void whatComesOverAllMovesNothingAndAZoneThatSuffersItselfIsNotHeeded() {
         play(20);
-        long plan = book.lastPlan();
+        long plan = clusterState.lastPlan();
         for (int place = 0; place < 3; place++) {
             sick(place, true);
         }
         play(20);
-        assertThat(book.lastPlan()).as("all is sick everywhere").isEqualTo(plan);
+        assertThat(clusterState.lastPlan()).as("all is sick everywhere").isEqualTo(plan);
         for (int place = 0; place < 3; place++) {
             sick(place, false);
         }
@@ -180,7 +184,7 @@
 
     @Test
     void aPlaceThatStaysInItsRegionTakesNothingFromElsewhere() {
-        places.set(2, new Location("p2", SITES[2], 20, 2, 0, true));
+        locations.set(2, new Location("p2", SITES[2], 20, 2, 0, true));
         planner = new CapacityPlanner(LEASE);
         play(20);
         sick(0, true);
--- a/src/test/java/lupinwood/net/CrossingEventsTest.java
+++ b/src/test/java/lupinwood/net/CrossingEventsTest.java
@@ -744,10 +744,10 @@
         assertThat(TableSizes.of(50 * small))
                 .isEqualTo(new TableSizes(50 * 8192, 50 * 16384, 50L * (8 << 20)));
         for (long memory = 1; memory < 1L << 45; memory *= 3) {
-            TableSizes tables = TableSizes.of(memory);
-            assertThat(tables.requests()).isBetween(1, 1 << 20);
-            assertThat(tables.idempotencyRecords()).isPositive();
-            assertThat(tables.idempotencyBytes()).isLessThanOrEqualTo(memory / 5);
+            TableSizes sizes = TableSizes.of(memory);
+            assertThat(sizes.requests()).isBetween(1, 1 << 20);
+            assertThat(sizes.idempotencyRecords()).isPositive();
+            assertThat(sizes.idempotencyBytes()).isLessThanOrEqualTo(memory / 5);
         }
     }
 
--- a/src/test/java/lupinwood/net/GoldenSettingsTest.java
+++ b/src/test/java/lupinwood/net/GoldenSettingsTest.java
@@ -65,9 +65,9 @@
                 + "\n[decisions]\n"
                 + GoldenFile.lines(reported(config))
                 + "[entries]\n"
-                + GoldenFile.lines(config.meaning().values())
+                + GoldenFile.lines(config.parsedSettings().values())
                 + "[keys]\n"
-                + GoldenFile.lines(config.meaning().flat());
+                + GoldenFile.lines(config.parsedSettings().flat());
     }
 
     @Test
@@ -86,8 +86,9 @@
                 .as("entries that %s leaves out", FULL_LANGUAGE)
                 .filteredOn(
                         entry ->
-                                full.meaning().named(entry).stream()
-                                        .allMatch(name -> full.meaning().value(name) == null))
+                                full.parsedSettings().named(entry).stream()
+                                        .allMatch(
+                                                name -> full.parsedSettings().value(name) == null))
                 .isEmpty();
         GoldenFile.holds("settings/full-language.txt", all(full));
     }
@@ -99,7 +100,9 @@
         NodeConfig moved = load(Path.of("examples", "moved.json"));
         GoldenFile.holds(
                 "settings/taken-over.txt",
-                all(example.with(moved.meaning())) + "\n" + all(full.with(full.meaning())));
+                all(example.with(moved.parsedSettings()))
+                        + "\n"
+                        + all(full.with(full.parsedSettings())));
     }
 
     @Test
--- a/src/test/java/lupinwood/net/NodeConfigTest.java
+++ b/src/test/java/lupinwood/net/NodeConfigTest.java
@@ -150,9 +150,9 @@
             for (String form : new String[] {"", "null", "[]", "\"\""}) {
                 NodeConfig config = edited(path, form);
                 assertThat(config.doubtful()).as(path + " " + form).isNull();
-                assertThat(config.meaning())
+                assertThat(config.parsedSettings())
                         .as(path + " " + form)
-                        .isEqualTo(edited(path, "").meaning());
+                        .isEqualTo(edited(path, "").parsedSettings());
             }
         }
         assertThat(
@@ -257,8 +257,9 @@
                         "0.2970297029702970");
         assertThat(config.doubtful()).isNull();
         assertThat(config.sockets()).isEqualTo(1024);
-        assertThat(config.meaning().value("track quote abandon-time")).isEqualTo("8000000000");
-        assertThat(config.meaning().value("machine cores")).isEqualTo("64");
+        assertThat(config.parsedSettings().value("track quote abandon-time"))
+                .isEqualTo("8000000000");
+        assertThat(config.parsedSettings().value("machine cores")).isEqualTo("64");
         String[] names = {
             "a b",
             "a,b",
@@ -287,13 +288,15 @@
             assertThat(named.settings())
                     .as(name)
                     .containsEntry("services.0.name", SettingsMap.word(name));
-            assertThat(named.meaning().value("track " + SettingsMap.word(name) + " abandon-time"))
+            assertThat(
+                            named.parsedSettings()
+                                    .value("track " + SettingsMap.word(name) + " abandon-time"))
                     .as(name)
                     .isEqualTo("8000000000");
             NodeConfig again =
                     named.with(
                             ConfigDiff.between(
-                                            named.meaning(),
+                                            named.parsedSettings(),
                                             edited(
                                                             "settings/services/0/name",
                                                             json,
@@ -303,7 +306,7 @@
                                                             "7",
                                                             "settings/customers/0/quota_rps",
                                                             "9")
-                                                    .meaning())
+                                                    .parsedSettings())
                                     .result());
             assertThat(again.settings())
                     .as(name)
@@ -335,9 +338,10 @@
                         flags,
                         "settings/azs",
                         "[" + "\"z\",".repeat(1023) + "\"z\"]");
-        assertThat(ConfigDiff.between(config.meaning(), config.meaning()).isEmpty()).isTrue();
-        assertThat(config.meaning().requestClasses()).hasSize(1024);
-        assertThat(config.meaning().value("track t1023 calls")).isEqualTo("true");
+        assertThat(ConfigDiff.between(config.parsedSettings(), config.parsedSettings()).isEmpty())
+                .isTrue();
+        assertThat(config.parsedSettings().requestClasses()).hasSize(1024);
+        assertThat(config.parsedSettings().value("track t1023 calls")).isEqualTo("true");
         assertThat(System.nanoTime() - begun).isLessThan(5_000_000_000L);
     }
 
--- a/src/test/java/lupinwood/reload/ConfigDiffTest.java
+++ b/src/test/java/lupinwood/reload/ConfigDiffTest.java
@@ -41,19 +41,19 @@
                 flat.put(changes[i].toString(), changes[i + 1].toString());
             }
         }
-        List<SettingsError> faults = new ArrayList<>();
-        ParsedSettings meaning = ParsedSettings.of(flat, faults);
-        assertThat(faults).isEmpty();
-        return meaning;
+        List<SettingsError> errors = new ArrayList<>();
+        ParsedSettings parsedSettings = ParsedSettings.of(flat, errors);
+        assertThat(errors).isEmpty();
+        return parsedSettings;
     }
 
-    private static List<String> said(ConfigDiff plan) {
-        return plan.steps().stream().map(ConfigDiff.Step::said).toList();
+    private static List<String> said(ConfigDiff diff) {
+        return diff.steps().stream().map(ConfigDiff.Step::said).toList();
     }
 
     @Test
     void eachChangeSaysWhenItCounts() {
-        ConfigDiff plan =
+        ConfigDiff diff =
                 ConfigDiff.between(
                         with(),
                         with(
@@ -73,7 +73,7 @@
                                 "a",
                                 "settings.domain.keepalive_max_ns",
                                 "5000000000"));
-        assertThat(said(plan))
+        assertThat(said(diff))
                 .containsExactly(
                         "name n1 -> n2, needs a restart",
                         "executor 127.0.0.1:1 -> 127.0.0.1:2, at once",
@@ -83,23 +83,23 @@
                         "track look calls #false -> #true, needs a restart",
                         "track unlock window 13.02s -> 15s, for new tickets",
                         "extra azs a,b -> a, needs a restart");
-        assertThat(plan.result().value("name")).isEqualTo("n1");
-        assertThat(plan.result().value("executor")).isEqualTo("127.0.0.1:2");
-        assertThat(plan.result().value("track look calls")).isEqualTo("false");
-        assertThat(plan.result().value("machine idle-connections")).isEqualTo("5000000000");
-        assertThat(said(ConfigDiff.between(plan.result(), with())))
+        assertThat(diff.result().value("name")).isEqualTo("n1");
+        assertThat(diff.result().value("executor")).isEqualTo("127.0.0.1:2");
+        assertThat(diff.result().value("track look calls")).isEqualTo("false");
+        assertThat(diff.result().value("machine idle-connections")).isEqualTo("5000000000");
+        assertThat(said(ConfigDiff.between(diff.result(), with())))
                 .hasSize(5)
                 .noneMatch(step -> step.contains("restart"));
     }
 
     @Test
     void oneRefusedChangeLeavesAllAsItWas() {
-        ConfigDiff plan =
+        ConfigDiff diff =
                 ConfigDiff.between(
                         with(), with("settings.services.1.effect", "pure", "stop_ms", "4000"));
-        assertThat(plan.isRefused()).isTrue();
-        assertThat(plan.takesEffect()).isFalse();
-        assertThat(plan.result()).isEqualTo(with());
+        assertThat(diff.isRefused()).isTrue();
+        assertThat(diff.takesEffect()).isFalse();
+        assertThat(diff.result()).isEqualTo(with());
     }
 
     @Test
@@ -134,7 +134,7 @@
 
     @Test
     void requestClassesComeAndGoAsAWholeAndWhatOthersHaveInCommonChanges() {
-        ConfigDiff plan =
+        ConfigDiff diff =
                 ConfigDiff.between(
                         with(),
                         with(
@@ -142,13 +142,13 @@
                                 "glance",
                                 "settings.services.1.window_ns",
                                 "14e9"));
-        assertThat(said(plan))
+        assertThat(said(diff))
                 .containsExactly(
                         "removed track look, needs a restart",
                         "added track glance, needs a restart",
                         "track unlock window 13.02s -> 14s, for new tickets");
-        assertThat(plan.result().requestClasses()).containsExactly("look", "unlock");
-        assertThat(plan.result().value("track unlock window")).isEqualTo("14000000000");
+        assertThat(diff.result().requestClasses()).containsExactly("look", "unlock");
+        assertThat(diff.result().value("track unlock window")).isEqualTo("14000000000");
     }
 
     @Test
