--- a/src/test/java/lupinwood/reload/ReloadSchedulerTest.java
+++ b/src/test/java/lupinwood/reload/ReloadSchedulerTest.java
@@ -18,14 +18,14 @@
     private MonotonicTime written = new MonotonicTime(1);
     private Reading reading = Reading.WHOLE;
     private final List<String> trace = new ArrayList<>();
-    private ReloadScheduler triggers;
+    private ReloadScheduler scheduler;
 
     private FileFingerprint look() {
         return new FileFingerprint("v" + version, written);
     }
 
     private void start(boolean watches) {
-        triggers = new ReloadScheduler(watches, look(), now);
+        scheduler = new ReloadScheduler(watches, look(), now);
     }
 
     private void write(Reading next) {
@@ -37,16 +37,16 @@
     /** Goes on for as long, doing what is due. */
     private void pass(double seconds) {
         MonotonicTime end = now.plus(NanoDuration.ofSeconds(seconds));
-        while (!end.isBefore(triggers.next())) {
-            now = now.isBefore(triggers.next()) ? triggers.next() : now;
+        while (!end.isBefore(scheduler.next())) {
+            now = now.isBefore(scheduler.next()) ? scheduler.next() : now;
             look(look());
         }
         now = end;
     }
 
     private void look(FileFingerprint before) {
-        if (triggers.looked(before, now)) {
-            ReloadScheduler.Verdict verdict = triggers.judge(before, look(), reading, now);
+        if (scheduler.looked(before, now)) {
+            ReloadScheduler.Verdict verdict = scheduler.judge(before, look(), reading, now);
             if (verdict != ReloadScheduler.Verdict.READ_AGAIN) {
                 long ms = now.since(new MonotonicTime(100_000_000_000L)).nanos() / 1_000_000;
                 trace.add(ms + " " + verdict + " v" + version);
@@ -59,13 +59,13 @@
         start(false);
         pass(1);
         write(Reading.WHOLE);
-        triggers.signalled(now);
-        triggers.signalled(now);
+        scheduler.signalled(now);
+        scheduler.signalled(now);
         pass(5);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         pass(5);
         assertThat(trace).containsExactly("1000 APPLY v2", "6000 APPLY v2");
-        assertThat(triggers.next()).isEqualTo(MonotonicTime.NEVER);
+        assertThat(scheduler.next()).isEqualTo(MonotonicTime.NEVER);
     }
 
     @Test
@@ -87,7 +87,7 @@
         start(true);
         pass(1.1);
         write(Reading.WHOLE);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         pass(3);
         assertThat(trace).containsExactly("1100 APPLY v2");
     }
@@ -96,14 +96,14 @@
     void aFileBeingWrittenIsReadAgainUntilItIsWholeAndAnEndlessOneIsReported() {
         start(false);
         write(Reading.UNUSABLE);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         pass(0.5);
         write(Reading.WHOLE);
         pass(5);
         assertThat(trace).containsExactly("550 APPLY v3");
         trace.clear();
         write(Reading.UNUSABLE);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         pass(3);
         assertThat(trace).containsExactly("6500 REPORT v4");
     }
@@ -126,7 +126,7 @@
         version++;
         written = new MonotonicTime(5); // kept its old date
         reading = Reading.USABLE;
-        triggers.signalled(now);
+        scheduler.signalled(now);
         pass(1);
         assertThat(trace).containsExactly("1000 APPLY v2");
     }
@@ -134,7 +134,7 @@
     @Test
     void aChangeDuringTheReadingDoesNotCount() {
         start(false);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         FileFingerprint before = look();
         write(Reading.WHOLE);
         look(before);
@@ -146,7 +146,7 @@
     @Test
     void aWriterThatNeverStopsIsReportedToWhoRequested() {
         start(false);
-        triggers.signalled(now);
+        scheduler.signalled(now);
         for (int i = 0; i < 300; i++) {
             write(Reading.UNUSABLE);
             pass(0.05);
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -29,7 +29,7 @@
                     NanoDuration.ofSeconds(100),
                     0.05,
                     NanoDuration.ofSeconds(3));
-    private final ClusterState book = new ClusterState(100);
+    private final ClusterState clusterState = new ClusterState(100);
     private final String[] runs = {"", "", "", "", "", "", "", "", ""};
     private final boolean[] there = {true, true, true, true, true, true, true, true, true};
     private final boolean[] refuses = new boolean[9];
@@ -44,21 +44,21 @@
     }
 
     private void begin(boolean backsOnHalt) {
-        book.apply(new ClusterCommand.Bootstrap(10));
+        clusterState.apply(new ClusterCommand.Bootstrap(10));
         for (int i = 0; i < 9; i++) {
-            book.apply(
+            clusterState.apply(
                     new ClusterCommand.Join(
                             name(i), new Incarnation(i), new Site("r", "z" + i % 3)));
         }
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.GrantLease(
                         DutyName.ROLLOUT_CONTROLLER,
                         name(0),
                         new Incarnation(0),
                         new FencingToken(0)));
-        token = book.duty(DutyName.ROLLOUT_CONTROLLER).token();
+        token = clusterState.duty(DutyName.ROLLOUT_CONTROLLER).token();
         assertThat(
-                        book.apply(
+                        clusterState.apply(
                                 new ClusterCommand.BeginRollout(
                                         "o",
                                         "ann",
@@ -76,7 +76,7 @@
             NodeReport.ConfigCheck checked =
                     new NodeReport.ConfigCheck(
                             "new", !refuses[i], false, refuses[i] ? "no such track" : "");
-            RequestCounts tally =
+            RequestCounts requestCounts =
                     new RequestCounts(
                             List.of(
                                     new RequestCounts.ClassCounts(
@@ -93,16 +93,23 @@
                             new Site("r", "z" + i % 3),
                             there[i] ? NodeStatus.WARM : NodeStatus.UNKNOWN,
                             NanoDuration.ZERO,
-                            new NodeReport("1", runs[i], checked, List.of(), 0, List.of(), tally)));
+                            new NodeReport(
+                                    "1",
+                                    runs[i],
+                                    checked,
+                                    List.of(),
+                                    0,
+                                    List.of(),
+                                    requestCounts)));
         }
         return new RolloutSnapshot(
-                book.release(),
-                book.good(),
-                book.haltedBy(),
+                clusterState.rollout(),
+                clusterState.good(),
+                clusterState.haltedBy(),
                 nodeViews,
-                book.permits(),
+                clusterState.permits(),
                 3,
-                book.past());
+                clusterState.past());
     }
 
     /** Seconds go by, and nodes do as they are told. */
@@ -112,12 +119,14 @@
             for (int node = 0; node < 9; node++) {
                 if (there[node]) {
                     counts[node][bad[node] && runs[node].equals("new") ? 1 : 0] += 50;
-                    runs[node] = book.wanted(name(node)).runs();
+                    runs[node] = clusterState.wanted(name(node)).runs();
                 }
             }
             rolloutController
                     .decide(picture(), token, new MonotonicTime(Math.round(now * 1e9)))
-                    .forEach(act -> book.apply(((RolloutAction.Propose) act).command()));
+                    .forEach(
+                            action ->
+                                    clusterState.apply(((RolloutAction.Propose) action).command()));
         }
     }
 
@@ -125,18 +134,18 @@
     void oneOfEachZoneThenMoreThenAll() {
         begin(false);
         play(19);
-        assertThat(book.release().steps()).as("it looks at the fleet before").isZero();
+        assertThat(clusterState.rollout().steps()).as("it looks at the fleet before").isZero();
         play(3);
-        assertThat(book.release().given())
+        assertThat(clusterState.rollout().given())
                 .extracting(NodeName::text)
                 .containsExactlyInAnyOrder("n1", "n2", "n3");
         play(15);
-        assertThat(book.release().steps()).as("a watch is 20 s").isEqualTo(1);
+        assertThat(clusterState.rollout().steps()).as("a watch is 20 s").isEqualTo(1);
         play(15);
-        assertThat(book.release().given()).hasSize(7);
+        assertThat(clusterState.rollout().given()).hasSize(7);
         play(60);
-        assertThat(book.release()).isNull();
-        assertThat(book.wanted(name(5)).runs()).isEqualTo("new");
+        assertThat(clusterState.rollout()).isNull();
+        assertThat(clusterState.wanted(name(5)).runs()).isEqualTo("new");
     }
 
     @Test
@@ -144,9 +153,9 @@
         begin(false);
         refuses[4] = true;
         play(5);
-        assertThat(book.release()).isNull();
-        assertThat(book.wanted(name(1)).runs()).isEmpty();
-        assertThat(book.history().get(book.history().size() - 1).text())
+        assertThat(clusterState.rollout()).isNull();
+        assertThat(clusterState.wanted(name(1)).runs()).isEmpty();
+        assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
                 .contains("n4 would not take it: no such track");
     }
 
@@ -155,13 +164,13 @@
         begin(false);
         bad[1] = bad[2] = bad[3] = true;
         play(40);
-        assertThat(book.haltedBy()).contains("release 1, its watch: worse");
-        List<NodeName> given = book.release().given();
+        assertThat(clusterState.haltedBy()).contains("release 1, its watch: worse");
+        List<NodeName> given = clusterState.rollout().given();
         play(200);
-        assertThat(book.release().given()).isEqualTo(given);
-        book.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
+        assertThat(clusterState.rollout().given()).isEqualTo(given);
+        clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         play(40);
-        assertThat(book.release()).isNull();
+        assertThat(clusterState.rollout()).isNull();
         assertThat(runs).containsOnly("");
     }
 
@@ -169,16 +178,16 @@
     void itTurnsBackByItselfOnlyWhereItSaidSoOneNodeAZoneFirst() {
         begin(true);
         play(60); // seven have it
-        assertThat(book.release().steps()).isEqualTo(2);
+        assertThat(clusterState.rollout().steps()).isEqualTo(2);
         Arrays.fill(bad, true);
-        for (int i = 0; i < 60 && !book.release().back(); i++) {
+        for (int i = 0; i < 60 && !clusterState.rollout().back(); i++) {
             play(1);
         }
-        int had = book.release().given().size();
+        int had = clusterState.rollout().given().size();
         play(2);
-        assertThat(book.release().given()).hasSize(had - 3);
+        assertThat(clusterState.rollout().given()).hasSize(had - 3);
         play(40);
-        assertThat(book.release()).isNull();
+        assertThat(clusterState.rollout()).isNull();
         assertThat(runs).containsOnly("");
     }
 
@@ -186,16 +195,16 @@
     void aSuccessorGoesOnFromTheBookWithWhatWasStoredOfThePast() {
         begin(false);
         play(25);
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.ReleaseLease(
                         DutyName.ROLLOUT_CONTROLLER, token, ClusterCommand.LeaseEnd.LAPSED));
         FencingToken old = token;
-        book.apply(
+        clusterState.apply(
                 new ClusterCommand.GrantLease(
                         DutyName.ROLLOUT_CONTROLLER, name(1), new Incarnation(1), token));
-        token = book.duty(DutyName.ROLLOUT_CONTROLLER).token();
+        token = clusterState.duty(DutyName.ROLLOUT_CONTROLLER).token();
         assertThat(
-                        book.apply(
+                        clusterState.apply(
                                 new ClusterCommand.AdvanceRollout(
                                         old, 1, 2, false, List.of(name(8)), "", null, 1)))
                 .as("the old one's word")
@@ -203,9 +212,9 @@
         rolloutController = new RolloutController(name(1), LIMITS);
         play(1);
         assertThat(rolloutController.wantsPast()).as("it was told").isFalse();
-        assertThat(book.past()).hasSize(9);
+        assertThat(clusterState.past()).hasSize(9);
         play(100);
-        assertThat(book.release()).isNull();
+        assertThat(clusterState.rollout()).isNull();
         assertThat(runs).containsOnly("new");
     }
 
@@ -213,13 +222,13 @@
     void aWayBackThatFailsHaltsAndSaysSo() {
         begin(false);
         play(40);
-        book.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
+        clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         play(2);
         for (int i = 0; i < 9; i++) {
-            there[i] = book.release().isGiven(name(i)) || i > 3;
+            there[i] = clusterState.rollout().isGiven(name(i)) || i > 3;
         }
         play(40);
-        assertThat(book.haltedBy())
+        assertThat(clusterState.haltedBy())
                 .contains("its way back: ")
                 .contains("is not well with what it ran before");
     }
--- a/src/test/java/lupinwood/settings/SettingsValidatorTest.java
+++ b/src/test/java/lupinwood/settings/SettingsValidatorTest.java
@@ -26,7 +26,7 @@
                             "127.0.0.1:5050"));
 
     private List<String> texts() {
-        ParsedSettings meaning =
+        ParsedSettings parsedSettings =
                 new ParsedSettings(
                         Map.of(
                                 "track",
@@ -38,7 +38,7 @@
                                 "server",
                                 List.of("s")),
                         values);
-        return SettingsValidator.of(meaning, List.of()).stream()
+        return SettingsValidator.of(parsedSettings, List.of()).stream()
                 .map(SettingsError::text)
                 .filter(text -> !text.contains("missing"))
                 .sorted()
