--- a/src/main/java/lupinwood/cluster/ClusterCommand.java
+++ b/src/main/java/lupinwood/cluster/ClusterCommand.java
@@ -5,25 +5,105 @@
 
 /**
  * What is written into the cluster state, in the order agreed on. Each is done by {@link
- * ServerState#apply} or found not to fit.
+ * ClusterState#apply} or found not to fit.
  */
 public sealed interface ClusterCommand {
+    /** Carries out each kind of command; true where it fitted and was done. */
+    interface Handler {
+        /** See {@link Bootstrap}. */
+        boolean bootstrap(Bootstrap command);
+
+        /** See {@link Join}. */
+        boolean join(Join command);
+
+        /** See {@link Leave}. */
+        boolean leave(Leave command);
+
+        /** See {@link RemoveNode}. */
+        boolean removeNode(RemoveNode command);
+
+        /** See {@link GrantLease}. */
+        boolean grantLease(GrantLease command);
+
+        /** See {@link ReleaseLease}. */
+        boolean releaseLease(ReleaseLease command);
+
+        /** See {@link RecordStatus}. */
+        boolean recordStatus(RecordStatus command);
+
+        /** See {@link GrantPermit}. */
+        boolean grantPermit(GrantPermit command);
+
+        /** See {@link ReturnPermit}. */
+        boolean returnPermit(ReturnPermit command);
+
+        /** See {@link SetHalt}. */
+        boolean setHalt(SetHalt command);
+
+        /** See {@link BeginRollout}. */
+        boolean beginRollout(BeginRollout command);
+
+        /** See {@link AdvanceRollout}. */
+        boolean advanceRollout(AdvanceRollout command);
+
+        /** See {@link RollBack}. */
+        boolean rollBack(RollBack command);
+
+        /** See {@link FinishRollout}. */
+        boolean finishRollout(FinishRollout command);
+
+        /** See {@link CordonServer}. */
+        boolean cordonServer(CordonServer command);
+
+        /** See {@link UncordonServer}. */
+        boolean uncordonServer(UncordonServer command);
+
+        /** See {@link SetCapacityPlan}. */
+        boolean setCapacityPlan(SetCapacityPlan command);
+
+        /** See {@link RetireCapacityPlans}. */
+        boolean retireCapacityPlans(RetireCapacityPlans command);
+    }
+
+    /** Has the handler of its kind carry this command out; true where it fitted and was done. */
+    boolean applyTo(Handler handler);
+
     /**
      * The first of all commands.
      *
      * @param above tokens begin above it, so that those of an older book, should it be lost, stay
      *     lower
      */
-    record Bootstrap(long above) implements ClusterCommand {}
+    record Bootstrap(long above) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.bootstrap(this);
+        }
+    }
 
     /** A node comes, or comes back under a new life. */
-    record Join(NodeName name, Incarnation incarnation, Site site) implements ClusterCommand {}
+    record Join(NodeName name, Incarnation incarnation, Site site) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.join(this);
+        }
+    }
 
     /** A node goes, by its own word. */
-    record Leave(NodeName name, Incarnation incarnation) implements ClusterCommand {}
+    record Leave(NodeName name, Incarnation incarnation) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.leave(this);
+        }
+    }
 
     /** An operator's word that a node is gone for good; the cluster state forgets it. */
-    record RemoveNode(NodeName name) implements ClusterCommand {}
+    record RemoveNode(NodeName name) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.removeNode(this);
+        }
+    }
 
     /**
      * Gives a duty to a node.
@@ -31,14 +111,28 @@
      * @param after the duty's token before, so that one decision made twice is done once
      */
     record GrantLease(DutyName duty, NodeName heir, Incarnation incarnation, FencingToken after)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.grantLease(this);
+        }
+    }
 
     /** The duty is nobody's any more. */
-    record ReleaseLease(DutyName duty, FencingToken token, LeaseEnd why)
-            implements ClusterCommand {}
+    record ReleaseLease(DutyName duty, FencingToken token, LeaseEnd why) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.releaseLease(this);
+        }
+    }
 
     /** What the status reporter gathered; counts under its token only. */
-    record RecordStatus(FencingToken token, String digest) implements ClusterCommand {}
+    record RecordStatus(FencingToken token, String digest) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.recordStatus(this);
+        }
+    }
 
     /**
      * A node may go. Fits only while nothing is halted and the rules allow it, so whoever leads,
@@ -55,14 +149,29 @@
             long atMillis,
             DisruptionLimits limits,
             List<NodeName> unavailableNodes)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.grantPermit(this);
+        }
+    }
 
     /** A permit counts no longer. */
-    record ReturnPermit(long permit, String why, long atMillis) implements ClusterCommand {}
+    record ReturnPermit(long permit, String why, long atMillis) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.returnPermit(this);
+        }
+    }
 
     /** No permit is given any more, or permits may be given again. */
     record SetHalt(String order, boolean halted, String by, long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.setHalt(this);
+        }
+    }
 
     /**
      * A release begins. Fits only while no other is open and nothing is halted.
@@ -78,7 +187,12 @@
             String text,
             boolean backsOnHalt,
             long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.beginRollout(this);
+        }
+    }
 
     /**
      * The next wave. Fits only under the rollout controller's token, while nothing is halted, and
@@ -98,18 +212,33 @@
             String why,
             Map<String, RequestCounts> past,
             long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.advanceRollout(this);
+        }
+    }
 
     /**
      * A release turns back, which ends a halt: an operator's word, or the program's where the
      * release said so.
      */
     record RollBack(String order, long rollout, String by, long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.rollBack(this);
+        }
+    }
 
     /** A release has ended; counts under the rollout controller's token. */
     record FinishRollout(FencingToken token, long rollout, boolean done, String why, long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.finishRollout(this);
+        }
+    }
 
     /**
      * A server below rests. Fits only while nothing is halted, no release is open and fewer rest
@@ -118,11 +247,21 @@
      * @param most so many may rest at once
      */
     record CordonServer(String order, String server, String by, int most, long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.cordonServer(this);
+        }
+    }
 
     /** It rests no more. */
     record UncordonServer(String order, String server, String by, long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.uncordonServer(this);
+        }
+    }
 
     /**
      * How much each node may send where, under the planner's token. Fits only where no place could
@@ -141,13 +280,23 @@
             Map<String, Map<String, Integer>> slots,
             String why,
             long atMillis)
-            implements ClusterCommand {}
+            implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.setCapacityPlan(this);
+        }
+    }
 
     /**
      * No node goes by a plan under this number any more: told by whoever leads the consensus group,
      * who knows of all leases.
      */
-    record RetireCapacityPlans(long beforePlan) implements ClusterCommand {}
+    record RetireCapacityPlans(long beforePlan) implements ClusterCommand {
+        @Override
+        public boolean applyTo(Handler handler) {
+            return handler.retireCapacityPlans(this);
+        }
+    }
 
     /** Why a duty was taken from its holder. */
     enum LeaseEnd {
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -1,6 +1,5 @@
 package lupinwood.cluster;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -9,9 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * What the fleet has agreed on: its members, and who holds which duty under which token. The same
- * commands in the same order give the same book everywhere. It knows no time: whether a lease has
- * run out is the lease manager's to reckon.
+ * The replicated state: what the consensus group has agreed on. The same commands in the same order
+ * give the same state on every replica, so it knows no time and no chance: whether a lease has run
+ * out is reckoned by the {@link LeaseManager} of who leads.
+ *
+ * <p>Each concern has a class of its own; this one hands each command to its concern and joins them
+ * where one binds another.
+ *
+ * <p>Not thread-safe: owned by the task loop of the replica.
  */
 public final class ClusterState {
     /**
@@ -30,12 +34,14 @@
      */
     public record DutyLease(
             DutyName duty, NodeName holder, Incarnation incarnation, FencingToken token) {
+        /** Whether it is nobody's. */
         public boolean isFree() {
             return holder == null;
         }
 
-        public boolean isBy(NodeName name, Incarnation ofLife) {
-            return holder != null && holder.equals(name) && incarnation.equals(ofLife);
+        /** Whether this node holds it in this incarnation. */
+        public boolean isBy(NodeName name, Incarnation ofNode) {
+            return holder != null && holder.equals(name) && incarnation.equals(ofNode);
         }
     }
 
@@ -45,7 +51,7 @@
     /** What operators did, and what followed; the time is the wall clock of who led. */
     public record HistoryEntry(long atMillis, String text) {}
 
-    /** The whole book, as it is kept and sent. */
+    /** The whole state, as it is stored and sent. */
     public record Snapshot(
             List<Member> members,
             List<DutyLease> duties,
@@ -61,71 +67,60 @@
             List<Cordon> cordons,
             CapacityPlans.Snapshot plans) {}
 
-    private static final int MOST_DUTIES = 64;
-    private static final int MOST_PERMITS = 1024;
-
-    /** Orders that may be repeated, and lines of history. */
-    private static final int MAX_RETAINED = 256;
-
-    private final int mostMembers;
-    private final TreeMap<NodeName, Member> members = new TreeMap<>();
-    private final TreeMap<DutyName, DutyLease> duties = new TreeMap<>();
-    private final TreeMap<Long, DisruptionPermit> permits = new TreeMap<>();
+    private final MemberRegistry members;
+    private final DutyLeases leases = new DutyLeases();
+    private final DisruptionPermits permits = new DisruptionPermits();
     private final Rollouts rollouts = new Rollouts();
     private final CapacityPlans plans = new CapacityPlans();
     private final TreeMap<String, Cordon> cordons = new TreeMap<>();
-    private final ArrayDeque<CompletedOrder> done = new ArrayDeque<>();
-    private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
-    private long lastPermit;
+    private final OperatorLog log = new OperatorLog();
+    private final CommandHandler handler = new CommandHandler();
 
     /** Who halted; empty while nothing is. */
     private String haltedBy = "";
 
-    private long lastToken;
     private String digest = "";
     private long commands;
 
-    public ClusterState(int mostMembers) {
-        this.mostMembers = mostMembers;
+    /**
+     * An empty state.
+     *
+     * @param maxMembers nodes that it takes; a further one stands outside
+     */
+    public ClusterState(int maxMembers) {
+        members = new MemberRegistry(maxMembers);
     }
 
-    /** Takes over a whole page in the place of all it had. */
+    /** Takes over a whole snapshot in the place of all it had. */
     public void open(Snapshot snapshot) {
-        members.clear();
-        snapshot.members().forEach(member -> members.put(member.name(), member));
-        duties.clear();
-        snapshot.duties().forEach(lease -> duties.put(lease.duty(), lease));
-        lastToken = snapshot.lastToken();
+        members.open(snapshot.members());
+        leases.open(snapshot.duties(), snapshot.lastToken());
         digest = snapshot.digest();
         commands = snapshot.commands();
-        permits.clear();
-        snapshot.permits().forEach(permit -> permits.put(permit.number(), permit));
-        lastPermit = snapshot.lastPermit();
+        permits.open(snapshot.permits(), snapshot.lastPermit());
         haltedBy = snapshot.haltedBy();
-        done.clear();
-        done.addAll(snapshot.done());
-        history.clear();
-        history.addAll(snapshot.history());
+        log.open(snapshot.done(), snapshot.history());
         rollouts.open(snapshot.rollouts());
         plans.open(snapshot.plans());
         cordons.clear();
-        if (snapshot.cordons() != null) { // null in the page of an older version
+        if (snapshot.cordons() != null) { // null in the snapshot of an older version
             snapshot.cordons().forEach(cordon -> cordons.put(cordon.server(), cordon));
         }
     }
 
+    /** The whole state. */
     public Snapshot snapshot() {
         return new Snapshot(
-                new ArrayList<>(members.values()),
-                new ArrayList<>(duties.values()),
-                lastToken,
+                new ArrayList<>(members.all()),
+                new ArrayList<>(leases.all()),
+                leases.lastToken(),
                 digest,
                 commands,
-                new ArrayList<>(permits.values()),
-                lastPermit,
+                new ArrayList<>(permits.all()),
+                permits.lastNumber(),
                 haltedBy,
-                new ArrayList<>(done),
-                new ArrayList<>(history),
+                log.orders(),
+                log.history(),
                 rollouts.snapshot(),
                 new ArrayList<>(cordons.values()),
                 plans.snapshot());
@@ -134,221 +129,261 @@
     /** Whether the command fitted and was done; one that no longer fits changes nothing. */
     public boolean apply(ClusterCommand command) {
         commands++;
-        if (command instanceof ClusterCommand.Join join) {
-            return join(join);
+        return command.applyTo(handler);
+    }
+
+    /**
+     * Carries out one command; an order that was carried out before is done, and changes nothing.
+     */
+    private final class CommandHandler implements ClusterCommand.Handler {
+        @Override
+        public boolean bootstrap(ClusterCommand.Bootstrap command) {
+            return leases.bootstrap(command);
+        }
+
+        @Override
+        public boolean join(ClusterCommand.Join command) {
+            return members.join(command);
         }
-        if (command instanceof ClusterCommand.Leave leave) {
-            Member member = members.get(leave.name());
-            if (member == null || !member.incarnation().equals(leave.incarnation())) {
+
+        @Override
+        public boolean leave(ClusterCommand.Leave command) {
+            return members.leave(command);
+        }
+
+        @Override
+        public boolean removeNode(ClusterCommand.RemoveNode command) {
+            if (leases.isHolder(command.name()) || !members.remove(command.name())) {
                 return false;
             }
-            members.put(
-                    leave.name(),
-                    new Member(member.name(), member.incarnation(), member.site(), false));
+            permits.removeAllOf(command.name());
+            plans.forget(command.name());
             return true;
         }
-        if (command instanceof ClusterCommand.RemoveNode forget) {
-            boolean holds =
-                    duties.values().stream()
-                            .anyMatch(lease -> forget.name().equals(lease.holder()));
-            if (holds || members.remove(forget.name()) == null) {
+
+        @Override
+        public boolean grantLease(ClusterCommand.GrantLease command) {
+            return leases.grant(command, members.member(command.heir()));
+        }
+
+        @Override
+        public boolean releaseLease(ClusterCommand.ReleaseLease command) {
+            return leases.release(command);
+        }
+
+        @Override
+        public boolean recordStatus(ClusterCommand.RecordStatus command) {
+            if (!leases.isUnder(DutyName.STATUS_REPORTER, command.token())) {
                 return false;
             }
-            permits.values().removeIf(permit -> permit.node().equals(forget.name()));
-            plans.forget(forget.name());
+            digest = command.digest();
             return true;
         }
-        if (command instanceof ClusterCommand.GrantLease give) {
-            return give(give);
-        }
-        if (command instanceof ClusterCommand.ReleaseLease free) {
-            DutyLease lease = duties.get(free.duty());
-            if (lease == null || lease.isFree() || !lease.token().equals(free.token())) {
+
+        @Override
+        public boolean grantPermit(ClusterCommand.GrantPermit command) {
+            if (log.isCompleted(command.order())) {
+                return true;
+            }
+            ClusterState.Member member = members.member(command.node());
+            if (!haltedBy.isEmpty()
+                    || member == null
+                    || permits.isFor(command.node())
+                    || permits.isFull()
+                    || !budget(command.limits(), command.unavailableNodes())
+                            .against(command.node())
+                            .isEmpty()) {
                 return false;
             }
-            duties.put(free.duty(), new DutyLease(free.duty(), null, null, lease.token()));
+            DisruptionPermit permit = permits.grant(member, command.by());
+            String name = "permit " + permit.number();
+            log.complete(command.order(), name + " for " + permit.node());
+            log.write(
+                    command.atMillis(),
+                    command.by() + " let " + permit.node() + " go under " + name);
             return true;
         }
-        if (command instanceof ClusterCommand.GrantPermit allow) {
-            return allow(allow);
+
+        @Override
+        public boolean returnPermit(ClusterCommand.ReturnPermit command) {
+            DisruptionPermit permit = permits.remove(command.permit());
+            if (permit == null) {
+                return false;
+            }
+            String name = "permit " + command.permit() + " of " + permit.node();
+            log.write(command.atMillis(), name + " ended: " + command.why());
+            return true;
         }
-        if (command instanceof ClusterCommand.ReturnPermit back) {
-            DisruptionPermit permit = permits.remove(back.permit());
-            if (permit != null) {
-                write(
-                        back.atMillis(),
-                        "permit "
-                                + back.permit()
-                                + " of "
-                                + permit.node()
-                                + " ended: "
-                                + back.why());
+
+        @Override
+        public boolean setHalt(ClusterCommand.SetHalt command) {
+            if (!log.isCompleted(command.order())) {
+                haltedBy = command.halted() ? command.by() : "";
+                String result = command.halted() ? "halted" : "resumed";
+                log.complete(command.order(), result);
+                log.write(command.atMillis(), command.by() + " " + result);
             }
-            return permit != null;
+            return true;
         }
-        if (command instanceof ClusterCommand.SetHalt halt) {
-            if (answer(halt.order()) == null) {
-                haltedBy = halt.halted() ? halt.by() : "";
-                did(halt.order(), halt.halted() ? "halted" : "resumed");
-                write(halt.atMillis(), halt.by() + (halt.halted() ? " halted" : " resumed"));
+
+        @Override
+        public boolean beginRollout(ClusterCommand.BeginRollout command) {
+            if (log.isCompleted(command.order())) {
+                return true;
             }
+            if (!haltedBy.isEmpty() || !cordons.isEmpty() || !rollouts.begin(command)) {
+                return false;
+            }
+            Rollout rollout = rollouts.rollout();
+            log.complete(command.order(), rollout + " of " + command.to());
+            String what =
+                    command.kind() == Rollout.Kind.PROGRAM ? "the program " : "the configuration ";
+            log.write(
+                    command.atMillis(),
+                    command.by() + " began " + rollout + " of " + what + command.to());
             return true;
         }
-        if (command instanceof ClusterCommand.Bootstrap found) {
-            if (isFounded()) {
+
+        @Override
+        public boolean advanceRollout(ClusterCommand.AdvanceRollout command) {
+            if (!leases.isUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
+                    || !haltedBy.isEmpty()
+                    || !rollouts.step(command)) {
                 return false;
             }
-            lastToken = Math.max(1, found.above());
+            log.write(command.atMillis(), rollouts.rollout() + describe(command));
             return true;
         }
-        if (command instanceof ClusterCommand.BeginRollout begin) {
-            return begin(begin);
+
+        private static String describe(ClusterCommand.AdvanceRollout command) {
+            int count = command.nodes().size();
+            String way = command.back() ? " taken back from " : " given to ";
+            String first = command.nodes().get(0) + (count == 1 ? "" : " first");
+            String nodes = count + (count == 1 ? " node, " : " nodes, ");
+            return way + nodes + first + because(command.why());
+        }
+
+        private static String because(String why) {
+            return why.isEmpty() ? "" : ": " + why;
         }
-        if (command instanceof ClusterCommand.SetCapacityPlan plan) {
-            boolean fits =
-                    isUnder(DutyName.PLANNER, plan.token()) && plans.plan(plan, members.values());
-            if (fits && !plan.why().isEmpty()) {
-                write(plan.atMillis(), "plan " + plans.last() + ": " + plan.why());
+
+        /** Nothing may hold up the way back: it ends a halt, whoever halted. */
+        @Override
+        public boolean rollBack(ClusterCommand.RollBack command) {
+            if (log.isCompleted(command.order())) {
+                return true;
             }
-            return fits;
+            if (!rollouts.turn(command.rollout())) {
+                return false;
+            }
+            haltedBy = "";
+            log.complete(command.order(), rollouts.rollout() + " turns back");
+            log.write(command.atMillis(), command.by() + " turned " + rollouts.rollout() + " back");
+            return true;
         }
-        if (command instanceof ClusterCommand.RetireCapacityPlans retire) {
-            return plans.retire(retire.beforePlan());
+
+        @Override
+        public boolean finishRollout(ClusterCommand.FinishRollout command) {
+            Rollout rollout = rollouts.rollout();
+            if (!leases.isUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
+                    || !rollouts.finish(command)) {
+                return false;
+            }
+            String result =
+                    command.done() ? " is done" : " has ended, nodes run what they ran before";
+            log.write(command.atMillis(), rollout + result + because(command.why()));
+            return true;
         }
-        if (command instanceof ClusterCommand.CordonServer let) {
-            if (answer(let.order()) != null) {
+
+        @Override
+        public boolean cordonServer(ClusterCommand.CordonServer command) {
+            if (log.isCompleted(command.order())) {
                 return true;
             }
-            boolean fits = reasonAgainstCordon(let.server(), let.most()).isEmpty();
-            if (fits) {
-                cordons.put(let.server(), new Cordon(let.server(), let.by()));
-                did(let.order(), let.server() + " rests");
-                write(let.atMillis(), let.by() + " let " + let.server() + " rest");
+            if (!reasonAgainstCordon(command.server(), command.most()).isEmpty()) {
+                return false;
             }
-            return fits;
+            cordons.put(command.server(), new Cordon(command.server(), command.by()));
+            log.complete(command.order(), command.server() + " rests");
+            log.write(command.atMillis(), command.by() + " let " + command.server() + " rest");
+            return true;
         }
-        if (command instanceof ClusterCommand.UncordonServer end) {
-            if (answer(end.order()) != null) {
+
+        @Override
+        public boolean uncordonServer(ClusterCommand.UncordonServer command) {
+            if (log.isCompleted(command.order())) {
                 return true;
             }
-            boolean fits = cordons.remove(end.server()) != null;
-            if (fits) {
-                did(end.order(), end.server() + " is back");
-                write(end.atMillis(), end.by() + " took " + end.server() + " back");
+            if (cordons.remove(command.server()) == null) {
+                return false;
             }
-            return fits;
-        }
-        if (command instanceof ClusterCommand.AdvanceRollout step) {
-            return step(step);
-        }
-        if (command instanceof ClusterCommand.RollBack turn) {
-            return turn(turn);
+            log.complete(command.order(), command.server() + " is back");
+            log.write(command.atMillis(), command.by() + " took " + command.server() + " back");
+            return true;
         }
-        if (command instanceof ClusterCommand.FinishRollout finish) {
-            Rollout rollout = rollouts.rollout();
-            boolean fits =
-                    isUnder(DutyName.ROLLOUT_CONTROLLER, finish.token()) && rollouts.finish(finish);
-            if (fits) {
-                write(
-                        finish.atMillis(),
-                        rollout
-                                + (finish.done()
-                                        ? " is done"
-                                        : " has ended, nodes run what they ran before")
-                                + (finish.why().isEmpty() ? "" : ": " + finish.why()));
+
+        @Override
+        public boolean setCapacityPlan(ClusterCommand.SetCapacityPlan command) {
+            if (!leases.isUnder(DutyName.PLANNER, command.token())
+                    || !plans.plan(command, members.all())) {
+                return false;
+            }
+            if (!command.why().isEmpty()) {
+                log.write(command.atMillis(), "plan " + plans.last() + ": " + command.why());
             }
-            return fits;
+            return true;
         }
-        ClusterCommand.RecordStatus keep = (ClusterCommand.RecordStatus) command;
-        if (!isUnder(DutyName.STATUS_REPORTER, keep.token())) {
-            return false;
+
+        @Override
+        public boolean retireCapacityPlans(ClusterCommand.RetireCapacityPlans command) {
+            return plans.retire(command.beforePlan());
         }
-        digest = keep.digest();
-        return true;
     }
 
-    private boolean isUnder(DutyName duty, FencingToken token) {
-        DutyLease lease = duties.get(duty);
-        return lease != null && !lease.isFree() && lease.token().equals(token);
+    private DisruptionBudget budget(DisruptionLimits limits, Collection<NodeName> unavailable) {
+        return new DisruptionBudget(limits, members.all(), permits.all(), unavailable);
     }
 
-    private boolean begin(ClusterCommand.BeginRollout begin) {
-        if (answer(begin.order()) != null) {
-            return true; // it was done before
-        }
-        if (!haltedBy.isEmpty() || !cordons.isEmpty() || !rollouts.begin(begin)) {
-            return false;
+    /** Why a rollout may not begin now; empty where it may. */
+    public String reasonAgainstRollout(Rollout.Kind kind, String to, String text) {
+        if (!haltedBy.isEmpty()) {
+            return haltedBy + " halted";
         }
-        did(begin.order(), rollouts.rollout() + " of " + begin.to());
-        write(
-                begin.atMillis(),
-                begin.by()
-                        + " began "
-                        + rollouts.rollout()
-                        + " of "
-                        + (begin.kind() == Rollout.Kind.PROGRAM
-                                ? "the program "
-                                : "the configuration ")
-                        + begin.to());
-        return true;
-    }
-
-    private boolean step(ClusterCommand.AdvanceRollout step) {
-        if (!isUnder(DutyName.ROLLOUT_CONTROLLER, step.token())
-                || !haltedBy.isEmpty()
-                || !rollouts.step(step)) {
-            return false;
+        return !cordons.isEmpty()
+                ? cordons.firstKey() + " rests; it has to be back first"
+                : rollouts.against(kind, to, text);
+    }
+
+    /**
+     * Why a server may not be cordoned now; empty where it may.
+     *
+     * @param most servers that may be cordoned at once
+     */
+    public String reasonAgainstCordon(String server, int most) {
+        if (!haltedBy.isEmpty()) {
+            return haltedBy + " halted";
         }
-        write(
-                step.atMillis(),
-                rollouts.rollout()
-                        + (step.back() ? " taken back from " : " given to ")
-                        + step.nodes().size()
-                        + (step.nodes().size() == 1 ? " node, " : " nodes, ")
-                        + step.nodes().get(0)
-                        + (step.nodes().size() == 1 ? "" : " first")
-                        + (step.why().isEmpty() ? "" : ": " + step.why()));
-        return true;
-    }
-
-    /** Nothing may hold up the way back: it ends a halt, whoever halted. */
-    private boolean turn(ClusterCommand.RollBack turn) {
-        if (answer(turn.order()) != null) {
-            return true;
+        Rollout rollout = rollouts.rollout();
+        if (rollout != null) {
+            return rollout + " by " + rollout.by() + " is open; it has to end first";
         }
-        if (!rollouts.turn(turn.rollout())) {
-            return false;
+        if (cordons.containsKey(server)) {
+            return server + " rests already";
         }
-        haltedBy = "";
-        did(turn.order(), rollouts.rollout() + " turns back");
-        write(turn.atMillis(), turn.by() + " turned " + rollouts.rollout() + " back");
-        return true;
-    }
-
-    /** Why a release may not begin now; empty where it may. */
-    public String reasonAgainstRollout(Rollout.Kind kind, String to, String text) {
-        return !haltedBy.isEmpty()
-                ? haltedBy + " halted"
-                : !cordons.isEmpty()
-                        ? cordons.firstKey() + " rests; it has to be back first"
-                        : rollouts.against(kind, to, text);
+        return cordons.size() >= most
+                ? cordons.keySet() + " rest, and no more than " + most + " may"
+                : "";
     }
 
-    /** Why a server may not rest now; empty where it may. */
-    public String reasonAgainstCordon(String server, int most) {
-        Rollout rollout = rollouts.rollout();
-        return !haltedBy.isEmpty()
-                ? haltedBy + " halted"
-                : rollout != null
-                        ? rollout + " by " + rollout.by() + " is open; it has to end first"
-                        : cordons.containsKey(server)
-                                ? server + " rests already"
-                                : cordons.size() >= most
-                                        ? cordons.keySet()
-                                                + " rest, and no more than "
-                                                + most
-                                                + " may"
-                                        : "";
+    /** Why a node may not go now; empty where it may. */
+    public String against(
+            NodeName node, DisruptionLimits limits, Collection<NodeName> unavailable) {
+        if (!haltedBy.isEmpty()) {
+            return haltedBy + " halted";
+        }
+        return permits.isFor(node)
+                ? node + " has a permit already"
+                : budget(limits, unavailable).against(node);
     }
 
     /** The newest plan; null before the first. */
@@ -366,22 +401,22 @@
         return plans.last();
     }
 
-    /** The servers that rest. */
+    /** The cordoned servers. */
     public Collection<Cordon> cordons() {
         return Collections.unmodifiableCollection(cordons.values());
     }
 
-    /** The release that is open; null while none is. */
+    /** The rollout that is open; null while none is. */
     public Rollout rollout() {
         return rollouts.rollout();
     }
 
-    /** The digest of the text that all run while no release is open; empty for none. */
+    /** The digest of the text that all run while no rollout is open; empty for none. */
     public String good() {
         return rollouts.good();
     }
 
-    /** What each node answered over a watch before the open release, by its name. */
+    /** What each node answered over a watch before the open rollout, by its name. */
     public Map<String, RequestCounts> past() {
         return rollouts.past();
     }
@@ -400,84 +435,19 @@
         return rollouts.wantedProgram(node);
     }
 
-    /** The fleet's text of that digest; null where it isn't kept. */
+    /** The shared configuration of that digest; null where it isn't stored. */
     public String text(String digest) {
         return rollouts.text(digest);
     }
 
-    private boolean allow(ClusterCommand.GrantPermit allow) {
-        if (answer(allow.order()) != null) {
-            return true; // it was done before
-        }
-        Member member = members.get(allow.node());
-        boolean has =
-                permits.values().stream().anyMatch(permit -> permit.node().equals(allow.node()));
-        if (!haltedBy.isEmpty()
-                || member == null
-                || has
-                || permits.size() >= MOST_PERMITS
-                || !new DisruptionBudget(
-                                allow.limits(),
-                                members.values(),
-                                permits.values(),
-                                allow.unavailableNodes())
-                        .against(allow.node())
-                        .isEmpty()) {
-            return false;
-        }
-        DisruptionPermit permit =
-                new DisruptionPermit(
-                        ++lastPermit,
-                        member.name(),
-                        member.incarnation(),
-                        member.site(),
-                        allow.by());
-        permits.put(permit.number(), permit);
-        did(allow.order(), "permit " + permit.number() + " for " + permit.node());
-        write(
-                allow.atMillis(),
-                allow.by() + " let " + permit.node() + " go under permit " + permit.number());
-        return true;
-    }
-
-    private void did(String order, String text) {
-        done.add(new CompletedOrder(order, text));
-        if (done.size() > MAX_RETAINED) {
-            done.poll();
-        }
-    }
-
-    private void write(long atMillis, String text) {
-        history.add(new HistoryEntry(atMillis, text));
-        if (history.size() > MAX_RETAINED) {
-            history.poll();
-        }
-    }
-
     /** What an order that was carried out came to; null for one that wasn't. */
     public String answer(String order) {
-        return done.stream()
-                .filter(one -> one.order().equals(order))
-                .map(CompletedOrder::text)
-                .findFirst()
-                .orElse(null);
-    }
-
-    /** Why a node may not go now; empty where it may. */
-    public String against(
-            NodeName node, DisruptionLimits limits, Collection<NodeName> unavailableNodes) {
-        if (!haltedBy.isEmpty()) {
-            return haltedBy + " halted";
-        }
-        boolean has = permits.values().stream().anyMatch(permit -> permit.node().equals(node));
-        return has
-                ? node + " has a permit already"
-                : new DisruptionBudget(limits, members.values(), permits.values(), unavailableNodes)
-                        .against(node);
+        return log.result(order);
     }
 
+    /** The permits that count. */
     public Collection<DisruptionPermit> permits() {
-        return Collections.unmodifiableCollection(permits.values());
+        return permits.all();
     }
 
     /** Who halted; empty while nothing is. */
@@ -485,73 +455,39 @@
         return haltedBy;
     }
 
+    /** What operators did, and what followed; the oldest first. */
     public List<HistoryEntry> history() {
-        return new ArrayList<>(history);
-    }
-
-    private boolean join(ClusterCommand.Join join) {
-        if (!members.containsKey(join.name()) && members.size() >= mostMembers) {
-            // Guards against names that come once each, as of nodes named anew at each start: who
-            // went makes room.
-            members.values().stream()
-                    .filter(member -> !member.in())
-                    .findFirst()
-                    .ifPresent(gone -> members.remove(gone.name()));
-            if (members.size() >= mostMembers) {
-                return false;
-            }
-        }
-        members.put(join.name(), new Member(join.name(), join.incarnation(), join.site(), true));
-        return true;
-    }
-
-    private boolean give(ClusterCommand.GrantLease give) {
-        DutyLease lease = duties.get(give.duty());
-        Member heir = members.get(give.heir());
-        boolean fits =
-                lease == null
-                        ? give.after().number() == 0 && duties.size() < MOST_DUTIES
-                        : lease.isFree() && lease.token().equals(give.after());
-        if (!fits || heir == null || !heir.in() || !heir.incarnation().equals(give.incarnation())) {
-            return false;
-        }
-        duties.put(
-                give.duty(),
-                new DutyLease(
-                        give.duty(),
-                        give.heir(),
-                        give.incarnation(),
-                        new FencingToken(++lastToken)));
-        return true;
+        return log.history();
     }
 
     /** Whether the first token is known; before, no duty is given. */
     public boolean isFounded() {
-        return lastToken > 0;
+        return leases.isBootstrapped();
     }
 
     /** Whether no further node may come. */
     public boolean isFull() {
-        return members.size() >= mostMembers && members.values().stream().allMatch(Member::in);
+        return members.isFull();
     }
 
     /** Null where no such node came. */
     public Member member(NodeName name) {
-        return members.get(name);
+        return members.member(name);
     }
 
+    /** All nodes that came, in the order of their names. */
     public Collection<Member> members() {
-        return Collections.unmodifiableCollection(members.values());
+        return members.all();
     }
 
     /** Never null: one that was never given is nobody's under token 0. */
     public DutyLease duty(DutyName duty) {
-        DutyLease lease = duties.get(duty);
-        return lease == null ? new DutyLease(duty, null, null, new FencingToken(0)) : lease;
+        return leases.duty(duty);
     }
 
+    /** All duties that were ever given. */
     public Collection<DutyLease> duties() {
-        return Collections.unmodifiableCollection(duties.values());
+        return leases.all();
     }
 
     /** What the status reporter last gathered. */
--- a/src/main/java/lupinwood/routes/package-info.java
+++ b/src/main/java/lupinwood/routes/package-info.java
@@ -1,2 +1,2 @@
-/** Which request is which request. Read once from the configuration; no I/O. */
+/** Which HTTP request belongs to which request class. Read once from the configuration; no I/O. */
 package lupinwood.routes;
