--- a/src/main/java/lupinwood/admission/NanoDuration.java
+++ b/src/main/java/lupinwood/admission/NanoDuration.java
@@ -29,7 +29,6 @@
     }
 
     /** The difference. */
-    /** The shorter of the two. */
     public NanoDuration minus(NanoDuration other) {
         return new NanoDuration(nanos - other.nanos);
     }
