--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import lupinwood.admission.AdmissionPolicy;
@@ -74,7 +75,7 @@
     private final Set<ActiveRequest> started = new LinkedHashSet<>();
 
     private final IdempotencyStore idempotencyStore;
-    private RequestValidator admission;
+    private RequestValidator validator;
     private final TagSequence tags = new TagSequence();
     private final List<String> resourceUsageNames;
     private final WakeUpScheduler wakeUps;
@@ -144,12 +145,12 @@
         // Upstream load balancers close idle connections by then; what is left was forgotten.
         SettingsMap read = new SettingsMap(settings);
         NanoDuration longestIdle = read.duration("domain.keepalive_max_ns");
-        admission = new RequestValidator(read);
+        validator = new RequestValidator(read);
         connections =
                 new ConnectionTable(
                         bounds.connections(),
                         longestIdle.isPositive() ? longestIdle : ALWAYS_IDLE,
-                        admission.longestTimeout(),
+                        validator.longestTimeout(),
                         ports.upstreams(),
                         deadlines,
                         this::now);
@@ -182,7 +183,7 @@
                     incomingRequest.className(),
                     word,
                     took,
-                    admission.says(incomingRequest).latencyObjective().compareTo(took) < 0);
+                    validator.requestClass(incomingRequest).latencyObjective().compareTo(took) < 0);
         }
     }
 
@@ -298,25 +299,12 @@
             return true;
         }
         boolean idInUse = incomingRequest != null && byTry.containsKey(incomingRequest.tryId());
-        String fault =
+        Optional<RequestFault> fault =
                 connections.isStubborn(connection)
-                        ? "on a connection asked to close"
-                        : admission.fault(incomingRequest, idempotencyRecord, idInUse, now);
-        if (fault != null) {
-            ports.log().accept("abandoned a ticket " + fault);
-            ports.upstreams()
-                    .answer(
-                            connection,
-                            tag,
-                            Response.plain(Response.Kind.FAILED, availableCapacity));
-            if (fault.equals(RequestValidator.TOO_LATE)) {
-                tell(incomingRequest, Response.Kind.FAILED);
-                connections.unwanted(connection);
-            } else if (fault.equals(RequestValidator.NO_TIME)) {
-                connections.strike(connection);
-            } else {
-                connections.fault(connection);
-            }
+                        ? Optional.of(RequestFault.CONNECTION_ASKED_TO_CLOSE)
+                        : validator.fault(incomingRequest, idempotencyRecord, idInUse, now);
+        if (fault.isPresent()) {
+            refuse(connection, tag, incomingRequest, fault.get());
             return true;
         }
         ActiveRequest activeRequest = new ActiveRequest(connection, tag, incomingRequest);
@@ -327,6 +315,25 @@
         return true;
     }
 
+    /** An unsound request fails at once, and costs its connection what the fault tells of it. */
+    private void refuse(
+            ConnectionId connection,
+            long tag,
+            IncomingRequest incomingRequest,
+            RequestFault fault) {
+        ports.log().accept("abandoned a ticket " + fault.logText());
+        ports.upstreams()
+                .answer(connection, tag, Response.plain(Response.Kind.FAILED, availableCapacity));
+        switch (fault.kind()) {
+            case LATE -> {
+                tell(incomingRequest, Response.Kind.FAILED);
+                connections.unwanted(connection);
+            }
+            case INVALID_DURATION -> connections.strike(connection);
+            case CALLER -> connections.fault(connection);
+        }
+    }
+
     private void take(ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord original) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
         activeRequest.original = original;
@@ -335,12 +342,12 @@
                 node.admit(
                         new Request(
                                 activeRequest.id,
-                                admission.requestClass(incomingRequest),
-                                admission.tenant(incomingRequest),
+                                validator.requestClassId(incomingRequest),
+                                validator.tenantId(incomingRequest),
                                 incomingRequest.subject(),
                                 incomingRequest.upstreamId(),
                                 incomingRequest.clientTimeout().isPositive()
-                                        ? admission.waits(incomingRequest).minus(waited)
+                                        ? validator.effectiveTimeout(incomingRequest).minus(waited)
                                         : NanoDuration.ZERO,
                                 incomingRequest.work(),
                                 incomingRequest.memoryKb(),
@@ -446,11 +453,11 @@
     /** Settings that may be taken over in one step, made outside of the event loop thread. */
     public static final class ReloadableSettings {
         private final Map<String, String> settings;
-        private final RequestValidator admission;
+        private final RequestValidator validator;
 
         public ReloadableSettings(Map<String, String> settings) {
             this.settings = Map.copyOf(settings);
-            admission = new RequestValidator(new SettingsMap(settings));
+            validator = new RequestValidator(new SettingsMap(settings));
         }
     }
 
@@ -466,7 +473,7 @@
             node.updateSettings(settingsForPolicy(tuning.settings));
         }
         settings = tuning.settings;
-        admission = tuning.admission;
+        validator = tuning.validator;
         return true;
     }
 
@@ -567,7 +574,7 @@
     }
 
     private RequestClass requestClass(ActiveRequest activeRequest) {
-        return admission.says(activeRequest.incomingRequest);
+        return validator.requestClass(activeRequest.incomingRequest);
     }
 
     public void exited(AttemptId id, Completion ending, NanoDuration took, byte[] result) {
@@ -894,7 +901,7 @@
                         requestId,
                         ends,
                         activeRequest.incomingRequest.body());
-        dropOnceOver(idempotencyRecord, admission.requestClass(activeRequest.incomingRequest));
+        dropOnceOver(idempotencyRecord, validator.requestClassId(activeRequest.incomingRequest));
     }
 
     /**
@@ -904,7 +911,10 @@
     private void dropOnceOver(
             IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId classId) {
         MonotonicTime over =
-                idempotencyRecord.ends.plus(admission.says(classId).timeout()).minus(clockAhead);
+                idempotencyRecord
+                        .ends
+                        .plus(validator.requestClass(classId).timeout())
+                        .minus(clockAhead);
         if (now.isBefore(over)) {
             deadlines.schedule(over, () -> dropOnceOver(idempotencyRecord, classId));
         } else {
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import lupinwood.admission.Idempotency;
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
@@ -16,125 +17,141 @@
 import lupinwood.admission.TenantId;
 
 /**
- * What may come in as a request: readable, known, within the protocol's bounds and in time. All
- * else is answered at once and never told to the node, whose picture of tenants, waiting and cost
- * it would spoil.
+ * Decides whether a request is sound: readable, known, within the protocol's bounds and in time.
+ * All else is refused at once and never reaches the admission policy, whose picture of tenants,
+ * waiting and cost it would spoil.
+ *
+ * <p>Immutable: made by any thread from one set of settings, used by the event loop thread.
  */
 final class RequestValidator {
-    /** The one fault that may lie with this side: a pause, or a crowd in front of the listener. */
-    static final String TOO_LATE = "past its abandon time";
+    /** The protocol's bound on a body. */
+    private static final int MAX_BODY_BYTES = 2048;
 
-    /** Of one request alone: whoever sends it may well know the protocol otherwise. */
-    static final String NO_TIME = "with a time to wait or a hint that is none";
-
-    private static final int MOST_BODY = 2048;
-    private static final int MOST_KB = 2000;
+    /** The protocol's bound on the memory that a request may ask for, itself out of bounds. */
+    private static final int MEMORY_LIMIT_KB = 2000;
 
     /**
      * Both clocks are this machine's; a request from further ahead would outlive its own window.
      */
-    private static final NanoDuration AHEAD = NanoDuration.ofSeconds(0.25);
+    private static final NanoDuration MAX_CLOCK_LEAD = NanoDuration.ofSeconds(0.25);
 
-    private final Map<String, Integer> requestClasses = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
-    private final List<RequestClass> says = new ArrayList<>();
+    private final Map<String, Integer> classNumbers = new HashMap<>();
+    private final Map<String, Integer> tenantNumbers = new HashMap<>();
+    private final List<RequestClass> requestClasses = new ArrayList<>();
 
     RequestValidator(SettingsMap settings) {
-        number(settings, "services", requestClasses);
-        number(settings, "customers", tenants);
-        for (int i = 0; i < requestClasses.size(); i++) {
-            says.add(PolicySettingsMapper.requestClass(settings, i));
+        numberByName(settings, "services", classNumbers);
+        numberByName(settings, "customers", tenantNumbers);
+        for (int i = 0; i < classNumbers.size(); i++) {
+            requestClasses.add(PolicySettingsMapper.requestClass(settings, i));
         }
     }
 
-    private static void number(SettingsMap settings, String list, Map<String, Integer> places) {
+    private static void numberByName(
+            SettingsMap settings, String list, Map<String, Integer> numbers) {
         for (int i = 0; i < settings.number(list + ".count", 0); i++) {
-            places.put(settings.text(list + "." + i + ".name"), i);
+            numbers.put(settings.text(list + "." + i + ".name"), i);
         }
     }
 
-    RequestClassId requestClass(IncomingRequest incomingRequest) {
-        return new RequestClassId(
-                requestClasses.get(SettingsMap.word(incomingRequest.className())));
+    /** The id of a valid request's class. */
+    RequestClassId requestClassId(IncomingRequest incomingRequest) {
+        return new RequestClassId(classNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
-    TenantId tenant(IncomingRequest incomingRequest) {
-        return new TenantId(tenants.getOrDefault(incomingRequest.tenant(), 0));
+    /** The tenant's id, the first where the settings name no tenants. */
+    TenantId tenantId(IncomingRequest incomingRequest) {
+        return new TenantId(tenantNumbers.getOrDefault(incomingRequest.tenant(), 0));
     }
 
+    /** The longest timeout of any request class; zero where there is no class. */
     NanoDuration longestTimeout() {
-        return says.stream()
+        return requestClasses.stream()
                 .map(RequestClass::timeout)
                 .max(Comparator.naturalOrder())
                 .orElse(NanoDuration.ZERO);
     }
 
-    RequestClass says(RequestClassId classId) {
-        return says.get(classId.number());
+    /** What the settings say about a request class. */
+    RequestClass requestClass(RequestClassId classId) {
+        return requestClasses.get(classId.number());
     }
 
-    RequestClass says(IncomingRequest incomingRequest) {
-        return says.get(requestClasses.get(SettingsMap.word(incomingRequest.className())));
+    /** What the settings say about a valid request's class. */
+    RequestClass requestClass(IncomingRequest incomingRequest) {
+        return requestClasses.get(classNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
-    /** How long its caller waits, as told, and no longer than anyone does for its request class. */
-    NanoDuration waits(IncomingRequest incomingRequest) {
-        NanoDuration timeout = says(incomingRequest).timeout();
+    /** How long from its arrival the caller waits: its own timeout, or its class's if shorter. */
+    NanoDuration effectiveTimeout(IncomingRequest incomingRequest) {
+        NanoDuration timeout = requestClass(incomingRequest).timeout();
         return incomingRequest.clientTimeout().isPositive()
                 ? incomingRequest.clientTimeout().min(timeout)
                 : timeout;
     }
 
     /**
-     * Why it is no sound request, or null; the idempotency record is that of an earlier try with
-     * its mark, or null.
+     * The first fault of a request, or none.
+     *
+     * @param incomingRequest null where none could be read
+     * @param original the idempotency record of an earlier attempt with its key, or null
+     * @param attemptIdInUse whether another request in the table has its attempt id
      */
-    String fault(
+    Optional<RequestFault> fault(
             IncomingRequest incomingRequest,
-            IdempotencyStore.IdempotencyRecord idempotencyRecord,
-            boolean idInUse,
+            IdempotencyStore.IdempotencyRecord original,
+            boolean attemptIdInUse,
+            MonotonicTime now) {
+        return Optional.ofNullable(firstFault(incomingRequest, original, attemptIdInUse, now));
+    }
+
+    private RequestFault firstFault(
+            IncomingRequest incomingRequest,
+            IdempotencyStore.IdempotencyRecord original,
+            boolean attemptIdInUse,
             MonotonicTime now) {
         if (incomingRequest == null) {
-            return "that can't be read";
+            return RequestFault.UNREADABLE;
         }
-        if (!requestClasses.containsKey(SettingsMap.word(incomingRequest.className()))) {
-            return "of no known track";
+        if (!classNumbers.containsKey(SettingsMap.word(incomingRequest.className()))) {
+            return RequestFault.UNKNOWN_CLASS;
         }
-        // Where the settings name no tenants, requests carry none, and whatever they carry tells
+        // Where the settings name no tenants, requests carry none, and whatever they carry means
         // nothing.
-        if (!tenants.isEmpty() && !tenants.containsKey(incomingRequest.tenant())) {
-            return "of no known customer";
+        if (!tenantNumbers.isEmpty() && !tenantNumbers.containsKey(incomingRequest.tenant())) {
+            return RequestFault.UNKNOWN_TENANT;
         }
-        if (idInUse) {
-            return "named like another";
+        if (attemptIdInUse) {
+            return RequestFault.ATTEMPT_ID_IN_USE;
         }
-        RequestClass requestClass = says(incomingRequest);
-        if (requestClass.idempotency()
-                == Idempotency.IDEMPOTENT
-                != (incomingRequest.idempotencyKey() != null)) {
-            return "with a mark on the wrong track, or without one";
+        boolean isIdempotent =
+                requestClass(incomingRequest).idempotency() == Idempotency.IDEMPOTENT;
+        if (isIdempotent != (incomingRequest.idempotencyKey() != null)) {
+            return RequestFault.IDEMPOTENCY_KEY_MISMATCH;
         }
-        if (idempotencyRecord != null
-                && idempotencyRecord.body != null
-                && !Arrays.equals(idempotencyRecord.body, incomingRequest.body())) {
-            return "with the mark of another";
+        if (original != null
+                && original.body != null
+                && !Arrays.equals(original.body, incomingRequest.body())) {
+            return RequestFault.IDEMPOTENCY_KEY_REUSED;
         }
-        if (now.plus(AHEAD).isBefore(incomingRequest.reached())) {
-            return "from the future";
+        if (now.plus(MAX_CLOCK_LEAD).isBefore(incomingRequest.reached())) {
+            return RequestFault.FROM_THE_FUTURE;
         }
         if (incomingRequest.clientTimeout().equals(IncomingRequest.NO_TIME)
                 || incomingRequest.work().equals(IncomingRequest.NO_TIME)) {
-            return NO_TIME;
+            return RequestFault.INVALID_DURATION;
         }
-        if (!now.isBefore(incomingRequest.reached().plus(waits(incomingRequest)))) {
-            return TOO_LATE;
+        if (!now.isBefore(incomingRequest.reached().plus(effectiveTimeout(incomingRequest)))) {
+            return RequestFault.PAST_DEADLINE;
         }
-        boolean sound =
-                incomingRequest.memoryKb() > 0
-                        && incomingRequest.memoryKb() < MOST_KB
-                        && incomingRequest.rank() >= 0
-                        && incomingRequest.rank() < 1
-                        && incomingRequest.body().length <= MOST_BODY;
-        return sound ? null : "out of bounds";
+        return isWithinBounds(incomingRequest) ? null : RequestFault.OUT_OF_BOUNDS;
+    }
+
+    private static boolean isWithinBounds(IncomingRequest incomingRequest) {
+        return incomingRequest.memoryKb() > 0
+                && incomingRequest.memoryKb() < MEMORY_LIMIT_KB
+                && incomingRequest.rank() >= 0
+                && incomingRequest.rank() < 1
+                && incomingRequest.body().length <= MAX_BODY_BYTES;
     }
 }
