--- a/src/main/java/lupinwood/processing/IncomingRequest.java
+++ b/src/main/java/lupinwood/processing/IncomingRequest.java
@@ -19,7 +19,7 @@
  */
 @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
 public record IncomingRequest(
-        AttemptId tryId,
+        AttemptId attemptId,
         String className,
         String tenant,
         SubjectId subject,
@@ -41,7 +41,7 @@
 
     /** One that tells only what every request does. */
     public IncomingRequest(
-            AttemptId tryId,
+            AttemptId attemptId,
             String className,
             String tenant,
             SubjectId subject,
@@ -52,7 +52,7 @@
             IdempotencyKey idempotencyKey,
             byte[] body) {
         this(
-                tryId,
+                attemptId,
                 className,
                 tenant,
                 subject,
@@ -70,7 +70,7 @@
     /** The same, with that moment told by another clock. */
     IncomingRequest reachedAt(MonotonicTime time) {
         return new IncomingRequest(
-                tryId,
+                attemptId,
                 className,
                 tenant,
                 subject,
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -5,11 +5,9 @@
 import java.util.Arrays;
 import java.util.Deque;
 import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.function.Consumer;
 import lupinwood.admission.AdmissionPolicy;
 import lupinwood.admission.Idempotency;
@@ -66,14 +64,7 @@
     private final Ports ports;
     private final TimerService deadlines;
     private final ConnectionTable connections;
-    private final SlotTable<ActiveRequest> activeRequests;
-    private final Map<AttemptId, ActiveRequest> byTry = new HashMap<>();
-
-    /**
-     * Those that were given to run: what goes through these must not grow with all that are held.
-     */
-    private final Set<ActiveRequest> started = new LinkedHashSet<>();
-
+    private final RequestTable requests;
     private final IdempotencyStore idempotencyStore;
     private RequestValidator validator;
     private final TagSequence tags = new TagSequence();
@@ -89,13 +80,7 @@
     /** Null while nobody asks for it. */
     private ResponseListener answers;
 
-    private MonotonicTime now;
-
-    /**
-     * How far the machine's clock stands ahead of the time told here; less than nothing where it
-     * stands behind.
-     */
-    private NanoDuration clockAhead = NanoDuration.ZERO;
+    private final EventLoopClock clock;
 
     private AdmissionPolicy node;
 
@@ -140,8 +125,8 @@
         this.maker = maker;
         this.ports = ports;
         this.deadlines = deadlines;
-        this.now = now;
-        lastRequestAt = now;
+        clock = new EventLoopClock(now);
+        lastRequestAt = clock.now();
         // Upstream load balancers close idle connections by then; what is left was forgotten.
         SettingsMap read = new SettingsMap(settings);
         NanoDuration longestIdle = read.duration("domain.keepalive_max_ns");
@@ -153,8 +138,8 @@
                         validator.longestTimeout(),
                         ports.upstreams(),
                         deadlines,
-                        this::now);
-        activeRequests = new SlotTable<>(bounds.requests());
+                        clock::now);
+        requests = new RequestTable(bounds.requests());
         idempotencyStore =
                 new IdempotencyStore(bounds.idempotencyRecords(), bounds.idempotencyBytes());
         String resourceUsage = read.text("domain.gauges");
@@ -166,9 +151,9 @@
                         deadlines,
                         ports.executor(),
                         tags,
-                        this::now,
+                        clock::now,
                         known -> node.wake(known));
-        checks = new HealthChecks(deadlines, ports.executor(), tags, this::now, this::sayHealth);
+        checks = new HealthChecks(deadlines, ports.executor(), tags, clock::now, this::sayHealth);
     }
 
     /** From now on each final answer is told, or that its caller left before it. */
@@ -178,7 +163,7 @@
 
     private void tell(IncomingRequest incomingRequest, Response.Kind word) {
         if (answers != null) {
-            NanoDuration took = now.since(incomingRequest.reached()).max(NanoDuration.ZERO);
+            NanoDuration took = clock.elapsedSince(incomingRequest.reached());
             answers.answered(
                     incomingRequest.className(),
                     word,
@@ -191,7 +176,7 @@
 
     /** Sets the time; a clock that was set back stands still until it is caught up with. */
     public void advance(MonotonicTime time) {
-        now = now.isBefore(time) ? time : now;
+        clock.advance(time);
     }
 
     /**
@@ -199,7 +184,7 @@
      * either way.
      */
     public void clockShows(MonotonicTime time) {
-        clockAhead = time.since(now);
+        clock.stampClockShows(time);
     }
 
     /** All that came in at this moment has been told. */
@@ -259,12 +244,12 @@
             }
             return true;
         }
-        lastRequestAt = now;
+        lastRequestAt = clock.now();
         if (connections.open(connection, tag) != null) {
             return false;
         }
         boolean tooMany = connections.isFull(connection);
-        if (node == null || tooMany || activeRequests.isFull()) {
+        if (node == null || tooMany || requests.isFull()) {
             String why = node == null ? "before the executor was up" : "beyond what may be open";
             ports.log().accept("bounced a ticket that came " + why);
             NanoDuration pause = NanoDuration.ofSeconds(node == null ? 1 : 0);
@@ -282,7 +267,7 @@
                         ? null
                         : idempotencyStore.find(stamped.idempotencyKey(), stamped.reached());
         IncomingRequest incomingRequest =
-                stamped == null ? null : stamped.reachedAt(stamped.reached().minus(clockAhead));
+                stamped == null ? null : stamped.reachedAt(clock.fromStamp(stamped.reached()));
         if (idempotencyRecord == null
                 && incomingRequest != null
                 && incomingRequest.idempotencyKey() != null
@@ -298,18 +283,17 @@
             connections.unwanted(connection);
             return true;
         }
-        boolean idInUse = incomingRequest != null && byTry.containsKey(incomingRequest.tryId());
+        boolean idInUse = incomingRequest != null && requests.contains(incomingRequest.attemptId());
         Optional<RequestFault> fault =
                 connections.isStubborn(connection)
                         ? Optional.of(RequestFault.CONNECTION_ASKED_TO_CLOSE)
-                        : validator.fault(incomingRequest, idempotencyRecord, idInUse, now);
+                        : validator.fault(incomingRequest, idempotencyRecord, idInUse, clock.now());
         if (fault.isPresent()) {
             refuse(connection, tag, incomingRequest, fault.get());
             return true;
         }
         ActiveRequest activeRequest = new ActiveRequest(connection, tag, incomingRequest);
-        activeRequest.id = new RequestId(activeRequests.put(activeRequest));
-        byTry.put(incomingRequest.tryId(), activeRequest);
+        requests.add(activeRequest);
         connections.begin(connection, tag, activeRequest.id);
         take(activeRequest, idempotencyRecord);
         return true;
@@ -337,8 +321,8 @@
     private void take(ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord original) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
         activeRequest.original = original;
-        NanoDuration waited = now.since(incomingRequest.reached()).max(NanoDuration.ZERO);
-        activeRequest.handle =
+        NanoDuration waited = clock.elapsedSince(incomingRequest.reached());
+        activeRequest.listener =
                 node.admit(
                         new Request(
                                 activeRequest.id,
@@ -381,12 +365,12 @@
     }
 
     private void left(RequestId id) {
-        ActiveRequest activeRequest = activeRequests.get(id.number());
+        ActiveRequest activeRequest = requests.get(id);
         if (activeRequest != null && !activeRequest.answered) {
             activeRequest.answered = true;
             tell(activeRequest.incomingRequest, Response.Kind.FAILED);
             askIfUnsure(activeRequest);
-            activeRequest.handle.onClientGone();
+            activeRequest.listener.onClientGone();
         }
     }
 
@@ -428,17 +412,14 @@
             return; // a node that leaves before it had an executor begins nothing
         }
         bornCold = cold;
-        MonotonicTime present = now;
-        now = now.minus(age);
-        bornAt = now;
-        node = maker.make(this, seed, settingsForPolicy(settings));
-        now = present;
+        bornAt = clock.now().minus(age);
+        node = clock.callAt(bornAt, () -> maker.make(this, seed, settingsForPolicy(settings)));
         ports.log().accept("the executor is up, " + (cold ? "cold" : "warm"));
     }
 
     /** Whether the executor is there, and warm, or started so long ago that it is. */
     public boolean isWarm(NanoDuration warmAfter) {
-        return bornAt != null && (!bornCold || now.since(bornAt).compareTo(warmAfter) >= 0);
+        return bornAt != null && (!bornCold || clock.now().since(bornAt).compareTo(warmAfter) >= 0);
     }
 
     private Map<String, String> settingsForPolicy(Map<String, String> from) {
@@ -480,12 +461,12 @@
     /** What ran there will never end, and may have had its effect. */
     public void executorStartedAnew() {
         ports.log().accept("the executor was started anew, its runs are lost");
-        List.copyOf(started)
+        List.copyOf(requests.started())
                 .forEach(
                         activeRequest -> {
-                            if (!activeRequest.elsewhere) {
+                            if (!activeRequest.offLink) {
                                 lost(
-                                        activeRequest.incomingRequest.tryId(),
+                                        activeRequest.incomingRequest.attemptId(),
                                         Completion.EXECUTOR_GONE);
                             }
                         });
@@ -497,32 +478,35 @@
      * ignores it. All else is in doubt.
      */
     private void sendAgain() {
-        started.forEach(
-                activeRequest -> {
-                    if (activeRequest.elsewhere) {
-                        return;
-                    }
-                    if (!activeRequest.startKnown) {
-                        if (activeRequest.sent
-                                && requestClass(activeRequest).idempotency() != Idempotency.SAFE) {
-                            activeRequest.unsure = true;
-                        } else {
-                            askToRun(activeRequest);
-                        }
-                    } else if (activeRequest.unreadReply != null && !activeRequest.answered) {
-                        activeRequest.unsure = activeRequest.replySent;
-                        if (!activeRequest.unsure) {
-                            giveReply(activeRequest);
-                        }
-                    }
-                });
+        requests.started()
+                .forEach(
+                        activeRequest -> {
+                            if (activeRequest.offLink) {
+                                return;
+                            }
+                            if (!activeRequest.runConfirmed) {
+                                if (activeRequest.runSent
+                                        && requestClass(activeRequest).idempotency()
+                                                != Idempotency.SAFE) {
+                                    activeRequest.inDoubt = true;
+                                } else {
+                                    askToRun(activeRequest);
+                                }
+                            } else if (activeRequest.unreadReply != null
+                                    && !activeRequest.answered) {
+                                activeRequest.inDoubt = activeRequest.replySent;
+                                if (!activeRequest.inDoubt) {
+                                    giveReply(activeRequest);
+                                }
+                            }
+                        });
     }
 
     private void giveReply(ActiveRequest activeRequest) {
-        activeRequest.repliedAfter = tags.last();
-        AttemptId id = activeRequest.incomingRequest.tryId();
+        activeRequest.lastTagBeforeReply = tags.last();
+        AttemptId id = activeRequest.incomingRequest.attemptId();
         activeRequest.replySent =
-                activeRequest.unreadReply == ActiveRequest.NO_CALL
+                activeRequest.isSkippingCall()
                         ? ports.executor().skipCall(id)
                         : ports.executor().giveReply(id, activeRequest.unreadReply);
     }
@@ -538,25 +522,26 @@
     private void settleDoubts(double onCores) {
         int[] certain = {0};
         List<ActiveRequest> doubtful = new ArrayList<>();
-        started.forEach(
-                activeRequest -> {
-                    if (activeRequest.unsure) {
-                        doubtful.add(activeRequest);
-                    } else if (!activeRequest.elsewhere
-                            && activeRequest.startKnown
-                            && activeRequest.callBody == null
-                            && activeRequest.unreadReply == null) {
-                        certain[0]++;
-                    }
-                });
+        requests.started()
+                .forEach(
+                        activeRequest -> {
+                            if (activeRequest.inDoubt) {
+                                doubtful.add(activeRequest);
+                            } else if (!activeRequest.offLink
+                                    && activeRequest.runConfirmed
+                                    && activeRequest.callBody == null
+                                    && activeRequest.unreadReply == null) {
+                                certain[0]++;
+                            }
+                        });
         if (doubtful.isEmpty() || Double.isNaN(onCores)) {
             return;
         }
         if (onCores <= certain[0]) {
             ports.log().accept("commands lost with a link, given again: " + doubtful.size());
             for (ActiveRequest activeRequest : doubtful) {
-                activeRequest.unsure = false;
-                if (!activeRequest.startKnown) {
+                activeRequest.inDoubt = false;
+                if (!activeRequest.runConfirmed) {
                     askToRun(activeRequest);
                 } else if (!activeRequest.answered) {
                     giveReply(activeRequest);
@@ -565,7 +550,7 @@
         } else if (doubts == null) {
             doubts =
                     deadlines.schedule(
-                            now.plus(ASK_AGAIN),
+                            clock.now().plus(ASK_AGAIN),
                             () -> {
                                 doubts = null;
                                 ports.executor().askResourceUsage(tags.next());
@@ -578,7 +563,7 @@
     }
 
     public void exited(AttemptId id, Completion ending, NanoDuration took, byte[] result) {
-        ActiveRequest activeRequest = byTry.get(id);
+        ActiveRequest activeRequest = requests.find(id);
         if (activeRequest == null || !activeRequest.started) {
             return;
         }
@@ -614,7 +599,7 @@
                 ending == Completion.WELL
                         ? Response.served(availableCapacity, result)
                         : Response.plain(Response.Kind.FAILED, availableCapacity));
-        activeRequest.handle.onCompleted(ending.outcome(), took);
+        activeRequest.listener.onCompleted(ending.outcome(), took);
     }
 
     private void answerWaiting(
@@ -626,7 +611,7 @@
 
     /** A repeat has its original's result, or null where there is none to be had. */
     private void reused(RequestId id, byte[] result) {
-        ActiveRequest activeRequest = activeRequests.get(id.number());
+        ActiveRequest activeRequest = requests.get(id);
         if (activeRequest != null) {
             conclude(
                     activeRequest,
@@ -637,14 +622,14 @@
     }
 
     public void calledOut(AttemptId id, byte[] body) {
-        ActiveRequest activeRequest = byTry.get(id);
+        ActiveRequest activeRequest = requests.find(id);
         if (activeRequest != null && activeRequest.started) {
             connections.trust(activeRequest.connection);
-            activeRequest.startKnown = true;
-            activeRequest.unsure = false;
+            activeRequest.runConfirmed = true;
+            activeRequest.inDoubt = false;
             activeRequest.unreadReply = null;
             activeRequest.callBody = body;
-            activeRequest.handle.onCallNeeded();
+            activeRequest.listener.onCallNeeded();
         }
     }
 
@@ -655,7 +640,7 @@
      */
     public void notCarriedOut(String command, AttemptId id) {
         ports.log().accept("the executor did not carry out " + command + " " + id.digits());
-        ActiveRequest activeRequest = byTry.get(id);
+        ActiveRequest activeRequest = requests.find(id);
         switch (command) {
             case "EXEC" -> {
                 if (activeRequest != null) {
@@ -667,10 +652,10 @@
             // Where the answer names neither, it can be only to those whose call was to be left
             // out.
             case "BYPASS", UNNAMED ->
-                    started.stream()
+                    requests.started().stream()
                             .filter(
                                     one ->
-                                            one.unreadReply == ActiveRequest.NO_CALL
+                                            one.isSkippingCall()
                                                     && (one == activeRequest
                                                             || command.equals(UNNAMED)))
                             .toList()
@@ -690,9 +675,9 @@
         }
         activeRequest.unreadReply = null;
         if (requestClass(activeRequest).idempotency() != Idempotency.SAFE) {
-            lost(activeRequest.incomingRequest.tryId(), Completion.FAILED);
+            lost(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         } else if (!activeRequest.answered) {
-            activeRequest.handle.onCallNeeded();
+            activeRequest.listener.onCallNeeded();
         }
     }
 
@@ -701,22 +686,23 @@
             replayTag = 0;
             sendAgain();
         } else if (replayTag == 0) {
-            started.forEach(
-                    activeRequest -> {
-                        activeRequest.startKnown |=
-                                activeRequest.sent
-                                        && !activeRequest.unsure
-                                        && tag > activeRequest.startedAfter;
-                        if (activeRequest.replySent
-                                && !activeRequest.unsure
-                                && tag > activeRequest.repliedAfter) {
-                            activeRequest.callBody =
-                                    activeRequest.unreadReply == ActiveRequest.NO_CALL
-                                            ? null
-                                            : activeRequest.callBody;
-                            activeRequest.unreadReply = null;
-                        }
-                    });
+            requests.started()
+                    .forEach(
+                            activeRequest -> {
+                                activeRequest.runConfirmed |=
+                                        activeRequest.runSent
+                                                && !activeRequest.inDoubt
+                                                && tag > activeRequest.lastTagBeforeRun;
+                                if (activeRequest.replySent
+                                        && !activeRequest.inDoubt
+                                        && tag > activeRequest.lastTagBeforeReply) {
+                                    activeRequest.callBody =
+                                            activeRequest.isSkippingCall()
+                                                    ? null
+                                                    : activeRequest.callBody;
+                                    activeRequest.unreadReply = null;
+                                }
+                            });
         }
         if (replayTag == 0) {
             settleDoubts(ResourceUsage.named(resourceUsageNames, values).wantingCore());
@@ -738,49 +724,49 @@
     // ---- index ----
 
     public void callEnded(AttemptId id, Completion ending, byte[] reply) {
-        ActiveRequest activeRequest = byTry.get(id);
+        ActiveRequest activeRequest = requests.find(id);
         if (activeRequest == null || activeRequest.calledAt == null) {
             return;
         }
-        NanoDuration took = now.since(activeRequest.calledAt);
+        NanoDuration took = clock.now().since(activeRequest.calledAt);
         endCall(activeRequest);
         if (ending == Completion.WELL) {
             activeRequest.callBody = null;
             activeRequest.unreadReply = reply;
             giveReply(activeRequest);
         }
-        activeRequest.handle.onCallCompleted(ending.outcome(), took);
+        activeRequest.listener.onCallCompleted(ending.outcome(), took);
     }
 
     private void endCall(ActiveRequest activeRequest) {
-        deadlines.cancel(activeRequest.callCap);
-        activeRequest.callCap = null;
+        deadlines.cancel(activeRequest.callTimer);
+        activeRequest.callTimer = null;
         activeRequest.calledAt = null;
     }
 
     private void dropCall(ActiveRequest activeRequest) {
         if (activeRequest.calledAt != null) {
-            ports.dependency().giveUp(activeRequest.incomingRequest.tryId());
+            ports.dependency().giveUp(activeRequest.incomingRequest.attemptId());
             endCall(activeRequest);
         }
     }
 
     private void askToRun(ActiveRequest activeRequest) {
-        activeRequest.startedAfter = tags.last();
-        activeRequest.elsewhere =
+        activeRequest.lastTagBeforeRun = tags.last();
+        activeRequest.offLink =
                 !ports.executor().isOnLink(activeRequest.incomingRequest.className());
-        activeRequest.sent =
+        activeRequest.runSent =
                 ports.executor()
                         .run(
-                                activeRequest.incomingRequest.tryId(),
+                                activeRequest.incomingRequest.attemptId(),
                                 activeRequest.incomingRequest.className(),
                                 activeRequest.incomingRequest.body());
     }
 
     /** Once answered nothing can start any more, so asking is safe, and tells whether it runs. */
     private void askIfUnsure(ActiveRequest activeRequest) {
-        if (activeRequest.unsure && !activeRequest.startKnown) {
-            activeRequest.unsure = false;
+        if (activeRequest.inDoubt && !activeRequest.runConfirmed) {
+            activeRequest.inDoubt = false;
             askToRun(activeRequest);
         }
     }
@@ -789,15 +775,14 @@
 
     @Override
     public MonotonicTime now() {
-        return now;
+        return clock.now();
     }
 
     @Override
     public void run(RequestId requestId) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
-            activeRequest.started = true;
-            started.add(activeRequest);
+            requests.markStarted(activeRequest);
             askToRun(activeRequest);
         }
     }
@@ -805,15 +790,15 @@
     /** What can't be stopped goes on to its end, and its request is over then. */
     @Override
     public void stop(RequestId requestId) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
-        if (stops && activeRequest != null && activeRequest.started && !activeRequest.elsewhere) {
-            ports.executor().stop(activeRequest.incomingRequest.tryId());
+        ActiveRequest activeRequest = requests.get(requestId);
+        if (stops && activeRequest != null && activeRequest.started && !activeRequest.offLink) {
+            ports.executor().stop(activeRequest.incomingRequest.attemptId());
         }
     }
 
     @Override
     public void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
             answer(
                     activeRequest,
@@ -824,7 +809,7 @@
 
     @Override
     public void fail(RequestId requestId) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
             dropCall(activeRequest);
             answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
@@ -834,14 +819,14 @@
 
     @Override
     public void call(RequestId requestId, NanoDuration cap) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null && activeRequest.callBody != null) {
             dropCall(activeRequest); // a second call gives up the first
-            AttemptId id = activeRequest.incomingRequest.tryId();
-            activeRequest.calledAt = now;
-            activeRequest.callCap =
+            AttemptId id = activeRequest.incomingRequest.attemptId();
+            activeRequest.calledAt = clock.now();
+            activeRequest.callTimer =
                     deadlines.schedule(
-                            now.plus(cap),
+                            clock.now().plus(cap),
                             () -> {
                                 ports.dependency().giveUp(id);
                                 callEnded(id, Completion.GIVEN_UP, null);
@@ -853,15 +838,15 @@
     /** Where no run can go on without its call the request can only fail. */
     @Override
     public void skipCall(RequestId requestId) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest == null) {
             return;
         }
-        if (skips && !activeRequest.elsewhere) {
+        if (skips && !activeRequest.offLink) {
             activeRequest.unreadReply = ActiveRequest.NO_CALL;
             giveReply(activeRequest);
         } else {
-            news.add(() -> lost(activeRequest.incomingRequest.tryId(), Completion.FAILED));
+            news.add(() -> lost(activeRequest.incomingRequest.attemptId(), Completion.FAILED));
         }
     }
 
@@ -869,7 +854,7 @@
     public void answerFromOriginal(RequestId requestId) {
         news.add(
                 () -> {
-                    ActiveRequest activeRequest = activeRequests.get(requestId.number());
+                    ActiveRequest activeRequest = requests.get(requestId);
                     if (activeRequest == null) {
                         return;
                     }
@@ -890,11 +875,11 @@
 
     @Override
     public void remember(RequestId requestId, NanoDuration duration) {
-        ActiveRequest activeRequest = activeRequests.get(requestId.number());
+        ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest == null || activeRequest.incomingRequest.idempotencyKey() == null) {
             return;
         }
-        MonotonicTime ends = now.plus(duration).plus(WINDOW_SLACK).plus(clockAhead);
+        MonotonicTime ends = clock.toStamp(clock.now().plus(duration).plus(WINDOW_SLACK));
         IdempotencyStore.IdempotencyRecord idempotencyRecord =
                 idempotencyStore.remember(
                         activeRequest.incomingRequest.idempotencyKey(),
@@ -911,11 +896,9 @@
     private void dropOnceOver(
             IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId classId) {
         MonotonicTime over =
-                idempotencyRecord
-                        .ends
-                        .plus(validator.requestClass(classId).timeout())
-                        .minus(clockAhead);
-        if (now.isBefore(over)) {
+                clock.fromStamp(
+                        idempotencyRecord.ends.plus(validator.requestClass(classId).timeout()));
+        if (clock.now().isBefore(over)) {
             deadlines.schedule(over, () -> dropOnceOver(idempotencyRecord, classId));
         } else {
             idempotencyStore.drop(idempotencyRecord);
@@ -953,12 +936,11 @@
 
     @Override
     public void release(RequestId requestId) {
-        ActiveRequest activeRequest = activeRequests.remove(requestId.number());
+        ActiveRequest activeRequest = requests.remove(requestId);
         if (activeRequest == null) {
             return;
         }
-        byTry.remove(activeRequest.incomingRequest.tryId(), activeRequest);
-        started.remove(activeRequest);
+
         dropCall(activeRequest);
         // Guards against a request that is over and yet owed an answer; none should be.
         answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
@@ -981,7 +963,7 @@
         if (!leaving) {
             leaving = true;
             wakeUps.leave();
-            lastRequestAt = now;
+            lastRequestAt = clock.now();
             if (node != null) {
                 node.drain(until);
             }
@@ -999,7 +981,7 @@
     }
 
     public NanoDuration sinceLastRequest() {
-        return now.since(lastRequestAt);
+        return clock.now().since(lastRequestAt);
     }
 
     /** Whether everything read has its answer. */
@@ -1023,7 +1005,7 @@
                 + ", open "
                 + connections.openRequests()
                 + ", tickets "
-                + activeRequests.size()
+                + requests.size()
                 + ", receipts "
                 + idempotencyStore.size()
                 + ", deadlines "
--- /dev/null
+++ b/src/main/java/lupinwood/processing/RequestTable.java
@@ -0,0 +1,80 @@
+package lupinwood.processing;
+
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import lupinwood.admission.RequestId;
+
+/**
+ * The requests that the admission policy has not released, by id and by attempt, bounded in number.
+ *
+ * <p>Owned by the event loop thread.
+ */
+final class RequestTable {
+    private final SlotTable<ActiveRequest> slots;
+    private final Map<AttemptId, ActiveRequest> byAttempt = new HashMap<>();
+
+    /** Those given to the executor: what goes through these must not grow with all that queue. */
+    private final Set<ActiveRequest> started = new LinkedHashSet<>();
+
+    RequestTable(int maxRequests) {
+        slots = new SlotTable<>(maxRequests);
+    }
+
+    boolean isFull() {
+        return slots.isFull();
+    }
+
+    int size() {
+        return slots.size();
+    }
+
+    /** Adds a request and gives it its id. */
+    void add(ActiveRequest activeRequest) {
+        activeRequest.id = new RequestId(slots.put(activeRequest));
+        byAttempt.put(activeRequest.incomingRequest.attemptId(), activeRequest);
+    }
+
+    /** The request of this id, or null once it was released. */
+    ActiveRequest get(RequestId id) {
+        return slots.get(id.number());
+    }
+
+    /** The request with this attempt id, or null. */
+    ActiveRequest find(AttemptId id) {
+        return byAttempt.get(id);
+    }
+
+    /** The request with this attempt id if it was given to the executor, or null. */
+    ActiveRequest findStarted(AttemptId id) {
+        ActiveRequest activeRequest = byAttempt.get(id);
+        return activeRequest != null && activeRequest.started ? activeRequest : null;
+    }
+
+    boolean contains(AttemptId id) {
+        return byAttempt.containsKey(id);
+    }
+
+    /** From now on the request counts as given to the executor. */
+    void markStarted(ActiveRequest activeRequest) {
+        activeRequest.started = true;
+        started.add(activeRequest);
+    }
+
+    /** Those given to the executor, in that order. */
+    Set<ActiveRequest> started() {
+        return Collections.unmodifiableSet(started);
+    }
+
+    /** Removes a request; null where it was released before. */
+    ActiveRequest remove(RequestId id) {
+        ActiveRequest activeRequest = slots.remove(id.number());
+        if (activeRequest != null) {
+            byAttempt.remove(activeRequest.incomingRequest.attemptId(), activeRequest);
+            started.remove(activeRequest);
+        }
+        return activeRequest;
+    }
+}
--- a/src/test/java/lupinwood/net/GoldenRespTest.java
+++ b/src/test/java/lupinwood/net/GoldenRespTest.java
@@ -338,7 +338,7 @@
                         Locale.ROOT,
                         "try %s track %s customer '%s' subject %x caller %d patience %d work %d"
                                 + " repeat %b reached %d memory %s rank %s mark %s body '%s'",
-                        incomingRequest.tryId().digits(),
+                        incomingRequest.attemptId().digits(),
                         incomingRequest.className(),
                         incomingRequest.tenant(),
                         incomingRequest.subject().number(),
