--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -14,7 +14,6 @@
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
 import lupinwood.admission.Request;
-import lupinwood.admission.RequestClass;
 import lupinwood.admission.RequestClassId;
 import lupinwood.admission.RequestId;
 import lupinwood.admission.ResourceUsage;
@@ -51,8 +50,6 @@
      */
     private static final NanoDuration WINDOW_SLACK = NanoDuration.ofSeconds(0.05);
 
-    private static final NanoDuration ASK_AGAIN = NanoDuration.ofSeconds(0.004);
-
     /**
      * What stands for a command that was not carried out, seen in answer to calls to be left out.
      */
@@ -65,6 +62,8 @@
     private final TimerService deadlines;
     private final ConnectionTable connections;
     private final RequestTable requests;
+    private final ExecutorSession session;
+    private final DownstreamCalls calls;
     private final IdempotencyStore idempotencyStore;
     private RequestValidator validator;
     private final TagSequence tags = new TagSequence();
@@ -95,23 +94,6 @@
     private MonotonicTime lastRequestAt;
     private long connectionsEver;
 
-    /**
-     * The tag whose resource usage, when they come, prove that all commands before were read; by
-     * link.
-     */
-    private long replayTag;
-
-    /**
-     * Whether the executor may stop runs, and let them go on without a call; so until it says
-     * otherwise.
-     */
-    private boolean stops = true;
-
-    private boolean skips = true;
-
-    /** When resource usage are asked for to settle doubts, or null. */
-    private TimerService.Timer doubts;
-
     public RequestProcessor(
             Map<String, String> settings,
             long seed,
@@ -140,6 +122,16 @@
                         deadlines,
                         clock::now);
         requests = new RequestTable(bounds.requests());
+        session =
+                new ExecutorSession(
+                        ports.executor(),
+                        tags,
+                        requests,
+                        deadlines,
+                        clock,
+                        this::isSafe,
+                        ports.log());
+        calls = new DownstreamCalls(ports.dependency(), requests, session, deadlines, clock);
         idempotencyStore =
                 new IdempotencyStore(bounds.idempotencyRecords(), bounds.idempotencyBytes());
         String resourceUsage = read.text("domain.gauges");
@@ -369,7 +361,7 @@
         if (activeRequest != null && !activeRequest.answered) {
             activeRequest.answered = true;
             tell(activeRequest.incomingRequest, Response.Kind.FAILED);
-            askIfUnsure(activeRequest);
+            session.runIfInDoubt(activeRequest);
             activeRequest.listener.onClientGone();
         }
     }
@@ -404,8 +396,7 @@
     public void welcomed(boolean cold, NanoDuration age) {
         if (node != null) {
             // Resource usage asked for now come after all notices that were missed.
-            replayTag = tags.next();
-            ports.executor().askResourceUsage(replayTag);
+            session.linkRestored();
             return;
         }
         if (leaving) {
@@ -425,7 +416,7 @@
     private Map<String, String> settingsForPolicy(Map<String, String> from) {
         Map<String, String> settings = new HashMap<>(from);
         settings.put("domain.cold", Boolean.toString(bornCold));
-        if (!skips) {
+        if (!session.canSkipCalls()) {
             settings.remove("domain.class_skip_worth");
         }
         return settings;
@@ -472,94 +463,9 @@
                         });
     }
 
-    /**
-     * After a lost link: what was sent last may not have been read. What was never written is
-     * written now, and a pure request's run may be asked for twice, since a run that goes on
-     * ignores it. All else is in doubt.
-     */
-    private void sendAgain() {
-        requests.started()
-                .forEach(
-                        activeRequest -> {
-                            if (activeRequest.offLink) {
-                                return;
-                            }
-                            if (!activeRequest.runConfirmed) {
-                                if (activeRequest.runSent
-                                        && requestClass(activeRequest).idempotency()
-                                                != Idempotency.SAFE) {
-                                    activeRequest.inDoubt = true;
-                                } else {
-                                    askToRun(activeRequest);
-                                }
-                            } else if (activeRequest.unreadReply != null
-                                    && !activeRequest.answered) {
-                                activeRequest.inDoubt = activeRequest.replySent;
-                                if (!activeRequest.inDoubt) {
-                                    giveReply(activeRequest);
-                                }
-                            }
-                        });
-    }
-
-    private void giveReply(ActiveRequest activeRequest) {
-        activeRequest.lastTagBeforeReply = tags.last();
-        AttemptId id = activeRequest.incomingRequest.attemptId();
-        activeRequest.replySent =
-                activeRequest.isSkippingCall()
-                        ? ports.executor().skipCall(id)
-                        : ports.executor().giveReply(id, activeRequest.unreadReply);
-    }
-
-    /**
-     * Commands in doubt must not simply be given again: an idempotent run might have ended just now
-     * and run twice, and a run that has its reply would take the same for that to its next call.
-     * The gauge of requests on the cores tells: it counts every run there (and what else uses
-     * them), and all notices up to it were read before. Where it counts no more than the runs that
-     * are there for certain, none of those in doubt is, so none of the commands was read. Until it
-     * does it is asked for again.
-     */
-    private void settleDoubts(double onCores) {
-        int[] certain = {0};
-        List<ActiveRequest> doubtful = new ArrayList<>();
-        requests.started()
-                .forEach(
-                        activeRequest -> {
-                            if (activeRequest.inDoubt) {
-                                doubtful.add(activeRequest);
-                            } else if (!activeRequest.offLink
-                                    && activeRequest.runConfirmed
-                                    && activeRequest.callBody == null
-                                    && activeRequest.unreadReply == null) {
-                                certain[0]++;
-                            }
-                        });
-        if (doubtful.isEmpty() || Double.isNaN(onCores)) {
-            return;
-        }
-        if (onCores <= certain[0]) {
-            ports.log().accept("commands lost with a link, given again: " + doubtful.size());
-            for (ActiveRequest activeRequest : doubtful) {
-                activeRequest.inDoubt = false;
-                if (!activeRequest.runConfirmed) {
-                    askToRun(activeRequest);
-                } else if (!activeRequest.answered) {
-                    giveReply(activeRequest);
-                }
-            }
-        } else if (doubts == null) {
-            doubts =
-                    deadlines.schedule(
-                            clock.now().plus(ASK_AGAIN),
-                            () -> {
-                                doubts = null;
-                                ports.executor().askResourceUsage(tags.next());
-                            });
-        }
-    }
-
-    private RequestClass requestClass(ActiveRequest activeRequest) {
-        return validator.requestClass(activeRequest.incomingRequest);
+    private boolean isSafe(ActiveRequest activeRequest) {
+        return validator.requestClass(activeRequest.incomingRequest).idempotency()
+                == Idempotency.SAFE;
     }
 
     public void exited(AttemptId id, Completion ending, NanoDuration took, byte[] result) {
@@ -567,7 +473,7 @@
         if (activeRequest == null || !activeRequest.started) {
             return;
         }
-        dropCall(activeRequest);
+        calls.cancel(activeRequest);
         if (!ending.outcome().provesNeverRan()) {
             connections.trust(activeRequest.connection);
         }
@@ -625,9 +531,7 @@
         ActiveRequest activeRequest = requests.find(id);
         if (activeRequest != null && activeRequest.started) {
             connections.trust(activeRequest.connection);
-            activeRequest.runConfirmed = true;
-            activeRequest.inDoubt = false;
-            activeRequest.unreadReply = null;
+            session.callReceived(activeRequest);
             activeRequest.callBody = body;
             activeRequest.listener.onCallNeeded();
         }
@@ -648,17 +552,12 @@
                     connections.fault(activeRequest.connection);
                 }
             }
-            case "KILL" -> stops = false; // the run goes on to its end, as it would have
+            case "KILL" -> session.disableStop(); // the run goes on to its end, as it would have
             // Where the answer names neither, it can be only to those whose call was to be left
             // out.
             case "BYPASS", UNNAMED ->
-                    requests.started().stream()
-                            .filter(
-                                    one ->
-                                            one.isSkippingCall()
-                                                    && (one == activeRequest
-                                                            || command.equals(UNNAMED)))
-                            .toList()
+                    session.skippingCalls().stream()
+                            .filter(one -> one == activeRequest || command.equals(UNNAMED))
                             .forEach(this::mustCall);
             default -> {}
         }
@@ -669,12 +568,11 @@
      * no harm.
      */
     private void mustCall(ActiveRequest activeRequest) {
-        if (skips) {
-            skips = false;
+        if (session.disableSkippingCalls()) {
             node.updateSettings(settingsForPolicy(settings));
         }
         activeRequest.unreadReply = null;
-        if (requestClass(activeRequest).idempotency() != Idempotency.SAFE) {
+        if (!isSafe(activeRequest)) {
             lost(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         } else if (!activeRequest.answered) {
             activeRequest.listener.onCallNeeded();
@@ -682,39 +580,14 @@
     }
 
     public void resourceUsageRead(long tag, double[] values) {
-        if (replayTag != 0 && tag == replayTag) {
-            replayTag = 0;
-            sendAgain();
-        } else if (replayTag == 0) {
-            requests.started()
-                    .forEach(
-                            activeRequest -> {
-                                activeRequest.runConfirmed |=
-                                        activeRequest.runSent
-                                                && !activeRequest.inDoubt
-                                                && tag > activeRequest.lastTagBeforeRun;
-                                if (activeRequest.replySent
-                                        && !activeRequest.inDoubt
-                                        && tag > activeRequest.lastTagBeforeReply) {
-                                    activeRequest.callBody =
-                                            activeRequest.isSkippingCall()
-                                                    ? null
-                                                    : activeRequest.callBody;
-                                    activeRequest.unreadReply = null;
-                                }
-                            });
-        }
-        if (replayTag == 0) {
-            settleDoubts(ResourceUsage.named(resourceUsageNames, values).wantingCore());
-        }
-        wakeUps.read(tag, values);
+        ResourceUsage usage = ResourceUsage.named(resourceUsageNames, values);
+        session.resourceUsageRead(tag, usage);
+        wakeUps.read(tag, usage);
     }
 
     /** Asks for resource usage; when those of this tag come, all commands before were read. */
     public long askResourceUsage() {
-        long tag = tags.next();
-        ports.executor().askResourceUsage(tag);
-        return tag;
+        return session.askResourceUsage();
     }
 
     public void diagnosed(long tag, boolean well) {
@@ -724,51 +597,7 @@
     // ---- index ----
 
     public void callEnded(AttemptId id, Completion ending, byte[] reply) {
-        ActiveRequest activeRequest = requests.find(id);
-        if (activeRequest == null || activeRequest.calledAt == null) {
-            return;
-        }
-        NanoDuration took = clock.now().since(activeRequest.calledAt);
-        endCall(activeRequest);
-        if (ending == Completion.WELL) {
-            activeRequest.callBody = null;
-            activeRequest.unreadReply = reply;
-            giveReply(activeRequest);
-        }
-        activeRequest.listener.onCallCompleted(ending.outcome(), took);
-    }
-
-    private void endCall(ActiveRequest activeRequest) {
-        deadlines.cancel(activeRequest.callTimer);
-        activeRequest.callTimer = null;
-        activeRequest.calledAt = null;
-    }
-
-    private void dropCall(ActiveRequest activeRequest) {
-        if (activeRequest.calledAt != null) {
-            ports.dependency().giveUp(activeRequest.incomingRequest.attemptId());
-            endCall(activeRequest);
-        }
-    }
-
-    private void askToRun(ActiveRequest activeRequest) {
-        activeRequest.lastTagBeforeRun = tags.last();
-        activeRequest.offLink =
-                !ports.executor().isOnLink(activeRequest.incomingRequest.className());
-        activeRequest.runSent =
-                ports.executor()
-                        .run(
-                                activeRequest.incomingRequest.attemptId(),
-                                activeRequest.incomingRequest.className(),
-                                activeRequest.incomingRequest.body());
-    }
-
-    /** Once answered nothing can start any more, so asking is safe, and tells whether it runs. */
-    private void askIfUnsure(ActiveRequest activeRequest) {
-        if (activeRequest.inDoubt && !activeRequest.runConfirmed) {
-            activeRequest.inDoubt = false;
-            askToRun(activeRequest);
-        }
+        calls.ended(id, ending, reply);
     }
 
     // ---- what the node asks ----
@@ -783,7 +612,7 @@
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
             requests.markStarted(activeRequest);
-            askToRun(activeRequest);
+            session.run(activeRequest);
         }
     }
 
@@ -791,8 +620,8 @@
     @Override
     public void stop(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
-        if (stops && activeRequest != null && activeRequest.started && !activeRequest.offLink) {
-            ports.executor().stop(activeRequest.incomingRequest.attemptId());
+        if (activeRequest != null) {
+            session.stop(activeRequest);
         }
     }
 
@@ -811,41 +640,22 @@
     public void fail(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
-            dropCall(activeRequest);
+            calls.cancel(activeRequest);
             answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
-            askIfUnsure(activeRequest);
+            session.runIfInDoubt(activeRequest);
         }
     }
 
     @Override
     public void call(RequestId requestId, NanoDuration cap) {
-        ActiveRequest activeRequest = requests.get(requestId);
-        if (activeRequest != null && activeRequest.callBody != null) {
-            dropCall(activeRequest); // a second call gives up the first
-            AttemptId id = activeRequest.incomingRequest.attemptId();
-            activeRequest.calledAt = clock.now();
-            activeRequest.callTimer =
-                    deadlines.schedule(
-                            clock.now().plus(cap),
-                            () -> {
-                                ports.dependency().giveUp(id);
-                                callEnded(id, Completion.GIVEN_UP, null);
-                            });
-            ports.dependency().call(id, cap, activeRequest.callBody);
-        }
+        calls.call(requestId, cap);
     }
 
     /** Where no run can go on without its call the request can only fail. */
     @Override
     public void skipCall(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
-        if (activeRequest == null) {
-            return;
-        }
-        if (skips && !activeRequest.offLink) {
-            activeRequest.unreadReply = ActiveRequest.NO_CALL;
-            giveReply(activeRequest);
-        } else {
+        if (activeRequest != null && !session.skipCall(activeRequest)) {
             news.add(() -> lost(activeRequest.incomingRequest.attemptId(), Completion.FAILED));
         }
     }
@@ -941,7 +751,7 @@
             return;
         }
 
-        dropCall(activeRequest);
+        calls.cancel(activeRequest);
         // Guards against a request that is over and yet owed an answer; none should be.
         answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
         IdempotencyStore.IdempotencyRecord idempotencyRecord = idempotencyStore.of(requestId);
--- a/src/main/java/lupinwood/processing/WakeUpScheduler.java
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -93,8 +93,9 @@
         }
     }
 
-    void read(long tag, double[] values) {
-        resourceUsage = ResourceUsage.named(names, values);
+    /** Resource usage was read, asked for by this tag. */
+    void read(long tag, ResourceUsage usage) {
+        resourceUsage = usage;
         readAt = clock.get();
         if (tag == requestedTag) {
             ring(resourceUsage);
