--- a/src/main/java/lupinwood/admission/AimdLimit.java
+++ b/src/main/java/lupinwood/admission/AimdLimit.java
@@ -6,7 +6,7 @@
  *
  * <pre>
  * fast call while inFlight * 2 &gt;= limit:  limit = min(MAX_LIMIT, limit + 1)
- * slow or dropped call, once a call:       limit = max(minimum, limit * BACKOFF_RATIO)
+ * slow or dropped call, once an attempt:   limit = max(minimum, limit * BACKOFF_RATIO)
  * </pre>
  *
  * <p>Source: the AIMD limiter of the article that docs/design.md names. The in-flight condition
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A call passed its target or was dropped; to be told once a call. */
+    /** A call passed its target or was dropped; to be told once an attempt of a call. */
     void onSlowOrDroppedCall() {
         limit = Math.max(minimum, limit * BACKOFF_RATIO);
     }
--- a/src/main/java/lupinwood/admission/DeadlineQueue.java
+++ b/src/main/java/lupinwood/admission/DeadlineQueue.java
@@ -19,13 +19,13 @@
  * sequencing algorithm for minimizing the number of late jobs", 1968), weighted by utility.
  *
  * <pre>
- * needs(request) = (running * mean cost / 2 + cost of all before and itself) / cores + cost
+ * needs(request) = (running * mean cost / 2 + cost of all passed and itself) / cores + cost
  * calls(request) = call time * mean calls * (1 + callers ahead / calls allowed), where calls are short
  * late if needs + calls &gt; time left (of a fresh arrival: 0.85 of it)
  * </pre>
  *
  * <p>A free core always tries what is not too late, since a wrong estimate of cost could otherwise
- * never be put right.
+ * never be put right: such a request is neither passed in this sense nor chosen.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
--- a/src/main/java/lupinwood/admission/RejectionReason.java
+++ b/src/main/java/lupinwood/admission/RejectionReason.java
@@ -10,7 +10,10 @@
     IN_FLIGHT_LIMIT("in_flight_limit"),
     /** Its tenant is over its quota, and a request within another's quota needs the place. */
     OVER_QUOTA("over_quota"),
-    /** It can't be done in time, and adds least to the goal of those that stand before. */
+    /**
+     * Some queued request can't be done in time, and this one, perhaps another, adds least utility
+     * for its cost among those due no later.
+     */
     CANNOT_FINISH_IN_TIME("cannot_finish_in_time"),
     /** The last moment for an answer came while it was still queued. */
     DEADLINE_PASSED("deadline_passed");
--- a/src/main/java/lupinwood/admission/RequestLifecycle.java
+++ b/src/main/java/lupinwood/admission/RequestLifecycle.java
@@ -59,7 +59,10 @@
         }
     }
 
-    /** Final answer: it never ran here. One that did run, here or as its original, is failed. */
+    /**
+     * Final answer: it never ran here. One that did run, here or as its original, is failed
+     * instead, since a rejection promises that nothing ran.
+     */
     void reject(AdmittedRequest request, RejectionReason reason, NanoDuration retryAfter) {
         if (request.hasRun()
                 || request.isAnswered()
@@ -77,7 +80,11 @@
         finish(request);
     }
 
-    /** Final answer: an error, with nothing promised. Nothing happens if it has its answer. */
+    /**
+     * Final answer: an error, with nothing promised. Nothing happens if it has its answer. A
+     * request whose run has begun isn't finished by this: it takes memory until the executor ends
+     * the run and {@link #onCompleted} comes.
+     */
     void fail(AdmittedRequest request) {
         if (request.isAnswered()) {
             return;
@@ -324,7 +331,10 @@
                 .ifPresent(nextCallAt -> rules.timers.scheduleAt(nextCallAt, () -> {}));
     }
 
-    /** The limit comes down once a call: past its target while it is out, or when it is dropped. */
+    /**
+     * The limit comes down at most once an attempt: past its target while it is out, or when it is
+     * dropped. One call has up to three attempts.
+     */
     private void cutLimit(AdmittedRequest request) {
         if (request.hasCutLimit() || target(request).isEmpty()) {
             return;
--- a/src/main/java/lupinwood/admission/RetryPolicy.java
+++ b/src/main/java/lupinwood/admission/RetryPolicy.java
@@ -7,7 +7,7 @@
  *   <li>A failed call is retried while fewer than three attempts were made, and only where that can
  *       have no second effect: a safe request, or proof that the call never ran (rule 2).
  *   <li>A call past its target that enough calls made later have overtaken is taken for lost, not
- *       slow: it would hold its place to the end. A safe request calls anew (a hedged call), any
+ *       slow: it would hold its place to the end. A safe request gives it up and calls again, any
  *       other fails at once. Where an answer without the call is paid for, the call is waited for.
  * </ul>
  *
@@ -30,10 +30,10 @@
     /**
      * Whether a call that failed may be made again.
      *
-     * @param attempts made so far
+     * @param failedAttempts of this call so far, the one that just failed included
      */
-    boolean mayRetry(Outcome outcome, RequestClass requestClass, int attempts) {
-        return attempts < MAX_ATTEMPTS
+    boolean mayRetry(Outcome outcome, RequestClass requestClass, int failedAttempts) {
+        return failedAttempts < MAX_ATTEMPTS
                 && (requestClass.idempotency() == Idempotency.SAFE || outcome.provesNeverRan());
     }
 
@@ -41,16 +41,16 @@
      * What to do about a call past its target.
      *
      * @param completedLater how many calls made later have come back
-     * @param attempts made so far, this one not counted
+     * @param earlierFailures attempts of this call that failed before the one that is out
      */
-    OverdueCall onOverdue(AdmittedRequest request, int completedLater, int attempts) {
+    OverdueCall onOverdue(AdmittedRequest request, int completedLater, int earlierFailures) {
         if (request.isAnswered()
                 || completedLater < OVERTAKEN_BY
                 || request.requestClass().skippedCallValue() > 0) {
             return OverdueCall.KEEP_WAITING;
         }
         return request.requestClass().idempotency() == Idempotency.SAFE
-                        && attempts + 1 < MAX_ATTEMPTS
+                        && earlierFailures + 1 < MAX_ATTEMPTS
                 ? OverdueCall.CALL_ANEW
                 : OverdueCall.FAIL;
     }
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -313,7 +313,7 @@
             }
             case "beat" -> {
                 Heartbeat heartbeat = ClusterJson.read(text.get("b"), Heartbeat.class);
-                loop.offer(() -> sendHeartbeat(heartbeat, from));
+                loop.offer(() -> onHeartbeat(heartbeat, from));
             }
             case "reply" -> {
                 HeartbeatReply reply = ClusterJson.read(text.get("r"), HeartbeatReply.class);
@@ -417,7 +417,7 @@
         }
     }
 
-    private void sendHeartbeat(Heartbeat heartbeat, RaftTransport.Peer from) {
+    private void onHeartbeat(Heartbeat heartbeat, RaftTransport.Peer from) {
         Consumer<HeartbeatReply> to =
                 reply -> {
                     JsonObject text = new JsonObject();
