--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -17,7 +17,8 @@
  * The upstream load balancers' connections: what is open on each, which were idle for too long, and
  * which are no upstream load balancer's. A connection has a standing once the executor carried out
  * a request of it. Without one it goes for its first unsound request, and is asked to close where
- * one after the other is turned away; who sends on all the same errs.
+ * one after the other is turned away; who sends on all the same errs. Owned by the event loop
+ * thread.
  */
 final class ConnectionTable {
     /** The protocol's bound on open requests of one connection. */
@@ -122,6 +123,7 @@
     private NanoDuration longestIdle;
     private boolean leaving;
     private int open;
+    private long everAdded;
 
     ConnectionTable(
             int most,
@@ -146,12 +148,18 @@
         return table.size();
     }
 
+    /** How many came so far, those without a place among them. */
+    long everAdded() {
+        return everAdded;
+    }
+
     int openRequests() {
         return open;
     }
 
     /** A place for a new connection, or null where the table is full of such with open requests. */
     ConnectionId add() {
+        everAdded++;
         if (table.isFull() && !makeRoom()) {
             return null;
         }
--- a/src/main/java/lupinwood/processing/DownstreamCalls.java
+++ b/src/main/java/lupinwood/processing/DownstreamCalls.java
@@ -12,6 +12,7 @@
 final class DownstreamCalls {
     private final Dependency dependency;
     private final RequestTable requests;
+    private final ConnectionTable connections;
     private final ExecutorSession session;
     private final TimerService timers;
     private final EventLoopClock clock;
@@ -19,16 +20,29 @@
     DownstreamCalls(
             Dependency dependency,
             RequestTable requests,
+            ConnectionTable connections,
             ExecutorSession session,
             TimerService timers,
             EventLoopClock clock) {
         this.dependency = dependency;
         this.requests = requests;
+        this.connections = connections;
         this.session = session;
         this.timers = timers;
         this.clock = clock;
     }
 
+    /** A run needs a call and waits for its reply; the admission policy hears so. */
+    void needed(AttemptId id, byte[] body) {
+        ActiveRequest activeRequest = requests.findStarted(id);
+        if (activeRequest != null) {
+            connections.trust(activeRequest.connection);
+            session.callReceived(activeRequest);
+            activeRequest.callBody = body;
+            activeRequest.listener.onCallNeeded();
+        }
+    }
+
     /** Makes the call that a request's run waits for, and gives up the one before. */
     void call(RequestId requestId, NanoDuration cap) {
         ActiveRequest activeRequest = requests.get(requestId);
--- a/src/main/java/lupinwood/processing/ExecutorSession.java
+++ b/src/main/java/lupinwood/processing/ExecutorSession.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
+import java.util.function.Supplier;
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
 import lupinwood.admission.ResourceUsage;
@@ -27,7 +27,7 @@
     private final RequestTable requests;
     private final TimerService timers;
     private final EventLoopClock clock;
-    private final Predicate<ActiveRequest> isSafe;
+    private final Supplier<RequestValidator> validator;
     private final Consumer<String> log;
 
     /**
@@ -48,7 +48,7 @@
     /**
      * A session before its first link.
      *
-     * @param isSafe whether a request may run twice
+     * @param validator the one in force, which tells what may run twice
      */
     ExecutorSession(
             Executor executor,
@@ -56,14 +56,14 @@
             RequestTable requests,
             TimerService timers,
             EventLoopClock clock,
-            Predicate<ActiveRequest> isSafe,
+            Supplier<RequestValidator> validator,
             Consumer<String> log) {
         this.executor = executor;
         this.tags = tags;
         this.requests = requests;
         this.timers = timers;
         this.clock = clock;
-        this.isSafe = isSafe;
+        this.validator = validator;
         this.log = log;
     }
 
@@ -204,7 +204,7 @@
 
     private void sendAgain(ActiveRequest activeRequest) {
         if (!activeRequest.runConfirmed) {
-            if (activeRequest.runSent && !isSafe.test(activeRequest)) {
+            if (activeRequest.runSent && !validator.get().isSafe(activeRequest.incomingRequest)) {
                 activeRequest.inDoubt = true;
             } else {
                 run(activeRequest);
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -82,6 +82,11 @@
         return requestClasses.get(classNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
+    /** Whether a valid request may run twice. */
+    boolean isSafe(IncomingRequest incomingRequest) {
+        return requestClass(incomingRequest).idempotency() == Idempotency.SAFE;
+    }
+
     /** How long from its arrival the caller waits: its own timeout, or its class's if shorter. */
     NanoDuration effectiveTimeout(IncomingRequest incomingRequest) {
         NanoDuration timeout = requestClass(incomingRequest).timeout();
--- a/src/main/java/lupinwood/processing/WakeUpScheduler.java
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -8,8 +8,10 @@
 import lupinwood.admission.ResourceUsage;
 
 /**
- * The node's wake-ups, each with resource usage just read, or read anew where the executor gives
- * them in time.
+ * The node's wake-ups, each with resource usage just read, or read anew where the executor gives it
+ * in time.
+ *
+ * <p>Owned by the event loop thread.
  */
 final class WakeUpScheduler {
     /** A wake-up waits so long for resource usage before it does without. */
@@ -68,9 +70,8 @@
     }
 
     private void due() {
-        // Where the settings name no resource usage there are none to wait for, and an answer that
-        // is due
-        // must not wait.
+        // Where the settings name no resource usage there is none to wait for, and what is due must
+        // not wait.
         if (leaving && !names.isEmpty()) {
             executor.askResourceUsage(tags.next());
         }
