--- a/src/main/java/lupinwood/processing/AttemptId.java
+++ b/src/main/java/lupinwood/processing/AttemptId.java
@@ -7,6 +7,7 @@
 public record AttemptId(String digits) {
     private static final int LENGTH = 16;
 
+    /** Whether a text, or null, is such a name. */
     public static boolean isValid(String text) {
         return text != null
                 && text.length() == LENGTH
--- a/src/main/java/lupinwood/processing/Completion.java
+++ b/src/main/java/lupinwood/processing/Completion.java
@@ -60,6 +60,7 @@
         this.outcome = outcome;
     }
 
+    /** What the admission policy hears of such an end. */
     public Outcome outcome() {
         return outcome;
     }
--- a/src/main/java/lupinwood/processing/Executor.java
+++ b/src/main/java/lupinwood/processing/Executor.java
@@ -1,6 +1,9 @@
 package lupinwood.processing;
 
-/** What the request processor asks of the executor. Nothing is said while there is no link. */
+/**
+ * What the request processor asks of the executor, from the event loop thread. Nothing is sent
+ * while there is no link.
+ */
 public interface Executor {
     /** Start a run; false where there is no link to ask on, and so nothing can have started. */
     boolean run(AttemptId id, String className, byte[] body);
@@ -22,6 +25,7 @@
         return true;
     }
 
+    /** Ask for resource usage, which comes with this tag after all notices before. */
     void askResourceUsage(long tag);
 
     /** Do the work of a deep health check. */
--- a/src/main/java/lupinwood/processing/HealthChecks.java
+++ b/src/main/java/lupinwood/processing/HealthChecks.java
@@ -6,7 +6,11 @@
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
 
-/** Health checks under way by real work, and what the others hear. */
+/**
+ * Health checks under way by real work, and what the others hear.
+ *
+ * <p>Owned by the event loop thread.
+ */
 final class HealthChecks {
     /** Says what a check hears. */
     interface Responder {
--- a/src/main/java/lupinwood/processing/IdempotencyStore.java
+++ b/src/main/java/lupinwood/processing/IdempotencyStore.java
@@ -14,7 +14,9 @@
  * The idempotent requests remembered here, with the results of those that ran, bounded in number
  * and in bytes. When bodies and results outgrow their bound the oldest lose theirs; the idempotency
  * record itself stays, so a repeat is still known and never runs. When there are too many, no more
- * are taken.
+ * are admitted.
+ *
+ * <p>Owned by the event loop thread.
  */
 final class IdempotencyStore {
     /** One remembered request. */
--- a/src/main/java/lupinwood/processing/SlotTable.java
+++ b/src/main/java/lupinwood/processing/SlotTable.java
@@ -7,6 +7,8 @@
 /**
  * A table of numbered slots. An id is a slot and the generation of its use, so that late news of
  * what stood there before never hits what stands there now.
+ *
+ * <p>Not safe for several threads; those of the request processor belong to the event loop thread.
  */
 public final class SlotTable<T> {
     private static final int SLOT_BITS = 20;
@@ -16,6 +18,12 @@
     private final List<Integer> free = new ArrayList<>();
     private final int most;
 
+    /**
+     * An empty table.
+     *
+     * @param most how many items it takes at most, 1 to 2^20
+     * @throws IllegalArgumentException where that is out of bounds
+     */
     public SlotTable(int most) {
         if (most < 1 || most > 1 << SLOT_BITS) {
             throw new IllegalArgumentException("no table has " + most + " slots");
@@ -23,14 +31,22 @@
         this.most = most;
     }
 
+    /** Whether no further item has a place. */
     public boolean isFull() {
         return size() >= most;
     }
 
+    /** How many items stand now. */
     public int size() {
         return slots.size() - free.size();
     }
 
+    /**
+     * Adds an item.
+     *
+     * @return its id
+     * @throws IllegalStateException where the table is full
+     */
     public long put(T item) {
         if (isFull()) {
             throw new IllegalStateException("all " + most + " slots are taken");
@@ -56,6 +72,7 @@
                 : null;
     }
 
+    /** Frees the slot of this id; what stood there, or null where that was over before. */
     public T remove(long id) {
         T item = get(id);
         if (item != null) {
--- a/src/main/java/lupinwood/processing/TimerService.java
+++ b/src/main/java/lupinwood/processing/TimerService.java
@@ -9,6 +9,8 @@
 /**
  * All that is due later, soonest first and in the order given; the only such structure of the
  * request processor.
+ *
+ * <p>Owned by the event loop thread.
  */
 public final class TimerService {
     /** One job due; it can be called off. */
@@ -26,27 +28,30 @@
 
     private final TreeSet<Timer> queue =
             new TreeSet<>(
-                    Comparator.<Timer, MonotonicTime>comparing(d -> d.at)
-                            .thenComparingLong(d -> d.order));
+                    Comparator.<Timer, MonotonicTime>comparing(timer -> timer.at)
+                            .thenComparingLong(timer -> timer.order));
     private long order;
 
+    /** Has a job done once its time has come. */
     public Timer schedule(MonotonicTime time, Runnable job) {
-        Timer deadline = new Timer(time, order++, job);
-        queue.add(deadline);
-        return deadline;
+        Timer timer = new Timer(time, order++, job);
+        queue.add(timer);
+        return timer;
     }
 
     /** Nothing happens if it was done already, or is null. */
-    public void cancel(Timer deadline) {
-        if (deadline != null) {
-            queue.remove(deadline);
+    public void cancel(Timer timer) {
+        if (timer != null) {
+            queue.remove(timer);
         }
     }
 
+    /** How many jobs are due later. */
     public int size() {
         return queue.size();
     }
 
+    /** When the first job is due, or {@link MonotonicTime#NEVER}. */
     public MonotonicTime earliest() {
         return queue.isEmpty() ? MonotonicTime.NEVER : queue.first().at;
     }
@@ -54,15 +59,15 @@
     /** Does what is due now; what that adds waits for the next time, so this always ends. */
     public void runDue(MonotonicTime now) {
         List<Timer> due = new ArrayList<>();
-        for (Timer deadline : queue) {
-            if (now.isBefore(deadline.at)) {
+        for (Timer timer : queue) {
+            if (now.isBefore(timer.at)) {
                 break;
             }
-            due.add(deadline);
+            due.add(timer);
         }
-        for (Timer deadline : due) {
-            if (queue.remove(deadline)) {
-                deadline.job.run();
+        for (Timer timer : due) {
+            if (queue.remove(timer)) {
+                timer.job.run();
             }
         }
     }
--- a/src/main/java/lupinwood/processing/UpstreamConnections.java
+++ b/src/main/java/lupinwood/processing/UpstreamConnections.java
@@ -1,7 +1,8 @@
 package lupinwood.processing;
 
-/** What the request processor says to upstream load balancers. */
+/** What the request processor writes to upstream load balancers, from the event loop thread. */
 public interface UpstreamConnections {
+    /** Answer the request or health check with this tag. */
     void answer(ConnectionId connection, long tag, Response answer);
 
     /** Ask that no new request be sent on this connection. */
@@ -10,5 +11,6 @@
     /** Pass over what else comes on this connection. */
     void readNoMore(ConnectionId connection);
 
+    /** Close the connection once all that was written to it has gone out. */
     void close(ConnectionId connection, Completion why);
 }
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -1,6 +1,7 @@
 package lupinwood.processing;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.tuple;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -970,10 +971,8 @@
         assertThat(reported)
                 .extracting(Request::clientTimeout, Request::work, Request::repeat)
                 .containsExactly(
-                        org.assertj.core.groups.Tuple.tuple(
-                                clientTimeout, NanoDuration.ofSeconds(0.2), true),
-                        org.assertj.core.groups.Tuple.tuple(
-                                NanoDuration.ofSeconds(1.1), NanoDuration.ZERO, false));
+                        tuple(clientTimeout, NanoDuration.ofSeconds(0.2), true),
+                        tuple(NanoDuration.ofSeconds(1.1), NanoDuration.ZERO, false));
         assertThat(printed())
                 .isEqualTo(
                         """
