--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -320,7 +320,7 @@
     }
 
     @Test
-    void repeatsOfAIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
+    void repeatsOfAnIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
@@ -375,7 +375,7 @@
     }
 
     @Test
-    void aIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesAnTimeoutTimeThatGrew() {
+    void anIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesATimeoutThatGrew() {
         machine.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
@@ -777,7 +777,7 @@
     }
 
     @Test
-    void aUpstreamMayBeSlowToWriteForTheLongestTimeoutTimeAndOthersMayNot() {
+    void anUpstreamMayBeSlowToWriteForTheLongestTimeoutAndOthersMayNot() {
         start();
         processor.closeIdleConnections(NanoDuration.ofSeconds(100));
         ConnectionId other = processor.connected();
@@ -1132,7 +1132,7 @@
     }
 
     @Test
-    void allIsAnsweredBeforeTheTimeoutTimeReckonedFromWhenItCame() {
+    void allIsAnsweredBeforeTheTimeoutReckonedFromWhenItCame() {
         start();
         IncomingRequest late =
                 new IncomingRequest(
