--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -91,7 +91,7 @@
         MonotonicTime unfinishedSince;
 
         /** When it was asked to close, or null. */
-        MonotonicTime finishedAt;
+        MonotonicTime askedToCloseAt;
 
         boolean closing;
         boolean written;
@@ -104,7 +104,7 @@
                             ? written ? IdleState.ENDED : IdleState.OWED
                             : !spoke
                                     ? IdleState.SILENT
-                                    : finishedAt != null
+                                    : askedToCloseAt != null
                                             ? IdleState.CLOSE_REQUESTED
                                             : IdleState.RESTING;
         }
@@ -117,7 +117,7 @@
     private final int many;
 
     private final UpstreamConnections upstreams;
-    private final TimerService deadlines;
+    private final TimerService timers;
     private final Supplier<MonotonicTime> clock;
     private final NanoDuration timeToRead;
     private NanoDuration longestIdle;
@@ -130,7 +130,7 @@
             NanoDuration longestIdle,
             NanoDuration timeToRead,
             UpstreamConnections upstreams,
-            TimerService deadlines,
+            TimerService timers,
             Supplier<MonotonicTime> clock) {
         this.longestIdle = longestIdle;
         this.timeToRead = timeToRead;
@@ -140,7 +140,7 @@
             resting.put(rest, new LinkedHashSet<>());
         }
         this.upstreams = upstreams;
-        this.deadlines = deadlines;
+        this.timers = timers;
         this.clock = clock;
     }
 
@@ -231,7 +231,7 @@
                         - resting.get(IdleState.SILENT).size()
                         - resting.get(IdleState.CLOSE_REQUESTED).size()
                 > many) {
-            first(Stream.of(of(IdleState.RESTING))).forEach(this::finish);
+            first(Stream.of(of(IdleState.RESTING))).forEach(this::askToClose);
         }
     }
 
@@ -259,7 +259,7 @@
     /** A connection that came about while leaving hears so at once. */
     void greet(ConnectionId id) {
         if (leaving) {
-            finish(table.get(id.number()));
+            askToClose(table.get(id.number()));
         }
     }
 
@@ -269,7 +269,7 @@
         if (connection == null) {
             return List.of();
         }
-        deadlines.cancel(connection.idle);
+        timers.cancel(connection.idle);
         if (connection.rest != null) {
             resting.get(connection.rest).remove(connection);
         }
@@ -293,7 +293,7 @@
     }
 
     private boolean isStubborn(Connection connection) {
-        MonotonicTime requested = connection.finishedAt;
+        MonotonicTime requested = connection.askedToCloseAt;
         return requested != null && requested.plus(CROSSING).isBefore(clock.get());
     }
 
@@ -309,7 +309,7 @@
         connection.open.put(tag, requestId);
         open++;
         sort(connection);
-        deadlines.cancel(connection.idle);
+        timers.cancel(connection.idle);
         connection.idle = null;
     }
 
@@ -367,14 +367,14 @@
                 && !connection.standing
                 && ++connection.unwanted >= MOST_UNWANTED
                 && connection.openedAt.plus(NEW).isBefore(clock.get())) {
-            finish(connection);
+            askToClose(connection);
         }
     }
 
     /** Nothing more counts that comes on it; it is closed once what is open is answered. */
     void end(ConnectionId id, Completion why) {
         Connection connection = table.get(id.number());
-        if (connection != null && (why != Completion.SAID_NOTHING || !maySayIt(connection))) {
+        if (connection != null && (why != Completion.SAID_NOTHING || !mayStillFinish(connection))) {
             end(connection, why);
         }
     }
@@ -383,7 +383,7 @@
      * An upstream load balancer may be slow to write, and somebody waits for what it began until
      * the longest timeout is over.
      */
-    private boolean maySayIt(Connection connection) {
+    private boolean mayStillFinish(Connection connection) {
         if (connection.unfinishedSince == null) {
             connection.unfinishedSince = clock.get();
         }
@@ -422,9 +422,9 @@
     }
 
     private void cutOffIn(Connection connection, NanoDuration wait) {
-        deadlines.cancel(connection.idle);
+        timers.cancel(connection.idle);
         connection.idle =
-                deadlines.schedule(
+                timers.schedule(
                         clock.get().plus(wait),
                         () -> upstreams.close(connection.id, Completion.SLOW_READER));
     }
@@ -436,7 +436,7 @@
 
     void leave() {
         leaving = true;
-        table.forEach(this::finish);
+        table.forEach(this::askToClose);
     }
 
     /** Some rest until this side ends them. */
@@ -455,28 +455,29 @@
         if (connection.open.isEmpty() && !connection.closing) {
             if (!connection.spoke) {
                 if (connection.idle == null) {
-                    awaitWord(connection);
+                    awaitFirstMessage(connection);
                 }
                 return;
             }
-            deadlines.cancel(connection.idle);
+            timers.cancel(connection.idle);
             MonotonicTime since = connection.idleSince;
             connection.idle =
-                    connection.finishedAt != null
-                            ? deadlines.schedule(
+                    connection.askedToCloseAt != null
+                            ? timers.schedule(
                                     since.plus(TIME_TO_CLOSE),
                                     () -> end(connection, Completion.CLOSED_HERE))
-                            : deadlines.schedule(since.plus(longestIdle), () -> finish(connection));
+                            : timers.schedule(
+                                    since.plus(longestIdle), () -> askToClose(connection));
         }
     }
 
-    private void awaitWord(Connection connection) {
+    private void awaitFirstMessage(Connection connection) {
         connection.idle =
-                deadlines.schedule(
+                timers.schedule(
                         clock.get().plus(SILENCE),
                         () -> {
                             if (++connection.silences < MOST_SILENCES) {
-                                awaitWord(connection);
+                                awaitFirstMessage(connection);
                             } else {
                                 end(connection, Completion.SAID_NOTHING);
                             }
@@ -487,9 +488,9 @@
      * Closing at once could cross a request that is on its way; so the upstream load balancer is
      * asked to close.
      */
-    private void finish(Connection connection) {
-        if (connection.finishedAt == null) {
-            connection.finishedAt = clock.get();
+    private void askToClose(Connection connection) {
+        if (connection.askedToCloseAt == null) {
+            connection.askedToCloseAt = clock.get();
             upstreams.sayNoMore(connection.id);
             rest(connection);
         }
--- a/src/main/java/lupinwood/processing/Drain.java
+++ b/src/main/java/lupinwood/processing/Drain.java
@@ -38,7 +38,7 @@
             return false;
         }
         begun = true;
-        wakeUps.leave();
+        wakeUps.startDraining();
         lastRequestAt = clock.now();
         return true;
     }
--- a/src/main/java/lupinwood/processing/HealthChecks.java
+++ b/src/main/java/lupinwood/processing/HealthChecks.java
@@ -12,24 +12,24 @@
  * <p>Owned by the event loop thread.
  */
 final class HealthChecks {
-    /** Says what a check hears. */
+    /** Answers a check. */
     interface Responder {
-        void say(ConnectionId connection, long tag, boolean well);
+        void answer(ConnectionId connection, long tag, boolean healthy);
     }
 
-    private record DeepCheck(ConnectionId connection, long tag, TimerService.Timer deadline) {}
+    private record DeepCheck(ConnectionId connection, long tag, TimerService.Timer timer) {}
 
     /** An upstream load balancer that asked for a deep check hears by then at the latest. */
-    private static final NanoDuration DEEP_WAIT = NanoDuration.ofSeconds(1);
+    private static final NanoDuration DEEP_CHECK_TIMEOUT = NanoDuration.ofSeconds(1);
 
-    private static final int MOST_DEEP = 64;
+    private static final int MAX_DEEP_CHECKS = 64;
 
-    private final TimerService deadlines;
+    private final TimerService timers;
     private final Executor executor;
     private final TagSequence tags;
     private final Supplier<MonotonicTime> clock;
-    private final Responder reply;
-    private final Map<Long, DeepCheck> deep = new HashMap<>();
+    private final Responder responder;
+    private final Map<Long, DeepCheck> deepChecks = new HashMap<>();
 
     /** Until there is a node, none is well. */
     private boolean good;
@@ -37,16 +37,16 @@
     private boolean fromStore = true;
 
     HealthChecks(
-            TimerService deadlines,
+            TimerService timers,
             Executor executor,
             TagSequence tags,
             Supplier<MonotonicTime> clock,
-            Responder reply) {
-        this.deadlines = deadlines;
+            Responder responder) {
+        this.timers = timers;
         this.executor = executor;
         this.tags = tags;
         this.clock = clock;
-        this.reply = reply;
+        this.responder = responder;
     }
 
     void set(boolean isGood, boolean isFromStore) {
@@ -55,26 +55,27 @@
     }
 
     void check(ConnectionId connection, long tag, boolean real) {
-        if (!real || fromStore || deep.size() >= MOST_DEEP) {
-            reply.say(connection, tag, good);
+        if (!real || fromStore || deepChecks.size() >= MAX_DEEP_CHECKS) {
+            responder.answer(connection, tag, good);
             return;
         }
         long requested = tags.next();
-        TimerService.Timer late =
-                deadlines.schedule(clock.get().plus(DEEP_WAIT), () -> diagnosed(requested, false));
-        deep.put(requested, new DeepCheck(connection, tag, late));
+        TimerService.Timer timer =
+                timers.schedule(
+                        clock.get().plus(DEEP_CHECK_TIMEOUT), () -> diagnosed(requested, false));
+        deepChecks.put(requested, new DeepCheck(connection, tag, timer));
         executor.checkDeep(requested);
     }
 
-    void diagnosed(long tag, boolean well) {
-        DeepCheck check = deep.remove(tag);
+    void diagnosed(long tag, boolean healthy) {
+        DeepCheck check = deepChecks.remove(tag);
         if (check != null) {
-            deadlines.cancel(check.deadline());
-            reply.say(check.connection(), check.tag(), well && good);
+            timers.cancel(check.timer());
+            responder.answer(check.connection(), check.tag(), healthy && good);
         }
     }
 
     boolean isIdle() {
-        return deep.isEmpty();
+        return deepChecks.isEmpty();
     }
 }
--- a/src/main/java/lupinwood/processing/IdempotencyStore.java
+++ b/src/main/java/lupinwood/processing/IdempotencyStore.java
@@ -58,19 +58,19 @@
      * Those that are over and still have their bytes, the oldest first: what is dropped is found in
      * one step.
      */
-    private final Set<IdempotencyRecord> heavy = new LinkedHashSet<>();
+    private final Set<IdempotencyRecord> evictable = new LinkedHashSet<>();
 
-    private final int most;
-    private final long mostBytes;
+    private final int maxRecords;
+    private final long maxBytes;
     private long bytes;
 
-    IdempotencyStore(int most, long mostBytes) {
-        this.most = most;
-        this.mostBytes = mostBytes;
+    IdempotencyStore(int maxRecords, long maxBytes) {
+        this.maxRecords = maxRecords;
+        this.maxBytes = maxBytes;
     }
 
     boolean isFull() {
-        return byRequest.size() >= most;
+        return byRequest.size() >= maxRecords;
     }
 
     /** The idempotency record that a request which came at this moment repeats, or null. */
@@ -91,7 +91,7 @@
         byKey.put(key, idempotencyRecord);
         byRequest.put(requestId, idempotencyRecord);
         bytes += idempotencyRecord.size();
-        fit();
+        evictToFit();
         return idempotencyRecord;
     }
 
@@ -99,7 +99,7 @@
         if (byRequest.get(idempotencyRecord.requestId) == idempotencyRecord) {
             idempotencyRecord.result = result;
             bytes += result.length;
-            fit();
+            evictToFit();
         }
     }
 
@@ -108,14 +108,14 @@
         idempotencyRecord.over = true;
         if (byRequest.get(idempotencyRecord.requestId) == idempotencyRecord
                 && idempotencyRecord.size() > 0) {
-            heavy.add(idempotencyRecord);
-            fit();
+            evictable.add(idempotencyRecord);
+            evictToFit();
         }
     }
 
     void drop(IdempotencyRecord idempotencyRecord) {
         idempotencyRecord.over = true;
-        heavy.remove(idempotencyRecord);
+        evictable.remove(idempotencyRecord);
         if (byRequest.remove(idempotencyRecord.requestId, idempotencyRecord)) {
             byKey.remove(idempotencyRecord.key, idempotencyRecord);
             bytes -= idempotencyRecord.size();
@@ -126,9 +126,9 @@
         return byRequest.size();
     }
 
-    private void fit() {
-        Iterator<IdempotencyRecord> oldest = heavy.iterator();
-        while (bytes > mostBytes && oldest.hasNext()) {
+    private void evictToFit() {
+        Iterator<IdempotencyRecord> oldest = evictable.iterator();
+        while (bytes > maxBytes && oldest.hasNext()) {
             IdempotencyRecord idempotencyRecord = oldest.next();
             oldest.remove();
             bytes -= idempotencyRecord.size();
--- a/src/main/java/lupinwood/processing/ResponseListener.java
+++ b/src/main/java/lupinwood/processing/ResponseListener.java
@@ -7,8 +7,8 @@
     /**
      * One was given.
      *
-     * @param took since the request came to the machine
+     * @param elapsed since the request came to the machine
      * @param late whether that is past its latency objective
      */
-    void answered(String className, Response.Kind word, NanoDuration took, boolean late);
+    void answered(String className, Response.Kind kind, NanoDuration elapsed, boolean late);
 }
--- a/src/main/java/lupinwood/processing/SlotTable.java
+++ b/src/main/java/lupinwood/processing/SlotTable.java
@@ -16,24 +16,24 @@
     private final List<T> slots = new ArrayList<>();
     private final List<Long> generations = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
-    private final int most;
+    private final int capacity;
 
     /**
      * An empty table.
      *
-     * @param most how many items it takes at most, 1 to 2^20
+     * @param capacity how many items it takes at most, 1 to 2^20
      * @throws IllegalArgumentException where that is out of bounds
      */
-    public SlotTable(int most) {
-        if (most < 1 || most > 1 << SLOT_BITS) {
-            throw new IllegalArgumentException("no table has " + most + " slots");
+    public SlotTable(int capacity) {
+        if (capacity < 1 || capacity > 1 << SLOT_BITS) {
+            throw new IllegalArgumentException("no table has " + capacity + " slots");
         }
-        this.most = most;
+        this.capacity = capacity;
     }
 
     /** Whether no further item has a place. */
     public boolean isFull() {
-        return size() >= most;
+        return size() >= capacity;
     }
 
     /** How many items stand now. */
@@ -49,7 +49,7 @@
      */
     public long put(T item) {
         if (isFull()) {
-            throw new IllegalStateException("all " + most + " slots are taken");
+            throw new IllegalStateException("all " + capacity + " slots are taken");
         }
         int slot;
         if (free.isEmpty()) {
--- a/src/main/java/lupinwood/processing/WakeUpScheduler.java
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -15,16 +15,16 @@
  */
 final class WakeUpScheduler {
     /** A wake-up waits so long for resource usage before it does without. */
-    private static final NanoDuration RESOURCE_USAGE_WAIT = NanoDuration.ofSeconds(0.02);
+    private static final NanoDuration RESOURCE_USAGE_TIMEOUT = NanoDuration.ofSeconds(0.02);
 
     /**
      * Resource usage count as just read for as long: each reading costs two messages and two rounds
      * of deciding.
      */
-    private static final NanoDuration FRESH = NanoDuration.ofSeconds(0.02);
+    private static final NanoDuration MAX_USAGE_AGE = NanoDuration.ofSeconds(0.02);
 
     private final List<String> names;
-    private final TimerService deadlines;
+    private final TimerService timers;
     private final Executor executor;
     private final TagSequence tags;
     private final Supplier<MonotonicTime> clock;
@@ -33,21 +33,21 @@
     /** The tag under which resource usage were asked for a wake-up, or 0. */
     private long requestedTag;
 
-    private boolean leaving;
-    private TimerService.Timer next;
-    private TimerService.Timer anyway;
+    private boolean draining;
+    private TimerService.Timer nextWakeUp;
+    private TimerService.Timer usageTimeout;
     private ResourceUsage resourceUsage = ResourceUsage.UNKNOWN;
     private MonotonicTime readAt = new MonotonicTime(0);
 
     WakeUpScheduler(
             List<String> names,
-            TimerService deadlines,
+            TimerService timers,
             Executor executor,
             TagSequence tags,
             Supplier<MonotonicTime> clock,
             Consumer<ResourceUsage> wake) {
         this.names = names;
-        this.deadlines = deadlines;
+        this.timers = timers;
         this.executor = executor;
         this.tags = tags;
         this.clock = clock;
@@ -56,8 +56,8 @@
 
     /** The node asks for one wake-up at a time; a later word replaces the one before. */
     void at(MonotonicTime time) {
-        deadlines.cancel(next);
-        next = deadlines.schedule(time, this::due);
+        timers.cancel(nextWakeUp);
+        nextWakeUp = timers.schedule(time, this::due);
     }
 
     /**
@@ -65,26 +65,26 @@
      * the last answers of a node that leaves: what comes after them by its own deadline, as the
      * wish to send no more, must not overtake them in a stall.
      */
-    void leave() {
-        leaving = true;
+    void startDraining() {
+        draining = true;
     }
 
     private void due() {
         // Where the settings name no resource usage there is none to wait for, and what is due must
         // not wait.
-        if (leaving && !names.isEmpty()) {
+        if (draining && !names.isEmpty()) {
             executor.askResourceUsage(tags.next());
         }
-        if (names.isEmpty() || leaving || clock.get().since(readAt).compareTo(FRESH) < 0) {
+        if (names.isEmpty() || draining || clock.get().since(readAt).compareTo(MAX_USAGE_AGE) < 0) {
             wake.accept(resourceUsage);
         } else if (requestedTag == 0) {
             requestedTag = tags.next();
             // Guards against a link that is lost or slow: the node's alarms must not wait for it.
-            anyway =
-                    deadlines.schedule(
-                            clock.get().plus(RESOURCE_USAGE_WAIT),
+            usageTimeout =
+                    timers.schedule(
+                            clock.get().plus(RESOURCE_USAGE_TIMEOUT),
                             () ->
-                                    ring(
+                                    wakeNow(
                                             new ResourceUsage(
                                                     Double.NaN,
                                                     Double.NaN,
@@ -99,13 +99,13 @@
         resourceUsage = usage;
         readAt = clock.get();
         if (tag == requestedTag) {
-            ring(resourceUsage);
+            wakeNow(resourceUsage);
         }
     }
 
-    private void ring(ResourceUsage known) {
+    private void wakeNow(ResourceUsage known) {
         requestedTag = 0;
-        deadlines.cancel(anyway);
+        timers.cancel(usageTimeout);
         wake.accept(known);
     }
 }
