--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -91,7 +91,7 @@
         MonotonicTime unfinishedSince;
 
         /** When it was asked to close, or null. */
-        MonotonicTime askedToCloseAt;
+        MonotonicTime closeRequestedAt;
 
         boolean closing;
         boolean written;
@@ -104,7 +104,7 @@
                             ? written ? IdleState.ENDED : IdleState.OWED
                             : !spoke
                                     ? IdleState.SILENT
-                                    : askedToCloseAt != null
+                                    : closeRequestedAt != null
                                             ? IdleState.CLOSE_REQUESTED
                                             : IdleState.RESTING;
         }
@@ -293,7 +293,7 @@
     }
 
     private boolean isStubborn(Connection connection) {
-        MonotonicTime requested = connection.askedToCloseAt;
+        MonotonicTime requested = connection.closeRequestedAt;
         return requested != null && requested.plus(CROSSING).isBefore(clock.get());
     }
 
@@ -462,7 +462,7 @@
             timers.cancel(connection.idle);
             MonotonicTime since = connection.idleSince;
             connection.idle =
-                    connection.askedToCloseAt != null
+                    connection.closeRequestedAt != null
                             ? timers.schedule(
                                     since.plus(TIME_TO_CLOSE),
                                     () -> end(connection, Completion.CLOSED_HERE))
@@ -489,8 +489,8 @@
      * asked to close.
      */
     private void askToClose(Connection connection) {
-        if (connection.askedToCloseAt == null) {
-            connection.askedToCloseAt = clock.get();
+        if (connection.closeRequestedAt == null) {
+            connection.closeRequestedAt = clock.get();
             upstreams.sayNoMore(connection.id);
             rest(connection);
         }
--- a/src/main/java/lupinwood/processing/PolicyHost.java
+++ b/src/main/java/lupinwood/processing/PolicyRunner.java
@@ -17,7 +17,7 @@
  *
  * <p>Owned by the event loop thread.
  */
-final class PolicyHost {
+final class PolicyRunner {
     private final RequestProcessor.PolicyFactory factory;
     private final long seed;
     private final EventLoopClock clock;
@@ -38,11 +38,11 @@
     private boolean executorCold;
 
     /**
-     * A host without a policy.
+     * A runner without a policy.
      *
      * @param canSkipCalls whether the executor may let runs go on without a call
      */
-    PolicyHost(
+    PolicyRunner(
             RequestProcessor.PolicyFactory factory,
             long seed,
             Map<String, String> settings,
--- a/src/main/java/lupinwood/processing/RefusedCommands.java
+++ b/src/main/java/lupinwood/processing/RefusedCommands.java
@@ -15,7 +15,7 @@
     private final ConnectionTable connections;
     private final ExecutorSession session;
     private final RunCompletions runs;
-    private final PolicyHost policyHost;
+    private final PolicyRunner policyRunner;
     private final Supplier<RequestValidator> validator;
 
     /**
@@ -28,13 +28,13 @@
             ConnectionTable connections,
             ExecutorSession session,
             RunCompletions runs,
-            PolicyHost policyHost,
+            PolicyRunner policyRunner,
             Supplier<RequestValidator> validator) {
         this.requests = requests;
         this.connections = connections;
         this.session = session;
         this.runs = runs;
-        this.policyHost = policyHost;
+        this.policyRunner = policyRunner;
         this.validator = validator;
     }
 
@@ -71,7 +71,7 @@
      */
     private void skipRefused(ActiveRequest activeRequest) {
         if (session.disableSkippingCalls()) {
-            policyHost.refreshSettings();
+            policyRunner.refreshSettings();
         }
         activeRequest.unreadReply = null;
         if (!validator.get().isSafe(activeRequest.incomingRequest)) {
--- a/src/main/java/lupinwood/processing/RequestFault.java
+++ b/src/main/java/lupinwood/processing/RequestFault.java
@@ -23,7 +23,7 @@
     /** Its memory, rank or body length is outside the protocol's bounds. */
     OUT_OF_BOUNDS("out of bounds", Kind.CALLER),
     /** Its connection was asked to close long ago. */
-    CONNECTION_ASKED_TO_CLOSE("on a connection asked to close", Kind.CALLER);
+    CONNECTION_CLOSE_REQUESTED("on a connection asked to close", Kind.CALLER);
 
     /** Who is to blame, which decides what the fault costs the connection. */
     enum Kind {
--- a/src/main/java/lupinwood/processing/RequestIntake.java
+++ b/src/main/java/lupinwood/processing/RequestIntake.java
@@ -23,7 +23,7 @@
     private final RequestTable requests;
     private final IdempotentRequests idempotency;
     private final ResponseWriter responses;
-    private final PolicyHost policyHost;
+    private final PolicyRunner policyRunner;
     private final EventLoopClock clock;
     private final Supplier<RequestValidator> validator;
     private final Consumer<String> log;
@@ -38,7 +38,7 @@
             RequestTable requests,
             IdempotentRequests idempotency,
             ResponseWriter responses,
-            PolicyHost policyHost,
+            PolicyRunner policyRunner,
             EventLoopClock clock,
             Supplier<RequestValidator> validator,
             Consumer<String> log) {
@@ -46,7 +46,7 @@
         this.requests = requests;
         this.idempotency = idempotency;
         this.responses = responses;
-        this.policyHost = policyHost;
+        this.policyRunner = policyRunner;
         this.clock = clock;
         this.validator = validator;
         this.log = log;
@@ -69,7 +69,7 @@
      */
     void accept(ConnectionId connection, long tag, IncomingRequest stamped) {
         boolean connectionFull = connections.isFull(connection);
-        if (!policyHost.isStarted() || connectionFull || requests.isFull()) {
+        if (!policyRunner.isStarted() || connectionFull || requests.isFull()) {
             rejectForWantOfRoom(connection, tag, connectionFull);
             return;
         }
@@ -89,7 +89,7 @@
     }
 
     private void rejectForWantOfRoom(ConnectionId connection, long tag, boolean connectionFull) {
-        boolean started = policyHost.isStarted();
+        boolean started = policyRunner.isStarted();
         log.accept(
                 "bounced a ticket that came "
                         + (started ? "beyond what may be open" : "before the executor was up"));
@@ -113,7 +113,7 @@
             IncomingRequest incomingRequest,
             IdempotencyStore.IdempotencyRecord original) {
         if (connections.isStubborn(connection)) {
-            return Optional.of(RequestFault.CONNECTION_ASKED_TO_CLOSE);
+            return Optional.of(RequestFault.CONNECTION_CLOSE_REQUESTED);
         }
         boolean attemptIdInUse =
                 incomingRequest != null && requests.contains(incomingRequest.attemptId());
@@ -142,7 +142,7 @@
         requests.add(activeRequest);
         connections.begin(activeRequest.connection, activeRequest.tag, activeRequest.id);
         activeRequest.original = original;
-        activeRequest.listener = policyHost.policy().admit(policyRequest(activeRequest));
+        activeRequest.listener = policyRunner.policy().admit(policyRequest(activeRequest));
     }
 
     private Request policyRequest(ActiveRequest activeRequest) {
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -79,7 +79,7 @@
     private final RefusedCommands refusedCommands;
     private final RequestActions actions;
     private final Drain drain;
-    private final PolicyHost policyHost;
+    private final PolicyRunner policyRunner;
     private final RequestIntake intake;
 
     /** The one in force; replaced with the settings. */
@@ -107,7 +107,6 @@
         resourceUsageNames = ProcessorSettings.resourceUsageNames(settingsMap);
         validator = new RequestValidator(settingsMap);
         Supplier<RequestValidator> inForce = () -> validator;
-
         TagSequence tags = new TagSequence();
         Executor executor = ports.executor();
         connections =
@@ -121,7 +120,8 @@
         requests = new RequestTable(limits.requests());
         session =
                 new ExecutorSession(executor, tags, requests, timers, clock, inForce, ports.log());
-        policyHost = new PolicyHost(policyFactory, seed, settings, clock, session::canSkipCalls);
+        policyRunner =
+                new PolicyRunner(policyFactory, seed, settings, clock, session::canSkipCalls);
         calls =
                 new DownstreamCalls(
                         ports.dependency(), requests, connections, session, timers, clock);
@@ -130,16 +130,16 @@
                 new IdempotencyStore(limits.idempotencyRecords(), limits.idempotencyBytes());
         idempotency =
                 new IdempotentRequests(
-                        store, requests, responses, timers, clock, inForce, policyHost::defer);
+                        store, requests, responses, timers, clock, inForce, policyRunner::defer);
         runs =
                 new RunCompletions(
-                        requests, connections, calls, idempotency, responses, policyHost::defer);
+                        requests, connections, calls, idempotency, responses, policyRunner::defer);
         wakeUps =
                 new WakeUpScheduler(
-                        resourceUsageNames, timers, executor, tags, clock::now, policyHost::wake);
+                        resourceUsageNames, timers, executor, tags, clock::now, policyRunner::wake);
         checks = new HealthChecks(timers, executor, tags, clock::now, responses::answerHealthCheck);
         refusedCommands =
-                new RefusedCommands(requests, connections, session, runs, policyHost, inForce);
+                new RefusedCommands(requests, connections, session, runs, policyRunner, inForce);
         actions =
                 new RequestActions(
                         requests, connections, session, calls, responses, idempotency, runs);
@@ -150,7 +150,7 @@
                         requests,
                         idempotency,
                         responses,
-                        policyHost,
+                        policyRunner,
                         clock,
                         inForce,
                         ports.log());
@@ -178,7 +178,7 @@
 
     /** All events of this moment were given: the policy decides, until nothing follows from it. */
     public void settle() {
-        policyHost.settle();
+        policyRunner.settle();
     }
 
     // ---- upstream load balancers ----
@@ -268,18 +268,18 @@
      * @param age how long ago the executor was started
      */
     public void welcomed(boolean cold, NanoDuration age) {
-        if (policyHost.isStarted()) {
+        if (policyRunner.isStarted()) {
             session.linkRestored();
         } else if (!drain
                 .isBegun()) { // a node that drains before it had an executor begins nothing
-            policyHost.start(this, cold, age);
+            policyRunner.start(this, cold, age);
             log("the executor is up, " + (cold ? "cold" : "warm"));
         }
     }
 
     /** Whether the executor is there, and warm, or started so long ago that it is. */
     public boolean isWarm(NanoDuration warmAfter) {
-        return policyHost.isWarm(warmAfter);
+        return policyRunner.isWarm(warmAfter);
     }
 
     /**
@@ -290,7 +290,7 @@
         if (drain.isBegun()) {
             return false;
         }
-        policyHost.updateSettings(changed.settings);
+        policyRunner.updateSettings(changed.settings);
         validator = changed.validator;
         return true;
     }
@@ -321,9 +321,8 @@
     }
 
     /**
-     * The executor would not run it: that ends it. Stopping runs and going on without a call are
-     * tried where the settings speak of them, and given up for good at the first of this. Of other
-     * commands only the log tells.
+     * The executor would not carry out this command about an attempt, which ends a run that was to
+     * start.
      */
     public void notCarriedOut(String command, AttemptId id) {
         log("the executor did not carry out " + command + " " + id.digits());
@@ -450,7 +449,7 @@
     /** Notice that the machine will be stopped after this long. */
     public void leave(NanoDuration until) {
         if (drain.begin()) {
-            policyHost.drain(until);
+            policyRunner.drain(until);
         }
     }
 
