--- a/src/main/java/lupinwood/admission/AdmissionController.java
+++ b/src/main/java/lupinwood/admission/AdmissionController.java
@@ -60,7 +60,7 @@
         ClassState classState = rules.classes.get(read.classId().number());
         AdmittedRequest request =
                 new AdmittedRequest(
-                        read, classState, requestsRead++, server.now(), settings.tick());
+                        read, classState, requestsRead++, server.now(), settings.machine().tick());
         lifecycle.open(request);
         learnFrom(request);
         check(request);
@@ -126,12 +126,15 @@
     }
 
     private void rejectOverflow() {
+        if (rules.queue.isEmpty()) {
+            return;
+        }
         MonotonicTime now = server.now();
         boolean callsShort = !rules.callQueue.isEmpty() && rules.dependency.isRestricted();
         DeadlineQueue.Overflow overflow =
                 rules.queue.overflow(
                         new DeadlineQueue.Capacity(
-                                settings.cores(),
+                                settings.machine().cores(),
                                 rules.concurrency.running(),
                                 rules.cost.meanCost(now),
                                 new DeadlineQueue.CallCapacity(
@@ -142,7 +145,8 @@
                                 now));
         for (AdmittedRequest request : overflow.requests()) {
             double untilDone =
-                    (overflow.coreSecondsAhead() / 2 + rules.cost.meanCost(now)) / settings.cores();
+                    (overflow.coreSecondsAhead() / 2 + rules.cost.meanCost(now))
+                            / settings.machine().cores();
             lifecycle.reject(
                     request,
                     RejectionReason.CANNOT_FINISH_IN_TIME,
@@ -202,13 +206,13 @@
         NanoDuration pause =
                 settings.overloadWindow()
                         .times(REFRESH_SHARE_OF_OVERLOAD_WINDOW)
-                        .max(settings.tick())
+                        .max(settings.machine().tick())
                         .max(
                                 NanoDuration.ofSeconds(
                                         settings.meanObjectiveSeconds() / REFRESHES_PER_OBJECTIVE));
         double queuedShare =
                 rules.queue.workWithinQuotas(now)
-                        / settings.cores()
+                        / settings.machine().cores()
                         / settings.meanObjectiveSeconds();
         rules.idleConnections.adjust(rules.cost.meanCost(now), rules.load.isBehindWithReading());
         rules.load.moveFloor(queuedShare, pause);
--- a/src/main/java/lupinwood/admission/AdmissionRules.java
+++ b/src/main/java/lupinwood/admission/AdmissionRules.java
@@ -33,7 +33,7 @@
 
     AdmissionRules(ServerActions server, PolicySettings settings) {
         MonotonicTime now = server.now();
-        double cores = settings.cores();
+        double cores = settings.machine().cores();
         settings.classes().forEach(each -> classes.add(new ClassState(each)));
         timers = new TimerQueue(server);
         ramp = new SpeedRamp(now, settings);
@@ -42,7 +42,7 @@
         concurrency = new ExecutorConcurrency(cores, ramp, settings);
         utility = new UtilityModel(classes, settings);
         tenants = new TenantQuota(now, settings);
-        memory = new MemoryBudget(settings.memoryKb());
+        memory = new MemoryBudget(settings.machine().memoryKb());
         idempotency = new IdempotencyGuard(server, timers, memory, settings);
         inFlight = new InFlightLimiter(new AimdLimit(cores));
         dependency = new DependencyLimiter(settings, now);
--- a/src/main/java/lupinwood/admission/AdmittedRequest.java
+++ b/src/main/java/lupinwood/admission/AdmittedRequest.java
@@ -120,10 +120,6 @@
         return answerBy;
     }
 
-    State state() {
-        return state;
-    }
-
     boolean is(State other) {
         return state == other;
     }
--- a/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
+++ b/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
@@ -37,7 +37,9 @@
             return byRequest;
         }
         NanoDuration byQuota =
-                share.minus(settings.callLinger()).max(share.times(0.5)).max(settings.tick());
+                share.minus(settings.callLinger())
+                        .max(share.times(0.5))
+                        .max(settings.machine().tick());
         return byRequest.min(byQuota);
     }
 
@@ -47,7 +49,7 @@
             double workLeft = Math.max(0, cost.cost(request, now) - request.coreSeconds());
             return left.minus(NanoDuration.ofSeconds(workLeft))
                     .max(left.times(MIN_SHARE_OF_TIME_LEFT))
-                    .max(settings.tick());
+                    .max(settings.machine().tick());
         }
         return request.requestClass().lateValue() > 0 ? request.answerBy().since(now) : left;
     }
--- a/src/main/java/lupinwood/admission/DependencyLimiter.java
+++ b/src/main/java/lupinwood/admission/DependencyLimiter.java
@@ -38,9 +38,9 @@
     private int completed;
 
     DependencyLimiter(PolicySettings settings, MonotonicTime now) {
-        quota = settings.dependencyQuota();
-        tick = settings.tick();
-        boolean slowStart = settings.hasSharedDependency() && settings.startsCold();
+        quota = settings.machine().dependencyQuota();
+        tick = settings.machine().tick();
+        boolean slowStart = settings.machine().hasSharedDependency() && settings.startsCold();
         allowed = slowStart ? Math.min(1, quota) : quota;
         nextCallAt = now;
     }
--- a/src/main/java/lupinwood/admission/DrainPolicy.java
+++ b/src/main/java/lupinwood/admission/DrainPolicy.java
@@ -46,7 +46,7 @@
         NanoDuration margin =
                 stopAt.since(noticeAt)
                         .times(ANSWER_MARGIN_SHARE)
-                        .max(settings.tick().times(ANSWER_MARGIN_TICKS));
+                        .max(settings.machine().tick().times(ANSWER_MARGIN_TICKS));
         return stopAt.minus(margin);
     }
 
--- a/src/main/java/lupinwood/admission/IdempotencyGuard.java
+++ b/src/main/java/lupinwood/admission/IdempotencyGuard.java
@@ -36,8 +36,8 @@
         this.server = server;
         this.timers = timers;
         this.memory = memory;
-        entryKb = settings.idempotencyEntryKb();
-        tick = settings.tick();
+        entryKb = settings.machine().idempotencyEntryKb();
+        tick = settings.machine().tick();
     }
 
     /** What remembering a request takes of the memory budget. */
--- a/src/main/java/lupinwood/admission/PolicySettings.java
+++ b/src/main/java/lupinwood/admission/PolicySettings.java
@@ -6,10 +6,7 @@
  * Everything that the settings tell the decisions, typed and with its defaults; made by {@link
  * PolicySettingsMapper}. Immutable.
  *
- * @param tick the machine's time step
- * @param cores at least 1
- * @param memoryKb of the machine, in kilobytes of 1,000 bytes
- * @param idempotencyEntryKb what one remembered request takes
+ * @param machine what it was told of the machine at the start
  * @param runMemoryFactor what a running request takes, as a multiple of a queued one
  * @param startsCold whether the machine starts slow and warms up
  * @param coldSpeed the share of its speed that a cold machine starts with
@@ -17,10 +14,6 @@
  * @param overloadMultiple running requests a core past which a warm machine falls over
  * @param overloadWindow how long it survives that
  * @param drainGrace how long after the notice to drain requests may still arrive and run
- * @param canStopRuns whether the machine can stop a run
- * @param hasSharedDependency whether all nodes call one dependency, of which each has a quota
- * @param dependencyQuota calls that may be in flight from this node; 1e9 without a shared
- *     dependency
  * @param quotaWindow the time over which a quota of less than one is averaged
  * @param callLinger how long the dependency may still work on a call that was given up
  * @param worstClassShare the part of the goal that the class served worst makes, from 0 to 1
@@ -33,10 +26,7 @@
  * @param upstreams load balancers that send here
  */
 record PolicySettings(
-        NanoDuration tick,
-        double cores,
-        double memoryKb,
-        double idempotencyEntryKb,
+        MachineSettings machine,
         double runMemoryFactor,
         boolean startsCold,
         double coldSpeed,
@@ -44,9 +34,6 @@
         double overloadMultiple,
         NanoDuration overloadWindow,
         NanoDuration drainGrace,
-        boolean canStopRuns,
-        boolean hasSharedDependency,
-        double dependencyQuota,
         NanoDuration quotaWindow,
         NanoDuration callLinger,
         double worstClassShare,
@@ -58,39 +45,4 @@
         NanoDuration maxIdle,
         NanoDuration maxRetryAfter,
         LoadSignal loadSignal,
-        double upstreams) {
-
-    /**
-     * The same with the machine's own values as they were at its start: its size and what it can do
-     * don't change while it runs, whatever changed settings say.
-     */
-    PolicySettings onMachineOf(PolicySettings atStart) {
-        return new PolicySettings(
-                atStart.tick,
-                atStart.cores,
-                atStart.memoryKb,
-                atStart.idempotencyEntryKb,
-                runMemoryFactor,
-                startsCold,
-                coldSpeed,
-                warmUpNanos,
-                overloadMultiple,
-                overloadWindow,
-                drainGrace,
-                atStart.canStopRuns,
-                atStart.hasSharedDependency,
-                atStart.dependencyQuota,
-                quotaWindow,
-                callLinger,
-                worstClassShare,
-                overQuotaValue,
-                classes,
-                meanObjectiveSeconds,
-                tenantQuotasPerSecond,
-                nodesInGroup,
-                maxIdle,
-                maxRetryAfter,
-                loadSignal,
-                upstreams);
-    }
-}
+        double upstreams) {}
--- a/src/main/java/lupinwood/admission/PolicySettingsMapper.java
+++ b/src/main/java/lupinwood/admission/PolicySettingsMapper.java
@@ -27,29 +27,41 @@
         SettingsMap settings = new SettingsMap(map);
         return read(
                 settings,
+                machine(settings),
                 (int) Math.ceil(settings.number("services.count", 0)),
                 (int) Math.ceil(settings.number("customers.count", 0)));
     }
 
-    /** Reads changed settings of a node that runs, for the classes and tenants that it has. */
+    /** Reads changed settings of a node that runs, for the machine, classes and tenants it has. */
     static PolicySettings read(Map<String, String> map, PolicySettings before) {
-        PolicySettings changed =
-                read(
-                        new SettingsMap(map),
-                        before.classes().size(),
-                        before.tenantQuotasPerSecond().size());
-        return changed.onMachineOf(before);
+        return read(
+                new SettingsMap(map),
+                before.machine(),
+                before.classes().size(),
+                before.tenantQuotasPerSecond().size());
     }
 
-    private static PolicySettings read(SettingsMap settings, int classCount, int tenantCount) {
+    private static MachineSettings machine(SettingsMap settings) {
         boolean shared = settings.is("domain.below", "one_for_all");
-        List<RequestClass> classes =
-                IntStream.range(0, classCount).mapToObj(i -> requestClass(settings, i)).toList();
-        return new PolicySettings(
+        return new MachineSettings(
                 settings.duration("step_ns"),
                 Math.max(1, settings.number("domain.cpus", 1)),
                 settings.number("domain.memory_kb", UNBOUNDED_MEMORY_KB),
                 settings.number("domain.entry_kb", 0),
+                settings.is("domain.stop_mode", "discard")
+                        || settings.is("domain.stop_mode", "freeze"),
+                shared,
+                shared
+                        ? Math.max(MIN_QUOTA, settings.number("domain.calls_out", UNBOUNDED_QUOTA))
+                        : UNBOUNDED_QUOTA);
+    }
+
+    private static PolicySettings read(
+            SettingsMap settings, MachineSettings machine, int classCount, int tenantCount) {
+        List<RequestClass> classes =
+                IntStream.range(0, classCount).mapToObj(i -> requestClass(settings, i)).toList();
+        return new PolicySettings(
+                machine,
                 settings.number("domain.run_mem_factor", 1),
                 settings.is("domain.cold", "true"),
                 settings.number("rules.cold_share", 1),
@@ -57,12 +69,6 @@
                 settings.number("rules.fall_multiple", DEFAULT_OVERLOAD_MULTIPLE),
                 settings.duration("rules.fall_ns"),
                 settings.duration("rules.drain_grace_ns"),
-                settings.is("domain.stop_mode", "discard")
-                        || settings.is("domain.stop_mode", "freeze"),
-                shared,
-                shared
-                        ? Math.max(MIN_QUOTA, settings.number("domain.calls_out", UNBOUNDED_QUOTA))
-                        : UNBOUNDED_QUOTA,
                 settings.duration("domain.calls_over_ns"),
                 settings.duration("domain.linger_ns"),
                 settings.number("goal.worst_class", 0),
--- a/src/main/java/lupinwood/admission/RequestLifecycle.java
+++ b/src/main/java/lupinwood/admission/RequestLifecycle.java
@@ -24,7 +24,7 @@
         this.server = server;
         this.rules = rules;
         this.settings = settings;
-        canStopRuns = settings.canStopRuns();
+        canStopRuns = settings.machine().canStopRuns();
     }
 
     void update(PolicySettings changed) {
--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -59,8 +59,4 @@
     public Map<String, Integer> slots() {
         return slots;
     }
-
-    public boolean isLeased(MonotonicTime now) {
-        return now.isBefore(until);
-    }
 }
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -215,11 +215,6 @@
         heldLeases.holds(now).forEach(lease -> handOn(lease.duty(), now));
     }
 
-    /** Whether the consensus group knows that nothing is held here any more. */
-    public boolean isClear(MonotonicTime now) {
-        return heldLeases.holds(now).isEmpty() && releasing.isEmpty();
-    }
-
     public void leavesOut(List<String> servers) {
         leftOut = List.copyOf(servers);
     }
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -1,7 +1,6 @@
 package lupinwood.cluster;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -559,20 +558,6 @@
         return picture;
     }
 
-    /** Servers that were left out by nodes heard lately, with how many. */
-    public Map<String, Integer> leftOut(MonotonicTime now) {
-        Map<String, Integer> counts = new TreeMap<>();
-        Collection<LatestHeartbeat> all = heard.values();
-        all.stream()
-                .filter(one -> isFresh(one, now))
-                .forEach(
-                        one ->
-                                one.heartbeat
-                                        .leftOut()
-                                        .forEach(server -> counts.merge(server, 1, Integer::sum)));
-        return counts;
-    }
-
     /** How soon something is decided again without a heartbeat. */
     public NanoDuration looksEvery() {
         return timing.holderHeartbeatInterval().times(0.5);
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -185,7 +185,6 @@
 
     /** A place for a new connection, or null where there is none. */
     public ConnectionId connected() {
-
         return connections.add();
     }
 
@@ -270,8 +269,8 @@
     public void welcomed(boolean cold, NanoDuration age) {
         if (policyRunner.isStarted()) {
             session.linkRestored();
-        } else if (!drain
-                .isBegun()) { // a node that drains before it had an executor begins nothing
+        } else if (!drain.isBegun()) {
+            // A node that drains before it had an executor begins nothing.
             policyRunner.start(this, cold, age);
             log("the executor is up, " + (cold ? "cold" : "warm"));
         }
