--- a/src/main/java/lupinwood/cluster/ClusterCommand.java
+++ b/src/main/java/lupinwood/cluster/ClusterCommand.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * What is written into the cluster state, in the order agreed on. Each is done by {@link
- * ClusterState#apply} or found not to fit.
+ * A change to the cluster state, replicated through the consensus group's log. {@link
+ * ClusterState#apply} applies the commands in log order; it rejects one whose conditions don't hold
+ * at that point, and then changes nothing.
  */
 public sealed interface ClusterCommand {
-    /** Carries out each kind of command; true where it fitted and was done. */
+    /** Applies each kind of command; true where it was accepted. */
     interface Handler {
         /** See {@link Bootstrap}. */
         boolean bootstrap(Bootstrap command);
@@ -65,14 +66,14 @@
         boolean retireCapacityPlans(RetireCapacityPlans command);
     }
 
-    /** Has the handler of its kind carry this command out; true where it fitted and was done. */
+    /** Passes this command to the handler's method for its kind; true where it was accepted. */
     boolean applyTo(Handler handler);
 
     /**
-     * The first of all commands.
+     * Initializes the cluster state; the first of all commands.
      *
-     * @param above tokens begin above it, so that those of an older book, should it be lost, stay
-     *     lower
+     * @param above fencing tokens start above it, so that those of an older cluster state, should
+     *     that be lost, stay lower
      */
     record Bootstrap(long above) implements ClusterCommand {
         @Override
@@ -81,7 +82,7 @@
         }
     }
 
-    /** A node comes, or comes back under a new life. */
+    /** A node joins, or joins again under a new incarnation. */
     record Join(NodeName name, Incarnation incarnation, Site site) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /** A node goes, by its own word. */
+    /** A node leaves, as it reported itself. */
     record Leave(NodeName name, Incarnation incarnation) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -97,7 +98,7 @@
         }
     }
 
-    /** An operator's word that a node is gone for good; the cluster state forgets it. */
+    /** Removes a node from the cluster state; an operator declared it gone for good. */
     record RemoveNode(NodeName name) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -106,9 +107,9 @@
     }
 
     /**
-     * Gives a duty to a node.
+     * Grants the lease of a duty to a node.
      *
-     * @param after the duty's token before, so that one decision made twice is done once
+     * @param after the duty's previous token, so that a decision made twice is applied once
      */
     record GrantLease(DutyName duty, NodeName heir, Incarnation incarnation, FencingToken after)
             implements ClusterCommand {
@@ -118,7 +119,7 @@
         }
     }
 
-    /** The duty is nobody's any more. */
+    /** Ends the lease of a duty, which then has no holder. */
     record ReleaseLease(DutyName duty, FencingToken token, LeaseEnd why) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /** What the status reporter gathered; counts under its token only. */
+    /** Stores what the status reporter collected; accepted under its token only. */
     record RecordStatus(FencingToken token, String digest) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -135,12 +136,13 @@
     }
 
     /**
-     * A node may go. Fits only while nothing is halted and the rules allow it, so whoever leads,
-     * and however many ask at once, no more are out by permits than they say.
+     * Grants a node a permit to be unavailable. Accepted only while nothing is halted and the
+     * disruption limits allow it, so permits never exceed the limits, whichever voter leads and
+     * however many orders come at once.
      *
-     * @param order names what an operator asked for, so that asking again does nothing twice
-     * @param unavailableNodes who is out by what the leader sees, beside the permits in the cluster
-     *     state
+     * @param order identifies the operator order, so that sending it again has no further effect
+     * @param unavailableNodes the nodes that the leader sees as unavailable, in addition to those
+     *     with permits in the cluster state
      */
     record GrantPermit(
             String order,
@@ -156,7 +158,7 @@
         }
     }
 
-    /** A permit counts no longer. */
+    /** Ends a permit. */
     record ReturnPermit(long permit, String why, long atMillis) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -164,7 +166,7 @@
         }
     }
 
-    /** No permit is given any more, or permits may be given again. */
+    /** Halts or resumes permits, cordons and the progress of rollouts. */
     record SetHalt(String order, boolean halted, String by, long atMillis)
             implements ClusterCommand {
         @Override
@@ -174,10 +176,12 @@
     }
 
     /**
-     * A release begins. Fits only while no other is open and nothing is halted.
+     * Begins a rollout. Accepted only while no other is in progress, no server is cordoned and
+     * nothing is halted.
      *
-     * @param to a text's digest, or a version of the program
-     * @param text of a configuration; else empty
+     * @param to a configuration's digest, or a version of the program
+     * @param text the configuration; empty for a program
+     * @param backsOnHalt whether the rollout controller may roll it back without an order
      */
     record BeginRollout(
             String order,
@@ -195,13 +199,14 @@
     }
 
     /**
-     * The next wave. Fits only under the rollout controller's token, while nothing is halted, and
-     * as the next one.
+     * Decides the next wave of a rollout. Accepted only under the rollout controller's token, while
+     * nothing is halted, and if its step follows the last one.
      *
-     * @param nodes that get it, or on the way back have it no more
-     * @param why what the watch of the one before came to
-     * @param past what each node answered over a watch before the first wave, by its name; with
-     *     that wave only
+     * @param back whether the wave is part of a rollback
+     * @param nodes that get the change, or lose it in a rollback
+     * @param why the reason, such as the canary verdict on the previous wave; empty for none
+     * @param past what each node answered during an observation period before the first wave, by
+     *     its name; with the first wave only
      */
     record AdvanceRollout(
             FencingToken token,
@@ -220,8 +225,8 @@
     }
 
     /**
-     * A release turns back, which ends a halt: an operator's word, or the program's where the
-     * release said so.
+     * Starts rolling back a rollout, which ends a halt. Ordered by an operator, or by the rollout
+     * controller where the rollout allows that.
      */
     record RollBack(String order, long rollout, String by, long atMillis)
             implements ClusterCommand {
@@ -231,7 +236,7 @@
         }
     }
 
-    /** A release has ended; counts under the rollout controller's token. */
+    /** Ends a rollout; accepted under the rollout controller's token only. */
     record FinishRollout(FencingToken token, long rollout, boolean done, String why, long atMillis)
             implements ClusterCommand {
         @Override
@@ -241,10 +246,10 @@
     }
 
     /**
-     * A server below rests. Fits only while nothing is halted, no release is open and fewer rest
-     * than may.
+     * Cordons a downstream server. Accepted only while nothing is halted, no rollout is in progress
+     * and fewer servers are cordoned than allowed.
      *
-     * @param most so many may rest at once
+     * @param most servers that may be cordoned at once
      */
     record CordonServer(String order, String server, String by, int most, long atMillis)
             implements ClusterCommand {
@@ -254,7 +259,7 @@
         }
     }
 
-    /** It rests no more. */
+    /** Ends the cordon of a server. */
     record UncordonServer(String order, String server, String by, long atMillis)
             implements ClusterCommand {
         @Override
@@ -264,13 +269,13 @@
     }
 
     /**
-     * How much each node may send where, under the planner's token. Fits only where no place could
-     * be sent more than it bears by all that any node may still believe.
+     * Sets a new capacity plan. Accepted only under the planner's token, and if no location could
+     * get more than its capacity under any combination of plans that nodes may still follow.
      *
-     * @param after the number of the plan before, so that one made twice is made once
-     * @param bears how many requests at once each place can bear
-     * @param alone what a node of a site may have at a place without a plan
-     * @param slots what all nodes of a site together may have at a place
+     * @param after the number of the previous plan, so that a plan made twice is applied once
+     * @param bears the concurrent requests that each location can take
+     * @param alone by site and location, what one node may send without a plan
+     * @param slots by site and location, what all nodes of the site together may send
      */
     record SetCapacityPlan(
             FencingToken token,
@@ -288,8 +293,8 @@
     }
 
     /**
-     * No node goes by a plan under this number any more: told by whoever leads the consensus group,
-     * who knows of all leases.
+     * Drops the plans under this number, which no node follows any more. The leader of the
+     * consensus group decides it, because it knows of all capacity leases.
      */
     record RetireCapacityPlans(long beforePlan) implements ClusterCommand {
         @Override
@@ -298,7 +303,7 @@
         }
     }
 
-    /** Why a duty was taken from its holder. */
+    /** Why the lease of a duty ended. */
     enum LeaseEnd {
         LAPSED,
         HANDED_ON,
--- a/src/main/java/lupinwood/cluster/Cordon.java
+++ b/src/main/java/lupinwood/cluster/Cordon.java
@@ -1,9 +1,9 @@
 package lupinwood.cluster;
 
 /**
- * A server below that is agreed to rest: no node sends it anything new.
+ * A downstream server to which no node sends new requests.
  *
- * @param server as the operators' files name it
- * @param by who asked
+ * @param server its name in the operator's configuration
+ * @param by who ordered it
  */
 public record Cordon(String server, String by) {}
--- a/src/main/java/lupinwood/cluster/DisruptionLimits.java
+++ b/src/main/java/lupinwood/cluster/DisruptionLimits.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * How much of a fleet may be out at once.
+ * How many nodes of a fleet may be unavailable at once.
  *
- * @param most nodes of the whole fleet, as a number
+ * @param most nodes of the whole fleet
  * @param share of the whole fleet, from 0 to 1
- * @param zoneMost nodes of one zone, as a number
- * @param zoneShare of one zone, from 0 to 1; one node of a zone may go in any case, if all else
- *     allows it
- * @param leastIn so many have to stay in, in the whole fleet
- * @param voters of these a majority has to stay in, or nothing could be agreed on any more
+ * @param zoneMost nodes of one zone
+ * @param zoneShare of one zone, from 0 to 1; both shares always leave room for one node, if the
+ *     other limits allow it
+ * @param leastIn nodes of the whole fleet that must remain available
+ * @param voters a majority of these must remain available, or the consensus group could decide
+ *     nothing
  */
 public record DisruptionLimits(
         int most,
@@ -27,12 +28,16 @@
         this(most, share, zoneMost, zoneShare, leastIn, List.of());
     }
 
-    /** Of so many nodes in all. */
-    public int mostOf(int all) {
-        return Math.min(most, Math.max(1, (int) Math.floor(share * all + 1e-9)));
+    /**
+     * How many nodes of the fleet may be unavailable at once.
+     *
+     * @param total nodes in the fleet
+     */
+    public int mostOf(int total) {
+        return Math.min(most, Math.max(1, (int) Math.floor(share * total + 1e-9)));
     }
 
-    int mostOfZone(int all) {
-        return Math.min(zoneMost, Math.max(1, (int) Math.floor(zoneShare * all + 1e-9)));
+    int mostOfZone(int total) {
+        return Math.min(zoneMost, Math.max(1, (int) Math.floor(zoneShare * total + 1e-9)));
     }
 }
--- a/src/main/java/lupinwood/cluster/DisruptionPermit.java
+++ b/src/main/java/lupinwood/cluster/DisruptionPermit.java
@@ -1,14 +1,14 @@
 package lupinwood.cluster;
 
 /**
- * A node's leave to be out. It counts from when it is in the cluster state, before the node is
- * told, until the node is seen well under another life, an operator says that it is gone, or it was
- * never used.
+ * Permission for a node to be unavailable. It counts from when it is in the cluster state, before
+ * the node learns of it, until the node is healthy again under another incarnation, an operator
+ * declares the node gone, or the permit stayed unused for too long.
  *
- * @param number counts up; names it
- * @param incarnation under which the node was when it was given; another life that is well gives it
- *     back
- * @param by who asked
+ * @param number identifies the permit; increases with each one
+ * @param incarnation of the node when the permit was granted; once another one is healthy the
+ *     permit is returned
+ * @param by who ordered it
  */
 public record DisruptionPermit(
         long number, NodeName node, Incarnation incarnation, Site site, String by) {}
--- a/src/main/java/lupinwood/cluster/DutyName.java
+++ b/src/main/java/lupinwood/cluster/DutyName.java
@@ -1,20 +1,20 @@
 package lupinwood.cluster;
 
 /**
- * What one node at a time is to do for all. The texts are stored, sent and logged, and so keep the
- * older names.
+ * A duty that one node at a time performs for the whole fleet. The texts are stored, sent and
+ * logged, and so keep their older names.
  */
 public record DutyName(String text) implements Comparable<DutyName> {
     /** Checks the health of servers that all nodes have ejected; stored as "trial". */
     public static final DutyName HEALTH_CHECK = new DutyName("trial");
 
-    /** Gathers the fleet's status and reports it outside; stored as "keeper". */
+    /** Collects the fleet's status and reports it outside; stored as "keeper". */
     public static final DutyName STATUS_REPORTER = new DutyName("keeper");
 
-    /** Plans how much goes from where to where. */
+    /** Plans how many requests each site sends to each location. */
     public static final DutyName PLANNER = new DutyName("planner");
 
-    /** Leads rollouts; stored as "conductor". */
+    /** Drives rollouts; stored as "conductor". */
     public static final DutyName ROLLOUT_CONTROLLER = new DutyName("conductor");
 
     @Override
--- a/src/main/java/lupinwood/cluster/FencingToken.java
+++ b/src/main/java/lupinwood/cluster/FencingToken.java
@@ -1,8 +1,8 @@
 package lupinwood.cluster;
 
 /**
- * Comes with each duty given, and only grows: whatever an act reaches refuses a lower one than it
- * has seen.
+ * Granted with each duty lease, and always increasing. The receiver of an action rejects a token
+ * lower than the highest it has seen, which fences off a former lease holder.
  */
 public record FencingToken(long number) implements Comparable<FencingToken> {
     @Override
--- a/src/main/java/lupinwood/cluster/Incarnation.java
+++ b/src/main/java/lupinwood/cluster/Incarnation.java
@@ -1,7 +1,8 @@
 package lupinwood.cluster;
 
 /**
- * One start of a node: drawn anew each time, so that two processes under one name are told apart.
+ * One process lifetime of a node. The number is drawn anew at each start, so that two processes
+ * under one name can be told apart.
  */
 public record Incarnation(long number) {
     @Override
--- a/src/main/java/lupinwood/cluster/Lease.java
+++ b/src/main/java/lupinwood/cluster/Lease.java
@@ -1,4 +1,4 @@
 package lupinwood.cluster;
 
-/** A duty with the token under which it is, or was, one node's. */
+/** A duty, and the fencing token under which one node holds or held it. */
 public record Lease(DutyName duty, FencingToken token) {}
--- a/src/main/java/lupinwood/cluster/NodeCondition.java
+++ b/src/main/java/lupinwood/cluster/NodeCondition.java
@@ -1,6 +1,6 @@
 package lupinwood.cluster;
 
-/** How a node finds itself; GONE is the last that it says. */
+/** The condition that a node reports of itself; GONE is in its last heartbeat. */
 public enum NodeCondition {
     COLD,
     WARM,
--- a/src/main/java/lupinwood/cluster/NodeName.java
+++ b/src/main/java/lupinwood/cluster/NodeName.java
@@ -1,6 +1,6 @@
 package lupinwood.cluster;
 
-/** What a node is called, the same after a restart. */
+/** The name of a node, the same after a restart. */
 public record NodeName(String text) implements Comparable<NodeName> {
     @Override
     public int compareTo(NodeName other) {
--- a/src/main/java/lupinwood/cluster/NodeStatus.java
+++ b/src/main/java/lupinwood/cluster/NodeStatus.java
@@ -1,15 +1,15 @@
 package lupinwood.cluster;
 
-/** What the fleet knows of a node. */
+/** The status of a node as the leader sees it. */
 public enum NodeStatus {
-    /** Heard lately, and not yet warm. */
+    /** Heard recently, and not yet warm. */
     UP,
-    /** Heard lately, and warm. */
+    /** Heard recently, and warm. */
     WARM,
-    /** Heard lately, and on its way out. */
+    /** Heard recently, and shutting down. */
     LEAVING,
-    /** It said that it went, or an operator said so. */
+    /** Left the cluster: it reported so. */
     OUT,
-    /** Not heard lately: it may be dead, stopped, or cut off. */
+    /** Not heard recently: it may be dead, paused or cut off by the network. */
     UNKNOWN
 }
--- a/src/main/java/lupinwood/cluster/NodeView.java
+++ b/src/main/java/lupinwood/cluster/NodeView.java
@@ -3,10 +3,10 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * One node in the fleet's picture.
+ * One node as the leader sees it.
  *
- * @param heard how long ago it was heard; null where this leader never heard it
- * @param report null where it told none
+ * @param heard time since the last heartbeat; null where this leader got none from this incarnation
+ * @param report null where the node sent none
  */
 public record NodeView(
         NodeName name,
--- a/src/main/java/lupinwood/cluster/Site.java
+++ b/src/main/java/lupinwood/cluster/Site.java
@@ -1,6 +1,6 @@
 package lupinwood.cluster;
 
-/** Where a node stands. */
+/** Where a node runs. */
 public record Site(String region, String zone) {
     @Override
     public String toString() {
