--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -4,56 +4,59 @@
 import lupinwood.admission.MonotonicTime;
 
 /**
- * What this node may have at places below, by the plan that it heard of last and while its lease
- * lasts, counted as {@link HeldLeases} counts duties: from before it asked, on a clock that may run
- * slow. After that, and before the first word, only what is its by standing right. Plans never go
- * back within one life, so an older word that comes late changes nothing.
+ * How many concurrent requests this node may send to each location: by the newest capacity plan
+ * that it received, while the lease on it lasts, and otherwise only its base slots. The lease is
+ * counted as {@link HeldLeases} counts duties: from before the heartbeat was sent, on a clock that
+ * may run slow. Plan numbers never decrease within one incarnation, so a delayed reply with an
+ * older plan changes nothing.
  */
 public final class CapacityLease {
-    private final Map<String, Integer> alone;
-    private long number;
+    private final Map<String, Integer> baseSlots;
+    private long planNumber;
     private Map<String, Integer> slots = Map.of();
-    private MonotonicTime until = new MonotonicTime(Long.MIN_VALUE);
+    private MonotonicTime expiresAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
-     * @param alone what it may have at a place by standing right
+     * @param baseSlots concurrent requests that it may send to each location without a plan
      */
-    public CapacityLease(Map<String, Integer> alone) {
-        this.alone = Map.copyOf(alone);
+    public CapacityLease(Map<String, Integer> baseSlots) {
+        this.baseSlots = Map.copyOf(baseSlots);
     }
 
     /**
-     * Takes in what the leader grants by the named plan.
+     * Applies what the leader grants under a plan.
      *
-     * @param ends when the lease that this word gives ends by this node's clock
+     * @param plan the number of the plan; zero for none
+     * @param newSlots the node's concurrent requests for each location
+     * @param newExpiresAt when the lease given by this reply ends on this node's clock
      */
-    public void update(long plan, Map<String, Integer> may, MonotonicTime ends) {
-        if (plan < number || plan == 0) {
+    public void update(long plan, Map<String, Integer> newSlots, MonotonicTime newExpiresAt) {
+        if (plan < planNumber || plan == 0) {
             return;
         }
-        if (plan > number) {
-            number = plan;
-            slots = Map.copyOf(may);
-            until = ends;
-        } else if (until.isBefore(ends)) {
-            until = ends;
+        if (plan > planNumber) {
+            planNumber = plan;
+            slots = Map.copyOf(newSlots);
+            expiresAt = newExpiresAt;
+        } else if (expiresAt.isBefore(newExpiresAt)) {
+            expiresAt = newExpiresAt;
         }
     }
 
-    /** The newest plan heard of; nothing older is gone by any more. */
+    /** The number of the newest plan received; this node no longer follows an older one. */
     public long plan() {
-        return number;
+        return planNumber;
     }
 
-    /** How many requests at once it may have there now. */
-    public int may(String place, MonotonicTime now) {
-        int standing = alone.getOrDefault(place, 0);
-        return now.isBefore(until) ? Math.max(standing, slots.getOrDefault(place, 0)) : standing;
+    /** How many concurrent requests the node may send to the location now. */
+    public int may(String location, MonotonicTime now) {
+        int base = baseSlots.getOrDefault(location, 0);
+        return now.isBefore(expiresAt) ? Math.max(base, slots.getOrDefault(location, 0)) : base;
     }
 
-    /** Until when it may go by {@link #slots}. */
+    /** When the lease on {@link #slots} ends. */
     public MonotonicTime until() {
-        return until;
+        return expiresAt;
     }
 
     public Map<String, Integer> slots() {
--- a/src/main/java/lupinwood/cluster/CapacityPlan.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlan.java
@@ -7,73 +7,84 @@
 import java.util.TreeMap;
 
 /**
- * How many requests at once each node may have at each place below. A site's slots at a place are
- * parted evenly among its nodes, and what is left over goes one each to some of them, other ones at
- * each place. A node that isn't in the roster has nothing by it, also if it stands in one of its
- * zones: it came later and wasn't counted.
+ * How many concurrent requests each node may send to each location. A site's slots at a location
+ * are divided evenly among its nodes; the remainder goes one slot each to some of them, chosen
+ * differently for each location. A node that isn't in the roster has no slots, even in a site that
+ * has some: it joined after the plan was made and wasn't counted.
  *
- * @param number counts up; a node goes by the highest that it heard of
- * @param roster all nodes that the plan counts, with their sites at that time, in the order of
- *     their names
- * @param slots of all nodes of a site together, at a place; a place that isn't named may have none
+ * @param number increases with each plan; a node follows the highest that it received
+ * @param roster all nodes that the plan counts, with their sites at that time, ordered by name
+ * @param slots concurrent requests of all nodes of a site together, by site and location; a site
+ *     gets no slots at a location that isn't named
  */
 public record CapacityPlan(
         long number, Map<String, String> roster, Map<String, Map<String, Integer>> slots) {
     public CapacityPlan {
-        roster = new TreeMap<>(roster); // its order parts what is left over, so it must be the same
-        // everywhere
+        // The order decides which nodes get the remainder, so it must be the same on all replicas.
+        roster = new TreeMap<>(roster);
     }
 
-    /** What a node may have, by place. */
+    /** A node's slots, by location. */
     public Map<String, Integer> of(NodeName node) {
         String site = roster.get(node.text());
-        Map<String, Integer> own = new TreeMap<>();
+        Map<String, Integer> nodeSlots = new TreeMap<>();
         if (site != null) {
             int[] rank = ranks().get(node.text());
             slots.getOrDefault(site, Map.of())
-                    .forEach((place, all) -> own.put(place, part(all, rank, place)));
+                    .forEach(
+                            (location, siteSlots) ->
+                                    nodeSlots.put(location, divide(siteSlots, rank, location)));
         }
-        return own;
+        return nodeSlots;
     }
 
-    private static int part(int all, int[] rank, String place) {
-        int turned = Math.floorMod(rank[0] + place.hashCode(), rank[1]);
-        return all / rank[1] + (turned < all % rank[1] ? 1 : 0);
+    /**
+     * A node's part of its site's slots. The location's hash rotates which nodes get one slot of
+     * the remainder.
+     *
+     * @param rank the node's index within its site, and the number of nodes there
+     */
+    private static int divide(int siteSlots, int[] rank, String location) {
+        int rotated = Math.floorMod(rank[0] + location.hashCode(), rank[1]);
+        return siteSlots / rank[1] + (rotated < siteSlots % rank[1] ? 1 : 0);
     }
 
-    /** Each node's place among those of its site, and how many these are. */
+    /** Each node's index among the nodes of its site, and how many nodes the site has. */
     private Map<String, int[]> ranks() {
-        Map<String, Integer> counts = new TreeMap<>();
-        roster.values().forEach(site -> counts.merge(site, 1, Integer::sum));
-        Map<String, Integer> next = new TreeMap<>();
+        Map<String, Integer> nodesBySite = new TreeMap<>();
+        roster.values().forEach(site -> nodesBySite.merge(site, 1, Integer::sum));
+        Map<String, Integer> rankedBySite = new TreeMap<>();
         Map<String, int[]> ranks = new TreeMap<>();
         roster.forEach(
                 (node, site) ->
                         ranks.put(
                                 node,
                                 new int[] {
-                                    next.merge(site, 1, Integer::sum) - 1, counts.get(site)
+                                    rankedBySite.merge(site, 1, Integer::sum) - 1,
+                                    nodesBySite.get(site)
                                 }));
         return ranks;
     }
 
     /**
-     * A place that might be sent more than it can bear, or null. To be called with all plans that
-     * any node may still go by.
+     * A location that could get more concurrent requests than its capacity, or null. Must be called
+     * with all plans that any node may still follow.
      *
-     * @param alone what a node of a site may have at a place without any plan
+     * @param capacities the concurrent requests that each location can take; one without a capacity
+     *     counts as overfull
+     * @param baseSlots by site and location, what a node may send without any plan
      */
     public static String overfull(
             List<CapacityPlan> plans,
-            Map<String, Integer> bears,
-            Map<String, Map<String, Integer>> alone) {
+            Map<String, Integer> capacities,
+            Map<String, Map<String, Integer>> baseSlots) {
         Set<String> nodes = new HashSet<>();
-        Map<String, Map<String, Integer>> most = new TreeMap<>();
+        Map<String, Map<String, Integer>> maxSlotsByNode = new TreeMap<>();
         for (CapacityPlan plan : plans) {
-            for (Map<String, Integer> slots : plan.slots().values()) {
-                for (String place : slots.keySet()) {
-                    if (!bears.containsKey(place)) {
-                        return place; // nobody says what it can bear
+            for (Map<String, Integer> siteSlots : plan.slots().values()) {
+                for (String location : siteSlots.keySet()) {
+                    if (!capacities.containsKey(location)) {
+                        return location; // its capacity is unknown
                     }
                 }
             }
@@ -82,35 +93,45 @@
                     .forEach(
                             (node, site) -> {
                                 nodes.add(node);
-                                Map<String, Integer> own =
-                                        most.computeIfAbsent(node, none -> new TreeMap<>());
+                                Map<String, Integer> maxSlots =
+                                        maxSlotsByNode.computeIfAbsent(
+                                                node, key -> new TreeMap<>());
                                 plan.slots()
                                         .getOrDefault(site, Map.of())
                                         .forEach(
-                                                (place, all) ->
-                                                        own.merge(
-                                                                place,
-                                                                part(all, ranks.get(node), place),
+                                                (location, siteSlots) ->
+                                                        maxSlots.merge(
+                                                                location,
+                                                                divide(
+                                                                        siteSlots,
+                                                                        ranks.get(node),
+                                                                        location),
                                                                 Math::max));
-                                alone.getOrDefault(site, Map.of())
-                                        .forEach((place, may) -> own.merge(place, may, Math::max));
+                                baseSlots
+                                        .getOrDefault(site, Map.of())
+                                        .forEach(
+                                                (location, base) ->
+                                                        maxSlots.merge(location, base, Math::max));
                             });
         }
-        Map<String, Integer> sums = new TreeMap<>();
+        Map<String, Integer> totals = new TreeMap<>();
         nodes.forEach(
                 node ->
-                        most.get(node)
-                                .forEach((place, may) -> sums.merge(place, may, Integer::sum)));
-        return sums.entrySet().stream()
-                .filter(one -> one.getValue() > bears.getOrDefault(one.getKey(), 0))
+                        maxSlotsByNode
+                                .get(node)
+                                .forEach(
+                                        (location, maxSlots) ->
+                                                totals.merge(location, maxSlots, Integer::sum)));
+        return totals.entrySet().stream()
+                .filter(total -> total.getValue() > capacities.getOrDefault(total.getKey(), 0))
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(null);
     }
 
-    CapacityPlan without(NodeName node) {
-        Map<String, String> left = new TreeMap<>(roster);
-        left.remove(node.text());
-        return new CapacityPlan(number, left, slots);
+    CapacityPlan withoutNode(NodeName node) {
+        Map<String, String> remaining = new TreeMap<>(roster);
+        remaining.remove(node.text());
+        return new CapacityPlan(number, remaining, slots);
     }
 }
--- a/src/main/java/lupinwood/cluster/CapacityPlans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -7,77 +7,93 @@
 import java.util.TreeMap;
 
 /**
- * The agreed part of plans. Several may be live: a node that hasn't heard of the newest goes by an
- * older one while its lease lasts. At any moment, whatever each node believes, no place may be sent
- * more than it can bear: so a plan fits only if for each place the sum over all nodes of the most
- * that any live plan, this one included, or their standing right gives them is no more than that.
- * More is given only after what it takes from has been taken back and the older plan is retired.
+ * The capacity plans in the cluster state. Several may be live: a node that hasn't received the
+ * newest follows an older one while its lease lasts. Whichever plan each node follows, no location
+ * may get more concurrent requests than its capacity. So a plan is accepted only if, for each
+ * location, the capacity covers the sum over all nodes of the most that the node gets from any live
+ * plan, the new one included, or from its base slots. A node gets more slots only after the nodes
+ * that lose them have stopped using them and the older plan is retired.
+ *
+ * <p>Part of {@link ClusterState}, and owned by the same thread.
  */
 public final class CapacityPlans {
-    /** As it is kept and sent. */
+    /**
+     * The plans as they are stored and sent.
+     *
+     * @param livePlans ordered by number
+     * @param capacities concurrent requests that each location can take, as of the newest plan
+     * @param baseSlots by site and location, what a node may send without a plan, as of the newest
+     *     plan
+     * @param lastNumber the number of the newest plan
+     */
     public record Snapshot(
-            List<CapacityPlan> live,
-            Map<String, Integer> bears,
-            Map<String, Map<String, Integer>> alone,
-            long last) {}
+            List<CapacityPlan> livePlans,
+            Map<String, Integer> capacities,
+            Map<String, Map<String, Integer>> baseSlots,
+            long lastNumber) {}
 
-    private final List<CapacityPlan> live = new ArrayList<>();
-    private Map<String, Integer> bears = Map.of();
-    private Map<String, Map<String, Integer>> alone = Map.of();
-    private long last;
+    private final List<CapacityPlan> livePlans = new ArrayList<>();
+    private Map<String, Integer> capacities = Map.of();
+    private Map<String, Map<String, Integer>> baseSlots = Map.of();
+    private long lastNumber;
 
-    void open(Snapshot snapshot) {
-        live.clear();
-        if (snapshot != null) { // null in the page of an older version
-            live.addAll(snapshot.live());
-            bears = snapshot.bears();
-            alone = snapshot.alone();
-            last = snapshot.last();
+    void restore(Snapshot snapshot) {
+        livePlans.clear();
+        if (snapshot != null) { // null in the snapshot of an older version
+            livePlans.addAll(snapshot.livePlans());
+            capacities = snapshot.capacities();
+            baseSlots = snapshot.baseSlots();
+            lastNumber = snapshot.lastNumber();
         }
     }
 
     Snapshot snapshot() {
-        return new Snapshot(new ArrayList<>(live), bears, alone, last);
+        return new Snapshot(new ArrayList<>(livePlans), capacities, baseSlots, lastNumber);
     }
 
-    boolean plan(ClusterCommand.SetCapacityPlan command, Collection<ClusterState.Member> members) {
-        if (command.after() != last) {
+    /**
+     * Adds a plan for the current members; false where the command was decided on another plan than
+     * the newest, or a location could get more than its capacity.
+     */
+    boolean add(ClusterCommand.SetCapacityPlan command, Collection<ClusterState.Member> members) {
+        if (command.after() != lastNumber) {
             return false;
         }
         Map<String, String> roster = new TreeMap<>();
         members.forEach(member -> roster.put(member.name().text(), member.site().toString()));
-        CapacityPlan plan = new CapacityPlan(last + 1, roster, command.slots());
-        List<CapacityPlan> all = new ArrayList<>(live);
-        all.add(plan);
-        if (CapacityPlan.overfull(all, command.bears(), command.alone()) != null) {
+        CapacityPlan plan = new CapacityPlan(lastNumber + 1, roster, command.slots());
+        List<CapacityPlan> candidates = new ArrayList<>(livePlans);
+        candidates.add(plan);
+        if (CapacityPlan.overfull(candidates, command.bears(), command.alone()) != null) {
             return false;
         }
-        last++;
-        live.add(plan);
-        bears = command.bears();
-        alone = command.alone();
+        lastNumber++;
+        livePlans.add(plan);
+        capacities = command.bears();
+        baseSlots = command.alone();
         return true;
     }
 
-    /** No node goes by an older one any more. */
-    boolean retire(long beforePlan) {
-        return beforePlan <= last && live.removeIf(plan -> plan.number() < beforePlan);
+    /** Drops all plans under this number, which no node follows any more. */
+    boolean retireBefore(long beforePlan) {
+        return beforePlan <= lastNumber && livePlans.removeIf(plan -> plan.number() < beforePlan);
     }
 
-    void forget(NodeName node) {
-        live.replaceAll(plan -> plan.without(node));
+    void removeNode(NodeName node) {
+        livePlans.replaceAll(plan -> plan.withoutNode(node));
     }
 
-    /** The newest; null before the first. */
+    /** The newest plan; null before the first. */
     CapacityPlan newest() {
-        return live.isEmpty() ? null : live.get(live.size() - 1);
+        return livePlans.isEmpty() ? null : livePlans.get(livePlans.size() - 1);
     }
 
+    /** Ordered by number. */
     List<CapacityPlan> live() {
-        return live;
+        return livePlans;
     }
 
-    long last() {
-        return last;
+    long lastNumber() {
+        return lastNumber;
     }
 }
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -10,15 +10,16 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * A node's standing talk with the consensus group: whom to tell, when again, and what was said. It
- * follows the word of who leads; where nothing answers it goes round the voters, after pauses that
- * double and differ from node to node, so that hundreds that were cut off don't come back as one.
+ * A node's session with the consensus group: which voter gets the next heartbeat and when, and what
+ * the replies said. It follows replies that name the leader. While no voter replies it tries them
+ * in turn, with a jittered exponential backoff, so that hundreds of nodes that were cut off don't
+ * reconnect at the same time.
  */
 public final class ClusterSession {
-    /** A heartbeat to be sent. */
+    /** A heartbeat to be sent, and the voter that gets it. */
     public record Sent(NodeName to, Heartbeat heartbeat) {}
 
-    private static final double LONGEST_PAUSE = 4; // heartbeats
+    private static final double MAX_BACKOFF_FACTOR = 4; // of the heartbeat interval
 
     private final LeaseTiming timing;
     private final NodeName name;
@@ -27,23 +28,25 @@
     private final Random random;
     private final HeldLeases heldLeases;
     private List<NodeName> voters;
-    private NodeName to;
-    private long number;
-    private MonotonicTime next;
+    private NodeName currentVoter;
+    private long heartbeatNumber;
+    private MonotonicTime nextHeartbeatAt;
 
-    /** Null while no heartbeat is without its reply. */
-    private MonotonicTime awaitsSince;
+    /** When the last heartbeat was sent; null once its reply came. */
+    private MonotonicTime awaitingReplySince;
 
-    private int silences;
-    private MonotonicTime latestWord;
-    private HeartbeatReply latest;
+    /** Heartbeats without effect in a row: unanswered, or answered by a voter that doesn't lead. */
+    private int failedAttempts;
+
+    private MonotonicTime latestReplyAt;
+    private HeartbeatReply latestReply;
     private final Map<DutyName, Lease> releasing = new TreeMap<>();
     private final Map<DutyName, Lease> failsAt = new TreeMap<>();
-    private List<String> leftOut = List.of();
+    private List<String> ejectedServers = List.of();
     private NodeReport report;
     private final CapacityLease capacityLease = new CapacityLease(Map.of());
-    private final Map<String, HealthCheckResult> found = new LinkedHashMap<>();
-    private final Map<String, MonotonicTime> foundAt = new LinkedHashMap<>();
+    private final Map<String, HealthCheckResult> healthChecks = new LinkedHashMap<>();
+    private final Map<String, MonotonicTime> checkedAt = new LinkedHashMap<>();
 
     public ClusterSession(
             LeaseTiming timing,
@@ -59,198 +62,219 @@
         this.site = site;
         random = new Random(seed);
         heldLeases = new HeldLeases(timing);
-        follow(voters);
-        // Spread from the start: a fleet may be started at once.
-        next = now.plus(timing.heartbeatInterval().times(random.nextDouble()));
+        setVoters(voters);
+        // Random from the start, because a whole fleet may be started at once.
+        nextHeartbeatAt = now.plus(timing.heartbeatInterval().times(random.nextDouble()));
     }
 
-    /** The voters are these from now on. */
-    public void follow(List<NodeName> named) {
-        voters = List.copyOf(named);
-        to = voters.get(random.nextInt(voters.size()));
+    /** Replaces the voters, and picks one at random for the next heartbeat. */
+    public void setVoters(List<NodeName> newVoters) {
+        voters = List.copyOf(newVoters);
+        currentVoter = voters.get(random.nextInt(voters.size()));
     }
 
-    /** When {@link #heartbeat} has something to do next. */
+    /** When the next heartbeat is due. */
     public MonotonicTime due() {
-        return next;
+        return nextHeartbeatAt;
     }
 
-    /** The heartbeat that is due now, or null. */
+    /** The heartbeat that is due now; null where none is. */
     public Sent heartbeat(NodeCondition condition, MonotonicTime now) {
-        if (now.isBefore(next)) {
+        if (now.isBefore(nextHeartbeatAt)) {
             return null;
         }
-        if (awaitsSince != null) {
-            to = voters.get((voters.indexOf(to) + 1 + voters.size()) % voters.size());
-            silences++;
+        if (awaitingReplySince != null) {
+            currentVoter =
+                    voters.get((voters.indexOf(currentVoter) + 1 + voters.size()) % voters.size());
+            failedAttempts++;
         }
-        number++;
-        heldLeases.asks(number, now);
-        awaitsSince = now;
-        next = now.plus(pause(condition, now));
-        List<HealthCheckResult> aged = new ArrayList<>();
-        found.forEach((server, one) -> aged.add(one.aged(now.since(foundAt.get(server)))));
+        heartbeatNumber++;
+        heldLeases.asks(heartbeatNumber, now);
+        awaitingReplySince = now;
+        nextHeartbeatAt = now.plus(jitteredInterval(condition, now));
+        List<HealthCheckResult> agedChecks = new ArrayList<>();
+        healthChecks.forEach(
+                (server, check) -> agedChecks.add(check.agedBy(now.since(checkedAt.get(server)))));
         return new Sent(
-                to,
+                currentVoter,
                 new Heartbeat(
                                 Heartbeat.VERSION,
                                 name,
                                 incarnation,
                                 site,
                                 condition,
-                                number,
+                                heartbeatNumber,
                                 heldLeases.holds(now),
                                 List.copyOf(releasing.values()),
                                 List.copyOf(failsAt.values()),
-                                leftOut,
-                                aged,
+                                ejectedServers,
+                                agedChecks,
                                 report)
                         .cut());
     }
 
-    /** The last heartbeat of this life, with all duties handed on. */
+    /** The last heartbeat of this incarnation; to be called after all duties were released. */
     public Sent last(MonotonicTime now) {
-        next = now;
+        nextHeartbeatAt = now;
         return heartbeat(NodeCondition.GONE, now);
     }
 
-    private NanoDuration pause(NodeCondition condition, MonotonicTime now) {
+    private NanoDuration jitteredInterval(NodeCondition condition, MonotonicTime now) {
         boolean urgent =
                 !heldLeases.holds(now).isEmpty()
                         || !releasing.isEmpty()
                         || condition == NodeCondition.LEAVING;
-        NanoDuration usual = urgent ? timing.holderHeartbeatInterval() : timing.heartbeatInterval();
-        // The first round through the voters is quick; then the pauses double.
+        NanoDuration base = urgent ? timing.holderHeartbeatInterval() : timing.heartbeatInterval();
+        // The first round through the voters keeps the interval; then it doubles with each failure.
         double factor =
-                silences <= voters.size() ? 1 : Math.pow(2, Math.min(10, silences - voters.size()));
-        return usual.times(Math.min(factor, LONGEST_PAUSE) * (0.8 + 0.4 * random.nextDouble()));
+                failedAttempts <= voters.size()
+                        ? 1
+                        : Math.pow(2, Math.min(10, failedAttempts - voters.size()));
+        return base.times(Math.min(factor, MAX_BACKOFF_FACTOR) * (0.8 + 0.4 * random.nextDouble()));
     }
 
-    /** A reply came. */
+    /** Handles a reply to a heartbeat. */
     public void heard(HeartbeatReply reply, MonotonicTime now) {
-        if (reply.number() > number) {
-            return; // of another life
+        if (reply.number() > heartbeatNumber) {
+            return; // to another incarnation
         }
-        if (reply.number() == number) {
-            awaitsSince = null;
+        if (reply.number() == heartbeatNumber) {
+            awaitingReplySince = null;
         }
         if (!reply.taken()) {
-            redirected(reply, now);
+            redirect(reply, now);
             return;
         }
-        silences = 0;
-        latestWord = now;
-        latest = reply;
-        MonotonicTime requested = heldLeases.requestSent(reply.number());
-        if (reply.share() != null && requested != null) {
+        failedAttempts = 0;
+        latestReplyAt = now;
+        latestReply = reply;
+        MonotonicTime sentAt = heldLeases.heartbeatSentAt(reply.number());
+        if (reply.share() != null && sentAt != null) {
             capacityLease.update(
                     reply.share().plan(),
                     reply.share().slots(),
-                    requested.plus(
-                            timing.holderLease().min(reply.lease().times(1 - timing.drift()))));
+                    sentAt.plus(
+                            timing.holderLease()
+                                    .min(reply.lease().times(1 - timing.driftRatio()))));
         }
         heldLeases.onReply(reply, now);
         releasing
                 .values()
-                .removeIf(lease -> reply.number() == number && !reply.leases().contains(lease));
+                .removeIf(
+                        lease ->
+                                reply.number() == heartbeatNumber
+                                        && !reply.leases().contains(lease));
         failsAt.values()
-                .removeIf(lease -> reply.number() == number && !reply.leases().contains(lease));
-        foundAt.entrySet()
-                .removeIf(one -> timing.lease().times(4).compareTo(now.since(one.getValue())) < 0);
-        found.keySet().retainAll(foundAt.keySet());
+                .removeIf(
+                        lease ->
+                                reply.number() == heartbeatNumber
+                                        && !reply.leases().contains(lease));
+        checkedAt
+                .entrySet()
+                .removeIf(
+                        check ->
+                                timing.lease().times(4).compareTo(now.since(check.getValue())) < 0);
+        healthChecks.keySet().retainAll(checkedAt.keySet());
     }
 
-    private void redirected(HeartbeatReply reply, MonotonicTime now) {
-        if (reply.number() != number) {
+    /** Switches to the leader that the reply names, or else to the next voter. */
+    private void redirect(HeartbeatReply reply, MonotonicTime now) {
+        if (reply.number() != heartbeatNumber) {
             return;
         }
-        boolean known =
+        boolean namesOtherVoter =
                 reply.leader() != null
                         && voters.contains(reply.leader())
-                        && !reply.leader().equals(to);
-        to = known ? reply.leader() : voters.get((voters.indexOf(to) + 1) % voters.size());
-        silences++;
-        // A hint is followed soon, though not at once: two voters that name each other would be a
-        // storm.
-        MonotonicTime soon =
+                        && !reply.leader().equals(currentVoter);
+        currentVoter =
+                namesOtherVoter
+                        ? reply.leader()
+                        : voters.get((voters.indexOf(currentVoter) + 1) % voters.size());
+        failedAttempts++;
+        // A redirect is followed soon, but not at once: two voters that name each other as leader
+        // would otherwise cause a storm of heartbeats.
+        MonotonicTime retryAt =
                 now.plus(
                         timing.holderHeartbeatInterval()
-                                .times(known && silences < 4 ? 0.1 : 0.5 + random.nextDouble()));
-        next = soon.isBefore(next) ? soon : next;
+                                .times(
+                                        namesOtherVoter && failedAttempts < 4
+                                                ? 0.1
+                                                : 0.5 + random.nextDouble()));
+        nextHeartbeatAt = retryAt.isBefore(nextHeartbeatAt) ? retryAt : nextHeartbeatAt;
     }
 
-    /** What this node may have at places below by plans; standing rights are not in it. */
+    /** What this node may send to each location by the capacity plan, without base slots. */
     public CapacityLease allotment() {
         return capacityLease;
     }
 
-    /** Which duties are this node's. */
+    /** The duties that this node holds. */
     public HeldLeases holding() {
         return heldLeases;
     }
 
     /**
-     * The duty is no longer done here; the consensus group hears of it with the next heartbeat,
-     * which is due at once.
+     * Stops performing a duty, so that another node can get it. The consensus group learns of it
+     * with the next heartbeat, which is then due at once.
      */
-    public void handOn(DutyName duty, MonotonicTime now) {
-        Lease lease = heldLeases.giveUp(duty);
+    public void release(DutyName duty, MonotonicTime now) {
+        Lease lease = heldLeases.release(duty);
         if (lease != null) {
             releasing.put(duty, lease);
-            next = now;
+            nextHeartbeatAt = now;
         }
     }
 
-    /** The same, since the duty can't be done here. */
+    /** Like {@link #release}, because this node can't perform the duty. */
     public void failAt(DutyName duty, MonotonicTime now) {
-        Lease lease = heldLeases.giveUp(duty);
+        Lease lease = heldLeases.release(duty);
         if (lease != null) {
             failsAt.put(duty, lease);
-            next = now;
+            nextHeartbeatAt = now;
         }
     }
 
-    /** All duties are handed on. */
+    /** Releases all duties that this node holds. */
     public void handOnAll(MonotonicTime now) {
-        heldLeases.holds(now).forEach(lease -> handOn(lease.duty(), now));
+        heldLeases.holds(now).forEach(lease -> release(lease.duty(), now));
     }
 
     public void leavesOut(List<String> servers) {
-        leftOut = List.copyOf(servers);
+        ejectedServers = List.copyOf(servers);
     }
 
-    /** What this node runs and how that does, as it is told with each heartbeat from now on. */
-    public void reports(NodeReport reported) {
-        report = reported;
+    /** Sets the report that is sent with each heartbeat from now on. */
+    public void reports(NodeReport newReport) {
+        report = newReport;
     }
 
-    /** What a try under the duty trial came to. */
+    /** Records the result of a health check made under the duty's token. */
     public void found(String server, boolean well, FencingToken token, MonotonicTime now) {
-        found.put(server, new HealthCheckResult(server, well, token, NanoDuration.ZERO));
-        foundAt.put(server, now);
-        next = next.isBefore(now) ? next : now;
+        healthChecks.put(server, new HealthCheckResult(server, well, token, NanoDuration.ZERO));
+        checkedAt.put(server, now);
+        nextHeartbeatAt = nextHeartbeatAt.isBefore(now) ? nextHeartbeatAt : now;
     }
 
     /**
-     * Whether the consensus group's word is fresh enough to go by; else this node does as it would
-     * alone.
+     * Whether a recent reply accepts this node as a member; otherwise the node decides as it would
+     * without a cluster.
      */
     public boolean isInTouch(MonotonicTime now) {
-        return latestWord != null
-                && now.since(latestWord).compareTo(timing.lease()) <= 0
-                && latest.trouble().isEmpty();
+        return latestReplyAt != null
+                && now.since(latestReplyAt).compareTo(timing.lease()) <= 0
+                && latestReply.trouble().isEmpty();
     }
 
-    /** The latest word of who leads, or null before there was any. */
+    /** The latest reply of a leader; null before the first. */
     public HeartbeatReply latest() {
-        return latest;
+        return latestReply;
     }
 
     public MonotonicTime latestWord() {
-        return latestWord;
+        return latestReplyAt;
     }
 
     public NodeName talksTo() {
-        return to;
+        return currentVoter;
     }
 }
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -8,50 +8,46 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state: what the consensus group has agreed on. The same commands in the same order
- * give the same state on every replica, so it knows no time and no chance: whether a lease has run
- * out is reckoned by the {@link LeaseManager} of who leads.
+ * The state machine that the consensus group replicates. The same commands in the same order give
+ * the same state on every replica, so it uses neither a clock nor random numbers: the {@link
+ * LeaseManager} of the leader decides whether a lease has expired.
  *
- * <p>Each concern has a class of its own; this one hands each command to its concern and joins them
- * where one binds another.
+ * <p>Each concern has a class of its own; this one passes each command to its concern, and checks
+ * the conditions that span several.
  *
  * <p>Not thread-safe: owned by the task loop of the replica.
  */
 public final class ClusterState {
-    /**
-     * A node that came.
-     *
-     * @param in whether it has come and not gone
-     */
+    /** A node that joined; {@code in} tells whether it has not left since. */
     public record Member(NodeName name, Incarnation incarnation, Site site, boolean in) {}
 
     /**
-     * A duty.
+     * A duty and its lease.
      *
-     * @param holder null while it is nobody's
-     * @param incarnation of the holder
-     * @param token the one it was last given under
+     * @param holder null while there is none
+     * @param incarnation of the holder; null while there is none
+     * @param token the one with which the lease was last granted
      */
     public record DutyLease(
             DutyName duty, NodeName holder, Incarnation incarnation, FencingToken token) {
-        /** Whether it is nobody's. */
+        /** Whether it has no holder. */
         public boolean isFree() {
             return holder == null;
         }
 
         /** Whether this node holds it in this incarnation. */
-        public boolean isBy(NodeName name, Incarnation ofNode) {
-            return holder != null && holder.equals(name) && incarnation.equals(ofNode);
+        public boolean isHeldBy(NodeName name, Incarnation nodeIncarnation) {
+            return holder != null && holder.equals(name) && incarnation.equals(nodeIncarnation);
         }
     }
 
-    /** An operator's order that was carried out, with what it came to. */
-    public record CompletedOrder(String order, String text) {}
+    /** A completed operator order and its result. */
+    public record CompletedOrder(String order, String result) {}
 
-    /** What operators did, and what followed; the time is the wall clock of who led. */
+    /** A text on what an operator did or what followed; the time is the leader's wall clock. */
     public record HistoryEntry(long atMillis, String text) {}
 
-    /** The whole state, as it is stored and sent. */
+    /** The whole state as it is stored and sent. */
     public record Snapshot(
             List<Member> members,
             List<DutyLease> duties,
@@ -68,40 +64,36 @@
             CapacityPlans.Snapshot plans) {}
 
     private final MemberRegistry members;
-    private final DutyLeases leases = new DutyLeases();
+    private final DutyLeases dutyLeases = new DutyLeases();
     private final DisruptionPermits permits = new DisruptionPermits();
     private final Rollouts rollouts = new Rollouts();
-    private final CapacityPlans plans = new CapacityPlans();
+    private final CapacityPlans capacityPlans = new CapacityPlans();
     private final TreeMap<String, Cordon> cordons = new TreeMap<>();
-    private final OperatorLog log = new OperatorLog();
+    private final OperatorLog operatorLog = new OperatorLog();
     private final CommandHandler handler = new CommandHandler();
 
-    /** Who halted; empty while nothing is. */
+    /** Who ordered the halt; empty while nothing is halted. */
     private String haltedBy = "";
 
     private String digest = "";
     private long commands;
 
-    /**
-     * An empty state.
-     *
-     * @param maxMembers nodes that it takes; a further one stands outside
-     */
+    /** Creates an empty state; beyond {@code maxMembers} members no further node can join. */
     public ClusterState(int maxMembers) {
         members = new MemberRegistry(maxMembers);
     }
 
-    /** Takes over a whole snapshot in the place of all it had. */
+    /** Replaces the whole state by a snapshot. */
     public void open(Snapshot snapshot) {
-        members.open(snapshot.members());
-        leases.open(snapshot.duties(), snapshot.lastToken());
+        members.restore(snapshot.members());
+        dutyLeases.restore(snapshot.duties(), snapshot.lastToken());
         digest = snapshot.digest();
         commands = snapshot.commands();
-        permits.open(snapshot.permits(), snapshot.lastPermit());
+        permits.restore(snapshot.permits(), snapshot.lastPermit());
         haltedBy = snapshot.haltedBy();
-        log.open(snapshot.done(), snapshot.history());
-        rollouts.open(snapshot.rollouts());
-        plans.open(snapshot.plans());
+        operatorLog.restore(snapshot.done(), snapshot.history());
+        rollouts.restore(snapshot.rollouts());
+        capacityPlans.restore(snapshot.plans());
         cordons.clear();
         if (snapshot.cordons() != null) { // null in the snapshot of an older version
             snapshot.cordons().forEach(cordon -> cordons.put(cordon.server(), cordon));
@@ -112,33 +104,33 @@
     public Snapshot snapshot() {
         return new Snapshot(
                 new ArrayList<>(members.all()),
-                new ArrayList<>(leases.all()),
-                leases.lastToken(),
+                new ArrayList<>(dutyLeases.all()),
+                dutyLeases.lastToken(),
                 digest,
                 commands,
                 new ArrayList<>(permits.all()),
                 permits.lastNumber(),
                 haltedBy,
-                log.orders(),
-                log.history(),
+                operatorLog.orders(),
+                operatorLog.history(),
                 rollouts.snapshot(),
                 new ArrayList<>(cordons.values()),
-                plans.snapshot());
+                capacityPlans.snapshot());
     }
 
-    /** Whether the command fitted and was done; one that no longer fits changes nothing. */
+    /** Applies a command; false, with no change made, where its conditions no longer hold. */
     public boolean apply(ClusterCommand command) {
         commands++;
         return command.applyTo(handler);
     }
 
     /**
-     * Carries out one command; an order that was carried out before is done, and changes nothing.
+     * Applies commands; an operator order that was completed before is accepted without a change.
      */
     private final class CommandHandler implements ClusterCommand.Handler {
         @Override
         public boolean bootstrap(ClusterCommand.Bootstrap command) {
-            return leases.bootstrap(command);
+            return dutyLeases.bootstrap(command);
         }
 
         @Override
@@ -153,27 +145,27 @@
 
         @Override
         public boolean removeNode(ClusterCommand.RemoveNode command) {
-            if (leases.isHolder(command.name()) || !members.remove(command.name())) {
+            if (dutyLeases.isHolder(command.name()) || !members.remove(command.name())) {
                 return false;
             }
             permits.removeAllOf(command.name());
-            plans.forget(command.name());
+            capacityPlans.removeNode(command.name());
             return true;
         }
 
         @Override
         public boolean grantLease(ClusterCommand.GrantLease command) {
-            return leases.grant(command, members.member(command.heir()));
+            return dutyLeases.grant(command, members.member(command.heir()));
         }
 
         @Override
         public boolean releaseLease(ClusterCommand.ReleaseLease command) {
-            return leases.release(command);
+            return dutyLeases.release(command);
         }
 
         @Override
         public boolean recordStatus(ClusterCommand.RecordStatus command) {
-            if (!leases.isUnder(DutyName.STATUS_REPORTER, command.token())) {
+            if (!dutyLeases.isHeldUnder(DutyName.STATUS_REPORTER, command.token())) {
                 return false;
             }
             digest = command.digest();
@@ -182,23 +174,23 @@
 
         @Override
         public boolean grantPermit(ClusterCommand.GrantPermit command) {
-            if (log.isCompleted(command.order())) {
+            if (operatorLog.isCompleted(command.order())) {
                 return true;
             }
             ClusterState.Member member = members.member(command.node());
             if (!haltedBy.isEmpty()
                     || member == null
-                    || permits.isFor(command.node())
+                    || permits.hasPermit(command.node())
                     || permits.isFull()
                     || !budget(command.limits(), command.unavailableNodes())
-                            .against(command.node())
+                            .reasonAgainst(command.node())
                             .isEmpty()) {
                 return false;
             }
             DisruptionPermit permit = permits.grant(member, command.by());
             String name = "permit " + permit.number();
-            log.complete(command.order(), name + " for " + permit.node());
-            log.write(
+            operatorLog.complete(command.order(), name + " for " + permit.node());
+            operatorLog.addHistory(
                     command.atMillis(),
                     command.by() + " let " + permit.node() + " go under " + name);
             return true;
@@ -211,34 +203,34 @@
                 return false;
             }
             String name = "permit " + command.permit() + " of " + permit.node();
-            log.write(command.atMillis(), name + " ended: " + command.why());
+            operatorLog.addHistory(command.atMillis(), name + " ended: " + command.why());
             return true;
         }
 
         @Override
         public boolean setHalt(ClusterCommand.SetHalt command) {
-            if (!log.isCompleted(command.order())) {
+            if (!operatorLog.isCompleted(command.order())) {
                 haltedBy = command.halted() ? command.by() : "";
                 String result = command.halted() ? "halted" : "resumed";
-                log.complete(command.order(), result);
-                log.write(command.atMillis(), command.by() + " " + result);
+                operatorLog.complete(command.order(), result);
+                operatorLog.addHistory(command.atMillis(), command.by() + " " + result);
             }
             return true;
         }
 
         @Override
         public boolean beginRollout(ClusterCommand.BeginRollout command) {
-            if (log.isCompleted(command.order())) {
+            if (operatorLog.isCompleted(command.order())) {
                 return true;
             }
             if (!haltedBy.isEmpty() || !cordons.isEmpty() || !rollouts.begin(command)) {
                 return false;
             }
             Rollout rollout = rollouts.rollout();
-            log.complete(command.order(), rollout + " of " + command.to());
+            operatorLog.complete(command.order(), rollout + " of " + command.to());
             String what =
                     command.kind() == Rollout.Kind.PROGRAM ? "the program " : "the configuration ";
-            log.write(
+            operatorLog.addHistory(
                     command.atMillis(),
                     command.by() + " began " + rollout + " of " + what + command.to());
             return true;
@@ -246,93 +238,99 @@
 
         @Override
         public boolean advanceRollout(ClusterCommand.AdvanceRollout command) {
-            if (!leases.isUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
+            if (!dutyLeases.isHeldUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
                     || !haltedBy.isEmpty()
-                    || !rollouts.step(command)) {
+                    || !rollouts.advance(command)) {
                 return false;
             }
-            log.write(command.atMillis(), rollouts.rollout() + describe(command));
+            operatorLog.addHistory(command.atMillis(), rollouts.rollout() + describeWave(command));
             return true;
         }
 
-        private static String describe(ClusterCommand.AdvanceRollout command) {
+        private static String describeWave(ClusterCommand.AdvanceRollout command) {
             int count = command.nodes().size();
-            String way = command.back() ? " taken back from " : " given to ";
+            String direction = command.back() ? " taken back from " : " given to ";
             String first = command.nodes().get(0) + (count == 1 ? "" : " first");
             String nodes = count + (count == 1 ? " node, " : " nodes, ");
-            return way + nodes + first + OperatorLog.because(command.why());
+            return direction + nodes + first + OperatorLog.reasonSuffix(command.why());
         }
 
-        /** Nothing may hold up the way back: it ends a halt, whoever halted. */
+        /** Ends a halt, whoever ordered it: nothing may delay a rollback. */
         @Override
         public boolean rollBack(ClusterCommand.RollBack command) {
-            if (log.isCompleted(command.order())) {
+            if (operatorLog.isCompleted(command.order())) {
                 return true;
             }
-            if (!rollouts.turn(command.rollout())) {
+            if (!rollouts.rollBack(command.rollout())) {
                 return false;
             }
             haltedBy = "";
-            log.complete(command.order(), rollouts.rollout() + " turns back");
-            log.write(command.atMillis(), command.by() + " turned " + rollouts.rollout() + " back");
+            operatorLog.complete(command.order(), rollouts.rollout() + " turns back");
+            operatorLog.addHistory(
+                    command.atMillis(), command.by() + " turned " + rollouts.rollout() + " back");
             return true;
         }
 
         @Override
         public boolean finishRollout(ClusterCommand.FinishRollout command) {
             Rollout rollout = rollouts.rollout();
-            if (!leases.isUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
+            if (!dutyLeases.isHeldUnder(DutyName.ROLLOUT_CONTROLLER, command.token())
                     || !rollouts.finish(command)) {
                 return false;
             }
             String result =
                     command.done() ? " is done" : " has ended, nodes run what they ran before";
-            log.write(command.atMillis(), rollout + result + OperatorLog.because(command.why()));
+            operatorLog.addHistory(
+                    command.atMillis(), rollout + result + OperatorLog.reasonSuffix(command.why()));
             return true;
         }
 
         @Override
         public boolean cordonServer(ClusterCommand.CordonServer command) {
-            if (log.isCompleted(command.order())) {
+            if (operatorLog.isCompleted(command.order())) {
                 return true;
             }
             if (!reasonAgainstCordon(command.server(), command.most()).isEmpty()) {
                 return false;
             }
             cordons.put(command.server(), new Cordon(command.server(), command.by()));
-            log.complete(command.order(), command.server() + " rests");
-            log.write(command.atMillis(), command.by() + " let " + command.server() + " rest");
+            operatorLog.complete(command.order(), command.server() + " rests");
+            operatorLog.addHistory(
+                    command.atMillis(), command.by() + " let " + command.server() + " rest");
             return true;
         }
 
         @Override
         public boolean uncordonServer(ClusterCommand.UncordonServer command) {
-            if (log.isCompleted(command.order())) {
+            if (operatorLog.isCompleted(command.order())) {
                 return true;
             }
             if (cordons.remove(command.server()) == null) {
                 return false;
             }
-            log.complete(command.order(), command.server() + " is back");
-            log.write(command.atMillis(), command.by() + " took " + command.server() + " back");
+            operatorLog.complete(command.order(), command.server() + " is back");
+            operatorLog.addHistory(
+                    command.atMillis(), command.by() + " took " + command.server() + " back");
             return true;
         }
 
         @Override
         public boolean setCapacityPlan(ClusterCommand.SetCapacityPlan command) {
-            if (!leases.isUnder(DutyName.PLANNER, command.token())
-                    || !plans.plan(command, members.all())) {
+            if (!dutyLeases.isHeldUnder(DutyName.PLANNER, command.token())
+                    || !capacityPlans.add(command, members.all())) {
                 return false;
             }
             if (!command.why().isEmpty()) {
-                log.write(command.atMillis(), "plan " + plans.last() + ": " + command.why());
+                operatorLog.addHistory(
+                        command.atMillis(),
+                        "plan " + capacityPlans.lastNumber() + ": " + command.why());
             }
             return true;
         }
 
         @Override
         public boolean retireCapacityPlans(ClusterCommand.RetireCapacityPlans command) {
-            return plans.retire(command.beforePlan());
+            return capacityPlans.retireBefore(command.beforePlan());
         }
     }
 
@@ -340,18 +338,18 @@
         return new DisruptionBudget(limits, members.all(), permits.all(), unavailable);
     }
 
-    /** Why a rollout may not begin now; empty where it may. */
+    /** Why a rollout must not begin now; empty where it may. */
     public String reasonAgainstRollout(Rollout.Kind kind, String to, String text) {
         if (!haltedBy.isEmpty()) {
             return haltedBy + " halted";
         }
         return !cordons.isEmpty()
-                ? cordons.firstKey() + " rests; it has to be back first"
-                : rollouts.against(kind, to, text);
+                ? cordons.firstKey() + " is cordoned and must be uncordoned first"
+                : rollouts.reasonAgainst(kind, to, text);
     }
 
     /**
-     * Why a server may not be cordoned now; empty where it may.
+     * Why a server must not be cordoned now; empty where it may.
      *
      * @param most servers that may be cordoned at once
      */
@@ -361,40 +359,40 @@
         }
         Rollout rollout = rollouts.rollout();
         if (rollout != null) {
-            return rollout + " by " + rollout.by() + " is open; it has to end first";
+            return rollout + " by " + rollout.by() + " is in progress and must end first";
         }
         if (cordons.containsKey(server)) {
-            return server + " rests already";
+            return server + " is already cordoned";
         }
         return cordons.size() >= most
-                ? cordons.keySet() + " rest, and no more than " + most + " may"
+                ? cordons.keySet() + " are cordoned, and at most " + most + " may be"
                 : "";
     }
 
-    /** Why a node may not go now; empty where it may. */
+    /** Why a node must not get a permit now; empty where it may. */
     public String against(
             NodeName node, DisruptionLimits limits, Collection<NodeName> unavailable) {
         if (!haltedBy.isEmpty()) {
             return haltedBy + " halted";
         }
-        return permits.isFor(node)
-                ? node + " has a permit already"
-                : budget(limits, unavailable).against(node);
+        return permits.hasPermit(node)
+                ? node + " already has a permit"
+                : budget(limits, unavailable).reasonAgainst(node);
     }
 
-    /** The newest plan; null before the first. */
+    /** The newest capacity plan; null before the first. */
     public CapacityPlan plan() {
-        return plans.newest();
+        return capacityPlans.newest();
     }
 
-    /** All plans that some node may still go by, the oldest first. */
+    /** All capacity plans that some node may still follow, the oldest first. */
     public List<CapacityPlan> livePlans() {
-        return Collections.unmodifiableList(plans.live());
+        return Collections.unmodifiableList(capacityPlans.live());
     }
 
-    /** The number of the newest plan. */
+    /** The number of the newest capacity plan. */
     public long lastPlan() {
-        return plans.last();
+        return capacityPlans.lastNumber();
     }
 
     /** The cordoned servers. */
@@ -402,96 +400,96 @@
         return Collections.unmodifiableCollection(cordons.values());
     }
 
-    /** The rollout that is open; null while none is. */
+    /** The rollout in progress; null while there is none. */
     public Rollout rollout() {
         return rollouts.rollout();
     }
 
-    /** The digest of the text that all run while no rollout is open; empty for none. */
+    /** The digest of the shared configuration that nodes run outside a rollout; empty for none. */
     public String good() {
-        return rollouts.good();
+        return rollouts.goodDigest();
     }
 
-    /** What each node answered over a watch before the open rollout, by its name. */
+    /** What each node answered while it was observed before the present rollout, by its name. */
     public Map<String, RequestCounts> past() {
-        return rollouts.past();
+        return rollouts.baselineCounts();
     }
 
     /** What a node is to run. */
     public HeartbeatReply.Wanted wanted(NodeName node) {
         return new HeartbeatReply.Wanted(
-                rollouts.wanted(node),
-                rollouts.toCheck(),
+                rollouts.wantedDigest(node),
+                rollouts.digestToCheck(),
                 rollouts.rollout() != null,
                 List.copyOf(cordons.keySet()));
     }
 
-    /** The program that a node is to be started with; empty for whatever there is. */
+    /** The program version that a node is to be started with; empty where any will do. */
     public String wantedProgram(NodeName node) {
         return rollouts.wantedProgram(node);
     }
 
-    /** The shared configuration of that digest; null where it isn't stored. */
+    /** The shared configuration of a digest; null where it isn't stored. */
     public String text(String digest) {
         return rollouts.text(digest);
     }
 
-    /** What an order that was carried out came to; null for one that wasn't. */
+    /** The result of a completed order; null for any other. */
     public String answer(String order) {
-        return log.result(order);
+        return operatorLog.result(order);
     }
 
-    /** The permits that count. */
+    /** The permits in force. */
     public Collection<DisruptionPermit> permits() {
         return permits.all();
     }
 
-    /** Who halted; empty while nothing is. */
+    /** Who ordered the halt; empty while nothing is halted. */
     public String haltedBy() {
         return haltedBy;
     }
 
-    /** What operators did, and what followed; the oldest first. */
+    /** What operators did and what followed, the oldest first. */
     public List<HistoryEntry> history() {
-        return log.history();
+        return operatorLog.history();
     }
 
-    /** Whether the first token is known; before, no duty is given. */
-    public boolean isFounded() {
-        return leases.isBootstrapped();
+    /** Whether the state was initialized; before that, no lease is granted. */
+    public boolean isBootstrapped() {
+        return dutyLeases.isBootstrapped();
     }
 
-    /** Whether no further node may come. */
+    /** Whether no further node can join. */
     public boolean isFull() {
         return members.isFull();
     }
 
-    /** Null where no such node came. */
+    /** Null where no node of this name joined. */
     public Member member(NodeName name) {
         return members.member(name);
     }
 
-    /** All nodes that came, in the order of their names. */
+    /** All nodes that joined, including those that left, ordered by name. */
     public Collection<Member> members() {
         return members.all();
     }
 
-    /** Never null: one that was never given is nobody's under token 0. */
+    /** Never null: a duty that was never granted is free, under token 0. */
     public DutyLease duty(DutyName duty) {
-        return leases.duty(duty);
+        return dutyLeases.duty(duty);
     }
 
-    /** All duties that were ever given. */
+    /** All duties that were ever granted. */
     public Collection<DutyLease> duties() {
-        return leases.all();
+        return dutyLeases.all();
     }
 
-    /** What the status reporter last gathered. */
+    /** What the status reporter last collected. */
     public String digest() {
         return digest;
     }
 
-    /** How many commands were read, those that didn't fit included. */
+    /** How many commands were read, including rejected ones. */
     public long commands() {
         return commands;
     }
--- a/src/main/java/lupinwood/cluster/DisruptionBudget.java
+++ b/src/main/java/lupinwood/cluster/DisruptionBudget.java
@@ -4,13 +4,13 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Who is out, whatever the reason, and whether one more may go. */
+/** Counts the unavailable nodes, for whatever reason, and decides whether one more may be. */
 final class DisruptionBudget {
     private final DisruptionLimits limits;
     private final Collection<ClusterState.Member> members;
 
-    /** By permits, and by what was seen: not in, unknown, cold or leaving. */
-    private final Set<NodeName> out;
+    /** Nodes that have a permit, have left, or are not seen to be warm by the leader. */
+    private final Set<NodeName> unavailable;
 
     DisruptionBudget(
             DisruptionLimits limits,
@@ -19,72 +19,78 @@
             Collection<NodeName> unavailableNodes) {
         this.limits = limits;
         this.members = members;
-        out = new HashSet<>(unavailableNodes);
-        permits.forEach(permit -> out.add(permit.node()));
-        members.stream().filter(member -> !member.in()).forEach(member -> out.add(member.name()));
+        unavailable = new HashSet<>(unavailableNodes);
+        permits.forEach(permit -> unavailable.add(permit.node()));
+        members.stream()
+                .filter(member -> !member.in())
+                .forEach(member -> unavailable.add(member.name()));
     }
 
-    int count() {
-        return (int) members.stream().filter(member -> out.contains(member.name())).count();
+    int unavailableCount() {
+        return (int) members.stream().filter(member -> unavailable.contains(member.name())).count();
     }
 
     /**
-     * Why this node may not go now; empty where it may. One that isn't known to be well may not: a
-     * new leader has heard nobody yet, and all would be out already by what it sees.
+     * Why this node must not stop now; empty where it may. A node that isn't known to be healthy
+     * must not: a new leader has heard no node yet, so by its view all would already be
+     * unavailable.
      */
-    String against(NodeName node) {
+    String reasonAgainst(NodeName node) {
         ClusterState.Member member =
-                members.stream().filter(one -> one.name().equals(node)).findFirst().orElse(null);
+                members.stream().filter(peer -> peer.name().equals(node)).findFirst().orElse(null);
         if (member == null) {
             return "there is no node " + node;
         }
-        if (out.contains(node)) {
-            return node + " is out already, or not known to be well";
+        if (unavailable.contains(node)) {
+            return node + " is already unavailable, or not known to be healthy";
         }
-        int all = members.size();
-        int gone = count() + 1;
-        if (gone > limits.mostOf(all)) {
+        int total = members.size();
+        int unavailableAfter = unavailableCount() + 1;
+        if (unavailableAfter > limits.mostOf(total)) {
             return "of "
-                    + all
+                    + total
                     + " nodes "
-                    + (gone - 1)
-                    + " are out, and no more than "
-                    + limits.mostOf(all)
+                    + (unavailableAfter - 1)
+                    + " are unavailable, and at most "
+                    + limits.mostOf(total)
                     + " may be";
         }
-        if (all - gone < limits.leastIn()) {
-            return "fewer than " + limits.leastIn() + " nodes would stay in";
+        if (total - unavailableAfter < limits.leastIn()) {
+            return "fewer than " + limits.leastIn() + " nodes would remain available";
         }
         // Null in a command of an older version.
         if (limits.voters() != null && limits.voters().contains(node)) {
-            int without = 1 + (int) limits.voters().stream().filter(out::contains).count();
-            if (without * 2 >= limits.voters().size()) {
+            int votersAfter =
+                    1 + (int) limits.voters().stream().filter(unavailable::contains).count();
+            if (votersAfter * 2 >= limits.voters().size()) {
                 return "of "
                         + limits.voters().size()
                         + " voters "
-                        + (without - 1)
-                        + " are out, and a majority has to stay";
+                        + (votersAfter - 1)
+                        + " are unavailable, and a majority must remain available";
             }
         }
-        int inZone = (int) members.stream().filter(one -> one.site().equals(member.site())).count();
-        int outOfZone =
+        int zoneTotal =
+                (int) members.stream().filter(peer -> peer.site().equals(member.site())).count();
+        int zoneAfter =
                 1
                         + (int)
                                 members.stream()
                                         .filter(
-                                                one ->
-                                                        one.site().equals(member.site())
-                                                                && out.contains(one.name()))
+                                                peer ->
+                                                        peer.site().equals(member.site())
+                                                                && unavailable.contains(
+                                                                        peer.name()))
                                         .count();
-        if (outOfZone > limits.mostOfZone(inZone)) {
+        if (zoneAfter > limits.mostOfZone(zoneTotal)) {
             return "of "
-                    + inZone
+                    + zoneTotal
                     + " nodes in "
                     + member.site()
                     + " "
-                    + (outOfZone - 1)
-                    + " are out, and no more than "
-                    + limits.mostOfZone(inZone)
+                    + (zoneAfter - 1)
+                    + " are unavailable, and at most "
+                    + limits.mostOfZone(zoneTotal)
                     + " may be";
         }
         return "";
--- a/src/main/java/lupinwood/cluster/DisruptionPermits.java
+++ b/src/main/java/lupinwood/cluster/DisruptionPermits.java
@@ -6,8 +6,8 @@
 import lupinwood.cluster.ClusterState.Member;
 
 /**
- * The permits under which nodes may be out. Part of {@link ClusterState}, and owned by the same
- * thread.
+ * The permits under which nodes may be unavailable. Part of {@link ClusterState}, and owned by the
+ * same thread.
  */
 final class DisruptionPermits {
     private static final int MAX_PERMITS = 1024;
@@ -15,21 +15,21 @@
     private final TreeMap<Long, DisruptionPermit> permits = new TreeMap<>();
     private long lastNumber;
 
-    void open(Collection<DisruptionPermit> all, long last) {
+    void restore(Collection<DisruptionPermit> stored, long storedLastNumber) {
         permits.clear();
-        all.forEach(permit -> permits.put(permit.number(), permit));
-        lastNumber = last;
+        stored.forEach(permit -> permits.put(permit.number(), permit));
+        lastNumber = storedLastNumber;
     }
 
     boolean isFull() {
         return permits.size() >= MAX_PERMITS;
     }
 
-    boolean isFor(NodeName node) {
+    boolean hasPermit(NodeName node) {
         return permits.values().stream().anyMatch(permit -> permit.node().equals(node));
     }
 
-    /** A new permit, under the next number. */
+    /** Adds a permit under the next number. */
     DisruptionPermit grant(Member member, String by) {
         DisruptionPermit permit =
                 new DisruptionPermit(
@@ -38,7 +38,7 @@
         return permit;
     }
 
-    /** Null where there is no such permit. */
+    /** Removes a permit and returns it; null where there is none of this number. */
     DisruptionPermit remove(long number) {
         return permits.remove(number);
     }
@@ -47,7 +47,7 @@
         permits.values().removeIf(permit -> permit.node().equals(node));
     }
 
-    /** In the order in which they were given. */
+    /** Ordered by number, and so by when they were granted. */
     Collection<DisruptionPermit> all() {
         return Collections.unmodifiableCollection(permits.values());
     }
--- a/src/main/java/lupinwood/cluster/DutyLeases.java
+++ b/src/main/java/lupinwood/cluster/DutyLeases.java
@@ -7,8 +7,9 @@
 import lupinwood.cluster.ClusterState.Member;
 
 /**
- * Who holds which duty, and under which fencing token. Tokens only grow, over all duties, and begin
- * above those of an older state. Part of {@link ClusterState}, and owned by the same thread.
+ * Which node holds which duty, under which fencing token. Tokens increase over all duties together,
+ * and start above those of a lost older state. Part of {@link ClusterState}, and owned by the same
+ * thread.
  */
 final class DutyLeases {
     private static final int MAX_DUTIES = 64;
@@ -16,13 +17,13 @@
     private final TreeMap<DutyName, DutyLease> duties = new TreeMap<>();
     private long lastToken;
 
-    void open(Collection<DutyLease> all, long token) {
+    void restore(Collection<DutyLease> stored, long storedLastToken) {
         duties.clear();
-        all.forEach(lease -> duties.put(lease.duty(), lease));
-        lastToken = token;
+        stored.forEach(lease -> duties.put(lease.duty(), lease));
+        lastToken = storedLastToken;
     }
 
-    /** Sets where tokens begin; fits once. */
+    /** Sets where tokens start; accepted only once. */
     boolean bootstrap(ClusterCommand.Bootstrap command) {
         if (isBootstrapped()) {
             return false;
@@ -31,23 +32,23 @@
         return true;
     }
 
-    /** Whether the first token is known; before, no duty is given. */
+    /** Whether it is known where tokens start; before that, no lease is granted. */
     boolean isBootstrapped() {
         return lastToken > 0;
     }
 
     /**
-     * Gives a duty that is nobody's to a node that is in.
+     * Grants the lease of a free duty to a node that is in the cluster.
      *
-     * @param heir null where no such node came
+     * @param heir the member of the name in the command; null where there is none
      */
     boolean grant(ClusterCommand.GrantLease command, Member heir) {
         DutyLease lease = duties.get(command.duty());
-        boolean fits =
+        boolean isAvailable =
                 lease == null
                         ? command.after().number() == 0 && duties.size() < MAX_DUTIES
                         : lease.isFree() && lease.token().equals(command.after());
-        if (!fits
+        if (!isAvailable
                 || heir == null
                 || !heir.in()
                 || !heir.incarnation().equals(command.incarnation())) {
@@ -63,7 +64,7 @@
         return true;
     }
 
-    /** Fits only under the token that the duty was given under last. */
+    /** Accepted only under the token with which the lease was last granted. */
     boolean release(ClusterCommand.ReleaseLease command) {
         DutyLease lease = duties.get(command.duty());
         if (lease == null || lease.isFree() || !lease.token().equals(command.token())) {
@@ -74,7 +75,7 @@
     }
 
     /** Whether the duty is held under this token. */
-    boolean isUnder(DutyName duty, FencingToken token) {
+    boolean isHeldUnder(DutyName duty, FencingToken token) {
         DutyLease lease = duties.get(duty);
         return lease != null && !lease.isFree() && lease.token().equals(token);
     }
@@ -83,13 +84,13 @@
         return duties.values().stream().anyMatch(lease -> node.equals(lease.holder()));
     }
 
-    /** Never null: a duty that was never given is nobody's under token 0. */
+    /** Never null: a duty that was never granted is free, under token 0. */
     DutyLease duty(DutyName duty) {
         DutyLease lease = duties.get(duty);
         return lease == null ? new DutyLease(duty, null, null, new FencingToken(0)) : lease;
     }
 
-    /** In the order of their names. */
+    /** Ordered by the name of the duty. */
     Collection<DutyLease> all() {
         return Collections.unmodifiableCollection(duties.values());
     }
--- a/src/main/java/lupinwood/cluster/HealthCheckResult.java
+++ b/src/main/java/lupinwood/cluster/HealthCheckResult.java
@@ -3,14 +3,15 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What the holder of the duty trial found at a server that others may have left out.
+ * What the holder of the health check duty found at a server that other nodes may have ejected.
  *
- * @param server as the operator's file names it
- * @param token under which it was tried
- * @param age how long ago, when it was told
+ * @param server its name in the operator's configuration
+ * @param well whether the check passed
+ * @param token the one under which the check was made
+ * @param age time from the check until this message was sent
  */
 public record HealthCheckResult(String server, boolean well, FencingToken token, NanoDuration age) {
-    HealthCheckResult aged(NanoDuration more) {
-        return new HealthCheckResult(server, well, token, age.plus(more));
+    HealthCheckResult agedBy(NanoDuration elapsed) {
+        return new HealthCheckResult(server, well, token, age.plus(elapsed));
     }
 }
--- a/src/main/java/lupinwood/cluster/Heartbeat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a node tells the consensus group, again and again.
+ * What a node periodically reports to the consensus group.
  *
- * @param version of this form; a consensus group passes over what it can't read
- * @param number counts up within one life; the reply names it
- * @param holds what it holds for certain now
- * @param releasing what it held, and does no more
- * @param failsAt what it can't do
- * @param leftOut servers that it has left out
- * @param found what it tried under the duty trial
- * @param report null of an older version
+ * @param version of this message format; the consensus group rejects a version that it can't read
+ * @param number increases within one incarnation; the reply repeats it
+ * @param holds leases that it certainly holds now
+ * @param releasing leases that it held and no longer acts under
+ * @param failsAt leases of duties that it can't perform
+ * @param leftOut servers that it has ejected
+ * @param found health checks that it made as the holder of that duty
+ * @param report null from a node of an older version
  */
 public record Heartbeat(
         int version,
@@ -30,12 +30,12 @@
     public static final int VERSION = 1;
 
     /**
-     * What one node may name of each, so many servers at the least; a longer list is cut, which
-     * costs only that node.
+     * The length up to which each list of a heartbeat is read, and so the most servers that one
+     * node can name. A longer list is truncated, at the cost of that node only.
      */
-    public static final int MOST = 1024;
+    public static final int MAX_LIST_LENGTH = 1024;
 
-    /** Without what would be too much, or is missing in an older form. */
+    /** A copy without list entries past the bound, and with an empty list for each missing one. */
     public Heartbeat cut() {
         return new Heartbeat(
                 version,
@@ -44,17 +44,19 @@
                 site,
                 condition,
                 number,
-                cut(holds),
-                cut(releasing),
-                cut(failsAt),
-                cut(leftOut),
-                cut(found),
-                report == null ? null : report.cut());
+                truncate(holds),
+                truncate(releasing),
+                truncate(failsAt),
+                truncate(leftOut),
+                truncate(found),
+                report == null ? null : report.truncated());
     }
 
-    private static <T> List<T> cut(List<T> list) {
+    private static <T> List<T> truncate(List<T> list) {
         return list == null
                 ? List.of()
-                : list.size() <= MOST ? list : List.copyOf(list.subList(0, MOST));
+                : list.size() <= MAX_LIST_LENGTH
+                        ? list
+                        : List.copyOf(list.subList(0, MAX_LIST_LENGTH));
     }
 }
--- a/src/main/java/lupinwood/cluster/HeartbeatReply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -5,20 +5,20 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What the consensus group says to a heartbeat.
+ * A voter's reply to a heartbeat.
  *
- * @param number the heartbeat's
- * @param taken whether the one who says it leads; else the heartbeat counts for nothing
- * @param leader who leads, as far as the one who says it knows; null where nobody is known to
- * @param trouble why the node stands outside; empty where it doesn't
- * @param lease how long each grant is good, from before the heartbeat was sent
- * @param leases what the node holds; a duty that isn't named isn't its
- * @param found what the holder of the duty trial found lately
- * @param leave the permit under which the node is to go; zero where it is to stay
- * @param wanted what the node is to run; null of an older version
- * @param share what the node may send where, for a lease from before its heartbeat; null without a
- *     plan
- * @param others how many nodes the consensus group heard lately
+ * @param number of the heartbeat
+ * @param taken whether the voter that replies leads; otherwise the heartbeat has no effect
+ * @param leader the leader that this voter knows of; null where it knows none
+ * @param trouble why the node is not accepted as a member; empty where it is
+ * @param lease how long each lease lasts, from before the heartbeat was sent
+ * @param leases what the node holds; it doesn't hold a duty that isn't named
+ * @param found recent results of the holder of the health check duty
+ * @param leave the number of the permit under which the node is to shut down; zero for none
+ * @param wanted what the node is to run; null from a voter of an older version
+ * @param share the node's part of the newest capacity plan, for a lease from before its heartbeat;
+ *     null without a plan
+ * @param others how many nodes the leader heard recently
  */
 public record HeartbeatReply(
         long number,
@@ -33,27 +33,29 @@
         CapacityShare share,
         int others) {
     /**
-     * A node's part of a plan.
+     * A node's part of a capacity plan.
      *
-     * @param slots how many requests at once it may have at a place
+     * @param plan the number of the plan
+     * @param slots how many concurrent requests the node may send, by location
      */
     public record CapacityShare(long plan, Map<String, Integer> slots) {}
 
     /**
      * What a node is to run.
      *
-     * @param runs the digest of the fleet's text that it is to go by; empty for none
-     * @param checks the digest of a text that it is to check; empty for none
-     * @param busy whether a release is open, or some node has yet to take what was agreed on
-     * @param cordons servers below to which it is to send nothing new
+     * @param runs the digest of the shared configuration that it is to use; empty for none
+     * @param checks the digest of a shared configuration that it is to check; empty for none
+     * @param busy whether a rollout is in progress, or some node doesn't run yet what it is to run
+     * @param cordons downstream servers to which it is to send no new requests
      */
     public record Wanted(String runs, String checks, boolean busy, List<String> cordons) {
-        Wanted busyOr(boolean also) {
-            return new Wanted(runs, checks, busy || also, cordons);
+        Wanted withBusy(boolean alsoBusy) {
+            return new Wanted(runs, checks, busy || alsoBusy, cordons);
         }
     }
 
-    static HeartbeatReply notTaken(long number, NodeName leader) {
+    /** The reply of a voter that doesn't lead. */
+    static HeartbeatReply notLeading(long number, NodeName leader) {
         return new HeartbeatReply(
                 number,
                 false,
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -9,105 +9,109 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Which duties this node holds, by its own monotonic clock. A grant counts from before the node
- * asked for it, and is shortened by how slow its clock may run: so it ends here before the
- * consensus group may give the duty on, however long a reply was on its way. To be asked before
- * every act, since the process may have been stopped since it last was.
+ * Which duties this node holds, by its own monotonic clock. A lease counts from before the node
+ * sent its heartbeat, and is shortened by how slow the node's clock may run: so it ends here before
+ * the consensus group may grant the duty to another node, however long the reply took. Must be
+ * checked before every action under a duty, because the process may have been paused since the last
+ * check.
  */
 public final class HeldLeases {
-    /** Heartbeats whose reply may still come. */
-    private static final int MAX_REQUESTED = 64;
+    /** Heartbeats for which a reply is still accepted. */
+    private static final int MAX_PENDING_HEARTBEATS = 64;
 
-    private record LeaseExpiry(FencingToken token, MonotonicTime time) {}
+    private record LeaseExpiry(FencingToken token, MonotonicTime expiresAt) {}
 
     private final LeaseTiming timing;
-    private final Map<Long, MonotonicTime> requestedAt = new HashMap<>();
-    private long latest;
+    private final Map<Long, MonotonicTime> heartbeatSentAt = new HashMap<>();
+    private long latestAnswered;
     private final TreeMap<DutyName, LeaseExpiry> leases = new TreeMap<>();
 
-    /** Given back or failed at, and not to be taken again under the same token. */
-    private final Map<DutyName, FencingToken> done = new HashMap<>();
+    /** Tokens of released duties, under which this node must not hold the duty again. */
+    private final Map<DutyName, FencingToken> releasedTokens = new HashMap<>();
 
     public HeldLeases(LeaseTiming timing) {
         this.timing = timing;
     }
 
-    /** A heartbeat is about to go out. */
+    /** Records that a heartbeat is about to be sent. */
     public void asks(long number, MonotonicTime now) {
-        requestedAt.put(number, now);
-        if (requestedAt.size() > MAX_REQUESTED) {
-            requestedAt.keySet().removeIf(old -> old <= number - MAX_REQUESTED);
+        heartbeatSentAt.put(number, now);
+        if (heartbeatSentAt.size() > MAX_PENDING_HEARTBEATS) {
+            heartbeatSentAt.keySet().removeIf(old -> old <= number - MAX_PENDING_HEARTBEATS);
         }
     }
 
     /**
-     * The consensus group's word on what is held; it may come twice to one heartbeat, the second
-     * time with more. One to an older heartbeat than the latest answered, or to one that isn't
-     * known any more, says nothing.
+     * Replaces the held leases by those that a reply names. One heartbeat may get two replies, the
+     * second with more leases. A reply to a heartbeat older than the latest answered one, or to one
+     * that is no longer remembered, is ignored.
      */
     public void onReply(HeartbeatReply reply, MonotonicTime now) {
-        MonotonicTime requested = requestedAt.get(reply.number());
-        if (requested == null || !reply.taken() || reply.number() < latest) {
+        MonotonicTime sentAt = heartbeatSentAt.get(reply.number());
+        if (sentAt == null || !reply.taken() || reply.number() < latestAnswered) {
             return;
         }
-        latest = reply.number();
-        requestedAt.keySet().removeIf(old -> old < latest);
-        // The consensus group's lease counts where it is the shorter one: two files may differ.
-        MonotonicTime until =
-                requested.plus(timing.holderLease().min(reply.lease().times(1 - timing.drift())));
+        latestAnswered = reply.number();
+        heartbeatSentAt.keySet().removeIf(old -> old < latestAnswered);
+        // The shorter lease counts: the node's and the voter's configuration may differ.
+        MonotonicTime expiresAt =
+                sentAt.plus(timing.holderLease().min(reply.lease().times(1 - timing.driftRatio())));
         TreeMap<DutyName, LeaseExpiry> next = new TreeMap<>();
         for (Lease lease : reply.leases()) {
-            LeaseExpiry before = leases.get(lease.duty());
-            boolean newer = before == null || before.token().compareTo(lease.token()) <= 0;
-            boolean over =
-                    done.containsKey(lease.duty())
-                            && done.get(lease.duty()).compareTo(lease.token()) >= 0;
-            if (newer && !over && now.isBefore(until)) {
-                next.put(lease.duty(), new LeaseExpiry(lease.token(), until));
+            LeaseExpiry previous = leases.get(lease.duty());
+            boolean isCurrent = previous == null || previous.token().compareTo(lease.token()) <= 0;
+            boolean wasReleased =
+                    releasedTokens.containsKey(lease.duty())
+                            && releasedTokens.get(lease.duty()).compareTo(lease.token()) >= 0;
+            if (isCurrent && !wasReleased && now.isBefore(expiresAt)) {
+                next.put(lease.duty(), new LeaseExpiry(lease.token(), expiresAt));
             }
         }
         leases.clear();
         leases.putAll(next);
     }
 
-    /** When that heartbeat went out; null where it isn't known any more. */
-    MonotonicTime requestSent(long number) {
-        return requestedAt.get(number);
+    /** When the heartbeat was sent; null where it is no longer remembered. */
+    MonotonicTime heartbeatSentAt(long number) {
+        return heartbeatSentAt.get(number);
     }
 
-    /** The token to act under, or null: then the act must not be done. */
+    /** The token to act under; null where the node must not act. */
     public FencingToken mayAct(DutyName duty, MonotonicTime now) {
-        LeaseExpiry until = leases.get(duty);
-        return until != null && now.isBefore(until.time()) ? until.token() : null;
+        LeaseExpiry lease = leases.get(duty);
+        return lease != null && now.isBefore(lease.expiresAt()) ? lease.token() : null;
     }
 
-    /** How long it may act still; zero where it may not. */
+    /** How long the node may still act; zero where it must not. */
     public NanoDuration left(DutyName duty, MonotonicTime now) {
-        LeaseExpiry until = leases.get(duty);
-        return until == null ? NanoDuration.ZERO : until.time().since(now).max(NanoDuration.ZERO);
+        LeaseExpiry lease = leases.get(duty);
+        return lease == null
+                ? NanoDuration.ZERO
+                : lease.expiresAt().since(now).max(NanoDuration.ZERO);
     }
 
-    /** What is held now. */
+    /** The leases held now. */
     public List<Lease> holds(MonotonicTime now) {
-        List<Lease> holds = new ArrayList<>();
+        List<Lease> held = new ArrayList<>();
         leases.forEach(
-                (duty, until) -> {
-                    if (now.isBefore(until.time())) {
-                        holds.add(new Lease(duty, until.token()));
+                (duty, lease) -> {
+                    if (now.isBefore(lease.expiresAt())) {
+                        held.add(new Lease(duty, lease.token()));
                     }
                 });
-        return holds;
+        return held;
     }
 
     /**
-     * From now on the duty isn't done here under the token it is held by; null where it isn't held.
+     * Stops holding the duty, for good under its present token. Returns the released lease; null
+     * where the duty isn't held.
      */
-    public Lease giveUp(DutyName duty) {
-        LeaseExpiry until = leases.remove(duty);
-        if (until == null) {
+    public Lease release(DutyName duty) {
+        LeaseExpiry lease = leases.remove(duty);
+        if (lease == null) {
             return null;
         }
-        done.put(duty, until.token());
-        return new Lease(duty, until.token());
+        releasedTokens.put(duty, lease.token());
+        return new Lease(duty, lease.token());
     }
 }
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -15,177 +15,191 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Decides for the consensus group while its voter leads: who is known to be well, and who is to
- * hold which duty. What it knows of sessions it alone knows, and learns anew when another voter
- * leads; what must outlive it goes into the cluster state by commands.
+ * Decides for the consensus group while its voter leads: which nodes are healthy, and which node is
+ * to hold which duty. What it learns from heartbeats is not replicated, and a new leader learns it
+ * again; what must outlast the leader goes into the cluster state by commands.
  *
- * <p>A duty is given on only when its holder has said that it stopped, or when it has stopped for
- * certain: so long after the last word to it as its lease and the clocks' drift allow. A new leader
- * can't know when that was, so it counts from when it began to lead.
+ * <p>A duty goes to another node only when its holder has reported that it stopped, or must have
+ * stopped: that is when its lease, lengthened by the clocks' drift, has passed since the last reply
+ * to it. A new leader can't know when that reply was, so it counts from when it began to lead.
  */
 public final class LeaseManager {
-    /** What the leader knows of one node beside the cluster state. */
+    /** What the leader knows of one node in addition to the cluster state. */
     private static final class LatestHeartbeat {
         Heartbeat heartbeat;
-        MonotonicTime at;
+        MonotonicTime receivedAt;
 
-        /** Since when it has been well without a break. */
-        MonotonicTime wellSince;
+        /** Since when it has been warm and heard without a break; null while it is not warm. */
+        MonotonicTime healthySince;
 
-        LatestHeartbeat(Heartbeat heartbeat, MonotonicTime at) {
+        LatestHeartbeat(Heartbeat heartbeat, MonotonicTime receivedAt) {
             this.heartbeat = heartbeat;
-            this.at = at;
+            this.receivedAt = receivedAt;
         }
     }
 
-    /** One life of a node. */
+    /** One process lifetime of a node. */
     private record NodeIncarnation(NodeName name, Incarnation incarnation) {}
 
-    private record Ineligibility(int times, MonotonicTime until) {}
-
-    private static final Comparator<MonotonicTime> EARLIER = Comparator.naturalOrder();
-
     /**
-     * In leases: how long a node that came back has to be well, and how long a permit may lie
-     * unused.
+     * After a failure at a duty.
+     *
+     * @param repeats earlier failures of the node at this duty
+     * @param until when the node may get the duty again
      */
-    private static final double WELL_FOR = 2;
+    private record Ineligibility(int repeats, MonotonicTime until) {}
+
+    private static final Comparator<MonotonicTime> EARLIEST_FIRST = Comparator.naturalOrder();
+
+    /** How long a restarted node must be healthy until its permit ends, in lease durations. */
+    private static final double HEALTHY_LEASES = 2;
 
-    private static final double UNUSED_FOR = 20;
+    /** How long a permit may stay unused, in lease durations. */
+    private static final double UNUSED_PERMIT_LEASES = 20;
 
     private final LeaseTiming timing;
     private final List<DutyName> duties;
-    private final Map<NodeName, LatestHeartbeat> heard = new HashMap<>();
+    private final Map<NodeName, LatestHeartbeat> latestHeartbeats = new HashMap<>();
 
-    /** When a duty's holder has stopped for certain, unless it is told on before. */
-    private final TreeMap<DutyName, MonotonicTime> lapses = new TreeMap<>();
+    /** When a duty's holder must have stopped, unless its lease is renewed before. */
+    private final TreeMap<DutyName, MonotonicTime> leaseExpiries = new TreeMap<>();
 
-    private final Map<DutyName, Map<NodeName, Ineligibility>> shunned = new HashMap<>();
-    private final Map<String, HealthCheckResult> results = new LinkedHashMap<>();
-    private final Map<String, MonotonicTime> foundAt = new HashMap<>();
+    private final Map<DutyName, Map<NodeName, Ineligibility>> ineligibilities = new HashMap<>();
+    private final Map<String, HealthCheckResult> healthChecks = new LinkedHashMap<>();
+    private final Map<String, MonotonicTime> checkedAt = new HashMap<>();
 
     /**
-     * Being taken back: from then on it is granted no more, however long the cluster state takes to
-     * say so.
+     * Leases that end: no reply renews them any more, however long it takes until the command that
+     * ends them is applied.
      */
-    private final Set<Lease> takenBack = new HashSet<>();
+    private final Set<Lease> endingLeases = new HashSet<>();
 
-    /** Since when a node with a permit is seen to be here still. */
-    private final Map<Long, MonotonicTime> permitNoticeSentAt = new HashMap<>();
+    /** Since when a node with a permit has been seen running on, by the permit's number. */
+    private final Map<Long, MonotonicTime> permitUnusedSince = new HashMap<>();
 
-    /** Until when a life may go by which plan, for all that were told. */
+    /** Until when an incarnation may follow each plan that a reply has sent to it. */
     private final Map<NodeIncarnation, TreeMap<Long, MonotonicTime>> plansInUse = new HashMap<>();
 
-    private MonotonicTime leadsSince;
+    /** Null while this voter doesn't lead. */
+    private MonotonicTime leadingSince;
 
-    /** Whether some node runs another text than it is to. */
-    private boolean lags;
+    /** Whether some node runs another configuration than it is to run. */
+    private boolean isSomeNodeOutdated;
 
     public LeaseManager(LeaseTiming timing, List<DutyName> duties) {
         this.timing = timing;
         this.duties = List.copyOf(duties);
     }
 
-    /** This voter leads from now on. */
+    /** Starts to decide, when this voter becomes the leader. */
     public void leads(ClusterState clusterState, MonotonicTime now) {
-        leadsSince = now;
-        heard.clear();
-        lapses.clear();
-        takenBack.clear();
-        permitNoticeSentAt.clear();
+        leadingSince = now;
+        latestHeartbeats.clear();
+        leaseExpiries.clear();
+        endingLeases.clear();
+        permitUnusedSince.clear();
         plansInUse.clear();
-        results.clear();
-        foundAt.clear();
+        healthChecks.clear();
+        checkedAt.clear();
         clusterState.duties().stream()
                 .filter(dutyLease -> !dutyLease.isFree())
                 .forEach(
-                        dutyLease -> lapses.put(dutyLease.duty(), now.plus(timing.expiresAfter())));
+                        dutyLease ->
+                                leaseExpiries.put(
+                                        dutyLease.duty(), now.plus(timing.expiresAfter())));
     }
 
-    /** It leads no more; what it decided before may or may not be in the cluster state. */
+    /**
+     * Stops deciding, when this voter is no longer the leader. Commands that it decided before may
+     * still be applied, or be lost.
+     */
     public void leadsNoMore() {
-        leadsSince = null;
+        leadingSince = null;
     }
 
     public boolean isLeading() {
-        return leadsSince != null;
+        return leadingSince != null;
     }
 
     /**
-     * A heartbeat came.
+     * Handles a heartbeat.
      *
-     * @return why the node stands outside, or an empty text
+     * @return why the node is not accepted as a member, or an empty text
      */
     public String heard(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         if (heartbeat.version() != Heartbeat.VERSION) {
-            return "it speaks form "
+            return "heartbeat version "
                     + heartbeat.version()
-                    + ", this council form "
+                    + " is not supported, expected version "
                     + Heartbeat.VERSION;
         }
-        LatestHeartbeat before = heard.get(heartbeat.name());
+        LatestHeartbeat previous = latestHeartbeats.get(heartbeat.name());
         ClusterState.Member member = clusterState.member(heartbeat.name());
-        boolean another =
+        boolean isAnotherIncarnation =
                 member != null
                         && member.in()
                         && !member.incarnation().equals(heartbeat.incarnation());
-        if (another
-                && before != null
-                && before.heartbeat.incarnation().equals(member.incarnation())
-                && isFresh(before, now)) {
-            // Guards against two processes under one name: the one that is there stays, until it is
-            // silent.
+        if (isAnotherIncarnation
+                && previous != null
+                && previous.heartbeat.incarnation().equals(member.incarnation())
+                && isFresh(previous, now)) {
+            // Guards against two processes under one name: the member stays until it is silent.
             return "the name " + heartbeat.name() + " is in use by another process";
         }
         if (member == null && clusterState.isFull()) {
-            return "the book holds no more than " + clusterState.members().size() + " nodes";
+            return "the cluster is full, it holds at most "
+                    + clusterState.members().size()
+                    + " nodes";
         }
-        if (before != null && before.heartbeat.incarnation().equals(heartbeat.incarnation())) {
-            if (heartbeat.number() < before.heartbeat.number()) {
-                return ""; // it was overtaken
+        if (previous != null && previous.heartbeat.incarnation().equals(heartbeat.incarnation())) {
+            if (heartbeat.number() < previous.heartbeat.number()) {
+                return ""; // a newer heartbeat overtook it
             }
-            boolean wasWell =
-                    before.heartbeat.condition() == NodeCondition.WARM && isFresh(before, now);
-            before.heartbeat = heartbeat;
-            before.at = now;
-            before.wellSince =
+            boolean wasHealthy =
+                    previous.heartbeat.condition() == NodeCondition.WARM && isFresh(previous, now);
+            previous.heartbeat = heartbeat;
+            previous.receivedAt = now;
+            previous.healthySince =
                     heartbeat.condition() != NodeCondition.WARM
                             ? null
-                            : wasWell ? before.wellSince : now;
+                            : wasHealthy ? previous.healthySince : now;
         } else {
             LatestHeartbeat first = new LatestHeartbeat(heartbeat, now);
-            first.wellSince = heartbeat.condition() == NodeCondition.WARM ? now : null;
-            heard.put(heartbeat.name(), first);
+            first.healthySince = heartbeat.condition() == NodeCondition.WARM ? now : null;
+            latestHeartbeats.put(heartbeat.name(), first);
         }
-        found(heartbeat, clusterState, now);
+        recordHealthChecks(heartbeat, clusterState, now);
         return "";
     }
 
-    /** Findings count under the token of today's holder only, the latest for each server. */
-    private void found(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
-        ClusterState.DutyLease trial = clusterState.duty(DutyName.HEALTH_CHECK);
+    /** Takes results under the present holder's token only, and the latest for each server. */
+    private void recordHealthChecks(
+            Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
+        ClusterState.DutyLease healthCheckDuty = clusterState.duty(DutyName.HEALTH_CHECK);
         for (HealthCheckResult result : heartbeat.found()) {
-            MonotonicTime at = now.minus(result.age());
-            MonotonicTime before = foundAt.get(result.server());
-            if (trial.isBy(heartbeat.name(), heartbeat.incarnation())
-                    && trial.token().equals(result.token())
-                    && (before == null || before.isBefore(at))
-                    && (before != null || foundAt.size() < Heartbeat.MOST)) {
-                results.put(result.server(), result);
-                foundAt.put(result.server(), at);
+            MonotonicTime madeAt = now.minus(result.age());
+            MonotonicTime previous = checkedAt.get(result.server());
+            if (healthCheckDuty.isHeldBy(heartbeat.name(), heartbeat.incarnation())
+                    && healthCheckDuty.token().equals(result.token())
+                    && (previous == null || previous.isBefore(madeAt))
+                    && (previous != null || checkedAt.size() < Heartbeat.MAX_LIST_LENGTH)) {
+                healthChecks.put(result.server(), result);
+                checkedAt.put(result.server(), madeAt);
             }
         }
-        foundAt.values().removeIf(at -> timing.lease().times(4).compareTo(now.since(at)) < 0);
-        results.keySet().retainAll(foundAt.keySet());
+        checkedAt.values().removeIf(time -> timing.lease().times(4).compareTo(now.since(time)) < 0);
+        healthChecks.keySet().retainAll(checkedAt.keySet());
     }
 
-    private boolean isFresh(LatestHeartbeat one, MonotonicTime now) {
-        return now.since(one.at).compareTo(timing.silent()) <= 0;
+    private boolean isFresh(LatestHeartbeat latest, MonotonicTime now) {
+        return now.since(latest.receivedAt).compareTo(timing.silenceTimeout()) <= 0;
     }
 
     /**
-     * What is to be written into the cluster state now. Said again until it is there, so a lost
-     * command does no harm.
+     * The commands that are to be applied to the cluster state now. Each is repeated until its
+     * effect is there, so a lost command does no harm.
+     *
+     * @param tokensAbove fencing tokens start above it in a new cluster state
      */
     public List<ClusterCommand> decide(
             ClusterState clusterState, long tokensAbove, MonotonicTime now) {
@@ -193,29 +207,29 @@
         if (!isLeading()) {
             return commands;
         }
-        if (!clusterState.isFounded()) {
+        if (!clusterState.isBootstrapped()) {
             commands.add(new ClusterCommand.Bootstrap(tokensAbove));
             return commands;
         }
-        roster(clusterState, now, commands);
-        lags =
-                heard.values().stream()
+        updateMembers(clusterState, now, commands);
+        isSomeNodeOutdated =
+                latestHeartbeats.values().stream()
                         .anyMatch(
-                                one ->
-                                        isFresh(one, now)
-                                                && one.heartbeat.report() != null
+                                latest ->
+                                        isFresh(latest, now)
+                                                && latest.heartbeat.report() != null
                                                 && !clusterState
-                                                        .wanted(one.heartbeat.name())
+                                                        .wanted(latest.heartbeat.name())
                                                         .runs()
-                                                        .equals(one.heartbeat.report().runs()));
-        permits(clusterState, now, commands);
-        plans(clusterState, now, commands);
+                                                        .equals(latest.heartbeat.report().runs()));
+        returnPermits(clusterState, now, commands);
+        retirePlans(clusterState, now, commands);
         for (DutyName duty : duties) {
             ClusterState.DutyLease dutyLease = clusterState.duty(duty);
             if (dutyLease.isFree()) {
-                lapses.remove(duty);
-                takenBack.removeIf(lease -> lease.duty().equals(duty));
-                heir(duty, clusterState, now)
+                leaseExpiries.remove(duty);
+                endingLeases.removeIf(lease -> lease.duty().equals(duty));
+                selectHolder(duty, clusterState, now)
                         .ifPresent(
                                 heir ->
                                         commands.add(
@@ -225,30 +239,30 @@
                                                         heir.incarnation(),
                                                         dutyLease.token())));
             } else {
-                takeBack(dutyLease, now, commands);
+                endLeaseIfDue(dutyLease, now, commands);
             }
         }
         return commands;
     }
 
-    private void roster(
+    private void updateMembers(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
-        for (LatestHeartbeat one : heard.values()) {
-            Heartbeat heartbeat = one.heartbeat;
+        for (LatestHeartbeat latest : latestHeartbeats.values()) {
+            Heartbeat heartbeat = latest.heartbeat;
             ClusterState.Member member = clusterState.member(heartbeat.name());
-            boolean in =
+            boolean isMember =
                     member != null
                             && member.in()
                             && member.incarnation().equals(heartbeat.incarnation());
-            boolean changed = member != null && !member.site().equals(heartbeat.site());
-            if (in && heartbeat.condition() == NodeCondition.GONE) {
+            boolean siteChanged = member != null && !member.site().equals(heartbeat.site());
+            if (isMember && heartbeat.condition() == NodeCondition.GONE) {
                 commands.add(new ClusterCommand.Leave(heartbeat.name(), heartbeat.incarnation()));
                 continue;
             }
-            boolean comes =
+            boolean wantsToJoin =
                     heartbeat.condition() == NodeCondition.COLD
                             || heartbeat.condition() == NodeCondition.WARM;
-            if (isFresh(one, now) && ((!in && comes) || (in && changed))) {
+            if (isFresh(latest, now) && ((!isMember && wantsToJoin) || (isMember && siteChanged))) {
                 commands.add(
                         new ClusterCommand.Join(
                                 heartbeat.name(), heartbeat.incarnation(), heartbeat.site()));
@@ -257,34 +271,38 @@
     }
 
     /**
-     * A permit ends when its node has been well for a while under another life, or stays and never
-     * used it.
+     * Ends a permit when its node has been healthy for a while under another incarnation, or has
+     * kept running without using the permit.
      */
-    private void permits(
+    private void returnPermits(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
         for (DisruptionPermit permit : clusterState.permits()) {
-            LatestHeartbeat one = heard.get(permit.node());
-            MonotonicTime since = one == null || !isFresh(one, now) ? null : one.wellSince;
-            boolean another =
-                    one != null && !one.heartbeat.incarnation().equals(permit.incarnation());
-            if (since == null) {
-                permitNoticeSentAt.remove(permit.number());
-            } else if (another && now.since(since).compareTo(timing.lease().times(WELL_FOR)) >= 0) {
+            LatestHeartbeat latest = latestHeartbeats.get(permit.node());
+            MonotonicTime healthySince =
+                    latest == null || !isFresh(latest, now) ? null : latest.healthySince;
+            boolean isAnotherIncarnation =
+                    latest != null && !latest.heartbeat.incarnation().equals(permit.incarnation());
+            if (healthySince == null) {
+                permitUnusedSince.remove(permit.number());
+            } else if (isAnotherIncarnation
+                    && now.since(healthySince).compareTo(timing.lease().times(HEALTHY_LEASES))
+                            >= 0) {
                 commands.add(new ClusterCommand.ReturnPermit(permit.number(), "well again", 0));
-            } else if (!another) {
-                MonotonicTime reported =
-                        permitNoticeSentAt.computeIfAbsent(permit.number(), none -> now);
-                if (now.since(reported).compareTo(timing.lease().times(UNUSED_FOR)) >= 0) {
+            } else if (!isAnotherIncarnation) {
+                MonotonicTime unusedSince =
+                        permitUnusedSince.computeIfAbsent(permit.number(), number -> now);
+                if (now.since(unusedSince).compareTo(timing.lease().times(UNUSED_PERMIT_LEASES))
+                        >= 0) {
                     commands.add(new ClusterCommand.ReturnPermit(permit.number(), "never used", 0));
                 }
             }
         }
-        permitNoticeSentAt
+        permitUnusedSince
                 .keySet()
                 .retainAll(clusterState.permits().stream().map(DisruptionPermit::number).toList());
     }
 
-    /** Members that are out by what is seen here: all that aren't heard to be warm. */
+    /** Members that the leader sees as unavailable: all without a recent warm heartbeat. */
     public List<NodeName> unavailableNodes(ClusterState clusterState, MonotonicTime now) {
         return snapshot(clusterState, now).stream()
                 .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
@@ -292,18 +310,20 @@
                 .toList();
     }
 
-    private void takeBack(
+    /** Ends a lease if its holder failed at the duty, released it, or must have stopped. */
+    private void endLeaseIfDue(
             ClusterState.DutyLease dutyLease, MonotonicTime now, List<ClusterCommand> commands) {
-        // A duty that was given since this voter leads has no end noted yet: it counts from when it
-        // is first seen here.
+        // A lease granted since this voter leads has no expiry yet: it counts from when it is first
+        // seen here.
         MonotonicTime expiry =
-                lapses.computeIfAbsent(dutyLease.duty(), duty -> now.plus(timing.expiresAfter()));
-        LatestHeartbeat holder = heard.get(dutyLease.holder());
+                leaseExpiries.computeIfAbsent(
+                        dutyLease.duty(), duty -> now.plus(timing.expiresAfter()));
+        LatestHeartbeat holder = latestHeartbeats.get(dutyLease.holder());
         if (holder != null && holder.heartbeat.incarnation().equals(dutyLease.incarnation())) {
             Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
             if (holder.heartbeat.failsAt().contains(lease)) {
-                takenBack.add(lease);
-                shun(dutyLease.duty(), dutyLease.holder(), now);
+                endingLeases.add(lease);
+                makeIneligible(dutyLease.duty(), dutyLease.holder(), now);
                 commands.add(
                         new ClusterCommand.ReleaseLease(
                                 dutyLease.duty(),
@@ -312,7 +332,7 @@
                 return;
             }
             if (holder.heartbeat.releasing().contains(lease)) {
-                takenBack.add(lease);
+                endingLeases.add(lease);
                 commands.add(
                         new ClusterCommand.ReleaseLease(
                                 dutyLease.duty(),
@@ -322,54 +342,58 @@
             }
         }
         if (!now.isBefore(expiry)
-                || takenBack.contains(new Lease(dutyLease.duty(), dutyLease.token()))) {
-            takenBack.add(new Lease(dutyLease.duty(), dutyLease.token()));
+                || endingLeases.contains(new Lease(dutyLease.duty(), dutyLease.token()))) {
+            endingLeases.add(new Lease(dutyLease.duty(), dutyLease.token()));
             commands.add(
                     new ClusterCommand.ReleaseLease(
                             dutyLease.duty(), dutyLease.token(), ClusterCommand.LeaseEnd.LAPSED));
         }
     }
 
-    private void shun(DutyName duty, NodeName name, MonotonicTime now) {
-        Map<NodeName, Ineligibility> all = shunned.computeIfAbsent(duty, none -> new HashMap<>());
-        Ineligibility before = all.get(name);
-        if (before != null && now.isBefore(before.until())) {
-            return; // told again before the cluster state has it
+    private void makeIneligible(DutyName duty, NodeName name, MonotonicTime now) {
+        Map<NodeName, Ineligibility> byNode =
+                ineligibilities.computeIfAbsent(duty, key -> new HashMap<>());
+        Ineligibility previous = byNode.get(name);
+        if (previous != null && now.isBefore(previous.until())) {
+            return; // the same failure, reported again before the lease's end was applied
         }
-        int times = before == null ? 0 : before.times() + 1;
+        int repeats = previous == null ? 0 : previous.repeats() + 1;
         NanoDuration duration =
-                timing.shunned().times(Math.pow(2, Math.min(20, times))).min(timing.shunnedMost());
-        all.put(name, new Ineligibility(times, now.plus(duration)));
+                timing.ineligibility()
+                        .times(Math.pow(2, Math.min(20, repeats)))
+                        .min(timing.maxIneligibility());
+        byNode.put(name, new Ineligibility(repeats, now.plus(duration)));
     }
 
-    private boolean isShunned(DutyName duty, NodeName name, MonotonicTime now) {
-        Ineligibility one = shunned.getOrDefault(duty, Map.of()).get(name);
-        return one != null && now.isBefore(one.until());
+    private boolean isIneligible(DutyName duty, NodeName name, MonotonicTime now) {
+        Ineligibility ineligibility = ineligibilities.getOrDefault(duty, Map.of()).get(name);
+        return ineligibility != null && now.isBefore(ineligibility.until());
     }
 
     /**
-     * Who gets it: warm, heard within the last heartbeats, not shunned; first whose zone is well,
-     * then who holds least, then who has been well for longest.
+     * Selects the next holder of a duty among the healthy and eligible members: first by whether
+     * most nodes of its zone are healthy, then by the fewest duties held, then by the longest time
+     * healthy.
      */
-    private Optional<ClusterState.Member> heir(
+    private Optional<ClusterState.Member> selectHolder(
             DutyName duty, ClusterState clusterState, MonotonicTime now) {
-        if (now.since(leadsSince).compareTo(timing.heartbeatInterval()) < 0) {
-            return Optional.empty(); // else the first to be heard would get all
+        if (now.since(leadingSince).compareTo(timing.heartbeatInterval()) < 0) {
+            return Optional.empty(); // otherwise the first node heard would get all duties
         }
-        Map<Site, int[]> zones = new HashMap<>();
+        Map<Site, int[]> zones = new HashMap<>(); // members in it, and how many are healthy
         for (ClusterState.Member member : clusterState.members()) {
             if (member.in()) {
-                int[] zone = zones.computeIfAbsent(member.site(), none -> new int[2]);
+                int[] zone = zones.computeIfAbsent(member.site(), site -> new int[2]);
                 zone[0]++;
-                zone[1] += isWell(member, now) ? 1 : 0;
+                zone[1] += isHealthy(member, now) ? 1 : 0;
             }
         }
         return clusterState.members().stream()
                 .filter(
                         member ->
                                 member.in()
-                                        && isWell(member, now)
-                                        && !isShunned(duty, member.name(), now))
+                                        && isHealthy(member, now)
+                                        && !isIneligible(duty, member.name(), now))
                 .min(
                         Comparator.<ClusterState.Member>comparingInt(
                                         member -> {
@@ -381,27 +405,32 @@
                                                 clusterState.duties().stream()
                                                         .filter(
                                                                 dutyLease ->
-                                                                        dutyLease.isBy(
+                                                                        dutyLease.isHeldBy(
                                                                                 member.name(),
                                                                                 member
                                                                                         .incarnation()))
                                                         .count())
                                 .thenComparing(
-                                        member -> heard.get(member.name()).wellSince, EARLIER)
+                                        member -> latestHeartbeats.get(member.name()).healthySince,
+                                        EARLIEST_FIRST)
                                 .thenComparing(ClusterState.Member::name));
     }
 
-    private boolean isWell(ClusterState.Member member, MonotonicTime now) {
-        LatestHeartbeat one = heard.get(member.name());
-        return one != null
-                && one.heartbeat.incarnation().equals(member.incarnation())
-                && one.heartbeat.condition() == NodeCondition.WARM
-                && now.since(one.at).compareTo(timing.heartbeatInterval().times(1.6)) <= 0;
+    /** Whether the member is warm and was heard within the last heartbeat intervals. */
+    private boolean isHealthy(ClusterState.Member member, MonotonicTime now) {
+        LatestHeartbeat latest = latestHeartbeats.get(member.name());
+        return latest != null
+                && latest.heartbeat.incarnation().equals(member.incarnation())
+                && latest.heartbeat.condition() == NodeCondition.WARM
+                && now.since(latest.receivedAt).compareTo(timing.heartbeatInterval().times(1.6))
+                        <= 0;
     }
 
     /**
-     * What to say to a heartbeat, once the consensus group has confirmed that this voter led after
-     * the heartbeat came. Whatever it grants counts from now on.
+     * The reply to a heartbeat. To be called once the consensus group has confirmed that this voter
+     * still led after the heartbeat arrived; the leases in the reply count from now on.
+     *
+     * @param trouble what {@link #heard} returned
      */
     public HeartbeatReply replyTo(
             Heartbeat heartbeat,
@@ -413,32 +442,35 @@
         if (trouble.isEmpty()) {
             for (ClusterState.DutyLease dutyLease : clusterState.duties()) {
                 Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
-                boolean stops =
+                boolean isStopping =
                         heartbeat.releasing().contains(lease)
                                 || heartbeat.failsAt().contains(lease);
-                if (dutyLease.isBy(heartbeat.name(), heartbeat.incarnation())
-                        && !takenBack.contains(lease)) {
-                    // Named as long as the cluster state has it, so that the node knows what is
-                    // still to be
-                    // taken back.
+                if (dutyLease.isHeldBy(heartbeat.name(), heartbeat.incarnation())
+                        && !endingLeases.contains(lease)) {
+                    // Included while the cluster state has it, even if the node has stopped: the
+                    // node must know which release is still to be applied.
                     leases.add(lease);
-                    if (!stops) {
-                        lapses.put(dutyLease.duty(), now.plus(timing.expiresAfter()));
+                    if (!isStopping) {
+                        leaseExpiries.put(dutyLease.duty(), now.plus(timing.expiresAfter()));
                     }
                 }
             }
         }
-        List<HealthCheckResult> reported = new ArrayList<>();
-        results.forEach(
-                (server, one) ->
-                        reported.add(
+        List<HealthCheckResult> agedChecks = new ArrayList<>();
+        healthChecks.forEach(
+                (server, result) ->
+                        agedChecks.add(
                                 new HealthCheckResult(
                                         server,
-                                        one.well(),
-                                        one.token(),
-                                        now.since(foundAt.get(server)))));
-        int others = (int) heard.values().stream().filter(one -> isFresh(one, now)).count();
-        long leave =
+                                        result.well(),
+                                        result.token(),
+                                        now.since(checkedAt.get(server)))));
+        int freshNodes =
+                (int)
+                        latestHeartbeats.values().stream()
+                                .filter(latest -> isFresh(latest, now))
+                                .count();
+        long leavePermit =
                 trouble.isEmpty()
                         ? clusterState.permits().stream()
                                 .filter(
@@ -457,18 +489,19 @@
                 trouble,
                 timing.lease(),
                 leases,
-                reported,
-                leave,
-                clusterState.wanted(heartbeat.name()).busyOr(lags),
-                trouble.isEmpty() ? share(heartbeat, clusterState, now) : null,
-                others);
+                agedChecks,
+                leavePermit,
+                clusterState.wanted(heartbeat.name()).withBusy(isSomeNodeOutdated),
+                trouble.isEmpty() ? capacityShare(heartbeat, clusterState, now) : null,
+                freshNodes);
     }
 
     /**
-     * A node's part of the newest plan, which it may go by until a lease after it asked; so here it
-     * counts until later.
+     * A node's part of the newest plan. The node may follow it for one lease from before it sent
+     * its heartbeat; the leader counts from now and adds the clocks' drift, so it assumes a later
+     * end.
      */
-    private HeartbeatReply.CapacityShare share(
+    private HeartbeatReply.CapacityShare capacityShare(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         CapacityPlan plan = clusterState.plan();
         if (plan == null) {
@@ -477,43 +510,45 @@
         plansInUse
                 .computeIfAbsent(
                         new NodeIncarnation(heartbeat.name(), heartbeat.incarnation()),
-                        none -> new TreeMap<>())
+                        key -> new TreeMap<>())
                 .put(plan.number(), now.plus(timing.expiresAfter()));
         return new HeartbeatReply.CapacityShare(plan.number(), plan.of(heartbeat.name()));
     }
 
     /**
-     * Older plans are retired once nobody can go by them any more: each life that was told of one
-     * has said that it goes by a newer, or its lease has run out. A new leader can't know what was
-     * told before it, so it waits for a lease first.
+     * Retires older plans once no node can follow them any more: each incarnation that got such a
+     * plan has reported a newer one, or its lease has expired. A new leader can't know what earlier
+     * leaders sent, so it first waits for one lease.
      */
-    private void plans(
+    private void retirePlans(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
         CapacityPlan newest = clusterState.plan();
         if (newest == null
                 || clusterState.livePlans().size() < 2
-                || now.since(leadsSince).compareTo(timing.expiresAfter()) < 0) {
+                || now.since(leadingSince).compareTo(timing.expiresAfter()) < 0) {
             return;
         }
         long oldest = newest.number();
-        for (Iterator<Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>>> all =
+        for (Iterator<Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>>> iterator =
                         plansInUse.entrySet().iterator();
-                all.hasNext(); ) {
-            Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>> one = all.next();
-            LatestHeartbeat latest = heard.get(one.getKey().name());
-            boolean same =
+                iterator.hasNext(); ) {
+            Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>> inUse = iterator.next();
+            LatestHeartbeat latest = latestHeartbeats.get(inUse.getKey().name());
+            boolean hasReport =
                     latest != null
-                            && latest.heartbeat.incarnation().equals(one.getKey().incarnation())
+                            && latest.heartbeat.incarnation().equals(inUse.getKey().incarnation())
                             && latest.heartbeat.report() != null;
-            long acknowledged = same ? latest.heartbeat.report().plan() : 0;
-            one.getValue()
+            long acknowledgedPlan = hasReport ? latest.heartbeat.report().plan() : 0;
+            inUse.getValue()
                     .entrySet()
                     .removeIf(
-                            plan -> !now.isBefore(plan.getValue()) || plan.getKey() < acknowledged);
-            if (one.getValue().isEmpty()) {
-                all.remove();
+                            plan ->
+                                    !now.isBefore(plan.getValue())
+                                            || plan.getKey() < acknowledgedPlan);
+            if (inUse.getValue().isEmpty()) {
+                iterator.remove();
             } else {
-                oldest = Math.min(oldest, one.getValue().firstKey());
+                oldest = Math.min(oldest, inUse.getValue().firstKey());
             }
         }
         if (oldest > clusterState.livePlans().get(0).number()) {
@@ -521,44 +556,45 @@
         }
     }
 
-    /** What a voter that doesn't lead says. */
+    /** The reply of a voter that doesn't lead. */
     public static HeartbeatReply elsewhere(Heartbeat heartbeat, NodeName leader) {
-        return HeartbeatReply.notTaken(heartbeat.number(), leader);
+        return HeartbeatReply.notLeading(heartbeat.number(), leader);
     }
 
-    /** What is known of each node of the cluster state. */
+    /** What this leader knows of each member, ordered by name. */
     public List<NodeView> snapshot(ClusterState clusterState, MonotonicTime now) {
-        List<NodeView> picture = new ArrayList<>();
+        List<NodeView> views = new ArrayList<>();
         for (ClusterState.Member member : clusterState.members()) {
-            LatestHeartbeat one = heard.get(member.name());
-            boolean same = one != null && one.heartbeat.incarnation().equals(member.incarnation());
+            LatestHeartbeat latest = latestHeartbeats.get(member.name());
+            boolean isKnown =
+                    latest != null && latest.heartbeat.incarnation().equals(member.incarnation());
             NodeStatus status;
             if (!member.in()) {
                 status = NodeStatus.OUT;
-            } else if (!same || !isFresh(one, now)) {
+            } else if (!isKnown || !isFresh(latest, now)) {
                 status = NodeStatus.UNKNOWN;
             } else {
                 status =
-                        switch (one.heartbeat.condition()) {
+                        switch (latest.heartbeat.condition()) {
                             case WARM -> NodeStatus.WARM;
                             case COLD -> NodeStatus.UP;
                             case LEAVING -> NodeStatus.LEAVING;
                             case GONE -> NodeStatus.OUT;
                         };
             }
-            picture.add(
+            views.add(
                     new NodeView(
                             member.name(),
                             member.incarnation(),
                             member.site(),
                             status,
-                            same ? now.since(one.at) : null,
-                            same ? one.heartbeat.report() : null));
+                            isKnown ? now.since(latest.receivedAt) : null,
+                            isKnown ? latest.heartbeat.report() : null));
         }
-        return picture;
+        return views;
     }
 
-    /** How soon something is decided again without a heartbeat. */
+    /** The interval at which {@link #decide} is to be called even without a heartbeat. */
     public NanoDuration looksEvery() {
         return timing.holderHeartbeatInterval().times(0.5);
     }
--- a/src/main/java/lupinwood/cluster/LeaseTiming.java
+++ b/src/main/java/lupinwood/cluster/LeaseTiming.java
@@ -3,40 +3,48 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What a fleet goes by.
+ * The timing of leases and heartbeats in a cluster.
  *
- * @param lease how long a duty is held without a word from the consensus group
- * @param drift how far apart two nodes' clocks may run, as a share; both sides reckon with it
- * @param heartbeatInterval how long between two words of a node that holds nothing
- * @param holderHeartbeatInterval the same of one that holds a duty
- * @param silent without a word for so long a node is unknown
- * @param shunned a node that failed at a duty doesn't get it again for so long, the first time;
- *     twice as long each time
- * @param shunnedMost and no longer than this
- * @param mostMembers the cluster state holds no more; a further node serves on and stands outside
+ * @param lease how long a duty is held without a reply from the consensus group
+ * @param driftRatio how far the rates of two nodes' clocks may differ, as a ratio; both the holder
+ *     and the consensus group allow for it
+ * @param heartbeatInterval time between two heartbeats of a node that holds no duty
+ * @param holderHeartbeatInterval time between two heartbeats of a node that holds a duty
+ * @param silenceTimeout a node without a heartbeat for longer is unknown
+ * @param ineligibility how long a node that failed at a duty doesn't get it again, the first time;
+ *     doubles each time
+ * @param maxIneligibility the bound of that doubling
+ * @param mostMembers the most that the cluster state holds; a further node serves requests but
+ *     doesn't become a member
  */
 public record LeaseTiming(
         NanoDuration lease,
-        double drift,
+        double driftRatio,
         NanoDuration heartbeatInterval,
         NanoDuration holderHeartbeatInterval,
-        NanoDuration silent,
-        NanoDuration shunned,
-        NanoDuration shunnedMost,
+        NanoDuration silenceTimeout,
+        NanoDuration ineligibility,
+        NanoDuration maxIneligibility,
         int mostMembers) {
-    private static final double MOST_DRIFT = 0.2;
+    private static final double MAX_DRIFT_RATIO = 0.2;
 
     public LeaseTiming {
-        if (!lease.isPositive() || drift < 0 || drift > MOST_DRIFT) {
-            throw new IllegalArgumentException("a lease of " + lease + " with a drift of " + drift);
+        if (!lease.isPositive() || driftRatio < 0 || driftRatio > MAX_DRIFT_RATIO) {
+            throw new IllegalArgumentException(
+                    "expected a positive lease and a clock drift ratio from 0 to "
+                            + MAX_DRIFT_RATIO
+                            + ", found lease "
+                            + lease
+                            + " and drift ratio "
+                            + driftRatio);
         }
     }
 
-    /** All else follows from the lease. */
-    public static LeaseTiming of(NanoDuration lease, double drift) {
+    /** Derives all other durations from the lease. */
+    public static LeaseTiming of(NanoDuration lease, double driftRatio) {
         return new LeaseTiming(
                 lease,
-                drift,
+                driftRatio,
                 lease.times(1.0 / 3),
                 lease.times(1.0 / 6),
                 lease.times(1.2),
@@ -45,16 +53,18 @@
                 4096);
     }
 
-    /** What a holder may count on, from before it asked, on a clock that may run slow. */
+    /**
+     * How long a holder may act, from before it sent its heartbeat, on a clock that may run slow.
+     */
     public NanoDuration holderLease() {
-        return lease.times(1 - drift);
+        return lease.times(1 - driftRatio);
     }
 
     /**
-     * When the consensus group may count on the holder having stopped, on a clock that may run
-     * fast.
+     * How long after its last reply the consensus group can be certain that the holder has stopped,
+     * on a clock that may run fast.
      */
     public NanoDuration expiresAfter() {
-        return lease.times(1 + drift);
+        return lease.times(1 + driftRatio);
     }
 }
--- a/src/main/java/lupinwood/cluster/MemberRegistry.java
+++ b/src/main/java/lupinwood/cluster/MemberRegistry.java
@@ -6,7 +6,7 @@
 import lupinwood.cluster.ClusterState.Member;
 
 /**
- * The nodes that came, whether they are in or went. Part of {@link ClusterState}, and owned by the
+ * The nodes that joined, including those that left. Part of {@link ClusterState}, and owned by the
  * same thread.
  */
 final class MemberRegistry {
@@ -17,19 +17,19 @@
         this.maxMembers = maxMembers;
     }
 
-    void open(Collection<Member> all) {
+    void restore(Collection<Member> stored) {
         members.clear();
-        all.forEach(member -> members.put(member.name(), member));
+        stored.forEach(member -> members.put(member.name(), member));
     }
 
     boolean join(ClusterCommand.Join command) {
         if (!members.containsKey(command.name()) && members.size() >= maxMembers) {
-            // Guards against names that come once each, as of nodes named anew at each start: who
-            // went makes room.
+            // Guards against names that are used only once, as of nodes that get a new name at each
+            // start: a member that left makes room.
             members.values().stream()
                     .filter(member -> !member.in())
                     .findFirst()
-                    .ifPresent(gone -> members.remove(gone.name()));
+                    .ifPresent(former -> members.remove(former.name()));
             if (members.size() >= maxMembers) {
                 return false;
             }
@@ -40,7 +40,7 @@
         return true;
     }
 
-    /** Fits only under the incarnation that came last. */
+    /** Accepted only under the incarnation that joined last. */
     boolean leave(ClusterCommand.Leave command) {
         Member member = members.get(command.name());
         if (member == null || !member.incarnation().equals(command.incarnation())) {
@@ -52,22 +52,22 @@
         return true;
     }
 
-    /** Forgets a node; false where it wasn't known. */
+    /** Removes a node; false where it wasn't known. */
     boolean remove(NodeName name) {
         return members.remove(name) != null;
     }
 
-    /** Null where no such node came. */
+    /** Null where no node of this name joined. */
     Member member(NodeName name) {
         return members.get(name);
     }
 
-    /** In the order of their names. */
+    /** Ordered by name. */
     Collection<Member> all() {
         return Collections.unmodifiableCollection(members.values());
     }
 
-    /** Whether no further node may come. */
+    /** Whether no further node can join. */
     boolean isFull() {
         return members.size() >= maxMembers && members.values().stream().allMatch(Member::in);
     }
--- a/src/main/java/lupinwood/cluster/NodeReport.java
+++ b/src/main/java/lupinwood/cluster/NodeReport.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a node runs and how that does; a part of its heartbeat. A node of an older version has none.
+ * What a node runs and with what results; a part of its heartbeat, absent from a node of an older
+ * version.
  *
  * @param program the version of the program
- * @param runs the digest of the fleet's text that it goes by; empty for none
- * @param checked what its own plan says of the text that it was asked about last; null before
- * @param drained servers that rest, to which it sends nothing new and at which it has nothing any
- *     more
- * @param plan the plan that it heard of last; nothing older is gone by any more
- * @param uses what it does at places below
- * @param requestCounts what it answered in this life
+ * @param runs the digest of the shared configuration that it uses; empty for none
+ * @param checked the result of checking the shared configuration that it was last asked to check;
+ *     null before the first
+ * @param drained cordoned servers at which it has no request left
+ * @param plan the number of the newest capacity plan that it received; it follows no older one
+ * @param uses its requests to each location
+ * @param requestCounts what it answered in this incarnation
  */
 public record NodeReport(
         String program,
@@ -23,14 +24,14 @@
         List<LocationUse> uses,
         RequestCounts requestCounts) {
     /**
-     * What a node does at one place; counts only grow within one life.
+     * A node's requests to one location. Counts never decrease within one incarnation.
      *
-     * @param out requests there now
-     * @param offered requests so far that might have gone there, wherever they went
-     * @param ended of all so far
-     * @param failed of these
-     * @param seconds that those that went well took, together
-     * @param leftOut whether this node leaves it out for what it saw
+     * @param out requests in flight there
+     * @param offered requests so far that could have been sent there, wherever they were sent
+     * @param ended requests completed there so far
+     * @param failed those of them that failed
+     * @param seconds the total duration of those that succeeded
+     * @param leftOut whether this node has ejected the location by its own observations
      */
     public record LocationUse(
             String place,
@@ -41,55 +42,58 @@
             double seconds,
             boolean leftOut) {}
 
-    private static final int MOST_CHARS = 200;
+    private static final int MAX_REASON_CHARS = 200;
 
     /**
-     * A node's word on a text.
+     * The result of a node's check of a shared configuration.
      *
-     * @param fits whether it could go by it
-     * @param restarts whether it would have to be started anew for that
-     * @param why not; empty where it fits
+     * @param fits whether the node could use it
+     * @param restarts whether the node would have to restart for that
+     * @param why the reason against it; empty where it fits
      */
     public record ConfigCheck(String digest, boolean fits, boolean restarts, String why) {}
 
-    /** The same with the long parts only where they are asked for. */
-    public NodeReport with(boolean tallies, boolean places) {
+    /** A copy with the long parts only where they are requested. */
+    public NodeReport with(boolean withRequestCounts, boolean withUses) {
         return new NodeReport(
                 program,
                 runs,
                 checked,
                 drained,
                 plan,
-                places ? uses : List.of(),
-                tallies ? requestCounts : RequestCounts.NOTHING);
+                withUses ? uses : List.of(),
+                withRequestCounts ? requestCounts : RequestCounts.NOTHING);
     }
 
-    NodeReport cut() {
-        ConfigCheck shorter =
-                checked == null || checked.why() == null || checked.why().length() <= MOST_CHARS
+    /** A copy without what exceeds the bounds, and with empty parts for missing ones. */
+    NodeReport truncated() {
+        ConfigCheck truncatedCheck =
+                checked == null
+                                || checked.why() == null
+                                || checked.why().length() <= MAX_REASON_CHARS
                         ? checked
                         : new ConfigCheck(
                                 checked.digest(),
                                 checked.fits(),
                                 checked.restarts(),
-                                checked.why().substring(0, MOST_CHARS));
-        List<String> few =
+                                checked.why().substring(0, MAX_REASON_CHARS));
+        List<String> truncatedDrained =
                 drained == null
                         ? List.of()
-                        : drained.size() <= Heartbeat.MOST
+                        : drained.size() <= Heartbeat.MAX_LIST_LENGTH
                                 ? drained
-                                : List.copyOf(drained.subList(0, Heartbeat.MOST));
+                                : List.copyOf(drained.subList(0, Heartbeat.MAX_LIST_LENGTH));
         return new NodeReport(
                 program,
                 runs,
-                shorter,
-                few,
+                truncatedCheck,
+                truncatedDrained,
                 plan,
                 uses == null
                         ? List.of()
-                        : uses.size() <= Heartbeat.MOST
+                        : uses.size() <= Heartbeat.MAX_LIST_LENGTH
                                 ? uses
-                                : List.copyOf(uses.subList(0, Heartbeat.MOST)),
-                requestCounts == null ? RequestCounts.NOTHING : requestCounts.cut());
+                                : List.copyOf(uses.subList(0, Heartbeat.MAX_LIST_LENGTH)),
+                requestCounts == null ? RequestCounts.NOTHING : requestCounts.truncated());
     }
 }
--- a/src/main/java/lupinwood/cluster/OperatorLog.java
+++ b/src/main/java/lupinwood/cluster/OperatorLog.java
@@ -8,44 +8,45 @@
 import lupinwood.cluster.ClusterState.HistoryEntry;
 
 /**
- * The orders that were carried out, so that one asked again is done once, and the history that
- * operators read; the oldest of each go first. Part of {@link ClusterState}, and owned by the same
- * thread.
+ * The completed orders, so that an order sent again is carried out only once, and the history that
+ * operators read. Both are bounded; the oldest entries are dropped first. Part of {@link
+ * ClusterState}, and owned by the same thread.
  */
 final class OperatorLog {
-    private static final int MAX_RETAINED = 256;
+    private static final int MAX_RETAINED_ENTRIES = 256;
 
     private final ArrayDeque<CompletedOrder> orders = new ArrayDeque<>();
     private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
 
-    void open(Collection<CompletedOrder> allOrders, Collection<HistoryEntry> allHistory) {
+    void restore(Collection<CompletedOrder> storedOrders, Collection<HistoryEntry> storedHistory) {
         orders.clear();
-        orders.addAll(allOrders);
+        orders.addAll(storedOrders);
         history.clear();
-        history.addAll(allHistory);
+        history.addAll(storedHistory);
     }
 
+    /** Records an order as completed. */
     void complete(String order, String result) {
         orders.add(new CompletedOrder(order, result));
-        if (orders.size() > MAX_RETAINED) {
+        if (orders.size() > MAX_RETAINED_ENTRIES) {
             orders.poll();
         }
     }
 
     /**
-     * Adds a line of history.
+     * Adds an entry to the history.
      *
-     * @param atMillis by the wall clock of who led
+     * @param atMillis by the wall clock of the leader at that time
      */
-    void write(long atMillis, String text) {
+    void addHistory(long atMillis, String text) {
         history.add(new HistoryEntry(atMillis, text));
-        if (history.size() > MAX_RETAINED) {
+        if (history.size() > MAX_RETAINED_ENTRIES) {
             history.poll();
         }
     }
 
-    /** A reason as the end of a line of history; empty for none. */
-    static String because(String why) {
+    /** A reason as the end of a history entry; empty for none. */
+    static String reasonSuffix(String why) {
         return why.isEmpty() ? "" : ": " + why;
     }
 
@@ -53,11 +54,11 @@
         return result(order) != null;
     }
 
-    /** What an order that was carried out came to; null for one that wasn't. */
+    /** The result of a completed order; null for any other. */
     String result(String order) {
         return orders.stream()
-                .filter(each -> each.order().equals(order))
-                .map(CompletedOrder::text)
+                .filter(completed -> completed.order().equals(order))
+                .map(CompletedOrder::result)
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/lupinwood/cluster/RequestCounts.java
+++ b/src/main/java/lupinwood/cluster/RequestCounts.java
@@ -6,22 +6,22 @@
 import java.util.TreeMap;
 
 /**
- * What a node answered since it started, by request class; counts only grow within one life, so a
- * lost word does no harm.
+ * What a node answered since it started, by request class. Counts never decrease within one
+ * incarnation, so a lost heartbeat does no harm.
  */
 public record RequestCounts(List<ClassCounts> counts) {
-    /** Past so many request classes the further ones are counted together. */
+    /** Further request classes are counted together, under {@link #OTHERS}. */
     public static final int MOST_REQUEST_CLASSES = 16;
 
     public static final String OTHERS = "others";
     public static final RequestCounts NOTHING = new RequestCounts(List.of());
 
     /**
-     * One request class's.
+     * The counts of one request class.
      *
      * @param served in time and late
-     * @param late of these, past the latency objective
-     * @param seconds from arrival to answer, over all served
+     * @param late those of the served that missed the latency objective
+     * @param seconds the total time from arrival to response over all served
      */
     public record ClassCounts(
             String className, long served, long late, long rejected, long failed, double seconds) {
@@ -29,7 +29,7 @@
             return served + rejected + failed;
         }
 
-        /** What did not get what it came for, in time. */
+        /** Requests that were not served in time. */
         public long bad() {
             return late + rejected + failed;
         }
@@ -45,7 +45,8 @@
         }
     }
 
-    RequestCounts cut() {
+    /** A copy without the request classes past the bound; empty for none. */
+    RequestCounts truncated() {
         return counts == null
                 ? NOTHING
                 : counts.size() <= MOST_REQUEST_CLASSES + 1
@@ -54,7 +55,7 @@
                                 List.copyOf(counts.subList(0, MOST_REQUEST_CLASSES + 1)));
     }
 
-    /** Null where that request class has none. */
+    /** The counts of a request class; null where it has none. */
     public ClassCounts of(String className) {
         return counts.stream()
                 .filter(count -> count.className().equals(className))
@@ -62,14 +63,14 @@
                 .orElse(null);
     }
 
-    /** What came after an earlier word of the same life. */
-    public RequestCounts since(RequestCounts before) {
-        List<ClassCounts> since = new ArrayList<>();
+    /** The increase over earlier counts of the same incarnation. */
+    public RequestCounts since(RequestCounts earlier) {
+        List<ClassCounts> increase = new ArrayList<>();
         for (ClassCounts count : counts) {
-            ClassCounts old = before.of(count.className());
-            since.add(old == null ? count : count.plus(old, -1));
+            ClassCounts old = earlier.of(count.className());
+            increase.add(old == null ? count : count.plus(old, -1));
         }
-        return new RequestCounts(since);
+        return new RequestCounts(increase);
     }
 
     public RequestCounts plus(RequestCounts other) {
--- a/src/main/java/lupinwood/cluster/Rollout.java
+++ b/src/main/java/lupinwood/cluster/Rollout.java
@@ -3,16 +3,18 @@
 import java.util.List;
 
 /**
- * A change that goes through the fleet in waves.
+ * A change of the shared configuration or of the program, made in waves of nodes.
  *
- * @param number counts up; names it
- * @param kind of a configuration or of the program
- * @param from what all ran before: a text's digest, or a version of the program
- * @param to what all are to run
- * @param backsOnHalt whether the program may turn it back by itself when its watch fails
- * @param turnedAt after which step it was turned back; below zero while it wasn't
- * @param steps how many waves were given, there and back
- * @param given the nodes that are to have it now, in the order in which they got it
+ * @param number identifies the rollout; increases with each one
+ * @param kind what it changes
+ * @param from what all nodes ran before: a configuration's digest, or a version of the program
+ * @param to what all nodes are to run
+ * @param by who ordered it
+ * @param backsOnHalt whether the rollout controller may roll it back without an order when the
+ *     canary analysis fails
+ * @param turnedAt the number of steps after which it was rolled back; negative while it wasn't
+ * @param steps how many waves were decided, forward and back
+ * @param given the nodes that are to run the change now, in the order in which they got it
  */
 public record Rollout(
         long number,
@@ -24,20 +26,28 @@
         int turnedAt,
         int steps,
         List<NodeName> given) {
-    /** What is released. */
+    /** What a rollout changes. */
     public enum Kind {
         CONFIGURATION,
         PROGRAM
     }
 
-    /** Whether it is on its way back. */
+    /** Whether it is being rolled back. */
     public boolean back() {
         return turnedAt >= 0;
     }
 
-    Rollout with(int turned, int step, List<NodeName> nodes) {
+    Rollout with(int newTurnedAt, int newSteps, List<NodeName> newGiven) {
         return new Rollout(
-                number, kind, from, to, by, backsOnHalt, turned, step, List.copyOf(nodes));
+                number,
+                kind,
+                from,
+                to,
+                by,
+                backsOnHalt,
+                newTurnedAt,
+                newSteps,
+                List.copyOf(newGiven));
     }
 
     public boolean isGiven(NodeName node) {
--- a/src/main/java/lupinwood/cluster/Rollouts.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -7,177 +7,196 @@
 import java.util.Set;
 
 /**
- * The agreed part of releases: which text and which program are good, and which release is under
- * way. Two versions are in use at the most, since the next one begins only when this one has ended.
+ * The rollouts in the cluster state: which shared configuration and which program version the fleet
+ * runs, and which rollout is in progress. At most two versions are in use, because the next rollout
+ * begins only when the present one has ended.
+ *
+ * <p>Part of {@link ClusterState}, and owned by the same thread.
  */
 public final class Rollouts {
-    /** Characters of a text: it travels in one message and stands in each voter's folder. */
-    static final int MOST_TEXT = 32 * 1024;
+    /** Bounds a configuration: it is sent in one message and stored by each voter. */
+    static final int MAX_TEXT_CHARS = 32 * 1024;
 
     /**
-     * A configuration as it is kept; both empty for none.
+     * A shared configuration as it is stored; both parts are empty for none.
      *
-     * @param text of the digest that it goes with
+     * @param digest of the text
+     * @param text the whole configuration
      */
     public record ConfigText(String digest, String text) {}
 
-    /** As it is kept and sent. */
+    /**
+     * The rollouts as they are stored and sent.
+     *
+     * @param goodConfig the configuration of the last rollout that succeeded
+     * @param goodProgram the program version of the last rollout that succeeded; empty before the
+     *     first
+     * @param nextConfig the configuration that the present rollout introduces
+     * @param rollout the one in progress; null while there is none
+     * @param lastNumber the number of the newest rollout
+     * @param baselineCounts what each node answered while it was observed before the rollout, by
+     *     its name
+     */
     public record Snapshot(
-            ConfigText good,
-            String program,
-            ConfigText next,
-            Rollout open,
-            long last,
-            Map<String, RequestCounts> past) {}
+            ConfigText goodConfig,
+            String goodProgram,
+            ConfigText nextConfig,
+            Rollout rollout,
+            long lastNumber,
+            Map<String, RequestCounts> baselineCounts) {}
 
     private static final ConfigText NONE = new ConfigText("", "");
-    private ConfigText good = NONE;
+    private ConfigText goodConfig = NONE;
 
-    /** The program's last good version; empty while nobody released one. */
-    private String program = "";
+    /** The version of the last program rollout that succeeded; empty before the first. */
+    private String goodProgram = "";
 
-    private ConfigText next = NONE;
+    private ConfigText nextConfig = NONE;
 
-    /** Null while none is open. */
-    private Rollout open;
+    /** Null while none is in progress. */
+    private Rollout rollout;
 
-    private long last;
+    private long lastNumber;
 
-    /** How the nodes did before the release; whoever leads it later has this from here. */
-    private Map<String, RequestCounts> past = Map.of();
+    /** What each node answered before the rollout; a later rollout controller reads it here. */
+    private Map<String, RequestCounts> baselineCounts = Map.of();
 
-    void open(Snapshot snapshot) {
-        if (snapshot != null) { // null in the page of an older version
-            good = snapshot.good();
-            program = snapshot.program();
-            next = snapshot.next();
-            open = snapshot.open();
-            last = snapshot.last();
-            past = snapshot.past();
+    void restore(Snapshot snapshot) {
+        if (snapshot != null) { // null in the snapshot of an older version
+            goodConfig = snapshot.goodConfig();
+            goodProgram = snapshot.goodProgram();
+            nextConfig = snapshot.nextConfig();
+            rollout = snapshot.rollout();
+            lastNumber = snapshot.lastNumber();
+            baselineCounts = snapshot.baselineCounts();
         }
     }
 
     Snapshot snapshot() {
-        return new Snapshot(good, program, next, open, last, past);
+        return new Snapshot(
+                goodConfig, goodProgram, nextConfig, rollout, lastNumber, baselineCounts);
     }
 
     Rollout rollout() {
-        return open;
+        return rollout;
     }
 
-    /** Why it may not begin; empty where it may. */
-    String against(Rollout.Kind kind, String to, String text) {
-        if (open != null) {
-            return open + " by " + open.by() + " is open; it has to end first";
+    /** Why the rollout must not begin; empty where it may. */
+    String reasonAgainst(Rollout.Kind kind, String to, String text) {
+        if (rollout != null) {
+            return rollout + " by " + rollout.by() + " is in progress and must end first";
         }
-        if (text.length() > MOST_TEXT) {
-            return "the text has "
+        if (text.length() > MAX_TEXT_CHARS) {
+            return "the configuration has "
                     + text.length()
-                    + " characters, and "
-                    + MOST_TEXT
-                    + " is the most";
+                    + " characters, and at most "
+                    + MAX_TEXT_CHARS
+                    + " are allowed";
         }
-        if (to.equals(kind == Rollout.Kind.CONFIGURATION ? good.digest() : program)) {
-            return "that means the same as what the fleet runs, " + (to.isEmpty() ? "nothing" : to);
+        if (to.equals(kind == Rollout.Kind.CONFIGURATION ? goodConfig.digest() : goodProgram)) {
+            return "equivalent to what the fleet already runs: " + (to.isEmpty() ? "nothing" : to);
         }
         return "";
     }
 
-    boolean begin(ClusterCommand.BeginRollout begin) {
-        if (!against(begin.kind(), begin.to(), begin.text()).isEmpty()) {
+    boolean begin(ClusterCommand.BeginRollout command) {
+        if (!reasonAgainst(command.kind(), command.to(), command.text()).isEmpty()) {
             return false;
         }
-        boolean text = begin.kind() == Rollout.Kind.CONFIGURATION;
-        open =
+        boolean isConfig = command.kind() == Rollout.Kind.CONFIGURATION;
+        rollout =
                 new Rollout(
-                        ++last,
-                        begin.kind(),
-                        text ? good.digest() : program,
-                        begin.to(),
-                        begin.by(),
-                        begin.backsOnHalt(),
+                        ++lastNumber,
+                        command.kind(),
+                        isConfig ? goodConfig.digest() : goodProgram,
+                        command.to(),
+                        command.by(),
+                        command.backsOnHalt(),
                         -1,
                         0,
                         List.of());
-        next = text ? new ConfigText(begin.to(), begin.text()) : NONE;
+        nextConfig = isConfig ? new ConfigText(command.to(), command.text()) : NONE;
         return true;
     }
 
-    /** A wave: there the nodes get it, on the way back they have it no more. */
-    boolean step(ClusterCommand.AdvanceRollout step) {
-        if (open == null
-                || step.rollout() != open.number()
-                || step.step() != open.steps() + 1
-                || step.back() != open.back()) {
+    /** Decides a wave: its nodes get the change, or during a rollback lose it. */
+    boolean advance(ClusterCommand.AdvanceRollout command) {
+        if (rollout == null
+                || command.rollout() != rollout.number()
+                || command.step() != rollout.steps() + 1
+                || command.back() != rollout.back()) {
             return false;
         }
-        Set<NodeName> given = new LinkedHashSet<>(open.given());
-        boolean changed = open.back() ? given.removeAll(step.nodes()) : given.addAll(step.nodes());
+        Set<NodeName> given = new LinkedHashSet<>(rollout.given());
+        boolean changed =
+                rollout.back() ? given.removeAll(command.nodes()) : given.addAll(command.nodes());
         if (changed) {
-            past = step.past() == null ? past : step.past();
-            open = open.with(open.turnedAt(), step.step(), new ArrayList<>(given));
+            baselineCounts = command.past() == null ? baselineCounts : command.past();
+            rollout = rollout.with(rollout.turnedAt(), command.step(), new ArrayList<>(given));
         }
         return changed;
     }
 
-    boolean turn(long release) {
-        if (open == null || open.number() != release || open.back()) {
+    boolean rollBack(long rolloutNumber) {
+        if (rollout == null || rollout.number() != rolloutNumber || rollout.back()) {
             return false;
         }
-        open = open.with(open.steps(), open.steps(), open.given());
+        rollout = rollout.with(rollout.steps(), rollout.steps(), rollout.given());
         return true;
     }
 
-    boolean finish(ClusterCommand.FinishRollout finish) {
-        if (open == null
-                || finish.rollout() != open.number()
-                || finish.done() == (open.back() || open.steps() == 0)
-                || (!finish.done() && !open.given().isEmpty())) {
+    boolean finish(ClusterCommand.FinishRollout command) {
+        if (rollout == null
+                || command.rollout() != rollout.number()
+                || command.done() == (rollout.back() || rollout.steps() == 0)
+                || (!command.done() && !rollout.given().isEmpty())) {
             return false;
         }
-        if (finish.done() && open.kind() == Rollout.Kind.CONFIGURATION) {
-            good = next;
-        } else if (finish.done()) {
-            program = open.to();
+        if (command.done() && rollout.kind() == Rollout.Kind.CONFIGURATION) {
+            goodConfig = nextConfig;
+        } else if (command.done()) {
+            goodProgram = rollout.to();
         }
-        next = NONE;
-        past = Map.of();
-        open = null;
+        nextConfig = NONE;
+        baselineCounts = Map.of();
+        rollout = null;
         return true;
     }
 
-    String good() {
-        return good.digest();
+    String goodDigest() {
+        return goodConfig.digest();
     }
 
-    Map<String, RequestCounts> past() {
-        return past;
+    Map<String, RequestCounts> baselineCounts() {
+        return baselineCounts;
     }
 
-    /** The digest of the text that a node is to go by. */
-    String wanted(NodeName node) {
+    /** The digest of the shared configuration that a node is to use. */
+    String wantedDigest(NodeName node) {
         boolean given =
-                open != null && open.kind() == Rollout.Kind.CONFIGURATION && open.isGiven(node);
-        return given ? open.to() : good.digest();
+                rollout != null
+                        && rollout.kind() == Rollout.Kind.CONFIGURATION
+                        && rollout.isGiven(node);
+        return given ? rollout.to() : goodConfig.digest();
     }
 
-    /** The program that a node is to be started with; empty for whatever there is. */
+    /** The program version that a node is to be started with; empty where any will do. */
     String wantedProgram(NodeName node) {
-        boolean released = open != null && open.kind() == Rollout.Kind.PROGRAM;
-        return released && open.isGiven(node) ? open.to() : program;
+        boolean isProgram = rollout != null && rollout.kind() == Rollout.Kind.PROGRAM;
+        return isProgram && rollout.isGiven(node) ? rollout.to() : goodProgram;
     }
 
-    /** The digest of a text that nodes are to check now; empty for none. */
-    String toCheck() {
-        return open != null && open.kind() == Rollout.Kind.CONFIGURATION && !open.back()
-                ? open.to()
+    /** The digest of the shared configuration that nodes are to check now; empty for none. */
+    String digestToCheck() {
+        return rollout != null && rollout.kind() == Rollout.Kind.CONFIGURATION && !rollout.back()
+                ? rollout.to()
                 : "";
     }
 
-    /** Null where no text of that digest is kept. */
+    /** The shared configuration of a digest; null where it isn't stored. */
     String text(String digest) {
-        return digest.equals(good.digest())
-                ? good.text()
-                : digest.equals(next.digest()) ? next.text() : null;
+        return digest.equals(goodConfig.digest())
+                ? goodConfig.text()
+                : digest.equals(nextConfig.digest()) ? nextConfig.text() : null;
     }
 }
