--- a/src/main/java/lupinwood/admission/AdmissionController.java
+++ b/src/main/java/lupinwood/admission/AdmissionController.java
@@ -3,41 +3,44 @@
 import java.util.Map;
 
 /**
- * All decisions of one node: what it admits, runs, rejects and fails. This class shows the order of
- * the checks; each rule stands in a class of its own.
+ * Makes all decisions of one node: which requests it admits, runs, rejects and fails. This class
+ * defines the order of the checks; each rule is a class of its own.
  *
  * <ul>
- *   <li>{@link #admit}: whether a request may come in ({@link IdempotencyGuard}, {@link
+ *   <li>{@link #admit}: whether a request is admitted ({@link IdempotencyGuard}, {@link
  *       DrainPolicy}, {@link MemoryBudget}, {@link InFlightLimiter} with {@link AimdLimit})
- *   <li>{@link #decide}: who gives way ({@link DeadlineQueue}), who runs ({@link
- *       ExecutorConcurrency}), who calls ({@link DependencyLimiter}, {@link CallQueue})
+ *   <li>{@link #decide}: which queued requests are rejected ({@link DeadlineQueue}), which run
+ *       ({@link ExecutorConcurrency}) and which call downstream ({@link DependencyLimiter}, {@link
+ *       CallQueue})
  *   <li>{@link RequestLifecycle}: what happens to a request after that
  * </ul>
  *
- * <p>Made for one life of one machine, from its settings. It does no I/O and knows no time but
- * {@link ServerActions#now()}. Not thread-safe: all calls, also on the listeners that it returns,
- * come from the one thread that owns it.
+ * <p>One instance serves one incarnation of a node, built from its settings. It does no I/O and
+ * reads the time from {@link ServerActions#now()} alone. Not thread-safe: one thread makes all
+ * calls, including those on the listeners that it returns.
  */
 public final class AdmissionController implements AdmissionPolicy {
-    /** The periodic work comes at this part of the time that an overload is survived. */
-    private static final double REFRESH_SHARE_OF_OVERLOAD_WINDOW = 0.05;
+    /**
+     * The periodic refresh interval, as a part of the time for which the node survives an overload.
+     */
+    private static final double REFRESH_INTERVAL_RATIO = 0.05;
 
-    /** The periodic work comes no more often than so many times in a mean latency objective. */
-    private static final double REFRESHES_PER_OBJECTIVE = 100;
+    /** The most periodic refreshes within one mean latency objective. */
+    private static final double MAX_REFRESHES_PER_OBJECTIVE = 100;
 
     private final ServerActions server;
     private final AdmissionRules rules;
     private final RequestLifecycle lifecycle;
     private PolicySettings settings;
-    private long requestsRead;
+    private long arrivalCount;
 
     /**
-     * Makes the decisions of a machine that starts.
+     * Starts the decisions of a node.
      *
-     * @param server carries out what is decided
-     * @param seed unused: no decision is drawn
-     * @param settings the platform's, by its own names
-     * @throws NumberFormatException for a number that can't be read
+     * @param server carries out the decisions
+     * @param seed unused: no decision is random
+     * @param settings settings by their outer names, see {@link PolicySettingsMapper}
+     * @throws NumberFormatException if a numeric setting cannot be parsed
      */
     public AdmissionController(ServerActions server, long seed, Map<String, String> settings) {
         this.server = server;
@@ -49,26 +52,31 @@
     }
 
     @Override
-    public void updateSettings(Map<String, String> changed) {
-        settings = PolicySettingsMapper.read(changed, settings);
+    public void updateSettings(Map<String, String> newSettings) {
+        settings = PolicySettingsMapper.read(newSettings, settings);
         rules.update(settings);
         lifecycle.update(settings);
     }
 
     @Override
-    public RequestListener admit(Request read) {
-        ClassState classState = rules.classes.get(read.classId().number());
+    public RequestListener admit(Request received) {
+        ClassState classState = rules.classes.get(received.classId().number());
         AdmittedRequest request =
                 new AdmittedRequest(
-                        read, classState, requestsRead++, server.now(), settings.machine().tick());
+                        received,
+                        classState,
+                        arrivalCount++,
+                        server.now(),
+                        settings.machine().tick());
         lifecycle.open(request);
-        learnFrom(request);
-        check(request);
+        recordArrival(request);
+        checkArrival(request);
         if (!request.isFinished()) {
-            // Rules 1 and 3: whatever is under way, the answer goes out before the client leaves,
-            // or this node: a retry may come after the last answers, and wait for a result.
+            // Whatever state the request is in, it is answered before its client times out or this
+            // node stops. The timer is set even after a drain's last answers, since a retry
+            // admitted then may wait for its original's result.
             rules.timers.scheduleAt(
-                    rules.drain.answerBy(request),
+                    rules.drain.answerDeadline(request),
                     () ->
                             lifecycle.reject(
                                     request, RejectionReason.DEADLINE_PASSED, NanoDuration.ZERO));
@@ -76,16 +84,16 @@
         return listener(request);
     }
 
-    private void learnFrom(AdmittedRequest request) {
+    private void recordArrival(AdmittedRequest request) {
         rules.tenants.charge(request, server.now());
         rules.utility.onOffered(request.classIndex());
         rules.idleConnections.onRequest(request.request().upstreamId());
         rules.load.onRead(request);
     }
 
-    /** The checks of an arrival, in their order. */
-    private void check(AdmittedRequest request) {
-        switch (rules.idempotency.judge(request)) {
+    /** Applies the checks of an arriving request, in order. */
+    private void checkArrival(AdmittedRequest request) {
+        switch (rules.idempotency.check(request)) {
             case FAIL -> lifecycle.fail(request);
             case ANSWER_FROM_ORIGINAL -> lifecycle.answerFromOriginal(request);
             case MAY_RUN -> {
@@ -93,7 +101,7 @@
                     lifecycle.reject(request, RejectionReason.DRAINING, settings.maxRetryAfter());
                 } else if (!rules.memory.hasRoomFor(rules.idempotency.memoryKb(request))) {
                     lifecycle.reject(request, RejectionReason.MEMORY_FULL, meanCost());
-                } else if (rules.inFlight.isFullFor(request) && !makeRoom(request)) {
+                } else if (rules.inFlight.isFullFor(request) && !replaceOverQuota(request)) {
                     lifecycle.reject(request, RejectionReason.IN_FLIGHT_LIMIT, meanCost());
                 } else {
                     lifecycle.enqueue(request);
@@ -103,17 +111,17 @@
     }
 
     /**
-     * Exception: a tenant's burst fills the single count. At the limit a request within its quota
-     * replaces one beyond.
+     * Rejects a queued request over its tenant's quota in favour of one within its quota. Otherwise
+     * a burst of one tenant would fill the in-flight limit, which all tenants share.
      */
-    private boolean makeRoom(AdmittedRequest request) {
+    private boolean replaceOverQuota(AdmittedRequest request) {
         if (request.isOverQuota()) {
             return false;
         }
-        var replaced = rules.queue.lastOverQuota();
-        replaced.ifPresent(
+        var displaced = rules.queue.lastOverQuota();
+        displaced.ifPresent(
                 other -> lifecycle.reject(other, RejectionReason.OVER_QUOTA, meanCost()));
-        return replaced.isPresent();
+        return displaced.isPresent();
     }
 
     @Override
@@ -130,7 +138,7 @@
             return;
         }
         MonotonicTime now = server.now();
-        boolean callsShort = !rules.callQueue.isEmpty() && rules.dependency.isRestricted();
+        boolean callsRestricted = !rules.callQueue.isEmpty() && rules.dependency.isRestricted();
         DeadlineQueue.Overflow overflow =
                 rules.queue.overflow(
                         new DeadlineQueue.Capacity(
@@ -138,19 +146,19 @@
                                 rules.concurrency.running(),
                                 rules.cost.meanCost(now),
                                 new DeadlineQueue.CallCapacity(
-                                        callsShort,
+                                        callsRestricted,
                                         rules.dependency.allowed(),
                                         rules.dependency.callTime(now),
                                         rules.callQueue),
                                 now));
         for (AdmittedRequest request : overflow.requests()) {
-            double untilDone =
+            double secondsUntilDone =
                     (overflow.coreSecondsAhead() / 2 + rules.cost.meanCost(now))
                             / settings.machine().cores();
             lifecycle.reject(
                     request,
                     RejectionReason.CANNOT_FINISH_IN_TIME,
-                    NanoDuration.ofSeconds(untilDone));
+                    NanoDuration.ofSeconds(secondsUntilDone));
         }
     }
 
@@ -158,7 +166,7 @@
         MonotonicTime now = server.now();
         double limit =
                 rules.concurrency.runLimit(
-                        rules.coreTime.wantingCore(), rules.load.unreadShare(), now);
+                        rules.coreTime.runnableRatio(), rules.load.unreadRatio(), now);
         while (!rules.queue.isEmpty()
                 && rules.concurrency.running() < limit
                 && rules.concurrency.hasRoom(now)
@@ -170,7 +178,7 @@
     private void startCalls() {
         MonotonicTime now = server.now();
         for (AdmittedRequest request :
-                rules.callQueue.hopeless(rules.dependency.soonestReturn(now))) {
+                rules.callQueue.expired(rules.dependency.earliestReturn(now))) {
             rules.callQueue.remove(request);
             lifecycle.skipCallOrFail(request);
         }
@@ -182,11 +190,12 @@
     }
 
     @Override
-    public void drain(NanoDuration untilStop) {
-        rules.drain.begin(server.now(), untilStop);
+    public void drain(NanoDuration timeUntilStop) {
+        rules.drain.begin(server.now(), timeUntilStop);
         server.reportHealth(false, true);
         rules.timers.scheduleAt(
-                rules.drain.lastAnswersAt(), () -> lifecycle.rejectAll(RejectionReason.DRAINING));
+                rules.drain.lastAnswersDeadline(),
+                () -> lifecycle.rejectAll(RejectionReason.DRAINING));
         reportLoad();
     }
 
@@ -199,24 +208,27 @@
         rules.timers.runDue();
     }
 
-    /** Sets anew, now and then, what the node tells its upstreams. */
+    /**
+     * Refreshes the load report, its floor and the idle timeout, and schedules the next refresh.
+     */
     private void refreshPeriodically() {
         MonotonicTime now = server.now();
         reportLoad();
-        NanoDuration pause =
+        NanoDuration interval =
                 settings.overloadWindow()
-                        .times(REFRESH_SHARE_OF_OVERLOAD_WINDOW)
+                        .times(REFRESH_INTERVAL_RATIO)
                         .max(settings.machine().tick())
                         .max(
                                 NanoDuration.ofSeconds(
-                                        settings.meanObjectiveSeconds() / REFRESHES_PER_OBJECTIVE));
-        double queuedShare =
-                rules.queue.workWithinQuotas(now)
+                                        settings.meanObjectiveSeconds()
+                                                / MAX_REFRESHES_PER_OBJECTIVE));
+        double queuedRatio =
+                rules.queue.coreSecondsWithinQuotas(now)
                         / settings.machine().cores()
                         / settings.meanObjectiveSeconds();
         rules.idleConnections.adjust(rules.cost.meanCost(now), rules.load.isBehindWithReading());
-        rules.load.moveFloor(queuedShare, pause);
-        rules.timers.scheduleAfter(pause, this::refreshPeriodically);
+        rules.load.adjustFloor(queuedRatio, interval);
+        rules.timers.scheduleAfter(interval, this::refreshPeriodically);
     }
 
     private void reportLoad() {
@@ -230,7 +242,7 @@
     private RequestListener listener(AdmittedRequest request) {
         return new RequestListener() {
             @Override
-            public void onCompleted(Outcome outcome, NanoDuration took) {
+            public void onCompleted(Outcome outcome, NanoDuration duration) {
                 lifecycle.onCompleted(request, outcome);
             }
 
@@ -240,8 +252,8 @@
             }
 
             @Override
-            public void onCallCompleted(Outcome outcome, NanoDuration took) {
-                lifecycle.onCallCompleted(request, outcome, took);
+            public void onCallCompleted(Outcome outcome, NanoDuration duration) {
+                lifecycle.onCallCompleted(request, outcome, duration);
             }
 
             @Override
--- a/src/main/java/lupinwood/admission/AdmissionPolicy.java
+++ b/src/main/java/lupinwood/admission/AdmissionPolicy.java
@@ -3,31 +3,35 @@
 import java.util.Map;
 
 /**
- * The deciding side of one machine: events come in by these calls, decisions leave through {@link
- * ServerActions}. Not thread-safe: one thread makes all calls, also those on the listeners.
+ * Decides what one node admits, runs, rejects and fails. Events come in through these methods,
+ * decisions leave through {@link ServerActions}. Not thread-safe: one thread makes all calls,
+ * including those on the listeners.
  */
 public interface AdmissionPolicy {
     /**
-     * A request was read; it is owed one final answer.
+     * Handles a request that was read. It gets exactly one final answer.
      *
-     * @return what hears of everything that happens to the request later
+     * @return receives all later events of the request
      */
     RequestListener admit(Request request);
 
     /**
-     * The settings changed, in entries that may change while the node runs. Open requests keep the
-     * times under which they arrived.
+     * Applies changed settings; only entries that may change while the node runs differ. Open
+     * requests keep the due times that they were given on arrival.
      *
-     * @param settings the platform's, whole, by its own names
+     * @param settings all settings, changed or not, by their outer names
      */
     void updateSettings(Map<String, String> settings);
 
-    /** The machine will be stopped after this long: a graceful shutdown begins. */
-    void drain(NanoDuration untilStop);
+    /** Begins the graceful shutdown of the node, which will be stopped after this duration. */
+    void drain(NanoDuration timeUntilStop);
 
-    /** A wake-up that was asked for is due, or the resource usage was read anew. */
+    /** Handles a requested wake-up that is due, or a new reading of the resource usage. */
     void wake(ResourceUsage resourceUsage);
 
-    /** All events of this moment have been told: decide what runs, calls and is rejected. */
+    /**
+     * Decides what runs, calls and is rejected, once all events of the present time were handed
+     * over.
+     */
     void decide();
 }
--- a/src/main/java/lupinwood/admission/AdmissionRules.java
+++ b/src/main/java/lupinwood/admission/AdmissionRules.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The rules of one node, wired by the {@link AdmissionController}. A rule's state is its own; what
- * one rule needs of another it asks for through that one's methods.
+ * The rules of one node, wired for the {@link AdmissionController}. Each rule owns its state; a
+ * rule that needs another's state calls that rule's methods.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -23,7 +23,7 @@
     final InFlightLimiter inFlight;
     final DependencyLimiter dependency;
     final CallTimeoutPolicy callTimeout;
-    final RetryPolicy retries = new RetryPolicy();
+    final RetryPolicy retryPolicy = new RetryPolicy();
     final DeadlineQueue queue;
     final CallQueue callQueue;
     final DrainPolicy drain;
@@ -55,7 +55,7 @@
         rejections = new RejectionPolicy(cost, load, settings);
     }
 
-    /** Takes over changed settings; what was measured stays. */
+    /** Applies changed settings; measured values are kept. */
     void update(PolicySettings settings) {
         for (int i = 0; i < classes.size(); i++) {
             classes.get(i).update(settings.classes().get(i));
@@ -71,7 +71,7 @@
         rejections.update(settings);
     }
 
-    /** Whether no class has a baseline of its calls yet. */
+    /** Whether no request class has a known baseline latency yet. */
     boolean hasNoBaseline() {
         return classes.stream().noneMatch(each -> each.baseline().isKnown());
     }
--- a/src/main/java/lupinwood/admission/AdmittedRequest.java
+++ b/src/main/java/lupinwood/admission/AdmittedRequest.java
@@ -3,25 +3,25 @@
 import java.util.Comparator;
 
 /**
- * One request from the moment it was read until nothing more is asked of it, nor heard: its times,
- * and how far it has come.
+ * A request from arrival until no further action or event can concern it: its times and its
+ * progress.
  *
- * <p>Changed by {@link RequestLifecycle} alone, on the thread of the {@link AdmissionController};
- * the rules read it.
+ * <p>Modified by {@link RequestLifecycle}, {@link TenantQuota} and {@link InFlightLimiter}, on the
+ * thread of the {@link AdmissionController}; the other rules read it.
  */
 final class AdmittedRequest {
-    /** By due time, and in the order of arrival where that is the same. */
+    /** Orders by due time, and by arrival where due times are equal. */
     static final Comparator<AdmittedRequest> BY_DUE_TIME =
             Comparator.<AdmittedRequest, MonotonicTime>comparing(AdmittedRequest::due)
                     .thenComparing(AdmittedRequest::number);
 
-    /** Where a request stands. */
+    /** The progress of a request. */
     enum State {
         QUEUED,
         RUNNING,
         WAITING_TO_CALL,
         CALLING,
-        /** It is a retry and waits for its original's result. */
+        /** A retry that waits for the result of its original. */
         AWAITING_ORIGINAL,
         FINISHED
     }
@@ -31,32 +31,32 @@
     private final long number;
     private final MonotonicTime arrivedAt;
     private final MonotonicTime due;
-    private final MonotonicTime answerBy;
+    private final MonotonicTime answerDeadline;
 
     private State state = State.QUEUED;
     private boolean hasRun;
-    private boolean neverRan;
+    private boolean provenNeverRan;
     private boolean answered;
     private boolean failed;
-    private TenantQuota.Bucket quota;
+    private TenantQuota.Bucket quotaBucket;
     private boolean overQuota;
 
-    private double runStartedAt;
+    private double runStartedAtCoreSeconds;
     private double coreSeconds;
 
     private boolean countedInFlight;
-    private int callsEnded;
-    private int callAttempts;
+    private int successfulCalls;
+    private int failedCallAttempts;
     private MonotonicTime calledAt;
-    private int completedWithAllOut;
-    private boolean limitCut;
+    private int expectedCompletedCalls;
+    private boolean limitReduced;
     private boolean baselineCall;
 
     /**
-     * A request that was just read.
+     * Creates the record of a request that was just read.
      *
-     * @param number counts up over all requests of this node
-     * @param tick the machine's time step: an answer goes out two of them early
+     * @param number sequence number over all requests of this node
+     * @param tick the node's time step; an answer is sent two ticks before the client gives up
      */
     AdmittedRequest(
             Request request,
@@ -69,16 +69,16 @@
         this.number = number;
         arrivedAt = now.minus(request.waited());
         RequestClass requestClass = classState.settings();
-        MonotonicTime clientGone =
+        MonotonicTime clientTimeoutAt =
                 request.clientTimeout().isPositive()
                         ? now.plus(request.clientTimeout())
                         : arrivedAt.plus(requestClass.timeout());
-        answerBy = clientGone.minus(tick.plus(tick));
+        answerDeadline = clientTimeoutAt.minus(tick.plus(tick));
         MonotonicTime objectiveAt =
                 arrivedAt
                         .plus(requestClass.latencyObjective())
                         .plus(request.work().times(requestClass.objectiveStretch()));
-        due = objectiveAt.isBefore(answerBy) ? objectiveAt : answerBy;
+        due = objectiveAt.isBefore(answerDeadline) ? objectiveAt : answerDeadline;
     }
 
     Request request() {
@@ -93,7 +93,7 @@
         return classState;
     }
 
-    /** What the settings say of its class now. */
+    /** The present settings of its request class. */
     RequestClass requestClass() {
         return classState.settings();
     }
@@ -110,17 +110,20 @@
         return arrivedAt;
     }
 
-    /** The end of its latency objective, or the last moment for an answer where that is sooner. */
+    /** The end of its latency objective, or the answer deadline where that is earlier. */
     MonotonicTime due() {
         return due;
     }
 
-    /** The last moment for an answer: two ticks before its client gives up (rule 1). */
-    MonotonicTime answerBy() {
-        return answerBy;
+    /**
+     * The latest time for a final answer: two ticks before the client gives up, so that every
+     * request is answered before its client's timeout.
+     */
+    MonotonicTime answerDeadline() {
+        return answerDeadline;
     }
 
-    boolean is(State other) {
+    boolean isInState(State other) {
         return state == other;
     }
 
@@ -137,16 +140,18 @@
         return hasRun;
     }
 
-    /** Whether its run had no effect, by proof. */
-    boolean hasProvablyNotRun() {
-        return !hasRun || neverRan;
+    /**
+     * Whether it was never started here, or the outcome of its run proves that it had no effect.
+     */
+    boolean isProvenNeverRun() {
+        return !hasRun || provenNeverRan;
     }
 
     void markRun() {
         hasRun = true;
     }
 
-    /** Whether it has its final answer, or nobody waits for one. */
+    /** Whether it has its final answer, or its client is gone. */
     boolean isAnswered() {
         return answered;
     }
@@ -163,16 +168,16 @@
         failed = true;
     }
 
-    /** Takes in how its run ended. */
-    void markEnded(Outcome outcome) {
+    /** Records how its run ended. */
+    void markCompleted(Outcome outcome) {
         failed |= outcome != Outcome.OK;
-        neverRan = outcome.provesNeverRan();
+        provenNeverRan = outcome.provesNeverRan();
         answered = true;
     }
 
-    void charged(TenantQuota.Bucket bucket, boolean over) {
-        quota = bucket;
-        overQuota = over;
+    void chargeTo(TenantQuota.Bucket bucket, boolean isOver) {
+        quotaBucket = bucket;
+        overQuota = isOver;
     }
 
     /** Whether its tenant had used up its quota when it arrived. */
@@ -180,31 +185,37 @@
         return overQuota;
     }
 
-    /** Whether its tenant sends far over its quota; only where it has one. */
+    /** Whether its tenant sends far over its quota; false for a tenant without one. */
     boolean isOfBurstingTenant() {
-        return quota != null && quota.isBursting();
+        return quotaBucket != null && quotaBucket.isBursting();
     }
 
-    /** It never ran, and takes nothing of its tenant's quota. */
+    /** Returns what it took of its tenant's quota; for a request that never ran. */
     void refundQuota() {
-        if (quota != null) {
-            quota.refund(overQuota);
+        if (quotaBucket != null) {
+            quotaBucket.refund(overQuota);
         }
     }
 
-    /** It is on the cores from now on, by the clock of core time. */
-    void startRun(double givenSeconds) {
+    /**
+     * Records that it starts or resumes running.
+     *
+     * @param coreClockSeconds the reading of {@link CoreTimeClock}
+     */
+    void startRun(double coreClockSeconds) {
         state = State.RUNNING;
-        runStartedAt = givenSeconds;
+        runStartedAtCoreSeconds = coreClockSeconds;
     }
 
-    /** It leaves the cores. */
-    void pauseRun(double givenSeconds) {
-        coreSeconds += givenSeconds - runStartedAt;
+    /** Records that it leaves the cores, and adds the core time that it was given. */
+    void pauseRun(double coreClockSeconds) {
+        coreSeconds += coreClockSeconds - runStartedAtCoreSeconds;
         state = State.WAITING_TO_CALL;
     }
 
-    /** Core time given to it so far, without the run that is under way. */
+    /**
+     * Core time given to it so far, in seconds, without the part since it last entered the cores.
+     */
     double coreSeconds() {
         return coreSeconds;
     }
@@ -213,38 +224,38 @@
         return countedInFlight;
     }
 
-    void countInFlight(boolean counted) {
+    void setCountedInFlight(boolean counted) {
         countedInFlight = counted;
     }
 
-    /** How many of its calls ended well. */
-    int callsEnded() {
-        return callsEnded;
+    /** The number of its calls that succeeded. */
+    int successfulCalls() {
+        return successfulCalls;
     }
 
-    /** Attempts of its present call that failed. */
-    int callAttempts() {
-        return callAttempts;
+    /** The number of failed attempts of its present call. */
+    int failedCallAttempts() {
+        return failedCallAttempts;
     }
 
     void markCallAttemptFailed() {
-        callAttempts++;
+        failedCallAttempts++;
     }
 
-    void markCallEnded() {
-        callsEnded++;
-        callAttempts = 0;
+    void markCallSucceeded() {
+        successfulCalls++;
+        failedCallAttempts = 0;
     }
 
     /**
-     * A call goes out.
+     * Records that a call is made.
      *
-     * @param completedMark see {@link DependencyLimiter#onCallMade}
-     * @param baseline whether it is made while the limit is underused
+     * @param expectedCompletedCalls see {@link DependencyLimiter#onCallStarted}
+     * @param baseline whether the in-flight limit is underused when the call is made
      */
-    void startCall(MonotonicTime now, int completedMark, boolean baseline) {
+    void startCall(MonotonicTime now, int expectedCompletedCalls, boolean baseline) {
         calledAt = now;
-        completedWithAllOut = completedMark;
+        this.expectedCompletedCalls = expectedCompletedCalls;
         baselineCall = baseline;
     }
 
@@ -252,20 +263,20 @@
         return calledAt;
     }
 
-    int completedMark() {
-        return completedWithAllOut;
+    int expectedCompletedCalls() {
+        return expectedCompletedCalls;
     }
 
     boolean isBaselineCall() {
         return baselineCall;
     }
 
-    /** Whether its present call has already cut the limit. */
-    boolean hasCutLimit() {
-        return limitCut;
+    /** Whether the present attempt of its call has already reduced the in-flight limit. */
+    boolean hasReducedLimit() {
+        return limitReduced;
     }
 
-    void markLimitCut(boolean cut) {
-        limitCut = cut;
+    void setLimitReduced(boolean reduced) {
+        limitReduced = reduced;
     }
 }
--- a/src/main/java/lupinwood/admission/AimdLimit.java
+++ b/src/main/java/lupinwood/admission/AimdLimit.java
@@ -2,68 +2,74 @@
 
 /**
  * The limit on in-flight requests that may call downstream, by additive increase and multiplicative
- * decrease.
+ * decrease (AIMD).
  *
  * <pre>
- * fast call while inFlight * 2 &gt;= limit:  limit = min(MAX_LIMIT, limit + 1)
- * slow or dropped call, once an attempt:   limit = max(minimum, limit * BACKOFF_RATIO)
+ * fast call while inFlight * 2 &gt;= limit:            limit = min(MAX_LIMIT, limit + 1)
+ * slow or failed call, at most once per attempt:  limit = max(minimum, limit * BACKOFF_RATIO)
  * </pre>
  *
- * <p>Source: the AIMD limiter of the article that docs/design.md names. The in-flight condition
- * keeps light traffic from inflating a limit that it never tests.
+ * <p>Based on the AIMD limiter of the article cited in docs/design.md. The condition on requests in
+ * flight keeps light traffic from raising a limit that it never reaches.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class AimdLimit {
-    /** Where the limit starts: enough for the first seconds, before any call has come back. */
+    /**
+     * The initial limit, in requests: enough for the first seconds, before any call has returned.
+     */
     private static final double INITIAL_LIMIT = 20;
 
-    /** The limit never falls below this, so that calls go on and recovery can be seen. */
+    /**
+     * The least limit, in requests: calls go on, so that a recovery of the dependency is noticed.
+     */
     private static final double MIN_LIMIT = 5;
 
-    /** The limit never rises above this, whatever the dependency answers. */
+    /** The greatest limit, in requests, whatever the latency of the dependency. */
     private static final double MAX_LIMIT = 200;
 
-    /** What is left of the limit after a slow or dropped call. */
+    /** The factor applied to the limit after a slow or failed call. */
     private static final double BACKOFF_RATIO = 0.9;
 
-    private final double minimum;
+    private final double minLimit;
     private double limit;
 
     /**
-     * Starts at the initial limit, or at one request a core where that is more.
+     * Starts at the initial limit, or at one request per core where that is more.
      *
-     * @param cores of this node, at least 1
+     * @param cores the cores of this node, at least 1
      */
     AimdLimit(double cores) {
-        minimum = Math.max(MIN_LIMIT, cores);
+        minLimit = Math.max(MIN_LIMIT, cores);
         limit = Math.max(INITIAL_LIMIT, cores);
     }
 
-    /** The limit in requests; need not be whole. */
+    /** The limit in requests, not necessarily a whole number. */
     double limit() {
         return limit;
     }
 
-    /** Whether one more request would pass the limit. */
+    /** Whether one more request would exceed the limit. */
     boolean isReachedBy(int inFlight) {
         return inFlight >= Math.floor(limit);
     }
 
-    /** Whether so few are in flight that the dependency's latency shows its unloaded state. */
+    /**
+     * Whether so few requests are in flight that calls show the latency of an unloaded dependency.
+     */
     boolean isUnderusedBy(int inFlight) {
         return inFlight * 2 < limit;
     }
 
-    /** A call came back within its target. */
+    /** Records a call that returned within its target. */
     void onFastCall(int inFlight) {
         if (inFlight * 2 >= limit) {
             limit = Math.min(MAX_LIMIT, limit + 1);
         }
     }
 
-    /** A call passed its target or was dropped; to be told once an attempt of a call. */
-    void onSlowOrDroppedCall() {
-        limit = Math.max(minimum, limit * BACKOFF_RATIO);
+    /** Records a call that exceeded its target or failed; to be called at most once per attempt. */
+    void onSlowOrFailedCall() {
+        limit = Math.max(minLimit, limit * BACKOFF_RATIO);
     }
 }
--- a/src/main/java/lupinwood/admission/BaselineLatency.java
+++ b/src/main/java/lupinwood/admission/BaselineLatency.java
@@ -3,59 +3,68 @@
 import java.util.Optional;
 
 /**
- * What a call of one request class takes while the dependency isn't loaded, and the target that
- * follows from it.
+ * The duration of a downstream call of one request class while the dependency is not loaded, and
+ * the target derived from it.
  *
  * <pre>target = max(latencyObjective / 2, 3 * baseline median)</pre>
  *
- * <p>There is no target before {@link Histogram#MIN_SAMPLES} baseline calls were seen, and so no
- * cut of the limit either. Source: docs/design.md, "TARGET".
+ * <p>Until {@link Histogram#MIN_SAMPLES} baseline calls were seen there is no target, so no call
+ * reduces the in-flight limit. Source: docs/design.md, "TARGET".
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class BaselineLatency {
-    /** A call may take this many medians before it counts as slow: natural spread stays below. */
-    private static final double SLOW_FACTOR = 3;
+    /**
+     * A call that takes more than this multiple of the median is slow; the usual variation stays
+     * below.
+     */
+    private static final double SLOW_CALL_RATIO = 3;
 
-    /** The share of the latency objective that a call may take in any case. */
-    private static final double OBJECTIVE_SHARE = 0.5;
+    /** The part of the latency objective that is always within the target. */
+    private static final double MIN_TARGET_OBJECTIVE_RATIO = 0.5;
 
-    /** Of slow calls one in so many enters the baseline, or the median would follow the load. */
+    /**
+     * One in this many slow calls enters the baseline. If all did, the median would rise with the
+     * load of the dependency.
+     */
     private static final int SLOW_SAMPLING_INTERVAL = 8;
 
     private final Histogram samples = new Histogram(Histogram.RECENT_SAMPLES);
 
-    /** Whether enough baseline calls were seen for a median. */
+    /** Whether enough baseline calls were seen to trust the median. */
     boolean isKnown() {
         return samples.weight() >= Histogram.MIN_SAMPLES;
     }
 
     /**
-     * Takes in a call that was made while the limit was underused.
+     * Adds a call that was made while the in-flight limit was underused.
      *
      * @param slow whether it took longer than the baseline allows
-     * @param requestNumber picks the slow calls that count
+     * @param requestNumber selects which slow calls are added
      */
-    void add(NanoDuration took, boolean slow, long requestNumber) {
+    void add(NanoDuration duration, boolean slow, long requestNumber) {
         if (!slow || requestNumber % SLOW_SAMPLING_INTERVAL == 0) {
-            samples.add(took.seconds());
+            samples.add(duration.seconds());
         }
     }
 
     /**
-     * By how much a call keeps below the slow mark: 3 medians over what it took, under 1 for a slow
-     * one; 1 while no median is known.
+     * The ratio of the slow-call bound (3 medians) to the duration of a call: less than 1 for a
+     * slow call; 1 while no median is known.
      */
-    double slack(NanoDuration took) {
-        return isKnown() ? SLOW_FACTOR * samples.median() / Math.max(1e-9, took.seconds()) : 1;
+    double slack(NanoDuration duration) {
+        return isKnown()
+                ? SLOW_CALL_RATIO * samples.median() / Math.max(1e-9, duration.seconds())
+                : 1;
     }
 
-    /** The time within which a call counts as fast; empty before the baseline is known. */
+    /** The duration up to which a call counts as fast; empty until the baseline is known. */
     Optional<NanoDuration> target(RequestClass requestClass) {
         if (!isKnown()) {
             return Optional.empty();
         }
-        NanoDuration slow = NanoDuration.ofSeconds(SLOW_FACTOR * samples.median());
-        return Optional.of(requestClass.latencyObjective().times(OBJECTIVE_SHARE).max(slow));
+        NanoDuration slowBound = NanoDuration.ofSeconds(SLOW_CALL_RATIO * samples.median());
+        return Optional.of(
+                requestClass.latencyObjective().times(MIN_TARGET_OBJECTIVE_RATIO).max(slowBound));
     }
 }
--- a/src/main/java/lupinwood/admission/CallQueue.java
+++ b/src/main/java/lupinwood/admission/CallQueue.java
@@ -7,13 +7,12 @@
 import java.util.stream.Stream;
 
 /**
- * The requests that wait for their turn to call downstream. The one that adds most utility for its
- * remaining calls goes first.
+ * The requests that wait to call downstream, highest utility per remaining call first.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class CallQueue {
-    private final TreeSet<AdmittedRequest> waiting = new TreeSet<>(AdmittedRequest.BY_DUE_TIME);
+    private final TreeSet<AdmittedRequest> requests = new TreeSet<>(AdmittedRequest.BY_DUE_TIME);
     private final UtilityModel utility;
 
     CallQueue(UtilityModel utility) {
@@ -21,34 +20,38 @@
     }
 
     void add(AdmittedRequest request) {
-        waiting.add(request);
+        requests.add(request);
     }
 
     void remove(AdmittedRequest request) {
-        waiting.remove(request);
+        requests.remove(request);
     }
 
     boolean isEmpty() {
-        return waiting.isEmpty();
+        return requests.isEmpty();
     }
 
     int size() {
-        return waiting.size();
+        return requests.size();
     }
 
     Stream<AdmittedRequest> stream() {
-        return waiting.stream();
+        return requests.stream();
     }
 
-    /** Those that are answered already, or would have their call back past their due time. */
-    List<AdmittedRequest> hopeless(MonotonicTime soonestReturn) {
-        return waiting.stream()
-                .filter(each -> each.isAnswered() || each.due().isBefore(soonestReturn))
+    /**
+     * The requests that need no call any more: already answered, or due before a call could return.
+     *
+     * @param earliestReturn when a call made as soon as possible would return
+     */
+    List<AdmittedRequest> expired(MonotonicTime earliestReturn) {
+        return requests.stream()
+                .filter(each -> each.isAnswered() || each.due().isBefore(earliestReturn))
                 .toList();
     }
 
-    /** The one to call next. */
+    /** The request to call next. */
     Optional<AdmittedRequest> next() {
-        return waiting.stream().max(Comparator.comparingDouble(utility::utilityPerCall));
+        return requests.stream().max(Comparator.comparingDouble(utility::utilityPerCall));
     }
 }
--- a/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
+++ b/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
@@ -1,19 +1,19 @@
 package lupinwood.admission;
 
 /**
- * How long a downstream call may take: while its request can still earn anything, or as long as
- * there is time to go on without the call where the settings pay for that.
+ * The timeout of a downstream call: as long as the request can still earn utility or, where a
+ * skipped call is paid for, as long as time remains to finish without the call.
  *
- * <p>Exception, under a quota of less than one call in flight: no call lasts longer than half of
- * what the quota lets through in the time averaged over, less the time for which the dependency may
- * linger over a call that was given up. Of a quota that lingering alone uses up half is left, or no
- * call would ever come back; the pause after each call keeps the quota.
+ * <p>Under a quota of less than one call in flight, a call also lasts no longer than half of what
+ * the quota allows within the quota window, less the time for which the dependency may go on with a
+ * call that was given up (the linger time). If the linger time uses up more than half of that, half
+ * is left, since otherwise no call could return; the pause after each call then keeps the quota.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class CallTimeoutPolicy {
-    /** A call that may be skipped gets this part of the time left in any case. */
-    private static final double MIN_SHARE_OF_TIME_LEFT = 0.5;
+    /** The part of the time left that a call which may be skipped gets in any case. */
+    private static final double MIN_TIME_LEFT_RATIO = 0.5;
 
     private final CostEstimator cost;
     private final double quota;
@@ -29,28 +29,34 @@
         settings = changed;
     }
 
-    /** The timeout of a call that the request makes now; at least one tick under a small quota. */
+    /**
+     * The timeout of a call that the request makes now; at least one tick where the quota bounds
+     * it.
+     */
     NanoDuration timeout(AdmittedRequest request, MonotonicTime now) {
-        NanoDuration byRequest = whileItEarns(request, now);
-        NanoDuration share = settings.quotaWindow().times(quota / 2);
-        if (quota >= 1 || !share.isPositive()) {
-            return byRequest;
+        NanoDuration requestLimit = requestTimeout(request, now);
+        NanoDuration callBudget = settings.quotaWindow().times(quota / 2);
+        if (quota >= 1 || !callBudget.isPositive()) {
+            return requestLimit;
         }
-        NanoDuration byQuota =
-                share.minus(settings.callLinger())
-                        .max(share.times(0.5))
+        NanoDuration quotaLimit =
+                callBudget
+                        .minus(settings.callLinger())
+                        .max(callBudget.times(0.5))
                         .max(settings.machine().tick());
-        return byRequest.min(byQuota);
+        return requestLimit.min(quotaLimit);
     }
 
-    private NanoDuration whileItEarns(AdmittedRequest request, MonotonicTime now) {
-        NanoDuration left = request.due().since(now);
+    private NanoDuration requestTimeout(AdmittedRequest request, MonotonicTime now) {
+        NanoDuration timeLeft = request.due().since(now);
         if (request.requestClass().skippedCallValue() > 0) {
-            double workLeft = Math.max(0, cost.cost(request, now) - request.coreSeconds());
-            return left.minus(NanoDuration.ofSeconds(workLeft))
-                    .max(left.times(MIN_SHARE_OF_TIME_LEFT))
+            double coreSecondsLeft = Math.max(0, cost.cost(request, now) - request.coreSeconds());
+            return timeLeft.minus(NanoDuration.ofSeconds(coreSecondsLeft))
+                    .max(timeLeft.times(MIN_TIME_LEFT_RATIO))
                     .max(settings.machine().tick());
         }
-        return request.requestClass().lateValue() > 0 ? request.answerBy().since(now) : left;
+        return request.requestClass().lateValue() > 0
+                ? request.answerDeadline().since(now)
+                : timeLeft;
     }
 }
--- a/src/main/java/lupinwood/admission/ClassCost.java
+++ b/src/main/java/lupinwood/admission/ClassCost.java
@@ -1,22 +1,25 @@
 package lupinwood.admission;
 
 /**
- * The core time that a request of one class takes, in seconds on this node's cores.
+ * The core time of the requests of one class, in seconds on this node's cores.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class ClassCost {
-    /** The part of the latency objective that a request is taken to cost before any is measured. */
-    private static final double FIRST_GUESS_OF_OBJECTIVE = 0.1;
+    /**
+     * The part of the latency objective that a request is assumed to cost until enough runs are
+     * known.
+     */
+    private static final double INITIAL_COST_OBJECTIVE_RATIO = 0.1;
 
     private final Histogram samples = new Histogram(Histogram.RECENT_SAMPLES);
 
-    /** A run of this class took so much core time. */
+    /** Adds the core time of a completed run. */
     void add(double coreSeconds) {
         samples.add(coreSeconds);
     }
 
-    /** How much this class counts in a mean over classes: its recent runs, at least 1. */
+    /** The weight of this class in a mean over classes: its recent runs, at least 1. */
     double weight() {
         return Math.max(1, samples.weight());
     }
@@ -24,11 +27,11 @@
     /**
      * The expected core seconds of one request.
      *
-     * @param speed of this node's cores just now, as a share of their full speed
+     * @param speed the present speed of this node's cores, as a share of their full speed
      */
     double estimate(RequestClass requestClass, double speed) {
         return samples.weight() >= Histogram.MIN_SAMPLES
                 ? samples.mean()
-                : requestClass.latencyObjective().seconds() * FIRST_GUESS_OF_OBJECTIVE / speed;
+                : requestClass.latencyObjective().seconds() * INITIAL_COST_OBJECTIVE_RATIO / speed;
     }
 }
--- a/src/main/java/lupinwood/admission/ClassState.java
+++ b/src/main/java/lupinwood/admission/ClassState.java
@@ -1,7 +1,7 @@
 package lupinwood.admission;
 
 /**
- * One request class: what the settings say of it now, and what was measured of its requests.
+ * The present settings of one request class and the values measured for its requests.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -19,9 +19,9 @@
         return settings;
     }
 
-    /** Takes over changed settings; what was measured stays. */
-    void update(RequestClass changed) {
-        settings = changed;
+    /** Applies changed settings; measured values are kept. */
+    void update(RequestClass newSettings) {
+        settings = newSettings;
     }
 
     ClassCost cost() {
--- a/src/main/java/lupinwood/admission/CoreTimeClock.java
+++ b/src/main/java/lupinwood/admission/CoreTimeClock.java
@@ -1,55 +1,58 @@
 package lupinwood.admission;
 
 /**
- * A clock of core time: it counts the seconds of core that each running request was given so far,
- * so that what a request cost is the difference between two readings.
+ * A clock of core time: it accumulates the core seconds given to each running request, so that the
+ * cost of a run is the difference between two readings.
  *
- * <pre>given += passed * min(1, cores / (running * wantingCore))</pre>
+ * <pre>coreSecondsPerRun += elapsed * min(1, cores / (running * runnableRatio))</pre>
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class CoreTimeClock {
-    /** A run is taken to want a core for this share of its time at least, whatever was read. */
-    private static final double MIN_WANTING_CORE = 0.3;
+    /** The least runnable ratio assumed, whatever the executor reports. */
+    private static final double MIN_RUNNABLE_RATIO = 0.3;
 
     private final double cores;
-    private double givenSeconds;
-    private MonotonicTime readAt;
+    private double coreSecondsPerRun;
+    private MonotonicTime advancedAt;
 
-    /** The part of those that run that wants a core and waits for no disk. */
-    private double wantingCore = 1;
+    /** The part of the running requests that want a core rather than wait for a disk, averaged. */
+    private double runnableRatio = 1;
 
     CoreTimeClock(double cores, MonotonicTime now) {
         this.cores = cores;
-        readAt = now;
+        advancedAt = now;
     }
 
-    /** Brings the clock up to now; to be called before the number of running requests changes. */
+    /** Advances the clock to now; to be called before the number of running requests changes. */
     void advance(MonotonicTime now, int running) {
-        double passed = now.since(readAt).seconds();
-        givenSeconds += passed * Math.min(1, cores / Math.max(1e-9, running * wantingCore));
-        readAt = now;
+        double elapsedSeconds = now.since(advancedAt).seconds();
+        coreSecondsPerRun +=
+                elapsedSeconds * Math.min(1, cores / Math.max(1e-9, running * runnableRatio));
+        advancedAt = now;
     }
 
-    /** The reading, in core seconds a running request. */
-    double givenSeconds() {
-        return givenSeconds;
+    /** The reading, in core seconds per running request. */
+    double coreSecondsPerRun() {
+        return coreSecondsPerRun;
     }
 
-    /** The part of the running requests that wants a core, averaged; from 0.3 to 1. */
-    double wantingCore() {
-        return wantingCore;
+    /** The part of the running requests that want a core, averaged; from 0.3 to 1. */
+    double runnableRatio() {
+        return runnableRatio;
     }
 
     /**
-     * Takes in how many running requests wanted a core when it was last read.
+     * Updates the runnable ratio from a reading of the resource usage.
      *
-     * @param wanting NaN where the machine can't tell
+     * @param runnable running requests that want a core; NaN where it is not known
      */
-    void onUsageRead(double wanting, int running) {
-        boolean known = running > 0 && !Double.isNaN(wanting);
-        double part =
-                known ? Math.max(MIN_WANTING_CORE, Math.min(1, wanting / running)) : wantingCore;
-        wantingCore += (part - wantingCore) / Histogram.RECENT_SAMPLES;
+    void onUsageRead(double runnable, int running) {
+        boolean isKnown = running > 0 && !Double.isNaN(runnable);
+        double ratio =
+                isKnown
+                        ? Math.max(MIN_RUNNABLE_RATIO, Math.min(1, runnable / running))
+                        : runnableRatio;
+        runnableRatio += (ratio - runnableRatio) / Histogram.RECENT_SAMPLES;
     }
 }
--- a/src/main/java/lupinwood/admission/CostEstimator.java
+++ b/src/main/java/lupinwood/admission/CostEstimator.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What requests cost in core seconds on this node: by the hint that a request carries, where there
- * is one, and else by what its class was measured to take.
+ * Estimates what requests cost in core seconds on this node: from the hint of a request where it
+ * carries one, else from the measured costs of its class.
  *
  * <pre>
- * hinted request:  cost = hint * slowness,  slowness = mean measured cost / mean hint
- * any other:       cost = mean of its class
+ * request with a hint:  cost = hint * slowness,  slowness = mean measured cost / mean hint
+ * any other:            cost = mean of its class
  * </pre>
  *
- * <p>A node that slows down measures dearer requests and so takes fewer.
+ * <p>On a node that slows down the measured costs rise, so that it takes fewer requests.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -34,14 +34,19 @@
                 : request.classState().cost().estimate(request.requestClass(), ramp.speed(now));
     }
 
-    /** What a second of work on a standard core takes here: more on slow and cold machines. */
+    /**
+     * The core seconds that one second of work on a standard core takes here; greater than 1 on
+     * slow and cold nodes.
+     */
     double slowness(MonotonicTime now) {
         return hints.weight() >= Histogram.MIN_SAMPLES
                 ? hintedCosts.mean() / hints.mean()
                 : 1 / ramp.speed(now);
     }
 
-    /** The expected core seconds of a request of any class, weighted by recent runs. */
+    /**
+     * The expected core seconds of a request, as the mean over all classes weighted by recent runs.
+     */
     double meanCost(MonotonicTime now) {
         double speed = ramp.speed(now);
         double weight = classes.stream().mapToDouble(each -> each.cost().weight()).sum();
@@ -55,15 +60,18 @@
         return weight > 0 ? sum / weight : 1;
     }
 
-    /** Whether a request came too late for its work, and not just because its work is large. */
+    /**
+     * Whether too little time is left for the work of a request because it arrived late, and not
+     * only because its work is large.
+     */
     boolean isTooLate(AdmittedRequest request, MonotonicTime now) {
-        double left = request.due().since(now).seconds();
-        double whole = request.due().since(request.arrivedAt()).seconds();
-        return left < Math.min(cost(request, now), whole / 2);
+        double secondsLeft = request.due().since(now).seconds();
+        double secondsAtArrival = request.due().since(request.arrivedAt()).seconds();
+        return secondsLeft < Math.min(cost(request, now), secondsAtArrival / 2);
     }
 
-    /** A request ran to a good end and got so much core time. */
-    void onCompleted(AdmittedRequest request, double coreSeconds) {
+    /** Records the core time of a request whose run succeeded. */
+    void onRunSucceeded(AdmittedRequest request, double coreSeconds) {
         request.classState().cost().add(coreSeconds);
         if (request.request().work().isPositive()) {
             hints.add(request.request().work().seconds());
--- a/src/main/java/lupinwood/admission/DeadlineQueue.java
+++ b/src/main/java/lupinwood/admission/DeadlineQueue.java
@@ -10,54 +10,58 @@
 import java.util.stream.Stream;
 
 /**
- * The admitted requests that wait for a core, by due time, and the choice of those that give way
+ * The admitted requests that wait for a core, by due time, and the selection of those to reject
  * when not all can be done in time.
  *
- * <p>The queue is gone through in its order. At the first request that can't be done by its due
- * time, the one among those passed so far that adds least utility for its cost is given up: the
- * idea of Moore and Hodgson's rule for the least number of late jobs (Moore, "An n job, one machine
- * sequencing algorithm for minimizing the number of late jobs", 1968), weighted by utility.
+ * <p>Selection goes through the queue in order of due time. At the first request that cannot be
+ * done by its due time, the candidate with the least utility per cost among the requests so far is
+ * selected for rejection. This is the Moore-Hodgson rule for the least number of late jobs (Moore,
+ * "An n job, one machine sequencing algorithm for minimizing the number of late jobs", 1968),
+ * weighted by utility.
  *
  * <pre>
- * needs(request) = (running * mean cost / 2 + cost of all passed and itself) / cores + cost
- * calls(request) = call time * mean calls * (1 + callers ahead / calls allowed), where calls are short
- * late if needs + calls &gt; time left (of a fresh arrival: 0.85 of it)
+ * coreSeconds(request) = (running * mean cost / 2 + cost of all candidates including itself) / cores + cost
+ * callSeconds(request) = call time * mean calls * (1 + callers ahead / calls allowed), where calls are restricted
+ * late if coreSeconds + callSeconds &gt; time left (of a new arrival: 0.85 of it)
  * </pre>
  *
- * <p>A free core always tries what is not too late, since a wrong estimate of cost could otherwise
- * never be put right: such a request is neither passed in this sense nor chosen.
+ * <p>A request that a free core could take and that is not too late is always tried, since a wrong
+ * cost estimate could otherwise never be corrected: it is neither a candidate nor counted.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class DeadlineQueue {
-    /** The part of its time that an arrival may need, so that rejections fall on arrivals. */
-    private static final double ARRIVAL_MARGIN = 0.85;
+    /**
+     * The part of its time left that a new arrival may need, so that rejections fall on new
+     * arrivals.
+     */
+    private static final double NEW_ARRIVAL_TIME_RATIO = 0.85;
 
-    /** With more than this part of its time left a request counts as just arrived. */
-    private static final double FRESH_ABOVE = 0.9;
+    /** A request with more than this part of its time left counts as a new arrival. */
+    private static final double NEW_ARRIVAL_TIME_LEFT_RATIO = 0.9;
 
-    /** What the machine and the dependency can do now. */
+    /** The present capacity of the node and of the shared dependency. */
     record Capacity(
             double cores, int running, double meanCost, CallCapacity calls, MonotonicTime now) {}
 
     /**
-     * What the dependency can do now.
+     * The present capacity of the shared dependency.
      *
-     * @param isShort whether less than half the quota is allowed and requests wait to call
+     * @param isRestricted whether less than half the quota is allowed and requests wait to call
      * @param waiting the requests that wait to call
      */
     record CallCapacity(
-            boolean isShort, double allowed, NanoDuration callTime, CallQueue waiting) {}
+            boolean isRestricted, double allowed, NanoDuration callTime, CallQueue waiting) {}
 
     /**
-     * Who gives way.
+     * The requests to reject.
      *
-     * @param requests in the order in which they were chosen
-     * @param coreSecondsAhead the work of those that stay
+     * @param requests in the order in which they were selected
+     * @param coreSecondsAhead the work of the candidates that stay queued
      */
     record Overflow(List<AdmittedRequest> requests, double coreSecondsAhead) {}
 
-    /** A request that was passed on the way through the queue. */
+    /** A request that may be selected for rejection. */
     private static final class Candidate {
         static final Comparator<Candidate> LEAST_UTILITY_FIRST =
                 Comparator.<Candidate>comparingDouble(each -> each.utilityPerCost)
@@ -93,76 +97,88 @@
         return queue.isEmpty();
     }
 
-    /** The one due soonest; the queue must not be empty. */
+    /** The request due first; the queue must not be empty. */
     AdmittedRequest first() {
         return queue.first();
     }
 
-    /** A request over its tenant's quota that is counted in flight, the one due last. */
+    /**
+     * The request due last among those that are over their tenant's quota and counted in flight.
+     */
     Optional<AdmittedRequest> lastOverQuota() {
         return queue.descendingSet().stream()
                 .filter(each -> each.isOverQuota() && each.isCountedInFlight())
                 .findFirst();
     }
 
-    /** The core seconds of all that wait within their quotas. */
-    double workWithinQuotas(MonotonicTime now) {
-        ToDoubleFunction<AdmittedRequest> costNow = each -> cost.cost(each, now);
-        Stream<AdmittedRequest> within = queue.stream().filter(each -> !each.isOverQuota());
-        return within.mapToDouble(costNow).sum();
+    /** The core seconds of the queued requests that are within their tenant's quota. */
+    double coreSecondsWithinQuotas(MonotonicTime now) {
+        ToDoubleFunction<AdmittedRequest> presentCost = each -> cost.cost(each, now);
+        Stream<AdmittedRequest> withinQuota = queue.stream().filter(each -> !each.isOverQuota());
+        return withinQuota.mapToDouble(presentCost).sum();
     }
 
-    /** Chooses the requests that give way; they stay in the queue until they are rejected. */
+    /** Selects the requests to reject; they stay in the queue until they are rejected. */
     Overflow overflow(Capacity capacity) {
-        List<AdmittedRequest> givenUp = new ArrayList<>();
-        PriorityQueue<Candidate> passed = new PriorityQueue<>(Candidate.LEAST_UTILITY_FIRST);
-        double ahead = 0;
+        List<AdmittedRequest> selected = new ArrayList<>();
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(Candidate.LEAST_UTILITY_FIRST);
+        double coreSecondsAhead = 0;
         double freeCores = capacity.cores() - capacity.running();
         for (AdmittedRequest request : queue) {
-            boolean callsShort = request.requestClass().calls() && capacity.calls().isShort();
+            boolean callsRestricted =
+                    request.requestClass().calls() && capacity.calls().isRestricted();
             boolean hasFreeCore = freeCores >= 1;
             freeCores--;
-            if (hasFreeCore && !cost.isTooLate(request, capacity.now()) && !callsShort) {
+            if (hasFreeCore && !cost.isTooLate(request, capacity.now()) && !callsRestricted) {
                 continue;
             }
-            double own = cost.cost(request, capacity.now());
-            Candidate candidate = new Candidate(request, utility.utility(request) / own);
-            passed.add(candidate);
-            ahead += own;
-            double needs = coreTimeUntilDone(capacity, ahead, own);
-            double left = timeLeft(request, capacity.now());
-            if (needs + callTimeUntilDone(capacity, request, callsShort) > left) {
-                // Where only calls are short another request would not make room for this one.
-                Candidate least = needs > left ? passed.peek() : candidate;
-                passed.remove(least);
-                ahead -= cost.cost(least.request, capacity.now());
-                givenUp.add(least.request);
+            double ownCoreSeconds = cost.cost(request, capacity.now());
+            Candidate candidate = new Candidate(request, utility.utility(request) / ownCoreSeconds);
+            candidates.add(candidate);
+            coreSecondsAhead += ownCoreSeconds;
+            double coreSeconds = coreSecondsUntilDone(capacity, coreSecondsAhead, ownCoreSeconds);
+            double usableSeconds = usableSecondsLeft(request, capacity.now());
+            if (coreSeconds + callSecondsUntilDone(capacity, request, callsRestricted)
+                    > usableSeconds) {
+                // Where only calls are restricted, rejecting another request would not make this
+                // one finish in time.
+                Candidate rejected = coreSeconds > usableSeconds ? candidates.peek() : candidate;
+                candidates.remove(rejected);
+                coreSecondsAhead -= cost.cost(rejected.request, capacity.now());
+                selected.add(rejected.request);
             }
         }
-        return new Overflow(givenUp, ahead);
+        return new Overflow(selected, coreSecondsAhead);
     }
 
-    private static double coreTimeUntilDone(Capacity capacity, double ahead, double own) {
-        double running = capacity.running() * capacity.meanCost() / 2;
-        return (running + ahead) / capacity.cores() + own;
+    private static double coreSecondsUntilDone(
+            Capacity capacity, double coreSecondsAhead, double ownCoreSeconds) {
+        double runningSeconds = capacity.running() * capacity.meanCost() / 2;
+        return (runningSeconds + coreSecondsAhead) / capacity.cores() + ownCoreSeconds;
     }
 
-    private double callTimeUntilDone(
-            Capacity capacity, AdmittedRequest request, boolean callsShort) {
-        if (!callsShort) {
+    private double callSecondsUntilDone(
+            Capacity capacity, AdmittedRequest request, boolean callsRestricted) {
+        if (!callsRestricted) {
             return 0;
         }
         CallCapacity calls = capacity.calls();
-        double own = utility.utility(request);
-        long before = calls.waiting().stream().filter(each -> utility.utility(each) >= own).count();
+        double ownUtility = utility.utility(request);
+        long callersAhead =
+                calls.waiting().stream()
+                        .filter(each -> utility.utility(each) >= ownUtility)
+                        .count();
         return calls.callTime().seconds()
                 * request.classState().callSequence().meanCalls()
-                * (1 + before / calls.allowed());
+                * (1 + callersAhead / calls.allowed());
     }
 
-    private static double timeLeft(AdmittedRequest request, MonotonicTime now) {
-        double left = request.due().since(now).seconds();
-        double whole = request.due().since(request.arrivedAt()).seconds();
-        return left * (left > whole * FRESH_ABOVE ? ARRIVAL_MARGIN : 1);
+    private static double usableSecondsLeft(AdmittedRequest request, MonotonicTime now) {
+        double secondsLeft = request.due().since(now).seconds();
+        double secondsAtArrival = request.due().since(request.arrivedAt()).seconds();
+        return secondsLeft
+                * (secondsLeft > secondsAtArrival * NEW_ARRIVAL_TIME_LEFT_RATIO
+                        ? NEW_ARRIVAL_TIME_RATIO
+                        : 1);
     }
 }
--- a/src/main/java/lupinwood/admission/DependencyLimiter.java
+++ b/src/main/java/lupinwood/admission/DependencyLimiter.java
@@ -3,39 +3,43 @@
 import java.util.Optional;
 
 /**
- * How many calls to the shared dependency may be out, and when the next may be made.
+ * Limits the calls in flight to the shared dependency, and spaces them where less than one is
+ * allowed.
  *
  * <pre>
  * slow call (slack &lt; 1):  allowed = max(0.2 * quota, allowed * slack)
  * any other:              allowed = min(quota, allowed + (0.2 * quota)^2 / allowed)
- * while allowed &lt; 1:      next call at calledAt + max(took / min(1, quota), usual / allowed)
+ * while allowed &lt; 1:      next call at calledAt + max(duration / min(1, quota), typical / allowed)
  * </pre>
  *
- * <p>The quota is what the dependency survives from this node; it slows down long before. So the
- * calls allowed shrink by as much as a call was too slow, and each other call lets them grow. A
- * node that starts cold makes one call at a time until some class has a baseline (slow start).
- * Above a tier of servers no quota is given, and the in-flight limit alone bounds calls.
+ * <p>The quota is the load from this node that the dependency survives; it slows down long before
+ * that. So a slow call reduces the allowed calls in proportion to how much too slow it was, and any
+ * other call raises them. A node that starts cold makes one call at a time until some class has a
+ * baseline (slow start). Where downstream is a tier of servers there is no quota, and the in-flight
+ * limit alone bounds the calls.
  *
- * <p>Rule 4 of the conventions: a call that was given up counts as in flight while the dependency
- * may still work on it. Under a quota of one a pause after each call keeps the average.
+ * <p>A call that was given up counts as in flight while the dependency may still work on it. Under
+ * a quota of less than one call, a pause after each call keeps the average within the quota.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class DependencyLimiter {
-    /** The part of the quota that is used whatever calls take: without calls nothing is learned. */
-    private static final double MIN_QUOTA_SHARE = 0.2;
+    /**
+     * The part of the quota that is always allowed: without calls a recovery would not be noticed.
+     */
+    private static final double MIN_ALLOWED_QUOTA_RATIO = 0.2;
 
-    /** Fewer samples than elsewhere: the latest calls have to follow a change fast. */
-    private static final int LATEST_SAMPLES = Histogram.RECENT_SAMPLES / 4;
+    /** Samples of the call duration; fewer than elsewhere, to follow a change fast. */
+    private static final int RECENT_CALL_SAMPLES = Histogram.RECENT_SAMPLES / 4;
 
     private final double quota;
     private final NanoDuration tick;
-    private final Histogram latestCalls = new Histogram(LATEST_SAMPLES);
+    private final Histogram recentCallSeconds = new Histogram(RECENT_CALL_SAMPLES);
     private double allowed;
     private MonotonicTime nextCallAt;
-    private double usualSeconds;
+    private double typicalCallSeconds;
     private int inFlight;
-    private int completed;
+    private int completedCalls;
 
     DependencyLimiter(PolicySettings settings, MonotonicTime now) {
         quota = settings.machine().dependencyQuota();
@@ -45,12 +49,12 @@
         nextCallAt = now;
     }
 
-    /** Calls in flight by the settings; 1e9 where none is given. */
+    /** The quota of this node, in calls in flight; 1e9 where there is none. */
     double quota() {
         return quota;
     }
 
-    /** Calls in flight that are allowed just now; at least a fifth of the quota. */
+    /** The calls in flight allowed at present; at least a fifth of the quota. */
     double allowed() {
         return allowed;
     }
@@ -60,23 +64,23 @@
         return allowed < quota / 2;
     }
 
-    /** Whether the pause after the last call is still on. */
+    /** Whether the pause after the last call has not ended yet. */
     boolean isPacing(MonotonicTime now) {
         return now.isBefore(nextCallAt);
     }
 
-    /** When a call made as soon as possible would be back. */
-    MonotonicTime soonestReturn(MonotonicTime now) {
+    /** When a call made as soon as possible would return. */
+    MonotonicTime earliestReturn(MonotonicTime now) {
         return (isPacing(now) ? nextCallAt : now).plus(callTime(now));
     }
 
     /**
-     * What a call takes just now. While none is out nothing is known, and one is always tried: then
-     * it is one tick.
+     * The expected duration of a call; one tick while none is in flight or paced, since nothing is
+     * known then and one call is always tried.
      */
     NanoDuration callTime(MonotonicTime now) {
-        return (inFlight > 0 || isPacing(now)) && latestCalls.weight() > 0
-                ? NanoDuration.ofSeconds(latestCalls.median())
+        return (inFlight > 0 || isPacing(now)) && recentCallSeconds.weight() > 0
+                ? NanoDuration.ofSeconds(recentCallSeconds.median())
                 : tick;
     }
 
@@ -86,56 +90,62 @@
     }
 
     /**
-     * A call was made.
+     * Records that a call is made.
      *
-     * @return how many completed calls there will be once all that are out now, this one included,
-     *     have come back; more than that were made later
+     * @return the number of completed calls once all calls now in flight, this one included, have
+     *     returned; calls completed beyond that number were made later
      */
-    int onCallMade() {
+    int onCallStarted() {
         inFlight++;
-        return completed + inFlight;
+        return completedCalls + inFlight;
     }
 
-    /** How many calls made later than one with this mark have come back at least. */
-    int completedSince(int mark) {
-        return completed - mark;
+    /**
+     * The least number of calls that were made after a given call and have returned.
+     *
+     * @param expectedCompletedCalls what {@link #onCallStarted} returned for the given call
+     */
+    int completedAfter(int expectedCompletedCalls) {
+        return completedCalls - expectedCompletedCalls;
     }
 
-    /** A call came back well. */
-    void onCallCompleted() {
-        completed++;
+    /** Records that a call succeeded. */
+    void onCallSucceeded() {
+        completedCalls++;
     }
 
     /**
-     * A call ended, well or not.
+     * Adjusts the allowed calls to the duration of a call that ended, successfully or not.
      *
-     * @param slack of its class's baseline for what it took, under 1 for a slow call
-     * @param hasAnyBaseline whether some class has a baseline; before that nothing grows
+     * @param slack see {@link BaselineLatency#slack}; less than 1 for a slow call
+     * @param hasAnyBaseline whether some class has a baseline; until then the allowed calls don't
+     *     grow
      */
-    void onLatency(NanoDuration took, double slack, boolean hasAnyBaseline) {
-        latestCalls.add(took.seconds());
-        double least = quota * MIN_QUOTA_SHARE;
+    void onCallEnded(NanoDuration duration, double slack, boolean hasAnyBaseline) {
+        recentCallSeconds.add(duration.seconds());
+        double minAllowed = quota * MIN_ALLOWED_QUOTA_RATIO;
         if (slack < 1) {
-            allowed = Math.max(least, allowed * slack);
+            allowed = Math.max(minAllowed, allowed * slack);
         } else if (hasAnyBaseline) {
-            allowed = Math.min(quota, allowed + least * least / allowed);
+            allowed = Math.min(quota, allowed + minAllowed * minAllowed / allowed);
         }
     }
 
     /**
-     * A call is in flight no more, also at the dependency.
+     * Records that a call is no longer in flight, at the dependency either.
      *
-     * @return when the next call may be made, where that is paced
+     * @return when the next call may be made, if calls are paced
      */
-    Optional<MonotonicTime> onCallOutOfFlight(MonotonicTime calledAt, MonotonicTime now) {
+    Optional<MonotonicTime> onCallReleased(MonotonicTime calledAt, MonotonicTime now) {
         inFlight--;
-        double took = now.since(calledAt).seconds();
-        usualSeconds = usualSeconds > 0 ? Math.sqrt(usualSeconds * took) : took;
+        double seconds = now.since(calledAt).seconds();
+        typicalCallSeconds =
+                typicalCallSeconds > 0 ? Math.sqrt(typicalCallSeconds * seconds) : seconds;
         if (allowed >= 1) {
             return Optional.empty();
         }
-        double pause = Math.max(took / Math.min(1, quota), usualSeconds / allowed);
-        nextCallAt = calledAt.plus(NanoDuration.ofSeconds(pause));
+        double pauseSeconds = Math.max(seconds / Math.min(1, quota), typicalCallSeconds / allowed);
+        nextCallAt = calledAt.plus(NanoDuration.ofSeconds(pauseSeconds));
         return Optional.of(nextCallAt);
     }
 }
--- a/src/main/java/lupinwood/admission/DrainPolicy.java
+++ b/src/main/java/lupinwood/admission/DrainPolicy.java
@@ -1,22 +1,24 @@
 package lupinwood.admission;
 
 /**
- * Graceful shutdown, rule 3 of the conventions: nothing that arrives later than half the grace
- * after the notice is run (the other half is margin), and all that was read is answered a little
- * before the stop.
+ * Graceful shutdown: no request that arrives later than half the grace period after the notice is
+ * run (the other half is a margin), and every request that was read is answered shortly before the
+ * node is stopped.
  *
  * <pre>last answers = stop - max(0.05 * (stop - notice), 4 ticks)</pre>
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class DrainPolicy {
-    /** The part of the grace in which arrivals are still admitted. */
-    private static final double ADMITTED_SHARE_OF_GRACE = 0.5;
+    /** The part of the grace period in which arrivals are still admitted. */
+    private static final double ADMISSION_GRACE_RATIO = 0.5;
 
-    /** The part of the drain that is kept for the last answers to go out. */
-    private static final double ANSWER_MARGIN_SHARE = 0.05;
+    /**
+     * The part of the time between notice and stop that is reserved for sending the last answers.
+     */
+    private static final double ANSWER_MARGIN_RATIO = 0.05;
 
-    /** The same in ticks, for short drains. */
+    /** The least time reserved for the last answers, in ticks, for short drains. */
     private static final int ANSWER_MARGIN_TICKS = 4;
 
     private PolicySettings settings;
@@ -27,43 +29,46 @@
         this.settings = settings;
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** Notice came that the machine will be stopped after so long. */
-    void begin(MonotonicTime now, NanoDuration untilStop) {
+    /** Begins the drain: the node will be stopped after this duration. */
+    void begin(MonotonicTime now, NanoDuration timeUntilStop) {
         noticeAt = now;
-        stopAt = now.plus(untilStop);
+        stopAt = now.plus(timeUntilStop);
     }
 
     boolean isDraining() {
         return noticeAt != null;
     }
 
-    /** When all that was read has to be answered; only while draining. */
-    MonotonicTime lastAnswersAt() {
+    /** When every request that was read must be answered; defined only while draining. */
+    MonotonicTime lastAnswersDeadline() {
         NanoDuration margin =
                 stopAt.since(noticeAt)
-                        .times(ANSWER_MARGIN_SHARE)
+                        .times(ANSWER_MARGIN_RATIO)
                         .max(settings.machine().tick().times(ANSWER_MARGIN_TICKS));
         return stopAt.minus(margin);
     }
 
-    /** The earlier of that and the moment by which a request's client wants its answer. */
-    MonotonicTime answerBy(AdmittedRequest request) {
-        return isDraining() && lastAnswersAt().isBefore(request.answerBy())
-                ? lastAnswersAt()
-                : request.answerBy();
+    /**
+     * The latest time for the answer of a request: its own answer deadline or, if earlier, that of
+     * the drain.
+     */
+    MonotonicTime answerDeadline(AdmittedRequest request) {
+        return isDraining() && lastAnswersDeadline().isBefore(request.answerDeadline())
+                ? lastAnswersDeadline()
+                : request.answerDeadline();
     }
 
-    /** Whether a request arrived too late to be run here. */
+    /** Whether a request arrived too late in the drain to be run here. */
     boolean rejects(AdmittedRequest request, MonotonicTime now) {
         if (!isDraining()) {
             return false;
         }
         MonotonicTime admittedUntil =
-                noticeAt.plus(settings.drainGrace().times(ADMITTED_SHARE_OF_GRACE));
-        return !request.arrivedAt().isBefore(admittedUntil) || !now.isBefore(lastAnswersAt());
+                noticeAt.plus(settings.drainGrace().times(ADMISSION_GRACE_RATIO));
+        return !request.arrivedAt().isBefore(admittedUntil) || !now.isBefore(lastAnswersDeadline());
     }
 }
--- a/src/main/java/lupinwood/admission/ExecutorConcurrency.java
+++ b/src/main/java/lupinwood/admission/ExecutorConcurrency.java
@@ -1,26 +1,27 @@
 package lupinwood.admission;
 
 /**
- * How many requests run on the cores at once.
+ * The concurrency limit of the executor: how many requests run on the cores at once.
  *
  * <pre>
  * survivable = cores * (1 + (overloadMultiple - 1) * speed)
- * run limit  = min(cores * (2 / wantingCore - 1) * max(0.25, 1 - unreadShare), floor(0.85 * survivable))
+ * run limit  = min(cores * (2 / runnableRatio - 1) * max(0.25, 1 - unreadRatio), floor(0.85 * survivable))
  * </pre>
  *
- * <p>One request runs on each core, and where runs wait for a disk, enough to cover the waits; more
- * would only make each slower. A node behind in its reading runs fewer, since reading shares the
- * cores. Rule 4 of the conventions: whatever the in-flight limit says, what runs and what comes
- * back from calls unasked stays within what the machine survives.
+ * <p>One request runs on each core and, where runs wait for a disk, enough further ones to use the
+ * cores meanwhile; more would only slow all of them down. A node that is behind with reading
+ * requests runs fewer, since reading uses the same cores. Whatever the in-flight limit allows, the
+ * running requests and those that return to the cores from their calls on their own stay within
+ * what the node survives.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class ExecutorConcurrency {
-    /** The part of what the machine survives that is used on purpose. */
-    private static final double USED_SHARE = 0.85;
+    /** The part of the survivable number of running requests that is used. */
+    private static final double USED_CAPACITY_RATIO = 0.85;
 
-    /** However far behind in its reading, a node runs this part of its limit. */
-    private static final double MIN_SHARE_WHILE_BEHIND = 0.25;
+    /** The part of its limit that a node runs however far behind with reading it is. */
+    private static final double MIN_RATIO_WHILE_BEHIND = 0.25;
 
     private final double cores;
     private final SpeedRamp ramp;
@@ -34,53 +35,53 @@
         this.settings = settings;
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** Requests on the cores. */
+    /** The number of running requests. */
     int running() {
         return running;
     }
 
-    /** A request came to the cores, or comes back to them. */
-    void onRunning() {
+    /** Records that a request starts or resumes running. */
+    void onRunStarted() {
         running++;
     }
 
-    /** A request left the cores. */
-    void onNotRunning() {
+    /** Records that a request stops running, for a call or for good. */
+    void onRunPaused() {
         running--;
     }
 
-    /** A call went out, whose request comes back to the cores by itself. */
-    void onCalling() {
+    /** Records a call whose request resumes running on its own when the call returns. */
+    void onCallStarted() {
         calling++;
     }
 
-    /** Such a call ended, or was given up. */
-    void onNotCalling() {
+    /** Records that such a call ended or was given up. */
+    void onCallEnded() {
         calling--;
     }
 
     /**
-     * How many may run.
+     * The number of requests that may run.
      *
-     * @param wantingCore the part of the running requests that wants a core, over 0 up to 1
-     * @param unreadShare how far through their objective the latest requests were when read
+     * @param runnableRatio the part of the running requests that wants a core, over 0 up to 1
+     * @param unreadRatio the part of their latency objective that recent requests waited unread
      */
-    double runLimit(double wantingCore, double unreadShare, MonotonicTime now) {
-        double behind = Math.max(MIN_SHARE_WHILE_BEHIND, 1 - unreadShare);
-        double used = Math.max(1, survivable(now) * USED_SHARE);
-        return Math.min(cores * (2 / wantingCore - 1) * behind, Math.floor(used));
+    double runLimit(double runnableRatio, double unreadRatio, MonotonicTime now) {
+        double readingFactor = Math.max(MIN_RATIO_WHILE_BEHIND, 1 - unreadRatio);
+        double usable = Math.max(1, survivableRuns(now) * USED_CAPACITY_RATIO);
+        return Math.min(cores * (2 / runnableRatio - 1) * readingFactor, Math.floor(usable));
     }
 
-    /** Whether the machine survives one more, also if all that call come back at once. */
+    /** Whether the node survives one more running request, even if all calls return at once. */
     boolean hasRoom(MonotonicTime now) {
-        return running + calling + 1 <= Math.max(1, survivable(now));
+        return running + calling + 1 <= Math.max(1, survivableRuns(now));
     }
 
-    private double survivable(MonotonicTime now) {
+    private double survivableRuns(MonotonicTime now) {
         return cores * (1 + (settings.overloadMultiple() - 1) * ramp.speed(now));
     }
 }
--- a/src/main/java/lupinwood/admission/Histogram.java
+++ b/src/main/java/lupinwood/admission/Histogram.java
@@ -1,79 +1,96 @@
 package lupinwood.admission;
 
-/** A small histogram of positive figures in coarse bins, halved when it has taken in so many. */
+/**
+ * A histogram of positive values in 48 logarithmic bins. Each time its weight reaches a bound all
+ * counts are halved, so that recent values count most.
+ */
 public final class Histogram {
-    /** Samples that most histograms take in before they are halved: follows a change in seconds. */
+    /** The usual weight at which counts are halved: follows a change within seconds. */
     static final int RECENT_SAMPLES = 32;
 
-    /** Samples without which no mean or median is trusted. */
+    /** The least weight at which a mean or a median is used. */
     static final double MIN_SAMPLES = 6;
 
-    private static final int BINS = 48;
-    private static final double LOWEST = 1e-4;
-    private static final double STEP = Math.sqrt(2);
+    private static final int BIN_COUNT = 48;
+    private static final double LOWEST_VALUE = 1e-4;
+    private static final double BIN_WIDTH_RATIO = Math.sqrt(2);
 
-    private static final double[] MIDDLES = new double[BINS];
+    private static final double[] BIN_MIDPOINTS = new double[BIN_COUNT];
 
     static {
-        for (int i = 0; i < BINS; i++) {
-            MIDDLES[i] = LOWEST * Math.pow(STEP, i + 0.5);
+        for (int i = 0; i < BIN_COUNT; i++) {
+            BIN_MIDPOINTS[i] = LOWEST_VALUE * Math.pow(BIN_WIDTH_RATIO, i + 0.5);
         }
     }
 
-    private final double[] bins = new double[BINS];
-    private final double fullAt;
+    private final double[] bins = new double[BIN_COUNT];
+    private final double halvingWeight;
     private double weight;
 
-    /** Asked for far more often than figures come; NaN where it has to be reckoned anew. */
+    /**
+     * Cached, since it is read far more often than values are added; NaN when it has to be
+     * recomputed.
+     */
     private double mean = Double.NaN;
 
     private double median = Double.NaN;
 
-    /** Takes in so many samples before all counts are halved. */
-    public Histogram(double fullAt) {
-        this.fullAt = fullAt;
+    /**
+     * Creates an empty histogram.
+     *
+     * @param halvingWeight the weight at which all counts are halved
+     */
+    public Histogram(double halvingWeight) {
+        this.halvingWeight = halvingWeight;
     }
 
-    /** Takes in one sample; those under the lowest bin count as that. */
-    public void add(double figure) {
-        double place = Math.log(Math.max(figure, LOWEST) / LOWEST) / Math.log(STEP);
-        bins[Math.min(BINS - 1, (int) place)] += 1;
+    /**
+     * Adds one value; a value below the lowest bin counts in that bin, one above the highest in
+     * that.
+     */
+    public void add(double value) {
+        double position =
+                Math.log(Math.max(value, LOWEST_VALUE) / LOWEST_VALUE) / Math.log(BIN_WIDTH_RATIO);
+        bins[Math.min(BIN_COUNT - 1, (int) position)] += 1;
         weight += 1;
         mean = Double.NaN;
         median = Double.NaN;
-        if (weight >= fullAt) {
-            for (int i = 0; i < BINS; i++) {
+        if (weight >= halvingWeight) {
+            for (int i = 0; i < BIN_COUNT; i++) {
                 bins[i] /= 2;
             }
             weight /= 2;
         }
     }
 
-    /** How many samples count, after halving. */
+    /** The number of samples after halving. */
     public double weight() {
         return weight;
     }
 
-    /** The middle of the bin that holds the median; of an empty histogram that of the lowest. */
+    /**
+     * The midpoint of the bin that holds the median; that of the lowest bin if the histogram is
+     * empty.
+     */
     public double median() {
         if (Double.isNaN(median)) {
             int bin = 0;
             for (double cumulative = bins[0];
-                    cumulative * 2 < weight && bin < BINS - 1;
+                    cumulative * 2 < weight && bin < BIN_COUNT - 1;
                     cumulative += bins[bin]) {
                 bin++;
             }
-            median = MIDDLES[bin];
+            median = BIN_MIDPOINTS[bin];
         }
         return median;
     }
 
-    /** The mean over the bins' middles; 0 of an empty histogram. */
+    /** The mean over the midpoints of the bins; 0 if the histogram is empty. */
     public double mean() {
         if (Double.isNaN(mean)) {
             double sum = 0;
-            for (int i = 0; i < BINS; i++) {
-                sum += bins[i] * MIDDLES[i];
+            for (int i = 0; i < BIN_COUNT; i++) {
+                sum += bins[i] * BIN_MIDPOINTS[i];
             }
             mean = weight > 0 ? sum / weight : 0;
         }
--- a/src/main/java/lupinwood/admission/Idempotency.java
+++ b/src/main/java/lupinwood/admission/Idempotency.java
@@ -1,11 +1,14 @@
 package lupinwood.admission;
 
-/** What running a request twice would do; as HTTP says it. */
+/** What running a request more than once would do, in the terms of HTTP. */
 public enum Idempotency {
-    /** Nothing: it may run again. */
+    /** It has no effect; it may run any number of times. */
     SAFE,
-    /** It carries a key by which a retry is known, and must run once within its window. */
+    /**
+     * It carries an idempotency key that identifies its retries, and must run once within its
+     * window.
+     */
     IDEMPOTENT,
-    /** It must never run twice. */
+    /** It must not run more than once. */
     UNSAFE
 }
--- a/src/main/java/lupinwood/admission/IdempotencyGuard.java
+++ b/src/main/java/lupinwood/admission/IdempotencyGuard.java
@@ -4,30 +4,30 @@
 import java.util.Map;
 
 /**
- * Rule 2 of the conventions: an idempotent request runs once in its window. The originals are
- * remembered from arrival to the end of the window; a retry of one that ran, or may yet run, is
- * answered from its result and never run.
+ * Ensures that an idempotent request runs once within its window. Original requests are remembered
+ * from arrival to the end of the window; a retry of one that ran, or may still run, is answered
+ * from the result of the original and never run.
  *
- * <p>Bounded by the {@link MemoryBudget}: each record is charged, and a request that could not be
- * remembered isn't admitted.
+ * <p>Bounded by the {@link MemoryBudget}: each idempotency record is charged to it, and a request
+ * for whose record there is no room is not admitted.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class IdempotencyGuard {
-    /** What a request is to this guard. */
+    /** How a request is to be handled. */
     enum Verdict {
-        /** It is no retry, or its original never ran and never will. */
+        /** Not a retry, or its original never ran and never will. */
         MAY_RUN,
-        /** The answer is its original's. */
+        /** A retry that is answered from the result of its original. */
         ANSWER_FROM_ORIGINAL,
-        /** Its original failed, perhaps with effect. */
+        /** A retry whose original failed, possibly after taking effect. */
         FAIL
     }
 
     private final ServerActions server;
     private final TimerQueue timers;
     private final MemoryBudget memory;
-    private final double entryKb;
+    private final double recordKb;
     private final NanoDuration tick;
     private final Map<RequestId, AdmittedRequest> originals = new HashMap<>();
 
@@ -36,23 +36,23 @@
         this.server = server;
         this.timers = timers;
         this.memory = memory;
-        entryKb = settings.machine().idempotencyEntryKb();
+        recordKb = settings.machine().idempotencyRecordKb();
         tick = settings.machine().tick();
     }
 
-    /** What remembering a request takes of the memory budget. */
+    /** The memory that the idempotency record of a request takes, in kilobytes. */
     double memoryKb(AdmittedRequest request) {
-        return isIdempotent(request) ? entryKb : 0;
+        return isIdempotent(request) ? recordKb : 0;
     }
 
-    Verdict judge(AdmittedRequest request) {
+    Verdict check(AdmittedRequest request) {
         RequestId originalId = request.request().original();
         if (!isIdempotent(request) || originalId == null) {
             return Verdict.MAY_RUN;
         }
         AdmittedRequest original = originals.get(originalId);
         if (original == null) {
-            // No longer remembered here; the machine may still have the result.
+            // The record has expired here; the node may still have the result.
             return Verdict.ANSWER_FROM_ORIGINAL;
         }
         if (!original.hasRun() && original.isFinished()) {
@@ -66,27 +66,27 @@
         if (!isIdempotent(request)) {
             return;
         }
-        // A window that went by while the request was unread still has attempts in it that are
-        // unread too.
+        // A window that ended while the request was unread is still kept for a tick: retries made
+        // within it may be unread too.
         MonotonicTime windowEnd = request.arrivedAt().plus(request.requestClass().window());
-        NanoDuration left = windowEnd.since(server.now()).max(NanoDuration.ZERO);
-        memory.reserve(entryKb);
+        NanoDuration timeLeft = windowEnd.since(server.now()).max(NanoDuration.ZERO);
+        memory.reserve(recordKb);
         originals.put(request.id(), request);
-        server.remember(request.id(), left.plus(tick));
-        timers.scheduleAfter(left.plus(tick).plus(tick), () -> drop(request));
+        server.remember(request.id(), timeLeft.plus(tick));
+        timers.scheduleAfter(timeLeft.plus(tick).plus(tick), () -> removeRecord(request));
     }
 
-    /** Forgets a request that never ran, so that a retry may. */
+    /** Forgets a request that never ran, so that a retry may run. */
     void release(AdmittedRequest request) {
-        if (drop(request)) {
+        if (removeRecord(request)) {
             server.forget(request.id());
         }
     }
 
-    private boolean drop(AdmittedRequest request) {
-        boolean known = originals.remove(request.id(), request);
-        memory.release(known ? entryKb : 0);
-        return known;
+    private boolean removeRecord(AdmittedRequest request) {
+        boolean removed = originals.remove(request.id(), request);
+        memory.release(removed ? recordKb : 0);
+        return removed;
     }
 
     private static boolean isIdempotent(AdmittedRequest request) {
--- a/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
+++ b/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
@@ -5,84 +5,88 @@
 import java.util.HashSet;
 
 /**
- * How long a connection of an upstream load balancer may be idle. Open connections take from the
- * cores, and a full table lets nobody in.
+ * The idle timeout of the connections of upstream load balancers. Open connections cost core time,
+ * and a full connection table refuses new connections.
  *
  * <pre>
- * returning = 1 - distinct / (latest + 1)       over the upstreams of the latest 32 requests
- * fullness  = connections * mean cost / (8 * returning * cores * mean objective)
- * fullness &gt; 1: idle = max(idle * 0.9, 0.01 * longest);  fullness &lt; 0.5: idle = min(idle * 1.1, longest)
+ * reuse     = 1 - distinct / (recent + 1)       over the upstreams of the latest 32 requests
+ * fullness  = connections * mean cost / (8 * reuse * cores * mean objective)
+ * fullness &gt; 1: idle = max(idle * 0.9, 0.01 * maxIdle);  fullness &lt; 0.5: idle = min(idle * 1.1, maxIdle)
  * </pre>
  *
- * <p>A node behind with its reading lets connections stand: a full table would refuse for nothing.
+ * <p>A node that is behind with reading requests keeps idle connections longer, whatever the
+ * fullness, so that connections are not refused needlessly.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class IdleConnectionPolicy {
-    /** So many times the requests that the cores can finish in the objective may be connected. */
-    private static final double CONNECTIONS_PER_REQUEST = 8;
+    /**
+     * Connections allowed for each request that the cores can finish within the mean latency
+     * objective.
+     */
+    private static final double MAX_CONNECTIONS_PER_REQUEST = 8;
 
-    private static final double SHRINK = 0.9;
-    private static final double GROW = 1.1;
+    private static final double SHRINK_RATIO = 0.9;
+    private static final double GROWTH_RATIO = 1.1;
 
-    /** The idle time never falls under this part of the longest. */
-    private static final double MIN_SHARE_OF_LONGEST = 0.01;
+    /** The idle timeout never falls below this part of the longest. */
+    private static final double MIN_IDLE_TIMEOUT_RATIO = 0.01;
 
     private final ServerActions server;
     private final double cores;
-    private final Deque<UpstreamId> latestUpstreams = new ArrayDeque<>();
+    private final Deque<UpstreamId> recentUpstreams = new ArrayDeque<>();
     private PolicySettings settings;
     private double connections;
-    private NanoDuration idle;
+    private NanoDuration idleTimeout;
 
     IdleConnectionPolicy(ServerActions server, double cores, PolicySettings settings) {
         this.server = server;
         this.cores = cores;
         this.settings = settings;
-        idle = settings.maxIdle();
+        idleTimeout = settings.maxIdleTimeout();
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** A request of this upstream was read. */
+    /** Records the upstream of a request that was read. */
     void onRequest(UpstreamId upstream) {
-        latestUpstreams.add(upstream);
-        if (latestUpstreams.size() > Histogram.RECENT_SAMPLES) {
-            latestUpstreams.remove();
+        recentUpstreams.add(upstream);
+        if (recentUpstreams.size() > Histogram.RECENT_SAMPLES) {
+            recentUpstreams.remove();
         }
     }
 
-    /** So many connections stand open. */
-    void onConnectionsRead(double open) {
-        connections = open;
+    /** Sets the number of open connections. */
+    void onConnectionsRead(double count) {
+        connections = count;
     }
 
-    /** Moves the idle time, and has it carried out if it changed. */
-    void adjust(double meanCost, boolean behindWithReading) {
-        NanoDuration longest = settings.maxIdle();
+    /** Adjusts the idle timeout, and applies it if it changed. */
+    void adjust(double meanCost, boolean isBehindWithReading) {
+        NanoDuration maxIdle = settings.maxIdleTimeout();
         double fullness =
                 connections
                         * meanCost
-                        / (CONNECTIONS_PER_REQUEST
-                                * returningShare()
+                        / (MAX_CONNECTIONS_PER_REQUEST
+                                * upstreamReuseRatio()
                                 * cores
                                 * settings.meanObjectiveSeconds());
-        NanoDuration wanted = idle;
-        if (behindWithReading || fullness < 0.5) {
-            wanted = idle.times(GROW).min(longest);
+        NanoDuration newTimeout = idleTimeout;
+        if (isBehindWithReading || fullness < 0.5) {
+            newTimeout = idleTimeout.times(GROWTH_RATIO).min(maxIdle);
         } else if (fullness > 1) {
-            wanted = idle.times(SHRINK).max(longest.times(MIN_SHARE_OF_LONGEST));
+            newTimeout = idleTimeout.times(SHRINK_RATIO).max(maxIdle.times(MIN_IDLE_TIMEOUT_RATIO));
         }
-        if (!wanted.equals(idle)) {
-            idle = wanted;
-            server.closeIdleConnections(idle);
+        if (!newTimeout.equals(idleTimeout)) {
+            idleTimeout = newTimeout;
+            server.closeIdleConnections(idleTimeout);
         }
     }
 
-    private double returningShare() {
-        int latest = latestUpstreams.size();
-        return latest == 0 ? 1 : 1 - new HashSet<>(latestUpstreams).size() / (latest + 1.0);
+    private double upstreamReuseRatio() {
+        int recent = recentUpstreams.size();
+        return recent == 0 ? 1 : 1 - new HashSet<>(recentUpstreams).size() / (recent + 1.0);
     }
 }
--- a/src/main/java/lupinwood/admission/InFlightLimiter.java
+++ b/src/main/java/lupinwood/admission/InFlightLimiter.java
@@ -1,9 +1,10 @@
 package lupinwood.admission;
 
 /**
- * The one count of in-flight requests that may call downstream, held to the {@link AimdLimit}. A
- * request is counted from admission until its last call ended; a class that never calls is not
- * counted, and so never rejected for a slow dependency.
+ * The count of in-flight requests that may call downstream, shared by all request classes and
+ * tenants and bounded by the {@link AimdLimit}. A request is counted from admission until its last
+ * call ended. A class that never calls is not counted, so none of its requests is rejected because
+ * of a slow dependency.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -23,24 +24,24 @@
         return inFlight;
     }
 
-    /** Whether the limit leaves no room for this request. */
+    /** Whether the limit has no room for this request. */
     boolean isFullFor(AdmittedRequest request) {
         return request.requestClass().calls() && limit.isReachedBy(inFlight);
     }
 
-    /** Counts a request that may call, once. */
+    /** Counts a request that may call downstream, unless it is counted already. */
     void enter(AdmittedRequest request) {
-        count(request, true);
+        setCounted(request, true);
     }
 
-    /** Takes it out of the count. */
+    /** Removes a request from the count, if it is counted. */
     void leave(AdmittedRequest request) {
-        count(request, false);
+        setCounted(request, false);
     }
 
-    private void count(AdmittedRequest request, boolean counted) {
+    private void setCounted(AdmittedRequest request, boolean counted) {
         if (request.isCountedInFlight() != counted && request.requestClass().calls()) {
-            request.countInFlight(counted);
+            request.setCountedInFlight(counted);
             inFlight += counted ? 1 : -1;
         }
     }
--- a/src/main/java/lupinwood/admission/LoadReporter.java
+++ b/src/main/java/lupinwood/admission/LoadReporter.java
@@ -1,33 +1,33 @@
 package lupinwood.admission;
 
 /**
- * The load report to upstream load balancers: one value, in the form that the settings ask for.
+ * The load report to upstream load balancers: one value, of the kind that the settings choose.
  *
  * <pre>
  * allowance = cores * max(1, (mean objective / 2) / mean cost) / upstreams; 0 while draining
- * floor     = the rank under which requests are unwelcome, in hundredths; 1 while draining
+ * floor     = the rank below which upstreams are to send nothing, in hundredths; 1 while draining
  * weight    = 1; 0 while draining
- * floor moves by seconds * (waiting share - 0.15), from 0 to 1 - 1 / classes
+ * change of the floor = seconds * (waiting ratio - 0.15), within 0 and 1 - 1 / classes
  * </pre>
  *
- * <p>It is told anew when it has moved by more than a thirty-second part. The best-paid class is
- * never unwelcome.
+ * <p>A new value is reported when it differs from the last one by more than 1/32 of that. The floor
+ * never excludes the class with the highest priority weight.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class LoadReporter {
-    /** The part of their objective that requests may wait before upstreams hear of it. */
-    private static final double TOLERATED_WAIT_SHARE = 0.15;
+    /** The part of their latency objective that requests may wait before the floor rises. */
+    private static final double TOLERATED_WAIT_RATIO = 0.15;
 
     private final ServerActions server;
     private final double cores;
     private final double maxFloor;
     private PolicySettings settings;
-    private double reported = -1;
+    private double lastReported = -1;
     private double floor;
 
-    /** How far through their objective the latest requests were when read. */
-    private double unreadShare;
+    /** The part of their latency objective that recent requests waited unread, averaged. */
+    private double unreadRatio;
 
     LoadReporter(ServerActions server, double cores, PolicySettings settings) {
         this.server = server;
@@ -36,50 +36,51 @@
         maxFloor = 1 - 1.0 / Math.max(1, settings.classes().size());
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** A request was read, so long after it arrived. */
+    /** Updates the unread ratio with a request that was just read. */
     void onRead(AdmittedRequest request) {
-        double share =
+        double waitRatio =
                 request.request().waited().seconds()
                         / request.requestClass().latencyObjective().seconds();
-        unreadShare += (share - unreadShare) / Histogram.RECENT_SAMPLES;
+        unreadRatio += (waitRatio - unreadRatio) / Histogram.RECENT_SAMPLES;
     }
 
-    /** The part of their objective that the latest requests waited unread, averaged. */
-    double unreadShare() {
-        return unreadShare;
+    /** The part of their latency objective that recent requests waited unread, as an average. */
+    double unreadRatio() {
+        return unreadRatio;
     }
 
-    /** Whether the node is behind with its reading. */
+    /** Whether the node is behind with reading requests. */
     boolean isBehindWithReading() {
-        return unreadShare > TOLERATED_WAIT_SHARE;
+        return unreadRatio > TOLERATED_WAIT_RATIO;
     }
 
-    /** Whether requests have had to wait for so long that other nodes are likely as full. */
+    /** Whether requests have waited for so long that other nodes are likely to be as loaded. */
     boolean isFloorHigh() {
         return floor > maxFloor / 2;
     }
 
     /**
-     * Moves the floor.
+     * Moves the floor by how much recent requests waited.
      *
-     * @param queuedShare the part of the mean objective that the queued work takes
-     * @param sinceLast time since the last move
+     * @param queuedRatio the part of the mean latency objective that the queued work takes
+     * @param sinceLast the time since the last adjustment
      */
-    void moveFloor(double queuedShare, NanoDuration sinceLast) {
-        double waiting = queuedShare + unreadShare;
-        double moved = floor + sinceLast.seconds() * (waiting - TOLERATED_WAIT_SHARE);
-        floor = Math.max(0, Math.min(maxFloor, moved));
+    void adjustFloor(double queuedRatio, NanoDuration sinceLast) {
+        double waitingRatio = queuedRatio + unreadRatio;
+        double newFloor = floor + sinceLast.seconds() * (waitingRatio - TOLERATED_WAIT_RATIO);
+        floor = Math.max(0, Math.min(maxFloor, newFloor));
     }
 
-    /** Tells the value if it has moved. */
+    /** Reports the value if it has changed enough. */
     void report(double meanCost, boolean draining) {
         double value = value(meanCost, draining);
-        if (value >= 0 && Math.abs(value - reported) > reported / Histogram.RECENT_SAMPLES) {
-            reported = value;
+        if (value >= 0
+                && Math.abs(value - lastReported) > lastReported / Histogram.RECENT_SAMPLES) {
+            lastReported = value;
             server.reportAvailableCapacity(value);
         }
     }
@@ -93,9 +94,9 @@
         };
     }
 
-    /** What can be finished within half the mean objective, split among the upstreams. */
+    /** The requests that can be finished within half the mean latency objective, per upstream. */
     private double allowance(double meanCost) {
-        double perCore = settings.meanObjectiveSeconds() / 2 / Math.max(1e-9, meanCost);
-        return cores * Math.max(1, perCore) / Math.max(1, settings.upstreams());
+        double requestsPerCore = settings.meanObjectiveSeconds() / 2 / Math.max(1e-9, meanCost);
+        return cores * Math.max(1, requestsPerCore) / Math.max(1, settings.upstreams());
     }
 }
--- a/src/main/java/lupinwood/admission/LoadSignal.java
+++ b/src/main/java/lupinwood/admission/LoadSignal.java
@@ -1,13 +1,15 @@
 package lupinwood.admission;
 
-/** What the value that goes along with every answer tells upstream load balancers. */
+/**
+ * The meaning of the load report value that is sent to upstream load balancers with every answer.
+ */
 enum LoadSignal {
     /** No value is sent. */
     NONE,
-    /** How many requests each upstream may have in flight here. */
+    /** The number of requests that each upstream may have in flight at this node. */
     ALLOWANCE,
     /** The rank below which upstreams are to send nothing. */
     FLOOR,
-    /** 1 while requests are welcome, 0 while draining. */
+    /** 1 while requests are admitted, 0 while draining. */
     WEIGHT
 }
--- a/src/main/java/lupinwood/admission/MachineSettings.java
+++ b/src/main/java/lupinwood/admission/MachineSettings.java
@@ -1,15 +1,15 @@
 package lupinwood.admission;
 
 /**
- * The part of the settings that tells of the machine itself, as it is at the start. It doesn't
- * change while the node runs, whatever changed settings say. Immutable.
+ * The settings that describe the machine of the node. They are read at the start of the node; later
+ * changes of the settings leave them as they are. Immutable.
  *
- * @param tick the machine's time step
+ * @param tick the time step of the node
  * @param cores at least 1
- * @param memoryKb of the machine, in kilobytes of 1,000 bytes
- * @param idempotencyEntryKb what one remembered request takes
- * @param canStopRuns whether the machine can stop a run
- * @param hasSharedDependency whether all nodes call one dependency, of which each has a quota
+ * @param memoryKb the memory of the machine, in kilobytes of 1,000 bytes
+ * @param idempotencyRecordKb the memory that one idempotency record takes, in kilobytes
+ * @param canStopRuns whether the executor can stop a run
+ * @param hasSharedDependency whether all nodes call one dependency, with a quota for each node
  * @param dependencyQuota calls that may be in flight from this node; 1e9 without a shared
  *     dependency
  */
@@ -17,7 +17,7 @@
         NanoDuration tick,
         double cores,
         double memoryKb,
-        double idempotencyEntryKb,
+        double idempotencyRecordKb,
         boolean canStopRuns,
         boolean hasSharedDependency,
         double dependencyQuota) {}
--- a/src/main/java/lupinwood/admission/MemoryBudget.java
+++ b/src/main/java/lupinwood/admission/MemoryBudget.java
@@ -1,22 +1,24 @@
 package lupinwood.admission;
 
 /**
- * The memory that admitted requests, running requests and idempotency records take, in kilobytes of
- * 1,000 bytes, as the settings price them.
- *
- * <p>Rule 4 of the conventions: memory is used up to {@link #USED_SHARE} of what the machine has.
+ * The memory taken by admitted requests, running requests and idempotency records, in kilobytes of
+ * 1,000 bytes, at the amounts that the settings give for each. At most {@link #USED_MEMORY_RATIO}
+ * of the machine's memory is used.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class MemoryBudget {
-    /** What is left free covers what isn't priced: buffers, and requests not read yet. */
-    private static final double USED_SHARE = 0.85;
+    /**
+     * The part of the memory that is used; the rest is for what isn't counted: buffers and unread
+     * requests.
+     */
+    private static final double USED_MEMORY_RATIO = 0.85;
 
     private final double budgetKb;
     private double usedKb;
 
     MemoryBudget(double memoryKb) {
-        budgetKb = USED_SHARE * memoryKb;
+        budgetKb = USED_MEMORY_RATIO * memoryKb;
     }
 
     void reserve(double kb) {
@@ -27,7 +29,7 @@
         usedKb -= kb;
     }
 
-    /** Whether so much more would still be within the budget. */
+    /** Whether this much more memory would still be within the budget. */
     boolean hasRoomFor(double kb) {
         return usedKb + kb <= budgetKb;
     }
--- a/src/main/java/lupinwood/admission/MonotonicTime.java
+++ b/src/main/java/lupinwood/admission/MonotonicTime.java
@@ -1,26 +1,29 @@
 package lupinwood.admission;
 
-/** A point in time on the node's clock, in nanoseconds since no particular start. */
+/**
+ * A point in time on the clock of the node, in nanoseconds from an arbitrary origin; only
+ * differences between times have a meaning.
+ */
 public record MonotonicTime(long nanos) implements Comparable<MonotonicTime> {
-    /** Later than any other. */
+    /** Later than any other time. */
     public static final MonotonicTime NEVER = new MonotonicTime(Long.MAX_VALUE);
 
-    /** The time so much later. */
+    /** The time later by this duration. */
     public MonotonicTime plus(NanoDuration duration) {
         return new MonotonicTime(nanos + duration.nanos());
     }
 
-    /** The time so much earlier. */
+    /** The time earlier by this duration. */
     public MonotonicTime minus(NanoDuration duration) {
         return new MonotonicTime(nanos - duration.nanos());
     }
 
-    /** What passed since another time; below zero where that is later. */
+    /** The time elapsed since another point in time; negative if that is later. */
     public NanoDuration since(MonotonicTime earlier) {
         return new NanoDuration(nanos - earlier.nanos);
     }
 
-    /** Whether this is strictly earlier. */
+    /** Whether this time is strictly earlier. */
     public boolean isBefore(MonotonicTime other) {
         return nanos < other.nanos;
     }
--- a/src/main/java/lupinwood/admission/NanoDuration.java
+++ b/src/main/java/lupinwood/admission/NanoDuration.java
@@ -1,49 +1,49 @@
 package lupinwood.admission;
 
 /**
- * A length of time in nanoseconds; below zero where a time has gone by. One long in place of {@link
- * java.time.Duration}, since decisions reckon with many of them in each round.
+ * A duration in nanoseconds, which may be negative. Used in place of {@link java.time.Duration} for
+ * speed, since each round of decisions computes with many durations.
  */
 public record NanoDuration(long nanos) implements Comparable<NanoDuration> {
-    /** No time. */
+    /** A duration of zero. */
     public static final NanoDuration ZERO = new NanoDuration(0);
 
-    /** Seconds, rounded to the nanosecond. */
+    /** Converts seconds, rounded to the nanosecond. */
     public static NanoDuration ofSeconds(double seconds) {
         return new NanoDuration(Math.round(seconds * 1e9));
     }
 
-    /** The same in seconds. */
+    /** The duration in seconds. */
     public double seconds() {
         return nanos / 1e9;
     }
 
-    /** A multiple, rounded to the nanosecond. */
+    /** This duration multiplied by a factor, rounded to the nanosecond. */
     public NanoDuration times(double factor) {
         return new NanoDuration(Math.round(nanos * factor));
     }
 
-    /** The sum. */
+    /** The sum of both durations. */
     public NanoDuration plus(NanoDuration other) {
         return new NanoDuration(nanos + other.nanos);
     }
 
-    /** The difference. */
+    /** This duration less the other. */
     public NanoDuration minus(NanoDuration other) {
         return new NanoDuration(nanos - other.nanos);
     }
 
-    /** The longer of the two. */
+    /** The longer of the two durations. */
     public NanoDuration max(NanoDuration other) {
         return nanos >= other.nanos ? this : other;
     }
 
-    /** The shorter of the two. */
+    /** The shorter of the two durations. */
     public NanoDuration min(NanoDuration other) {
         return nanos <= other.nanos ? this : other;
     }
 
-    /** Whether it is longer than zero. */
+    /** Whether the duration is longer than zero. */
     public boolean isPositive() {
         return nanos > 0;
     }
--- a/src/main/java/lupinwood/admission/Outcome.java
+++ b/src/main/java/lupinwood/admission/Outcome.java
@@ -1,18 +1,18 @@
 package lupinwood.admission;
 
-/** How a run or a downstream call ended, and whether that proves that it had no effect. */
+/** The result of a run or a downstream call, and whether it proves that there was no effect. */
 public enum Outcome {
-    /** It went well. */
+    /** It succeeded. */
     OK(false),
-    /** It failed, perhaps with effect. */
+    /** It failed, possibly after taking effect. */
     ERROR(false),
-    /** It was turned away before it began. */
+    /** It was refused before it began. */
     REFUSED(true),
-    /** It was given up; it may have had its effect. */
+    /** Its timeout passed; it may have taken effect. */
     TIMED_OUT(false),
-    /** The other side could not be reached. */
+    /** The peer could not be reached. */
     UNREACHABLE(true),
-    /** The link was lost on the way; it may have had its effect. */
+    /** The connection was lost meanwhile; it may have taken effect. */
     BROKEN(false),
     /** It was stopped. */
     CANCELLED(false),
@@ -25,7 +25,7 @@
         this.neverRan = neverRan;
     }
 
-    /** Whether this proves that nothing took effect. */
+    /** Whether this outcome proves that nothing took effect. */
     public boolean provesNeverRan() {
         return neverRan;
     }
--- a/src/main/java/lupinwood/admission/PolicySettings.java
+++ b/src/main/java/lupinwood/admission/PolicySettings.java
@@ -3,27 +3,29 @@
 import java.util.List;
 
 /**
- * Everything that the settings tell the decisions, typed and with its defaults; made by {@link
+ * All settings that the decisions use, typed and with defaults applied; created by {@link
  * PolicySettingsMapper}. Immutable.
  *
- * @param machine what it was told of the machine at the start
- * @param runMemoryFactor what a running request takes, as a multiple of a queued one
- * @param startsCold whether the machine starts slow and warms up
- * @param coldSpeed the share of its speed that a cold machine starts with
- * @param warmUpNanos how long it takes to the full speed, in nanoseconds
- * @param overloadMultiple running requests a core past which a warm machine falls over
- * @param overloadWindow how long it survives that
- * @param drainGrace how long after the notice to drain requests may still arrive and run
- * @param quotaWindow the time over which a quota of less than one is averaged
- * @param callLinger how long the dependency may still work on a call that was given up
- * @param worstClassShare the part of the goal that the class served worst makes, from 0 to 1
- * @param overQuotaValue what a request past its tenant's quota is worth, as a share
- * @param meanObjectiveSeconds the mean latency objective of all classes; 1 where there is none
- * @param tenantQuotasPerSecond of the whole group, by tenant; 0 for none
- * @param nodesInGroup nodes that share the quotas
- * @param maxIdle the longest that a connection may be idle
+ * @param machine the settings that describe the machine, as they were at the start of the node
+ * @param runMemoryFactor the memory of a running request, as a multiple of that of a queued one
+ * @param startsCold whether the node starts slow and warms up
+ * @param coldSpeed the share of its full speed with which a cold node starts
+ * @param warmUpNanos the time from the cold to the full speed, in nanoseconds
+ * @param overloadMultiple the running requests per core beyond which a warm node fails
+ * @param overloadWindow the time for which the node survives more than that
+ * @param drainGrace the time after the notice to drain in which requests may still arrive and run
+ * @param quotaWindow the time over which a dependency quota of less than one call is averaged
+ * @param callLinger the time for which the dependency may still work on a call that was given up
+ * @param worstClassShare the weight, from 0 to 1, of the class served worst in the operators' goal
+ * @param overQuotaValue the value of a request over its tenant's quota, as a share of its utility
+ * @param classes the request classes, in the order of the settings
+ * @param meanObjectiveSeconds the mean latency objective of all classes; 1 if there are none
+ * @param tenantQuotasPerSecond requests per second for the whole group, by tenant; 0 for no quota
+ * @param nodesInGroup the number of nodes that share the tenant quotas
+ * @param maxIdleTimeout the longest idle timeout of a connection
  * @param maxRetryAfter the longest Retry-After
- * @param upstreams load balancers that send here
+ * @param loadSignal the kind of load report
+ * @param upstreams the number of load balancers that send requests here
  */
 record PolicySettings(
         MachineSettings machine,
@@ -42,7 +44,7 @@
         double meanObjectiveSeconds,
         List<Double> tenantQuotasPerSecond,
         double nodesInGroup,
-        NanoDuration maxIdle,
+        NanoDuration maxIdleTimeout,
         NanoDuration maxRetryAfter,
         LoadSignal loadSignal,
         double upstreams) {}
--- a/src/main/java/lupinwood/admission/PolicySettingsMapper.java
+++ b/src/main/java/lupinwood/admission/PolicySettingsMapper.java
@@ -5,26 +5,28 @@
 import java.util.stream.IntStream;
 
 /**
- * Turns the platform's settings, a map of its own names to texts, into the terms of the decisions.
- * The only place of the package that knows these names. An absent entry has its default; a text
- * that should be a number and is none is refused with a {@link NumberFormatException}.
+ * Converts the settings, a map from outer names to texts, to the types that the decisions use. The
+ * only class of the package that contains these names. An absent entry gets its default; a text
+ * that should be a number but is not causes a {@link NumberFormatException}.
  *
- * <p>Stateless; any thread.
+ * <p>Stateless; may be used from any thread.
  */
 public final class PolicySettingsMapper {
     private static final double UNBOUNDED_MEMORY_KB = 1e12;
-    private static final double UNBOUNDED_QUOTA = 1e9;
+    private static final double UNBOUNDED_QUOTA_CALLS = 1e9;
 
-    /** Under this a quota would make pauses between calls without end. */
-    private static final double MIN_QUOTA = 1e-3;
+    /**
+     * The least quota, in calls in flight; a smaller one would make endless pauses between calls.
+     */
+    private static final double MIN_QUOTA_CALLS = 1e-3;
 
-    private static final double DEFAULT_OVERLOAD_MULTIPLE = 3;
+    private static final double DEFAULT_OVERLOAD_RUNS_PER_CORE = 3;
 
     private PolicySettingsMapper() {}
 
-    /** Reads the settings of a node that starts. */
-    static PolicySettings read(Map<String, String> map) {
-        SettingsMap settings = new SettingsMap(map);
+    /** Reads the settings at the start of a node. */
+    static PolicySettings read(Map<String, String> values) {
+        SettingsMap settings = new SettingsMap(values);
         return read(
                 settings,
                 machine(settings),
@@ -32,17 +34,20 @@
                 (int) Math.ceil(settings.number("customers.count", 0)));
     }
 
-    /** Reads changed settings of a node that runs, for the machine, classes and tenants it has. */
-    static PolicySettings read(Map<String, String> map, PolicySettings before) {
+    /**
+     * Reads changed settings of a running node, which keeps its machine settings and its numbers of
+     * classes and tenants.
+     */
+    static PolicySettings read(Map<String, String> values, PolicySettings previous) {
         return read(
-                new SettingsMap(map),
-                before.machine(),
-                before.classes().size(),
-                before.tenantQuotasPerSecond().size());
+                new SettingsMap(values),
+                previous.machine(),
+                previous.classes().size(),
+                previous.tenantQuotasPerSecond().size());
     }
 
     private static MachineSettings machine(SettingsMap settings) {
-        boolean shared = settings.is("domain.below", "one_for_all");
+        boolean hasSharedDependency = settings.is("domain.below", "one_for_all");
         return new MachineSettings(
                 settings.duration("step_ns"),
                 Math.max(1, settings.number("domain.cpus", 1)),
@@ -50,10 +55,12 @@
                 settings.number("domain.entry_kb", 0),
                 settings.is("domain.stop_mode", "discard")
                         || settings.is("domain.stop_mode", "freeze"),
-                shared,
-                shared
-                        ? Math.max(MIN_QUOTA, settings.number("domain.calls_out", UNBOUNDED_QUOTA))
-                        : UNBOUNDED_QUOTA);
+                hasSharedDependency,
+                hasSharedDependency
+                        ? Math.max(
+                                MIN_QUOTA_CALLS,
+                                settings.number("domain.calls_out", UNBOUNDED_QUOTA_CALLS))
+                        : UNBOUNDED_QUOTA_CALLS);
     }
 
     private static PolicySettings read(
@@ -66,7 +73,7 @@
                 settings.is("domain.cold", "true"),
                 settings.number("rules.cold_share", 1),
                 settings.number("rules.ramp_time_ns", 0),
-                settings.number("rules.fall_multiple", DEFAULT_OVERLOAD_MULTIPLE),
+                settings.number("rules.fall_multiple", DEFAULT_OVERLOAD_RUNS_PER_CORE),
                 settings.duration("rules.fall_ns"),
                 settings.duration("rules.drain_grace_ns"),
                 settings.duration("domain.calls_over_ns"),
@@ -93,15 +100,16 @@
     }
 
     /**
-     * One request class.
+     * Reads the settings of one request class.
      *
-     * @param index its place in the platform's list
+     * @param index its position in the list of classes
      */
     public static RequestClass requestClass(SettingsMap settings, int index) {
         String prefix = "services." + index + ".";
         String skippedCallValue = settings.item("domain.class_skip_worth", index);
         NanoDuration timeout = settings.duration(prefix + "give_up_ns");
-        // Whoever may retry a request gives it up by then, over all its attempts.
+        // Without a window, an idempotent request may be retried until its timeout, which covers
+        // all its attempts.
         NanoDuration window =
                 settings.text(prefix + "window_ns").isEmpty()
                         ? timeout
@@ -120,7 +128,7 @@
                 skippedCallValue.isEmpty() ? 0 : Double.parseDouble(skippedCallValue));
     }
 
-    /** What isn't told to be harmless is never run twice. */
+    /** A class that is not declared harmless or idempotent is never run twice. */
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
             case "pure" -> Idempotency.SAFE;
@@ -129,8 +137,8 @@
         };
     }
 
-    private static LoadSignal loadSignal(String advert) {
-        return switch (advert) {
+    private static LoadSignal loadSignal(String signal) {
+        return switch (signal) {
             case "allowance" -> LoadSignal.ALLOWANCE;
             case "floor" -> LoadSignal.FLOOR;
             case "weight" -> LoadSignal.WEIGHT;
--- a/src/main/java/lupinwood/admission/RejectionPolicy.java
+++ b/src/main/java/lupinwood/admission/RejectionPolicy.java
@@ -1,21 +1,21 @@
 package lupinwood.admission;
 
 /**
- * What a rejection tells the upstream: how long to stay away (Retry-After), and whether to try no
- * other node either.
+ * What a rejection asks of the upstream: a pause before the next request (Retry-After), and whether
+ * to try no other node.
  *
- * <p>No other node is worth trying where the request is over its tenant's quota, came too late for
- * its work, or where requests have had to wait here for long and this node is not slow: then the
- * others are likely as full, and each node that reads the request pays for it.
+ * <p>Other nodes are discouraged where the request is over its tenant's quota, came too late for
+ * its work, or where requests here have waited for long although this node is not slow. Then the
+ * other nodes are likely to be as loaded, and each node that reads the request pays for it.
  *
- * <p>A request of a tenant in a burst carries no Retry-After: its upstream serves other tenants
+ * <p>A request of a bursting tenant gets no Retry-After, since its upstream serves other tenants
  * too.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class RejectionPolicy {
-    /** A node whose work takes more than this multiple of the hints is slow itself. */
-    private static final double SLOW_NODE = 1 / 0.85;
+    /** A node is slow if its work takes more than this multiple of the hints. */
+    private static final double SLOW_NODE_RATIO = 1 / 0.85;
 
     private final CostEstimator cost;
     private final LoadReporter load;
@@ -27,21 +27,21 @@
         this.settings = settings;
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** Whether the upstream is asked to try no other node. */
+    /** Whether to ask the upstream to try no other node. */
     boolean discouragesOtherNodes(AdmittedRequest request, MonotonicTime now) {
         return request.isOverQuota()
                 || cost.isTooLate(request, now)
-                || (load.isFloorHigh() && cost.slowness(now) < SLOW_NODE);
+                || (load.isFloorHigh() && cost.slowness(now) < SLOW_NODE_RATIO);
     }
 
-    /** How long the upstream is to stay away; within the bound of the settings. */
-    NanoDuration retryAfter(AdmittedRequest request, NanoDuration wanted) {
+    /** The Retry-After of a rejection, at most the longest of the settings; zero for none. */
+    NanoDuration retryAfter(AdmittedRequest request, NanoDuration suggested) {
         return request.isOverQuota() && request.isOfBurstingTenant()
                 ? NanoDuration.ZERO
-                : wanted.min(settings.maxRetryAfter());
+                : suggested.min(settings.maxRetryAfter());
     }
 }
--- a/src/main/java/lupinwood/admission/RequestClass.java
+++ b/src/main/java/lupinwood/admission/RequestClass.java
@@ -1,13 +1,16 @@
 package lupinwood.admission;
 
 /**
- * What the settings say of a request class.
+ * The settings of a request class.
  *
- * @param calls its requests may call downstream
- * @param objectiveStretch the latency objective grows by this multiple of a request's own work
- * @param idempotency unsafe where it isn't told
- * @param window how long an idempotent request may come again; until its caller gives up, where it
- *     isn't told
+ * @param calls whether its requests may call downstream
+ * @param latencyObjective the time from arrival within which a request should be served
+ * @param objectiveStretch the multiple of a request's own work that is added to the objective
+ * @param idempotency unsafe where the settings don't declare it
+ * @param timeout the time from arrival after which its clients give up
+ * @param window the time within which an idempotent request may be retried; its timeout where the
+ *     settings give none
+ * @param priorityWeight the value of serving one request in time
  * @param lateValue the part of the priority weight that an answer after the latency objective earns
  * @param skippedCallValue the part of the priority weight that an answer without its downstream
  *     call earns
--- a/src/main/java/lupinwood/admission/RequestClassId.java
+++ b/src/main/java/lupinwood/admission/RequestClassId.java
@@ -1,4 +1,4 @@
 package lupinwood.admission;
 
-/** A request class, by its place in the settings. */
+/** Identifies a request class by its position in the settings. */
 public record RequestClassId(int number) {}
--- a/src/main/java/lupinwood/admission/RequestId.java
+++ b/src/main/java/lupinwood/admission/RequestId.java
@@ -1,4 +1,4 @@
 package lupinwood.admission;
 
-/** One try of one request, as the machine numbers it; never used again in the same life. */
+/** Identifies one attempt of one request; never reused within an incarnation of the node. */
 public record RequestId(long number) {}
--- a/src/main/java/lupinwood/admission/RequestLifecycle.java
+++ b/src/main/java/lupinwood/admission/RequestLifecycle.java
@@ -6,8 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * The way of a request through its states, and what each step has the machine do and the rules
- * learn. Each request has one final answer: its result, {@link #reject} or {@link #fail}.
+ * Moves requests through their states, and with each step requests the actions of the node and
+ * informs the rules. Each request gets one final answer: its result, {@link #reject} or {@link
+ * #fail}.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -17,7 +18,7 @@
     private final boolean canStopRuns;
     private PolicySettings settings;
 
-    /** All that are owed an answer or take memory, in the order of arrival. */
+    /** All requests that need an answer or take memory, by order of arrival. */
     private final TreeMap<Long, AdmittedRequest> open = new TreeMap<>();
 
     RequestLifecycle(ServerActions server, AdmissionRules rules, PolicySettings settings) {
@@ -27,32 +28,32 @@
         canStopRuns = settings.machine().canStopRuns();
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    // ---- arrival and end ----
+    // Arrival and end.
 
-    /** A request was read; it takes memory from now on. */
+    /** Registers a request that was read; it takes memory from now on. */
     void open(AdmittedRequest request) {
         open.put(request.number(), request);
         rules.memory.reserve(request.request().memoryKb());
     }
 
-    /** Takes a request into the queue for a core. */
+    /** Adds a request to the queue for a core. */
     void enqueue(AdmittedRequest request) {
         rules.idempotency.remember(request);
         rules.inFlight.enter(request);
         rules.queue.add(request);
     }
 
-    /** Has a retry answered from its original's result, now or once that is there. */
+    /** Answers a retry from the result of its original, at once or when that is available. */
     void answerFromOriginal(AdmittedRequest request) {
         request.moveTo(AdmittedRequest.State.AWAITING_ORIGINAL);
         server.answerFromOriginal(request.id());
     }
 
-    /** Rejects all that are open; what ran is failed instead. */
+    /** Rejects all open requests; those that may have run are failed instead. */
     void rejectAll(RejectionReason reason) {
         for (AdmittedRequest request : List.copyOf(open.values())) {
             reject(request, reason, NanoDuration.ZERO);
@@ -60,13 +61,13 @@
     }
 
     /**
-     * Final answer: it never ran here. One that did run, here or as its original, is failed
-     * instead, since a rejection promises that nothing ran.
+     * Final answer: the request never ran here. A request that did run, here or as its original, is
+     * failed instead, since a rejection promises that nothing ran.
      */
     void reject(AdmittedRequest request, RejectionReason reason, NanoDuration retryAfter) {
         if (request.hasRun()
                 || request.isAnswered()
-                || request.is(AdmittedRequest.State.AWAITING_ORIGINAL)) {
+                || request.isInState(AdmittedRequest.State.AWAITING_ORIGINAL)) {
             fail(request);
             return;
         }
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Final answer: an error, with nothing promised. Nothing happens if it has its answer. A
-     * request whose run has begun isn't finished by this: it takes memory until the executor ends
-     * the run and {@link #onCompleted} comes.
+     * Final answer: an error, with nothing promised about whether the request ran. Does nothing if
+     * the request is answered already. A request whose run has begun is not finished by this: it
+     * takes memory until the executor ends the run and {@link #onCompleted} is called.
      */
     void fail(AdmittedRequest request) {
         if (request.isAnswered()) {
@@ -92,24 +93,23 @@
         request.markAnswered();
         request.markFailed();
         server.fail(request.id());
-        if (request.is(AdmittedRequest.State.CALLING)) {
-            giveUpCall(request);
-        } else if (!request.is(AdmittedRequest.State.RUNNING)) {
+        if (request.isInState(AdmittedRequest.State.CALLING)) {
+            abandonCall(request);
+        } else if (!request.isInState(AdmittedRequest.State.RUNNING)) {
             finish(request);
         } else if (canStopRuns) {
             server.stop(request.id());
         }
     }
 
-    /** Nobody waits for the request any more. */
+    /** Handles a request whose client no longer waits for it. */
     void onClientGone(AdmittedRequest request) {
         request.markAnswered();
-        if (request.is(AdmittedRequest.State.RUNNING) && canStopRuns) {
+        if (request.isInState(AdmittedRequest.State.RUNNING) && canStopRuns) {
             server.stop(request.id());
         } else if (!request.hasRun()) {
-            // Whoever leaves before the objective passed has asked for nothing: a client gone wild
-            // may send and withdraw hundreds, which are neither its tenant's quota nor a class
-            // served badly.
+            // A request withdrawn before its due time counts neither for its tenant's quota nor as
+            // a request that its class served late: a faulty client may send and withdraw hundreds.
             if (server.now().isBefore(request.due())) {
                 request.refundQuota();
                 rules.utility.onWithdrawn(request.classIndex());
@@ -124,7 +124,7 @@
         rules.callQueue.remove(request);
         request.moveTo(AdmittedRequest.State.FINISHED);
         open.remove(request.number());
-        if (request.hasProvablyNotRun()) {
+        if (request.isProvenNeverRun()) {
             rules.idempotency.release(request);
         }
         rules.memory.release(
@@ -133,9 +133,9 @@
         server.release(request.id());
     }
 
-    // ---- running ----
+    // Running.
 
-    /** Starts a queued request on a core. */
+    /** Starts the run of a queued request. */
     void run(AdmittedRequest request) {
         rules.queue.remove(request);
         request.markRun();
@@ -144,53 +144,54 @@
         server.run(request.id());
     }
 
-    /** What running takes of the memory budget beyond being queued. */
+    /** The memory that a running request takes beyond that of a queued one, in kilobytes. */
     double runMemoryKb(AdmittedRequest request) {
         return request.request().memoryKb() * (settings.runMemoryFactor() - 1);
     }
 
-    /** The run ended, or the retry's original did. */
+    /** Handles the end of a run, or of the original that a retry waits for. */
     void onCompleted(AdmittedRequest request, Outcome outcome) {
-        boolean wasRunning = request.is(AdmittedRequest.State.RUNNING);
-        if (request.is(AdmittedRequest.State.CALLING)) {
-            giveUpCall(request);
+        boolean wasRunning = request.isInState(AdmittedRequest.State.RUNNING);
+        if (request.isInState(AdmittedRequest.State.CALLING)) {
+            abandonCall(request);
         }
         leaveCores(request);
-        boolean inTime = !request.isAnswered() && !request.due().isBefore(server.now());
-        if (outcome == Outcome.OK && inTime) {
+        boolean isInTime = !request.isAnswered() && !request.due().isBefore(server.now());
+        if (outcome == Outcome.OK && isInTime) {
             rules.utility.onServedInTime(request.classIndex());
         }
         if (outcome == Outcome.OK && wasRunning) {
-            rules.cost.onCompleted(request, request.coreSeconds());
+            rules.cost.onRunSucceeded(request, request.coreSeconds());
         }
-        request.markEnded(outcome);
+        request.markCompleted(outcome);
         finish(request);
     }
 
     private void enterCores(AdmittedRequest request) {
         rules.coreTime.advance(server.now(), rules.concurrency.running());
-        request.startRun(rules.coreTime.givenSeconds());
-        rules.concurrency.onRunning();
+        request.startRun(rules.coreTime.coreSecondsPerRun());
+        rules.concurrency.onRunStarted();
     }
 
     private void leaveCores(AdmittedRequest request) {
-        if (request.is(AdmittedRequest.State.RUNNING)) {
+        if (request.isInState(AdmittedRequest.State.RUNNING)) {
             rules.coreTime.advance(server.now(), rules.concurrency.running());
-            request.pauseRun(rules.coreTime.givenSeconds());
-            rules.concurrency.onNotRunning();
+            request.pauseRun(rules.coreTime.coreSecondsPerRun());
+            rules.concurrency.onRunPaused();
         }
     }
 
-    // ---- calling downstream ----
+    // Downstream calls.
 
-    /** The run can't go on without a call. */
+    /** Handles a run that cannot continue without a downstream call. */
     void onCallNeeded(AdmittedRequest request) {
         leaveCores(request);
         rules.inFlight.enter(request);
-        request.classState().callSequence().onCallNeeded(request.callsEnded());
+        request.classState().callSequence().onCallNeeded(request.successfulCalls());
         NanoDuration callTime = rules.dependency.callTime(server.now());
-        boolean tooSlow = target(request).filter(it -> callTime.compareTo(it) > 0).isPresent();
-        if (request.requestClass().skippedCallValue() > 0 && tooSlow) {
+        boolean isTooSlow =
+                target(request).filter(limit -> callTime.compareTo(limit) > 0).isPresent();
+        if (request.requestClass().skippedCallValue() > 0 && isTooSlow) {
             skipCallOrFail(request);
         } else {
             rules.callQueue.add(request);
@@ -201,94 +202,99 @@
     void call(AdmittedRequest request) {
         rules.callQueue.remove(request);
         request.moveTo(AdmittedRequest.State.CALLING);
-        // Those that wait for their turn to call don't load the dependency: while that turn is one
-        // call at a time, since no baseline is known yet, they must not keep it from ever being
-        // known.
-        int waiting = rules.hasNoBaseline() ? rules.callQueue.size() : 0;
-        boolean baseline =
-                rules.inFlight.limit().isUnderusedBy(rules.inFlight.inFlight() - waiting);
-        rules.concurrency.onCalling();
-        request.startCall(server.now(), rules.dependency.onCallMade(), baseline);
+        // Requests that wait to call don't load the dependency. Before any baseline is known, calls
+        // are made one at a time; if the waiting requests counted here, no call would be a baseline
+        // call and no baseline would ever become known.
+        int waitingToCall = rules.hasNoBaseline() ? rules.callQueue.size() : 0;
+        boolean isBaselineCall =
+                rules.inFlight.limit().isUnderusedBy(rules.inFlight.inFlight() - waitingToCall);
+        rules.concurrency.onCallStarted();
+        request.startCall(server.now(), rules.dependency.onCallStarted(), isBaselineCall);
         NanoDuration timeout = rules.callTimeout.timeout(request, server.now());
         server.call(request.id(), timeout);
-        MonotonicTime thisCall = request.calledAt();
+        MonotonicTime callMadeAt = request.calledAt();
         target(request)
                 .filter(target -> target.compareTo(timeout) < 0)
-                .ifPresent(target -> watchCallIn(request, thisCall, target));
-        request.markLimitCut(false);
+                .ifPresent(target -> checkTargetAfter(request, callMadeAt, target));
+        request.setLimitReduced(false);
     }
 
-    private void watchCallIn(AdmittedRequest request, MonotonicTime thisCall, NanoDuration target) {
-        rules.timers.scheduleAfter(target, () -> onTargetPassed(request, thisCall, target));
+    private void checkTargetAfter(
+            AdmittedRequest request, MonotonicTime callMadeAt, NanoDuration target) {
+        rules.timers.scheduleAfter(target, () -> onTargetPassed(request, callMadeAt, target));
     }
 
-    /** A call is past its target while it is out: the limit comes down now, not when it returns. */
-    @SuppressWarnings("ReferenceEquality") // the time's object stands for this one call
+    /**
+     * Handles a call that is past its target: the limit is reduced at once, not when the call
+     * returns.
+     */
+    @SuppressWarnings("ReferenceEquality") // the time object identifies the call
     private void onTargetPassed(
-            AdmittedRequest request, MonotonicTime thisCall, NanoDuration target) {
-        if (!request.is(AdmittedRequest.State.CALLING) || request.calledAt() != thisCall) {
+            AdmittedRequest request, MonotonicTime callMadeAt, NanoDuration target) {
+        if (!request.isInState(AdmittedRequest.State.CALLING) || request.calledAt() != callMadeAt) {
             return;
         }
-        cutLimit(request);
-        int completedLater = rules.dependency.completedSince(request.completedMark());
-        switch (rules.retries.onOverdue(request, completedLater, request.callAttempts())) {
-            case KEEP_WAITING -> watchCallIn(request, thisCall, target);
+        reduceLimit(request);
+        int completedLater = rules.dependency.completedAfter(request.expectedCompletedCalls());
+        switch (rules.retryPolicy.onOverdue(
+                request, completedLater, request.failedCallAttempts())) {
+            case KEEP_WAITING -> checkTargetAfter(request, callMadeAt, target);
             case FAIL -> fail(request);
             case CALL_ANEW -> {
                 request.markCallAttemptFailed();
-                giveUpCall(request);
+                abandonCall(request);
                 call(request);
             }
         }
     }
 
-    /** A call came to its end. */
-    void onCallCompleted(AdmittedRequest request, Outcome outcome, NanoDuration took) {
-        if (!request.is(AdmittedRequest.State.CALLING)) {
+    /** Handles the end of a call. */
+    void onCallCompleted(AdmittedRequest request, Outcome outcome, NanoDuration duration) {
+        if (!request.isInState(AdmittedRequest.State.CALLING)) {
             return;
         }
-        rules.concurrency.onNotCalling();
-        double slack = request.classState().baseline().slack(took);
-        rules.dependency.onLatency(took, slack, !rules.hasNoBaseline());
+        rules.concurrency.onCallEnded();
+        double slack = request.classState().baseline().slack(duration);
+        rules.dependency.onCallEnded(duration, slack, !rules.hasNoBaseline());
         if (outcome == Outcome.OK) {
-            onCallAnswered(request, took, slack < 1);
+            onCallAnswered(request, duration, slack < 1);
         } else {
             onCallFailed(request, outcome);
         }
     }
 
-    private void onCallAnswered(AdmittedRequest request, NanoDuration took, boolean slow) {
-        rules.dependency.onCallCompleted();
-        takeCallOutOfFlight(request);
-        if (target(request).filter(target -> took.compareTo(target) > 0).isPresent()) {
-            cutLimit(request);
+    private void onCallAnswered(AdmittedRequest request, NanoDuration duration, boolean slow) {
+        rules.dependency.onCallSucceeded();
+        releaseCall(request);
+        if (target(request).filter(target -> duration.compareTo(target) > 0).isPresent()) {
+            reduceLimit(request);
         } else {
             rules.inFlight.limit().onFastCall(rules.inFlight.inFlight());
             if (request.isBaselineCall()) {
-                request.classState().baseline().add(took, slow, request.number());
+                request.classState().baseline().add(duration, slow, request.number());
             }
         }
         CallSequence calls = request.classState().callSequence();
-        calls.onCallEnded(request.callsEnded());
-        request.markCallEnded();
-        if (!calls.isAnotherCallLikely(request.callsEnded())) {
+        calls.onCallSucceeded(request.successfulCalls());
+        request.markCallSucceeded();
+        if (!calls.isAnotherCallLikely(request.successfulCalls())) {
             rules.inFlight.leave(request);
         }
         enterCores(request);
     }
 
     private void onCallFailed(AdmittedRequest request, Outcome outcome) {
-        cutLimit(request);
+        reduceLimit(request);
         request.moveTo(AdmittedRequest.State.WAITING_TO_CALL);
         if (outcome == Outcome.TIMED_OUT) {
-            giveUpCall(request);
+            abandonCall(request);
             skipCallOrFail(request);
             return;
         }
-        takeCallOutOfFlight(request);
+        releaseCall(request);
         request.markCallAttemptFailed();
-        int attempts = request.callAttempts();
-        if (!rules.retries.mayRetry(outcome, request.requestClass(), attempts)) {
+        int attempts = request.failedCallAttempts();
+        if (!rules.retryPolicy.mayRetry(outcome, request.requestClass(), attempts)) {
             skipCallOrFail(request);
             return;
         }
@@ -296,7 +302,7 @@
         rules.timers.scheduleAfter(
                 NanoDuration.ofSeconds(backoffSeconds),
                 () -> {
-                    if (request.is(AdmittedRequest.State.WAITING_TO_CALL)
+                    if (request.isInState(AdmittedRequest.State.WAITING_TO_CALL)
                             && !request.isAnswered()) {
                         rules.callQueue.add(request);
                     }
@@ -304,8 +310,9 @@
     }
 
     /**
-     * Goes on without the call where the settings pay for an answer without it: when the call timed
-     * out or failed, in time for it, and at once while calls take longer than their target.
+     * Skips the call where an answer without it is paid for, else fails the request. Used when the
+     * call timed out, failed or could not return in time, and at once while calls take longer than
+     * their target.
      */
     void skipCallOrFail(AdmittedRequest request) {
         if (request.requestClass().skippedCallValue() > 0 && !request.isAnswered()) {
@@ -316,31 +323,34 @@
         }
     }
 
-    /** Rule 4: a call that was given up stays in flight at the dependency for a while. */
-    private void giveUpCall(AdmittedRequest request) {
-        rules.timers.scheduleAfter(settings.callLinger(), () -> takeCallOutOfFlight(request));
-        if (request.is(AdmittedRequest.State.CALLING)) {
-            rules.concurrency.onNotCalling();
+    /**
+     * Gives up a call. It still counts as in flight for the linger time, since the dependency may
+     * go on with it.
+     */
+    private void abandonCall(AdmittedRequest request) {
+        rules.timers.scheduleAfter(settings.callLinger(), () -> releaseCall(request));
+        if (request.isInState(AdmittedRequest.State.CALLING)) {
+            rules.concurrency.onCallEnded();
         }
         request.moveTo(AdmittedRequest.State.WAITING_TO_CALL);
     }
 
-    private void takeCallOutOfFlight(AdmittedRequest request) {
+    private void releaseCall(AdmittedRequest request) {
         rules.dependency
-                .onCallOutOfFlight(request.calledAt(), server.now())
+                .onCallReleased(request.calledAt(), server.now())
                 .ifPresent(nextCallAt -> rules.timers.scheduleAt(nextCallAt, () -> {}));
     }
 
     /**
-     * The limit comes down at most once an attempt: past its target while it is out, or when it is
-     * dropped. One call has up to three attempts.
+     * Reduces the in-flight limit, at most once per attempt: when the call exceeds its target or
+     * when it fails. One call has up to three attempts.
      */
-    private void cutLimit(AdmittedRequest request) {
-        if (request.hasCutLimit() || target(request).isEmpty()) {
+    private void reduceLimit(AdmittedRequest request) {
+        if (request.hasReducedLimit() || target(request).isEmpty()) {
             return;
         }
-        request.markLimitCut(true);
-        rules.inFlight.limit().onSlowOrDroppedCall();
+        request.setLimitReduced(true);
+        rules.inFlight.limit().onSlowOrFailedCall();
         double limit = rules.inFlight.limit().limit();
         server.log(String.format(Locale.ROOT, "in-flight limit reduced limit=%.1f", limit));
     }
--- a/src/main/java/lupinwood/admission/RequestListener.java
+++ b/src/main/java/lupinwood/admission/RequestListener.java
@@ -1,19 +1,19 @@
 package lupinwood.admission;
 
-/** Hears of everything that happens to one admitted request, on the thread of its policy. */
+/** Receives the events of one admitted request, on the thread of its policy. */
 public interface RequestListener {
-    /** Its run ended, or its original's result was handed out. */
-    void onCompleted(Outcome outcome, NanoDuration took);
+    /** The run ended, or the result of the original was sent as the answer. */
+    void onCompleted(Outcome outcome, NanoDuration duration);
 
-    /** Its run can't go on without a downstream call. */
+    /** The run cannot continue without a downstream call. */
     void onCallNeeded();
 
-    /** The downstream call made for it came to this end. */
-    void onCallCompleted(Outcome outcome, NanoDuration took);
+    /** The downstream call of the request ended with this outcome. */
+    void onCallCompleted(Outcome outcome, NanoDuration duration);
 
-    /** Whether nothing more will be asked of this request, nor heard. */
+    /** Whether no further action or event can concern the request. */
     boolean isFinished();
 
-    /** Nobody waits for it any more; no answer is owed. */
+    /** The client no longer waits for the request, so no answer is required. */
     void onClientGone();
 }
--- a/src/main/java/lupinwood/admission/ResourceUsage.java
+++ b/src/main/java/lupinwood/admission/ResourceUsage.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * What the machine reads off itself; NaN for what it can't tell.
+ * A reading of the node's resource usage; NaN for a value that is not available.
  *
  * @param coreUse share of the cores in use
- * @param wantingCore runs that want a core and wait for no disk
+ * @param wantingCore running requests that want a core rather than wait for a disk
  * @param memoryShare share of the memory in use
- * @param connections of upstreams that stand open
+ * @param connections open connections of upstreams
  */
 public record ResourceUsage(
         double coreUse, double wantingCore, double memoryShare, double connections) {
-    /** Nothing was read. */
+    /** A reading without any value. */
     public static final ResourceUsage UNKNOWN = named(List.of(), new double[0]);
 
     /**
-     * Values in the order of their names, as the settings list them; other names are passed over.
+     * Assigns values to their names, which are in the order of the settings; unknown names are
+     * ignored.
      */
     public static ResourceUsage named(List<String> names, double[] values) {
         return new ResourceUsage(
@@ -27,7 +28,7 @@
     }
 
     private static double value(String name, List<String> names, double[] values) {
-        int place = names.indexOf(name);
-        return place >= 0 && place < values.length ? values[place] : Double.NaN;
+        int index = names.indexOf(name);
+        return index >= 0 && index < values.length ? values[index] : Double.NaN;
     }
 }
--- a/src/main/java/lupinwood/admission/RetryPolicy.java
+++ b/src/main/java/lupinwood/admission/RetryPolicy.java
@@ -1,27 +1,31 @@
 package lupinwood.admission;
 
 /**
- * What follows on a downstream call that failed or is overdue.
+ * Decides what follows on a downstream call that failed or exceeded its target.
  *
  * <ul>
- *   <li>A failed call is retried while fewer than three attempts were made, and only where that can
- *       have no second effect: a safe request, or proof that the call never ran (rule 2).
- *   <li>A call past its target that enough calls made later have overtaken is taken for lost, not
- *       slow: it would hold its place to the end. A safe request gives it up and calls again, any
- *       other fails at once. Where an answer without the call is paid for, the call is waited for.
+ *   <li>A failed call is retried up to three attempts in all, and only where that can have no
+ *       second effect: for a safe request, or with proof that the call never ran.
+ *   <li>A call past its target that enough later calls have overtaken counts as lost, not as slow;
+ *       otherwise it would stay in flight until its timeout. A safe request gives the call up and
+ *       makes it again, any other request fails at once. Where an answer without the call is paid
+ *       for, waiting goes on.
  * </ul>
  *
- * <p>Stateless; any thread.
+ * <p>Stateless; may be used from any thread.
  */
 final class RetryPolicy {
-    /** Attempts of one call, the first included: past that the dependency is taken to be down. */
+    /**
+     * The most attempts of one call, the first included; after that the dependency is taken to be
+     * down.
+     */
     private static final int MAX_ATTEMPTS = 3;
 
-    /** A call is lost once so many made later have come back. */
-    private static final int OVERTAKEN_BY = Histogram.RECENT_SAMPLES / 2;
+    /** A call counts as lost once this many calls made later have returned. */
+    private static final int LOST_AFTER_OVERTAKING_CALLS = Histogram.RECENT_SAMPLES / 2;
 
-    /** What to do about a call that is past its target. */
-    enum OverdueCall {
+    /** How to handle a call that is past its target. */
+    enum OverdueAction {
         KEEP_WAITING,
         CALL_ANEW,
         FAIL
@@ -30,7 +34,7 @@
     /**
      * Whether a call that failed may be made again.
      *
-     * @param failedAttempts of this call so far, the one that just failed included
+     * @param failedAttempts failed attempts of this call so far, the latest included
      */
     boolean mayRetry(Outcome outcome, RequestClass requestClass, int failedAttempts) {
         return failedAttempts < MAX_ATTEMPTS
@@ -38,20 +42,20 @@
     }
 
     /**
-     * What to do about a call past its target.
+     * Decides how to handle a call that is past its target.
      *
-     * @param completedLater how many calls made later have come back
-     * @param earlierFailures attempts of this call that failed before the one that is out
+     * @param completedLater the number of calls that were made later and have returned
+     * @param earlierFailures failed attempts of this call before the present one
      */
-    OverdueCall onOverdue(AdmittedRequest request, int completedLater, int earlierFailures) {
+    OverdueAction onOverdue(AdmittedRequest request, int completedLater, int earlierFailures) {
         if (request.isAnswered()
-                || completedLater < OVERTAKEN_BY
+                || completedLater < LOST_AFTER_OVERTAKING_CALLS
                 || request.requestClass().skippedCallValue() > 0) {
-            return OverdueCall.KEEP_WAITING;
+            return OverdueAction.KEEP_WAITING;
         }
         return request.requestClass().idempotency() == Idempotency.SAFE
                         && earlierFailures + 1 < MAX_ATTEMPTS
-                ? OverdueCall.CALL_ANEW
-                : OverdueCall.FAIL;
+                ? OverdueAction.CALL_ANEW
+                : OverdueAction.FAIL;
     }
 }
--- a/src/main/java/lupinwood/admission/ServerActions.java
+++ b/src/main/java/lupinwood/admission/ServerActions.java
@@ -1,65 +1,69 @@
 package lupinwood.admission;
 
 /**
- * What the decisions may have the machine do. All of it takes effect at {@link #now()}, and is
- * called on the thread that owns the {@link AdmissionPolicy} alone.
+ * The actions that the decisions can request of the node. Each takes effect at {@link #now()}, and
+ * is called only on the thread that owns the {@link AdmissionPolicy}.
  */
 public interface ServerActions {
-    /** The time of the events that are being told; it stands still while they are decided on. */
+    /**
+     * The time of the events that are being handled; it does not advance while decisions are made.
+     */
     MonotonicTime now();
 
-    /** Starts a queued request. */
+    /** Starts the run of a queued request. */
     void run(RequestId requestId);
 
-    /** Stops a run whose answer nobody waits for; what was done is lost. */
+    /** Stops a run whose answer is no longer needed; its work is lost. */
     void stop(RequestId requestId);
 
     /**
      * Final answer: the request never ran here.
      *
-     * @param doNotRetryElsewhere whether the upstream is asked to try no other node either
-     * @param retryAfter how long the upstream is asked to stay away; zero for no such wish
+     * @param doNotRetryElsewhere whether to ask the upstream to try no other node
+     * @param retryAfter how long the upstream is asked to wait; zero for no such request
      */
     void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter);
 
-    /** Final answer: an error, with nothing promised. */
+    /** Final answer: an error. Nothing is promised about whether the request ran. */
     void fail(RequestId requestId);
 
     /** Makes the downstream call that a request waits for, and gives it up after the timeout. */
     void call(RequestId requestId, NanoDuration timeout);
 
-    /** Lets a run go on without the call that it waits for. */
+    /** Lets a run continue without the call that it waits for. */
     void skipCall(RequestId requestId);
 
-    /** Answers a retry from the result of its original, now or once that is there. */
+    /** Answers a retry from the result of its original, at once or when that is available. */
     void answerFromOriginal(RequestId requestId);
 
-    /** Remembers an idempotent request for so long, so that its retries are known. */
+    /** Remembers an idempotent request for this duration, so that its retries are recognized. */
     void remember(RequestId requestId, NanoDuration duration);
 
     /** Forgets a request that never ran, so that a retry may run. */
     void forget(RequestId requestId);
 
     /**
-     * Sets what health checks hear.
+     * Sets the answer to health checks.
      *
-     * @param good whether the node is well
-     * @param fromStore whether the answer is given at once, and not after real work
+     * @param good whether the node is healthy
+     * @param fromStore whether health checks are answered at once rather than after real work
      */
     void reportHealth(boolean good, boolean fromStore);
 
-    /** Sets the value of the load report that goes along with every answer. */
+    /** Sets the value of the load report, which is sent with every answer. */
     void reportAvailableCapacity(double value);
 
-    /** Closes connections of upstreams that have been idle this long, from now on. */
+    /** Closes upstream connections that are idle for this long, from now on. */
     void closeIdleConnections(NanoDuration idle);
 
-    /** Asks for {@link AdmissionPolicy#wake} at this time; a later wish replaces an earlier one. */
+    /** Requests {@link AdmissionPolicy#wake} at this time; replaces an earlier request. */
     void wakeAt(MonotonicTime time);
 
-    /** Nothing more will be asked of this request, nor heard: the machine may drop its listener. */
+    /**
+     * Ends the handling of a request: no action or event follows, and its listener may be dropped.
+     */
     void release(RequestId requestId);
 
-    /** Writes one line to the log: an event phrase, then key=value. */
+    /** Writes one log line: an event phrase, then key=value pairs. */
     void log(String line);
 }
--- a/src/main/java/lupinwood/admission/SettingsMap.java
+++ b/src/main/java/lupinwood/admission/SettingsMap.java
@@ -3,41 +3,40 @@
 import java.util.Map;
 
 /**
- * The platform's settings as they come: names and texts, read as what they stand for. An absent
- * name is not an error. Immutable, for any thread; the decisions see {@link PolicySettings}
- * instead.
+ * The settings as a map from outer names to texts, with typed access. An absent name is not an
+ * error. The decisions use {@link PolicySettings} instead. Immutable; may be used from any thread.
  */
 public final class SettingsMap {
     private final Map<String, String> values;
 
-    /** Takes a copy of the platform's map. */
+    /** Copies the map. */
     public SettingsMap(Map<String, String> values) {
         this.values = Map.copyOf(values);
     }
 
-    /** A text as the map has it: blanks and commas would part it. */
+    /** Replaces spaces and commas by underscores, since both separate values in the map. */
     public static String word(String text) {
         return text.replace(' ', '_').replace(',', '_');
     }
 
-    /** The entry as it stands; empty where it is absent. */
+    /** The text of an entry; empty if it is absent. */
     public String text(String name) {
         return values.getOrDefault(name, "");
     }
 
     /**
-     * A number.
+     * The value of a numeric entry.
      *
-     * @param otherwise where the entry is absent or empty
-     * @throws NumberFormatException for any other text that is no number
+     * @param defaultValue for an entry that is absent, empty or NaN
+     * @throws NumberFormatException for any other text that is not a number
      */
-    public double number(String name, double otherwise) {
+    public double number(String name, double defaultValue) {
         String text = text(name);
         double number = text.isEmpty() ? Double.NaN : Double.parseDouble(text);
-        return Double.isNaN(number) ? otherwise : number;
+        return Double.isNaN(number) ? defaultValue : number;
     }
 
-    /** A duration that stands in nanoseconds; zero where the entry is absent. */
+    /** The value of an entry in nanoseconds; zero if it is absent. */
     public NanoDuration duration(String name) {
         return new NanoDuration(Math.round(number(name, 0)));
     }
@@ -47,9 +46,9 @@
         return text(name).equals(value);
     }
 
-    /** One item of a list that commas part; empty where the list is shorter. */
-    public String item(String name, int place) {
+    /** One item of a comma-separated list; empty if the list is shorter. */
+    public String item(String name, int index) {
         String[] items = text(name).split(",", 0);
-        return place < items.length ? items[place] : "";
+        return index < items.length ? items[index] : "";
     }
 }
--- a/src/main/java/lupinwood/admission/SpeedRamp.java
+++ b/src/main/java/lupinwood/admission/SpeedRamp.java
@@ -1,7 +1,7 @@
 package lupinwood.admission;
 
 /**
- * The share of its full speed that a node has for certain: one that starts cold rises evenly.
+ * The share of its full speed that a node is certain to have: a cold start rises linearly to 1.
  *
  * <pre>speed = min(1, coldSpeed + (1 - coldSpeed) * age / warmUp)</pre>
  *
@@ -16,14 +16,15 @@
         this.settings = settings;
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** From the cold share up to 1. */
+    /** The present share of the full speed, from the cold speed to 1. */
     double speed(MonotonicTime now) {
-        double from = settings.startsCold() ? settings.coldSpeed() : 1;
+        double initial = settings.startsCold() ? settings.coldSpeed() : 1;
         long ageNanos = now.since(startedAt).nanos();
-        return Math.min(1, from + (1 - from) * ageNanos / Math.max(1, settings.warmUpNanos()));
+        return Math.min(
+                1, initial + (1 - initial) * ageNanos / Math.max(1, settings.warmUpNanos()));
     }
 }
--- a/src/main/java/lupinwood/admission/SubjectId.java
+++ b/src/main/java/lupinwood/admission/SubjectId.java
@@ -1,4 +1,4 @@
 package lupinwood.admission;
 
-/** What a request is about (a parcel, a scooter); many requests may share it; 0 for none. */
+/** Identifies what a request is about, such as a parcel; many requests may share it; 0 for none. */
 public record SubjectId(long number) {}
--- a/src/main/java/lupinwood/admission/TenantId.java
+++ b/src/main/java/lupinwood/admission/TenantId.java
@@ -1,4 +1,4 @@
 package lupinwood.admission;
 
-/** A tenant, by its place in the settings. */
+/** Identifies a tenant by its position in the settings. */
 public record TenantId(int number) {}
--- a/src/main/java/lupinwood/admission/TenantQuota.java
+++ b/src/main/java/lupinwood/admission/TenantQuota.java
@@ -4,39 +4,43 @@
 import java.util.List;
 
 /**
- * Each tenant's quota of this node, as a token bucket: a rate in requests a second, and what the
- * tenant has saved up of it. One that sends more is over its quota, and its further requests count
- * for little.
+ * The part of each tenant's quota that falls to this node, as a token bucket: a rate in requests
+ * per second, and the tokens saved up. A tenant that sends more is over its quota, and its further
+ * requests have a reduced utility.
  *
  * <pre>
  * rate   = the tenant's quota / nodes in the group
  * window = max(6 s, 16 requests / rate)
- * tokens = min(rate * window * usual, tokens + rate * usual * passed)
+ * tokens = min(rate * window * typical, tokens + rate * typical * elapsed)
  * </pre>
  *
- * <p>A node that upstreams favour gets more of all tenants. So the rate grows by the factor {@code
- * usual}: what the middle tenant had admitted lately, as a multiple of its quota, at least 1.
+ * <p>A node that upstreams prefer gets more requests of all tenants. So the rate is multiplied by
+ * {@code typical}: what the median tenant had admitted recently, as a multiple of its quota, and at
+ * least 1.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class TenantQuota {
-    /** Over so many seconds, or more, a quota is averaged: shorter ones fail on chance alone. */
+    /**
+     * The least averaging window, in seconds: over a shorter one, random variation alone exceeds a
+     * quota.
+     */
     private static final double MIN_WINDOW_SECONDS = 6;
 
-    /** A window holds so many requests at least, so that small quotas can be told from bursts. */
+    /** The least requests in a window, so that a small quota can be told from a burst. */
     private static final double MIN_WINDOW_REQUESTS = Histogram.RECENT_SAMPLES / 2.0;
 
-    /** Past this multiple of the usual a tenant is in a burst. */
-    private static final double BURST_FACTOR = 2;
+    /** A tenant bursts when it sends more than this multiple of what is typical here. */
+    private static final double BURST_RATIO = 2;
 
-    /** One tenant's bucket. */
+    /** The token bucket of one tenant. */
     final class Bucket {
         private double rate;
         private double windowSeconds;
         private double tokens;
         private double offered;
         private double admitted;
-        private double usual = 1;
+        private double typicalMultiple = 1;
         private MonotonicTime updatedAt = startedAt;
 
         private void configure(double quotaPerSecond, double nodesInGroup) {
@@ -46,40 +50,43 @@
         }
 
         private void advance(MonotonicTime now) {
-            double passed = now.since(updatedAt).seconds();
-            offered *= Math.exp(-passed / windowSeconds);
-            admitted *= Math.exp(-passed / windowSeconds);
-            tokens = Math.min(rate * windowSeconds * usual, tokens + rate * usual * passed);
+            double elapsedSeconds = now.since(updatedAt).seconds();
+            offered *= Math.exp(-elapsedSeconds / windowSeconds);
+            admitted *= Math.exp(-elapsedSeconds / windowSeconds);
+            tokens =
+                    Math.min(
+                            rate * windowSeconds * typicalMultiple,
+                            tokens + rate * typicalMultiple * elapsedSeconds);
             updatedAt = now;
         }
 
-        /** So many requests lately, as a multiple of the quota. */
+        /** A decayed count of recent requests as a multiple of the quota. */
         private double multipleOfQuota(double requests) {
-            double age = Math.max(MIN_WINDOW_SECONDS, updatedAt.since(startedAt).seconds());
-            double past = 1 - Math.exp(-age / windowSeconds);
-            return requests / Math.max(1e-9, rate * windowSeconds * past);
+            double ageSeconds = Math.max(MIN_WINDOW_SECONDS, updatedAt.since(startedAt).seconds());
+            double observedRatio = 1 - Math.exp(-ageSeconds / windowSeconds);
+            return requests / Math.max(1e-9, rate * windowSeconds * observedRatio);
         }
 
-        /** Whether one more request stays within the quota; if so it is taken off. */
-        private boolean spend(MonotonicTime now) {
+        /** Counts a request, and whether it is within the quota; if so, takes one token. */
+        private boolean tryTake(MonotonicTime now) {
             buckets.forEach(bucket -> bucket.advance(now));
             offered++;
             admitted++;
-            usual = Math.max(1, middleMultiple());
-            boolean within = tokens >= 1;
-            tokens -= within ? 1 : 0;
-            return within;
+            typicalMultiple = Math.max(1, medianMultipleOfQuota());
+            boolean withinQuota = tokens >= 1;
+            tokens -= withinQuota ? 1 : 0;
+            return withinQuota;
         }
 
-        /** A request that never ran takes nothing of the quota. */
+        /** Returns what a request that never ran took of the quota. */
         void refund(boolean wasOverQuota) {
             admitted = Math.max(0, admitted - 1);
             tokens += wasOverQuota ? 0 : 1;
         }
 
-        /** Whether the tenant sends over twice what is usual here. */
+        /** Whether the tenant sends more than twice what is typical here. */
         boolean isBursting() {
-            return multipleOfQuota(offered) > BURST_FACTOR * usual;
+            return multipleOfQuota(offered) > BURST_RATIO * typicalMultiple;
         }
     }
 
@@ -96,7 +103,7 @@
         }
     }
 
-    /** Takes over changed quotas; what was saved up stays. */
+    /** Applies changed quotas; saved-up tokens are kept. */
     void update(PolicySettings settings) {
         for (int i = 0; i < buckets.size(); i++) {
             buckets.get(i)
@@ -104,16 +111,16 @@
         }
     }
 
-    /** Charges a request to its tenant, where that has a quota. */
+    /** Charges a request to its tenant, if that has a quota. */
     void charge(AdmittedRequest request, MonotonicTime now) {
-        int place = request.request().tenantId().number();
-        if (place < buckets.size() && buckets.get(place).rate > 0) {
-            Bucket bucket = buckets.get(place);
-            request.charged(bucket, !bucket.spend(now));
+        int tenantIndex = request.request().tenantId().number();
+        if (tenantIndex < buckets.size() && buckets.get(tenantIndex).rate > 0) {
+            Bucket bucket = buckets.get(tenantIndex);
+            request.chargeTo(bucket, !bucket.tryTake(now));
         }
     }
 
-    private double middleMultiple() {
+    private double medianMultipleOfQuota() {
         return buckets.stream()
                 .mapToDouble(bucket -> bucket.multipleOfQuota(bucket.admitted))
                 .sorted()
--- a/src/main/java/lupinwood/admission/TimerQueue.java
+++ b/src/main/java/lupinwood/admission/TimerQueue.java
@@ -4,59 +4,60 @@
 import java.util.PriorityQueue;
 
 /**
- * Timers of the decisions: jobs that are due later run earliest first, and in the order given where
- * they are due together. One wake-up of the machine is asked for at a time.
+ * The timers of the decisions. Due tasks run in order of time, and in the order of scheduling where
+ * times are equal. At most one wake-up of the node is requested at a time.
  *
  * <p>Owned by the thread of the {@link AdmissionPolicy}.
  */
 public final class TimerQueue {
-    private record Timer(MonotonicTime at, long order, Runnable job) {}
+    private record Timer(MonotonicTime dueAt, long sequence, Runnable task) {}
 
     private final PriorityQueue<Timer> queue =
-            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::order));
+            new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private final ServerActions server;
-    private long order;
-    private MonotonicTime requested = MonotonicTime.NEVER;
+    private long sequence;
+    private MonotonicTime requestedWakeUp = MonotonicTime.NEVER;
 
-    /** An empty queue that asks this machine for its wake-ups. */
+    /** Creates an empty queue that requests its wake-ups from this server. */
     public TimerQueue(ServerActions server) {
         this.server = server;
     }
 
-    /** Runs the job at this time, or with the next wake-up after it. */
-    public void scheduleAt(MonotonicTime time, Runnable job) {
-        queue.add(new Timer(time, order++, job));
+    /** Runs the task at this time, or with the first wake-up after it. */
+    public void scheduleAt(MonotonicTime time, Runnable task) {
+        queue.add(new Timer(time, sequence++, task));
     }
 
-    /** Runs the job so long from now. */
-    public void scheduleAfter(NanoDuration duration, Runnable job) {
-        scheduleAt(server.now().plus(duration), job);
+    /** Runs the task after this duration. */
+    public void scheduleAfter(NanoDuration duration, Runnable task) {
+        scheduleAt(server.now().plus(duration), task);
     }
 
     /**
-     * Runs all jobs that are due, also those that become due by them. A coarse clock may wake a
-     * trifle early: the wake-up that was asked for is spent all the same.
+     * Runs all tasks that are due, including those that become due meanwhile. A coarse clock may
+     * wake the node slightly early; the requested wake-up is used up all the same.
      */
     public void runDue() {
-        requested = MonotonicTime.NEVER;
-        while (!queue.isEmpty() && !server.now().isBefore(queue.peek().at())) {
-            queue.poll().job().run();
+        requestedWakeUp = MonotonicTime.NEVER;
+        while (!queue.isEmpty() && !server.now().isBefore(queue.peek().dueAt())) {
+            queue.poll().task().run();
         }
     }
 
     /**
-     * Asks for a wake-up if the earliest timer is due before the one asked for. What is due already
-     * is asked for at the next moment: no machine hears of a wake-up in the past.
+     * Requests a wake-up if the earliest timer is due before the wake-up requested already. For a
+     * timer that is due already the wake-up is requested one nanosecond from now, since one in the
+     * past would never come.
      */
     public void requestWakeUp() {
         Timer next = queue.peek();
-        MonotonicTime soonest = server.now().plus(new NanoDuration(1));
-        if (next != null && soonest.isBefore(next.at())) {
-            soonest = next.at();
+        MonotonicTime wakeUpAt = server.now().plus(new NanoDuration(1));
+        if (next != null && wakeUpAt.isBefore(next.dueAt())) {
+            wakeUpAt = next.dueAt();
         }
-        if (next != null && soonest.isBefore(requested)) {
-            requested = soonest;
-            server.wakeAt(requested);
+        if (next != null && wakeUpAt.isBefore(requestedWakeUp)) {
+            requestedWakeUp = wakeUpAt;
+            server.wakeAt(requestedWakeUp);
         }
     }
 }
--- a/src/main/java/lupinwood/admission/UpstreamId.java
+++ b/src/main/java/lupinwood/admission/UpstreamId.java
@@ -1,4 +1,4 @@
 package lupinwood.admission;
 
-/** The upstream load balancer that sent a request. */
+/** Identifies the upstream load balancer that sent a request. */
 public record UpstreamId(int number) {}
--- a/src/main/java/lupinwood/admission/UtilityModel.java
+++ b/src/main/java/lupinwood/admission/UtilityModel.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What serving a request in time adds to the operators' goal: its share of the priority weight that
- * is asked for, and more while its class is the one served worst.
+ * The utility of serving a request in time, in terms of the operators' goal: its share of the
+ * priority weight of the requests offered, and more while its class is the one served worst.
  *
  * <pre>
  * utility = (1 - worstClassShare) * priorityWeight / offeredWeight
  *         + (its class is the worst ? worstClassShare / offered(class) : 0)
- * past its tenant's quota: utility * overQuotaValue
+ * over its tenant's quota: utility * overQuotaValue
  * </pre>
  *
- * <p>The worst class is the one with the least share of its requests served in time. Counts are
- * halved now and then, so that the picture follows the day.
+ * <p>The worst class is the one with the least share of its requests served in time. All counts are
+ * halved at intervals, so that they follow changes during the day.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class UtilityModel {
-    /** After so many requests all counts are halved. */
-    private static final int HALVING_INTERVAL = 4 * Histogram.RECENT_SAMPLES;
+    /** All counts are halved each time this many requests were offered. */
+    private static final int HALVING_INTERVAL_REQUESTS = 4 * Histogram.RECENT_SAMPLES;
 
     private static final int NO_CLASS = -1;
 
@@ -29,7 +29,7 @@
     private PolicySettings settings;
     private double offeredWeight;
     private int requestsOffered;
-    private int worst = NO_CLASS;
+    private int worstClass = NO_CLASS;
 
     UtilityModel(List<ClassState> classes, PolicySettings settings) {
         this.classes = classes;
@@ -38,54 +38,59 @@
         servedInTime = new double[classes.size()];
     }
 
-    void update(PolicySettings changed) {
-        settings = changed;
+    void update(PolicySettings newSettings) {
+        settings = newSettings;
     }
 
-    /** A request of this class was read. */
+    /** Records a request of this class that was read. */
     void onOffered(int classIndex) {
         offered[classIndex]++;
         offeredWeight = 0;
-        double decay = ++requestsOffered % HALVING_INTERVAL == 0 ? 0.5 : 1;
+        double decay = ++requestsOffered % HALVING_INTERVAL_REQUESTS == 0 ? 0.5 : 1;
         for (int i = 0; i < offered.length; i++) {
             offered[i] *= decay;
             servedInTime[i] *= decay;
             offeredWeight += offered[i] * classes.get(i).settings().priorityWeight();
-            boolean worse =
-                    worst == NO_CLASS
-                            || servedInTime[i] * offered[worst] < servedInTime[worst] * offered[i];
-            if (offered[i] > 0 && worse) {
-                worst = i;
+            boolean isWorse =
+                    worstClass == NO_CLASS
+                            || servedInTime[i] * offered[worstClass]
+                                    < servedInTime[worstClass] * offered[i];
+            if (offered[i] > 0 && isWorse) {
+                worstClass = i;
             }
         }
     }
 
-    /** A request was withdrawn before its objective passed and never ran: it asked for nothing. */
+    /**
+     * Records a request that its client withdrew before its due time and that never ran: it does
+     * not count as offered.
+     */
     void onWithdrawn(int classIndex) {
         offered[classIndex] = Math.max(0, offered[classIndex] - 1);
     }
 
-    /** A request was served within its objective. */
+    /** Records a request that was served in time. */
     void onServedInTime(int classIndex) {
         servedInTime[classIndex]++;
     }
 
-    /** What serving this request in time adds to the goal. */
+    /** The utility of serving this request in time. */
     double utility(AdmittedRequest request) {
-        double ofWorst = settings.worstClassShare();
+        double worstClassShare = settings.worstClassShare();
         int classIndex = request.classIndex();
         double utility =
-                (1 - ofWorst) * request.requestClass().priorityWeight() / offeredWeight
-                        + (classIndex == worst ? ofWorst / offered[classIndex] : 0);
+                (1 - worstClassShare) * request.requestClass().priorityWeight() / offeredWeight
+                        + (classIndex == worstClass ? worstClassShare / offered[classIndex] : 0);
         return utility * (request.isOverQuota() ? settings.overQuotaValue() : 1);
     }
 
     /**
-     * The same for each downstream call that the request still has to make: the nearer it is to its
-     * last call, the less of the dependency its utility takes.
+     * The utility per downstream call that the request still has to make: the closer a request is
+     * to its last call, the fewer calls of the dependency its utility costs.
      */
     double utilityPerCall(AdmittedRequest request) {
-        double callsLeft = request.classState().callSequence().meanCalls() - request.callsEnded();
+        double callsLeft =
+                request.classState().callSequence().meanCalls() - request.successfulCalls();
         return utility(request) / Math.max(1, callsLeft);
     }
 }
--- a/src/main/java/lupinwood/admission/package-info.java
+++ b/src/main/java/lupinwood/admission/package-info.java
@@ -1,11 +1,11 @@
 /**
- * The decisions of one node, and what stands between them and a machine.
+ * The decisions of one node, and the interfaces between them and the rest of the node.
  *
- * <p>News comes in through {@link lupinwood.admission.AdmissionPolicy} and {@link
- * lupinwood.admission.RequestListener}; what is decided leaves through {@link
- * lupinwood.admission.ServerActions}. Behind that {@link lupinwood.admission.AdmissionController}
- * shows the order of the checks, and each rule is a package-private class that says its inputs,
- * units, formula, reason and source. No I/O, no threads and no clock of its own: one thread owns
- * all of it, and time comes from the machine.
+ * <p>Events come in through {@link lupinwood.admission.AdmissionPolicy} and {@link
+ * lupinwood.admission.RequestListener}; decisions leave through {@link
+ * lupinwood.admission.ServerActions}. {@link lupinwood.admission.AdmissionController} defines the
+ * order of the checks, and each rule is a package-private class that documents its inputs, units,
+ * formula, reason and source. The package does no I/O and has no threads and no clock: one thread
+ * owns all of it, and the time comes from {@link lupinwood.admission.ServerActions#now()}.
  */
 package lupinwood.admission;
