--- a/src/main/java/lupinwood/admission/RejectionReason.java
+++ b/src/main/java/lupinwood/admission/RejectionReason.java
@@ -8,7 +8,9 @@
     MEMORY_FULL("memory_full"),
     /** The in-flight limit on requests that may call downstream is reached. */
     IN_FLIGHT_LIMIT("in_flight_limit"),
-    /** Its tenant is over its quota, and a request within its quota takes its place in flight. */
+    /**
+     * Its tenant is over its quota, and a request within another tenant's quota takes its place.
+     */
     OVER_QUOTA("over_quota"),
     /**
      * Some queued request cannot be done in time, and this request, not necessarily the same, adds
--- a/src/test/java/lupinwood/admission/AdmissionControllerTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -7,18 +7,18 @@
 import org.junit.jupiter.api.Test;
 
 final class AdmissionControllerTest {
-    private RecordingServer machine = new RecordingServer();
+    private RecordingServer server = new RecordingServer();
 
     @Test
     void everyRequestIsAnsweredBeforeItsTimeout() {
-        machine.set("domain.calls_out=1").start();
-        machine.arrive(RecordingServer.UNSAFE);
-        long atCall = machine.arrive(RecordingServer.UNSAFE);
-        machine.tell(atCall, RequestListener::onCallNeeded);
-        long waits = machine.arrive(RecordingServer.IDEMPOTENT);
-        machine.tell(waits, RequestListener::onCallNeeded);
-        machine.pass(6000);
-        assertThat(machine.printed())
+        server.set("domain.calls_out=1").start();
+        server.admit(RecordingServer.UNSAFE);
+        long calling = server.admit(RecordingServer.UNSAFE);
+        server.deliver(calling, RequestListener::onCallNeeded);
+        long waitingToCall = server.admit(RecordingServer.IDEMPOTENT);
+        server.deliver(waitingToCall, RequestListener::onCallNeeded);
+        server.advanceMillis(6000);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
@@ -33,24 +33,26 @@
     }
 
     @Test
-    void aRepeatIsServedFromItsOriginalOrFailsWithItAndIsNeverRun() {
-        machine.start();
-        long first = machine.arrive(RecordingServer.IDEMPOTENT);
-        long during = machine.arrive(RecordingServer.IDEMPOTENT, first, 10, 0);
-        machine.end(first);
-        machine.tell(during, handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
-        machine.pass(7000);
-        machine.arrive(RecordingServer.IDEMPOTENT, first, 10, 0);
-        long broken = machine.arrive(RecordingServer.IDEMPOTENT);
-        machine.tell(broken, handle -> handle.onCompleted(Outcome.ERROR, NanoDuration.ZERO));
-        machine.arrive(RecordingServer.IDEMPOTENT, broken, 10, 0);
-        assertThat(machine.printed())
+    void retryGetsOriginalsResultOrFailureAndNeverRuns() {
+        server.start();
+        long first = server.admit(RecordingServer.IDEMPOTENT);
+        long retryMeanwhile = server.admit(RecordingServer.IDEMPOTENT, first, 10, 0);
+        server.complete(first);
+        server.deliver(
+                retryMeanwhile, listener -> listener.onCompleted(Outcome.OK, NanoDuration.ZERO));
+        server.advanceMillis(7000);
+        server.admit(RecordingServer.IDEMPOTENT, first, 10, 0);
+        long failedOriginal = server.admit(RecordingServer.IDEMPOTENT);
+        server.deliver(
+                failedOriginal, listener -> listener.onCompleted(Outcome.ERROR, NanoDuration.ZERO));
+        server.admit(RecordingServer.IDEMPOTENT, failedOriginal, 10, 0);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 remember 1
                 0 run 1
-                0 reuse for 2
-                7000 reuse for 3
+                0 answer from original 2
+                7000 answer from original 3
                 7000 remember 4
                 7000 run 4
                 7000 fail 5
@@ -58,45 +60,45 @@
     }
 
     /**
-     * Seen on a day of deploy/sites/many: the caller of the original was gone, so nothing was owed
-     * at the last call.
+     * While a node drains, a request whose client is gone has no final answer left to give. A retry
+     * of it that arrives after the last answers of the drain must not wait for its result.
      */
     @Test
-    void aRepeatAfterTheLastCallIsAnsweredAtOnceAndDoesNotWaitForItsOriginal() {
-        RecordingServer machine = new RecordingServer().start();
-        long original = machine.arrive(RecordingServer.IDEMPOTENT);
-        machine.tell(original, RequestListener::onClientGone);
-        machine.policy.drain(NanoDuration.ofSeconds(3));
-        machine.pass(2900);
-        machine.trace.clear();
-        machine.arrive(RecordingServer.IDEMPOTENT, original, 10, 0);
-        machine.pass(20);
-        assertThat(machine.printed())
+    void retryAfterLastDrainAnswersDoesNotWaitForOriginal() {
+        RecordingServer server = new RecordingServer().start();
+        long original = server.admit(RecordingServer.IDEMPOTENT);
+        server.deliver(original, RequestListener::onClientGone);
+        server.policy.drain(NanoDuration.ofSeconds(3));
+        server.advanceMillis(2900);
+        server.trace.clear();
+        server.admit(RecordingServer.IDEMPOTENT, original, 10, 0);
+        server.advanceMillis(20);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
-                2900 reuse for 2
+                2900 answer from original 2
                 2900 fail 2
                 """);
     }
 
     @Test
     void nothingThatComesOverTheGraceIsRunAndAllIsAnsweredBeforeTheStop() {
-        machine.start();
-        machine.arrive(RecordingServer.LOCAL);
-        machine.policy.drain(NanoDuration.ofSeconds(3));
-        machine.pass(400);
-        machine.arrive(RecordingServer.LOCAL);
-        machine.pass(800);
-        machine.arrive(RecordingServer.LOCAL);
-        machine.pass(2000);
-        assertThat(machine.printed())
+        server.start();
+        server.admit(RecordingServer.LOCAL);
+        server.policy.drain(NanoDuration.ofSeconds(3));
+        server.advanceMillis(400);
+        server.admit(RecordingServer.LOCAL);
+        server.advanceMillis(800);
+        server.admit(RecordingServer.LOCAL);
+        server.advanceMillis(2000);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
-                0 health bad
+                0 health unhealthy
                 400 run 2
                 1200 log request rejected id=3 reason=draining
-                1200 bounce 3, come back later
+                1200 reject 3, retry later
                 2850 fail 1
                 2850 fail 2
                 """);
@@ -104,16 +106,16 @@
 
     @Test
     void memoryThatIsNearlyFullBouncesAndHoldsBackRuns() {
-        machine.set("domain.memory_kb=100").start();
-        machine.arrive(RecordingServer.LOCAL, 0, 20, 0);
-        machine.arrive(RecordingServer.LOCAL, 0, 4, 0);
-        machine.arrive(RecordingServer.IDEMPOTENT, 0, 3, 0);
-        assertThat(machine.printed())
+        server.set("domain.memory_kb=100").start();
+        server.admit(RecordingServer.LOCAL, 0, 20, 0);
+        server.admit(RecordingServer.LOCAL, 0, 4, 0);
+        server.admit(RecordingServer.IDEMPOTENT, 0, 3, 0);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
                 0 log request rejected id=3 reason=memory_full
-                0 bounce 3, come back later
+                0 reject 3, retry later
                 """);
     }
 
@@ -121,72 +123,73 @@
     void aColdMachineRunsFewerButStillTriesOnAFreeCore() {
         for (String cold :
                 new String[] {"0.2 rules.fall_multiple=1.1", "0.01 rules.fall_multiple=9"}) {
-            RecordingServer one =
+            RecordingServer coldServer =
                     new RecordingServer()
                             .set("domain.cold=true rules.ramp_time_ns=10000000000")
                             .set("rules.cold_share=" + cold)
                             .start();
             for (int i = 0; i < 3; i++) {
-                one.arrive(RecordingServer.LOCAL);
+                coldServer.admit(RecordingServer.LOCAL);
             }
-            assertThat(one.printed())
+            assertThat(coldServer.traceText())
                     .isEqualTo(
                             """
                     0 run 1
                     0 log request rejected id=3 reason=cannot_finish_in_time
-                    0 bounce 3, come back later
+                    0 reject 3, retry later
                     """);
         }
     }
 
     @Test
     void atTheLimitArrivalsAreRejectedAtOnceAndOthersAreNot() {
-        timeout().set("domain.cpus=8").start();
+        withLongObjective().set("domain.cpus=8").start();
         for (int i = 0; i < 20; i++) {
-            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
+            server.admit(RecordingServer.SAFE, 0, 1, 0);
         }
-        machine.trace.clear();
-        machine.arrive(RecordingServer.UNSAFE);
-        machine.arrive(RecordingServer.LOCAL);
-        assertThat(machine.printed())
+        server.trace.clear();
+        server.admit(RecordingServer.UNSAFE);
+        server.admit(RecordingServer.LOCAL);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 log request rejected id=21 reason=in_flight_limit
-                0 bounce 21, come back later
+                0 reject 21, retry later
                 """);
     }
 
     @Test
-    void aRequestLeavesTheCountAfterWhatIsMostLikelyItsLastCallAndComesBackWithAnother() {
-        timeout().set("domain.cpus=8 domain.calls_out=40").start();
-        machine.baseline(100);
-        long early = machine.arrive(RecordingServer.SAFE);
-        machine.call(early, 100, Outcome.OK);
+    void requestIsCountedInFlightUntilItsLikelyLastCall() {
+        withLongObjective().set("domain.cpus=8 domain.calls_out=40").start();
+        server.baseline(100);
+        long calledBefore = server.admit(RecordingServer.SAFE);
+        server.call(calledBefore, 100, Outcome.OK);
         for (int i = 0; i < 19; i++) {
-            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
+            server.admit(RecordingServer.SAFE, 0, 1, 0);
         }
-        machine.trace.clear();
-        machine.tell(early, RequestListener::onCallNeeded);
-        machine.arrive(RecordingServer.SAFE);
-        machine.tell(
-                early, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
-        machine.arrive(RecordingServer.SAFE);
-        assertThat(machine.printed())
+        server.trace.clear();
+        server.deliver(calledBefore, RequestListener::onCallNeeded);
+        server.admit(RecordingServer.SAFE);
+        server.deliver(
+                calledBefore,
+                listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
+        server.admit(RecordingServer.SAFE);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 900 run 17
                 900 call 9
                 900 log request rejected id=29 reason=in_flight_limit
-                900 bounce 29, come back later
+                900 reject 29, retry later
                 """);
     }
 
     @Test
-    void noCutBeforeThereIsAMedian() {
-        timeout().start();
-        long slow = machine.arrive(RecordingServer.SAFE);
-        machine.call(slow, 15000, Outcome.OK);
-        assertThat(machine.printed())
+    void limitIsNotReducedBeforeBaselineIsKnown() {
+        withLongObjective().start();
+        long slow = server.admit(RecordingServer.SAFE);
+        server.call(slow, 15000, Outcome.OK);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
@@ -195,12 +198,12 @@
     }
 
     @Test
-    void aCallIsFlaggedSlowWhileItIsOutAndOnlyOnce() {
-        timeout().start();
-        machine.baseline(100);
-        long slow = machine.arrive(RecordingServer.SAFE);
-        machine.call(slow, 12000, Outcome.BROKEN);
-        assertThat(machine.printed())
+    void slowCallReducesLimitOnceWhileInFlight() {
+        withLongObjective().start();
+        server.baseline(100);
+        long slow = server.admit(RecordingServer.SAFE);
+        server.call(slow, 12000, Outcome.BROKEN);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 800 run 9
@@ -210,32 +213,33 @@
     }
 
     @Test
-    void aCallThatEnoughMadeLaterHaveOvertakenIsLostAndASafeOneIsMadeAnew() {
-        machine.set("domain.calls_out=9 domain.cpus=8").start();
+    void overtakenCallIsRetriedIfSafeAndFailsOtherwise() {
+        server.set("domain.calls_out=9 domain.cpus=8").start();
         for (int i = 0; i < 8; i++) {
-            long idempotent = machine.arrive(RecordingServer.IDEMPOTENT);
-            machine.call(idempotent, 100, Outcome.OK);
-            machine.end(idempotent);
+            long idempotent = server.admit(RecordingServer.IDEMPOTENT);
+            server.call(idempotent, 100, Outcome.OK);
+            server.complete(idempotent);
         }
-        machine.baseline(100);
+        server.baseline(100);
         for (int classIndex : new int[] {RecordingServer.SAFE, RecordingServer.IDEMPOTENT}) {
-            machine.tell(machine.arrive(classIndex), RequestListener::onCallNeeded);
+            server.deliver(server.admit(classIndex), RequestListener::onCallNeeded);
         }
-        machine.baseline(50);
-        machine.pass(700);
-        assertThat(machine.printed())
-                .as("too few")
+        server.baseline(50);
+        server.advanceMillis(700);
+        assertThat(server.traceText())
+                .as("too few later calls returned")
                 .isEqualTo(
                         """
                 2600 log in-flight limit reduced limit=18.0
                 2600 log in-flight limit reduced limit=16.2
                 """);
-        machine.baseline(30);
-        machine.baseline(30);
-        machine.pass(1200);
-        machine.tell(17, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
-        machine.end(17);
-        assertThat(machine.printed())
+        server.baseline(30);
+        server.baseline(30);
+        server.advanceMillis(1200);
+        server.deliver(
+                17, listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
+        server.complete(17);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 3600 call 17
@@ -244,14 +248,14 @@
     }
 
     @Test
-    void targetIsThreeBaselineMediansWhereThatIsMore() {
-        timeout().start();
-        machine.baseline(5000);
-        long within = machine.arrive(RecordingServer.SAFE);
-        machine.call(within, 12000, Outcome.OK);
-        long past = machine.arrive(RecordingServer.SAFE);
-        machine.call(past, 18000, Outcome.OK);
-        assertThat(machine.printed())
+    void targetIsThreeBaselineMediansIfThatIsLonger() {
+        withLongObjective().start();
+        server.baseline(5000);
+        long callWithinTarget = server.admit(RecordingServer.SAFE);
+        server.call(callWithinTarget, 12000, Outcome.OK);
+        long callPastTarget = server.admit(RecordingServer.SAFE);
+        server.call(callPastTarget, 18000, Outcome.OK);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 40000 run 9
@@ -264,16 +268,16 @@
 
     @Test
     void aTimedOutCallFailsItsRequestAndLingersInHand() {
-        machine.set("domain.calls_out=1").start();
-        long first = machine.arrive(RecordingServer.UNSAFE);
-        long second = machine.arrive(RecordingServer.UNSAFE);
-        machine.tell(first, RequestListener::onCallNeeded);
-        machine.tell(second, RequestListener::onCallNeeded);
-        machine.tell(
+        server.set("domain.calls_out=1").start();
+        long first = server.admit(RecordingServer.UNSAFE);
+        long second = server.admit(RecordingServer.UNSAFE);
+        server.deliver(first, RequestListener::onCallNeeded);
+        server.deliver(second, RequestListener::onCallNeeded);
+        server.deliver(
                 first,
-                handle -> handle.onCallCompleted(Outcome.TIMED_OUT, NanoDuration.ofSeconds(1)));
-        machine.pass(250);
-        assertThat(machine.printed())
+                listener -> listener.onCallCompleted(Outcome.TIMED_OUT, NanoDuration.ofSeconds(1)));
+        server.advanceMillis(250);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
@@ -286,15 +290,16 @@
 
     @Test
     void aShareOfCallsBelowOneIsKeptByPauses() {
-        machine.set("domain.calls_out=0.25").start();
-        long first = machine.arrive(RecordingServer.SAFE);
-        long second = machine.arrive(RecordingServer.SAFE);
-        machine.tell(second, RequestListener::onCallNeeded);
-        machine.call(first, 100, Outcome.OK);
-        machine.tell(
-                second, handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
-        machine.pass(1000);
-        assertThat(machine.printed())
+        server.set("domain.calls_out=0.25").start();
+        long first = server.admit(RecordingServer.SAFE);
+        long second = server.admit(RecordingServer.SAFE);
+        server.deliver(second, RequestListener::onCallNeeded);
+        server.call(first, 100, Outcome.OK);
+        server.deliver(
+                second,
+                listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
+        server.advanceMillis(1000);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
@@ -305,26 +310,26 @@
     }
 
     @Test
-    void aCallHasTimeToComeBackAlsoWhereLingeringAloneTakesAllOfASmallShare() {
-        machine.set(
+    void callTimeoutIsPositiveEvenIfLingerExceedsSmallQuota() {
+        server.set(
                         "domain.calls_out=0.05 domain.calls_over_ns=5000000000 domain.linger_ns=200000000")
                 .start();
-        machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
-        assertThat(machine.caps.get(1L)).isEqualTo(NanoDuration.ofSeconds(0.0625));
-        machine = new RecordingServer().set("domain.calls_out=0.05").start();
-        machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
-        assertThat(machine.caps.get(1L))
-                .as("over no time that is told")
+        server.deliver(server.admit(RecordingServer.SAFE), RequestListener::onCallNeeded);
+        assertThat(server.callTimeouts.get(1L)).isEqualTo(NanoDuration.ofSeconds(0.0625));
+        server = new RecordingServer().set("domain.calls_out=0.05").start();
+        server.deliver(server.admit(RecordingServer.SAFE), RequestListener::onCallNeeded);
+        assertThat(server.callTimeouts.get(1L))
+                .as("without a quota window")
                 .isEqualTo(NanoDuration.ofSeconds(2));
     }
 
     @Test
     void callsThatTurnSlowAreMadeLessOftenThanOneAtATime() {
-        timeout().set("domain.calls_out=1").start();
-        machine.baseline(100);
-        machine.call(machine.arrive(RecordingServer.SAFE), 2000, Outcome.OK);
-        machine.call(machine.arrive(RecordingServer.SAFE), 2000, Outcome.OK);
-        assertThat(machine.printed())
+        withLongObjective().set("domain.calls_out=1").start();
+        server.baseline(100);
+        server.call(server.admit(RecordingServer.SAFE), 2000, Outcome.OK);
+        server.call(server.admit(RecordingServer.SAFE), 2000, Outcome.OK);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 800 run 9
@@ -335,30 +340,30 @@
     }
 
     @Test
-    void aTimedOutCallIsGoneWithoutWhereTheSettingsPayForThat() {
-        machine.set("domain.class_skip_worth=0.3,0,0,0").start();
-        long requestId = machine.arrive(RecordingServer.SAFE);
-        machine.call(requestId, 1000, Outcome.TIMED_OUT);
-        machine.end(requestId);
-        assertThat(machine.printed())
+    void timedOutCallIsSkippedIfSkippingHasValue() {
+        server.set("domain.class_skip_worth=0.3,0,0,0").start();
+        long requestId = server.admit(RecordingServer.SAFE);
+        server.call(requestId, 1000, Outcome.TIMED_OUT);
+        server.complete(requestId);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
                 0 call 1
-                1000 skip the call of 1
+                1000 skip call 1
                 """);
     }
 
     @Test
     void anUnsafeCallIsRepeatedOnlyWhenItProvablyNeverRan() {
-        machine.start();
-        long requestId = machine.arrive(RecordingServer.UNSAFE);
-        machine.call(requestId, 10, Outcome.UNREACHABLE);
-        machine.pass(500);
-        machine.tell(
+        server.start();
+        long requestId = server.admit(RecordingServer.UNSAFE);
+        server.call(requestId, 10, Outcome.UNREACHABLE);
+        server.advanceMillis(500);
+        server.deliver(
                 requestId,
-                handle -> handle.onCallCompleted(Outcome.BROKEN, NanoDuration.ofSeconds(0.5)));
-        assertThat(machine.printed())
+                listener -> listener.onCallCompleted(Outcome.BROKEN, NanoDuration.ofSeconds(0.5)));
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 run 1
@@ -370,214 +375,219 @@
 
     @Test
     void oneTenantsBurstGivesWayToTheOthers() {
-        machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
+        server.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
                 .set("over_share_worth=0.05")
                 .start();
         for (int i = 0; i < 22; i++) {
-            machine.arrive(RecordingServer.SAFE, 0, 1, 0);
+            server.admit(RecordingServer.SAFE, 0, 1, 0);
         }
-        machine.trace.clear();
-        machine.arrive(RecordingServer.SAFE, 0, 1, 1);
-        assertThat(machine.printed())
+        server.trace.clear();
+        server.admit(RecordingServer.SAFE, 0, 1, 1);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 log request rejected id=15 reason=cannot_finish_in_time
-                0 bounce 15, ask no other
+                0 reject 15, do not retry elsewhere
                 """);
     }
 
     /**
-     * Seen on a join day: a client sent 200 copies and withdrew them, and its tenant was over its
-     * share.
+     * Guards against a client that sends 200 copies of a request and withdraws them, which put its
+     * tenant over its quota.
      */
     @Test
-    void requestsWithdrawnBeforeTheyRanTakeNothingOfTheirTenantsShare() {
-        machine.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
+    void withdrawnRequestsUseNoTenantQuota() {
+        server.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
                 .set("over_share_worth=0.05 domain.cpus=1")
                 .start();
-        machine.arrive(RecordingServer.SAFE, 0, 1, 0);
+        server.admit(RecordingServer.SAFE, 0, 1, 0);
         for (int i = 0; i < 30; i++) {
-            machine.tell(
-                    machine.arrive(RecordingServer.LOCAL, 0, 1, 0), RequestListener::onClientGone);
+            server.deliver(
+                    server.admit(RecordingServer.LOCAL, 0, 1, 0), RequestListener::onClientGone);
         }
         for (int i = 0; i < 4; i++) {
-            machine.arrive(RecordingServer.LOCAL, 0, 1, 0);
+            server.admit(RecordingServer.LOCAL, 0, 1, 0);
         }
-        machine.trace.clear();
+        server.trace.clear();
         for (int i = 0; i < 20; i++) {
-            machine.arrive(RecordingServer.LOCAL, 0, 1, 1);
+            server.admit(RecordingServer.LOCAL, 0, 1, 1);
         }
-        assertThat(machine.printed())
+        assertThat(server.traceText())
                 .contains("cannot_finish_in_time")
-                .doesNotContain("ask no other");
+                .doesNotContain("do not retry elsewhere");
     }
 
     @Test
     void whereRequestsWaitLongOnlyAMachineThatIsNotSlowAsksForNoOther() {
-        timeout()
+        withLongObjective()
                 .set("rules.cold_share=0.5 rules.ramp_time_ns=100000000000 rules.fall_multiple=20");
         for (String cold : new String[] {"false", "true"}) {
-            machine.set("domain.cpus=8 domain.cold=" + cold).start();
+            server.set("domain.cpus=8 domain.cold=" + cold).start();
             for (int i = 0; i < 20; i++) {
-                machine.arrive(RecordingServer.SAFE, 0, 1, 0);
+                server.admit(RecordingServer.SAFE, 0, 1, 0);
             }
-            machine.pass(3000);
-            machine.arrive(RecordingServer.SAFE);
-            assertThat(machine.trace.get(machine.trace.size() - 1))
+            server.advanceMillis(3000);
+            server.admit(RecordingServer.SAFE);
+            assertThat(server.trace.get(server.trace.size() - 1))
                     .isEqualTo(
                             cold.equals("true")
-                                    ? "6000 bounce 42, come back later"
-                                    : "3000 bounce 21, come back later, ask no other");
+                                    ? "6000 reject 42, retry later"
+                                    : "3000 reject 21, retry later, do not retry elsewhere");
         }
     }
 
     @Test
     void aWakeUpThatComesATrifleEarlyIsAskedForAgain() {
-        TimerQueue timers = new TimerQueue(machine);
-        timers.scheduleAfter(new NanoDuration(1_000), () -> machine.log("rung"));
+        TimerQueue timers = new TimerQueue(server);
+        timers.scheduleAfter(new NanoDuration(1_000), () -> server.log("timer fired"));
         timers.requestWakeUp();
         timers.runDue();
         timers.requestWakeUp();
-        assertThat(machine.wakes).containsExactly(Map.entry(1_000_001_000L, 2));
+        assertThat(server.wakeUps).containsExactly(Map.entry(1_000_001_000L, 2));
     }
 
     @Test
     void aRequestWhoseCallerIsAllButGoneAsksForNoWakeUpInThePast() {
-        machine.start();
-        machine.clientTimeout = NanoDuration.ofSeconds(0.001);
-        machine.arrive(RecordingServer.LOCAL);
-        assertThat(machine.printed())
+        server.start();
+        server.clientTimeout = NanoDuration.ofSeconds(0.001);
+        server.admit(RecordingServer.LOCAL);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
                 0 log request rejected id=1 reason=cannot_finish_in_time
-                0 bounce 1, come back later, ask no other
+                0 reject 1, retry later, do not retry elsewhere
                 """);
     }
 
     @Test
     void manyOpenConnectionsAreClosedSoonerWhenIdle() {
-        machine.set("domain.keepalive_max_ns=10000000000").start();
-        machine.resourceUsage = new ResourceUsage(0, 0, 0, 500);
-        machine.pass(300);
-        assertThat(machine.printed())
+        server.set("domain.keepalive_max_ns=10000000000").start();
+        server.resourceUsage = new ResourceUsage(0, 0, 0, 500);
+        server.advanceMillis(300);
+        assertThat(server.traceText())
                 .isEqualTo(
                         """
-                100 close idle after 9.00
-                200 close idle after 8.10
-                300 close idle after 7.29
+                100 close idle connections after 9.00
+                200 close idle connections after 8.10
+                300 close idle connections after 7.29
                 """);
     }
 
     @Test
     void aSmallAllowanceAmongManyCallersIsNotRoundedToNothing() {
-        machine.set("domain.advert=allowance domain.upstreams=100").start();
+        server.set("domain.advert=allowance domain.upstreams=100").start();
         for (int i = 0; i < 6; i++) {
-            machine.end(machine.arrive(RecordingServer.LOCAL));
+            server.complete(server.admit(RecordingServer.LOCAL));
         }
-        machine.pass(100);
-        assertThat(machine.printed().lines()).contains("100 advise 0.30");
+        server.advanceMillis(100);
+        assertThat(server.traceText().lines()).contains("100 report capacity 0.30");
     }
 
-    /** The first request class waits so long that only the limit can turn its requests away. */
-    private RecordingServer timeout() {
-        return machine.set("services.0.aim_ns=20000000000 services.0.give_up_ns=40000000000");
+    /**
+     * Gives the first request class so long an objective that only the in-flight limit rejects its
+     * requests.
+     */
+    private RecordingServer withLongObjective() {
+        return server.set("services.0.aim_ns=20000000000 services.0.give_up_ns=40000000000");
     }
 
     @Test
-    void aColdNodeMakesOneCallAtATimeUntilItKnowsWhatIsBaseline() {
-        machine.set("domain.calls_out=10 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
+    void coldNodeMakesOneCallAtATimeUntilBaselineIsKnown() {
+        server.set("domain.calls_out=10 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
                 .start();
-        assertThat(callsOfFour()).as("a newcomer can't tell crowded from calm").isEqualTo(1);
+        assertThat(callsMadeForFourRequests()).as("a cold node without a baseline").isEqualTo(1);
         for (long requestId = 1; requestId <= 4; requestId++) {
-            machine.trace.clear();
-            machine.tell(
+            server.trace.clear();
+            server.deliver(
                     requestId,
-                    handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
-            assertThat(machine.printed().strip())
+                    listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
+            assertThat(server.traceText().strip())
                     .isEqualTo(requestId < 4 ? "0 call " + (requestId + 1) : "");
         }
-        machine.baseline(100);
-        assertThat(callsOfFour()).as("it knows, and all is calm").isEqualTo(4);
-        machine = new RecordingServer().set("domain.calls_out=10 domain.cpus=8").start();
-        assertThat(callsOfFour()).as("one that is warm from the start").isEqualTo(4);
+        server.baseline(100);
+        assertThat(callsMadeForFourRequests())
+                .as("the baseline is known and calls are fast")
+                .isEqualTo(4);
+        server = new RecordingServer().set("domain.calls_out=10 domain.cpus=8").start();
+        assertThat(callsMadeForFourRequests()).as("a node that starts warm").isEqualTo(4);
     }
 
     /**
-     * Seen on quarry-scans: those that waited for their turn filled the count, so no call was calm,
-     * for a whole life.
+     * Guards against a fault in which requests that waited to call filled the in-flight count, so
+     * that no call was a baseline call during the whole incarnation of a node.
      */
     @Test
-    void aColdNodeLearnsWhatIsBaselineAlsoWhileManyWaitForTheirTurnToCall() {
-        timeout()
+    void coldNodeLearnsBaselineWhileManyRequestsWaitToCall() {
+        withLongObjective()
                 .set("domain.calls_out=10 domain.cpus=16 domain.cold=true rules.cold_share=0.9")
                 .start();
         for (int i = 0; i < 15; i++) {
-            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
+            server.deliver(server.admit(RecordingServer.SAFE), RequestListener::onCallNeeded);
         }
         long calls = 0;
         for (int i = 0; i < 7; i++) {
-            assertThat(machine.caps).as("calls made, one at a time").hasSize(i + 1);
+            assertThat(server.callTimeouts).as("calls made so far, one at a time").hasSize(i + 1);
             long calling =
-                    machine.caps.keySet().stream()
-                            .filter(id -> !machine.handles.get(id).isFinished())
+                    server.callTimeouts.keySet().stream()
+                            .filter(id -> !server.listeners.get(id).isFinished())
                             .findAny()
                             .orElseThrow();
-            machine.tell(
+            server.deliver(
                     calling,
-                    handle -> handle.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
-            machine.end(calling);
-            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
-            calls = machine.caps.size() - (long) i - 1;
+                    listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.1)));
+            server.complete(calling);
+            server.deliver(server.admit(RecordingServer.SAFE), RequestListener::onCallNeeded);
+            calls = server.callTimeouts.size() - (long) i - 1;
         }
-        assertThat(calls).as("calls out once six were seen in calm").isGreaterThan(1);
+        assertThat(calls).as("calls in flight once six baseline calls were seen").isGreaterThan(1);
     }
 
     /**
-     * Seen on a throng day of oslo-till-offers: calls came back together, and four and more ran on
-     * two cores.
+     * Guards against a fault in which calls returned together, so that four and more requests ran
+     * on two cores.
      */
     @Test
-    void requestsThatCallAreNoMoreThanTheCoresSurviveShouldAllComeBackAtOnce() {
-        timeout().set("domain.calls_out=20 rules.fall_multiple=2").start();
+    void callingRequestsStayWithinWhatTheCoresSurvive() {
+        withLongObjective().set("domain.calls_out=20 rules.fall_multiple=2").start();
         for (int i = 0; i < 12; i++) {
-            machine.arrive(RecordingServer.SAFE);
-            machine.handles.forEach(
-                    (id, handle) -> {
-                        if (machine.printed().contains("run " + id + "\n")
-                                && !machine.caps.containsKey(id)) {
-                            machine.tell(id, RequestListener::onCallNeeded);
+            server.admit(RecordingServer.SAFE);
+            server.listeners.forEach(
+                    (id, ignored) -> {
+                        if (server.traceText().contains("run " + id + "\n")
+                                && !server.callTimeouts.containsKey(id)) {
+                            server.deliver(id, RequestListener::onCallNeeded);
                         }
                     });
         }
-        assertThat(machine.caps)
-                .as("calls out on two cores that survive four tickets")
+        assertThat(server.callTimeouts)
+                .as("calls in flight on two cores that survive four requests")
                 .hasSizeLessThanOrEqualTo(4);
-        List.copyOf(machine.caps.keySet())
+        List.copyOf(server.callTimeouts.keySet())
                 .forEach(
                         id ->
-                                machine.tell(
+                                server.deliver(
                                         id,
-                                        handle ->
-                                                handle.onCallCompleted(
+                                        listener ->
+                                                listener.onCallCompleted(
                                                         Outcome.OK, NanoDuration.ofSeconds(1))));
         long running =
-                machine.printed().lines().filter(line -> line.matches("\\d+ run \\d+")).count();
-        assertThat(running).as("all that ran, none of which ended").isBetween(3L, 4L);
+                server.traceText().lines().filter(line -> line.matches("\\d+ run \\d+")).count();
+        assertThat(running).as("requests started, none of which has ended").isBetween(3L, 4L);
     }
 
     @Test
-    void aColdNodeAboveATierIsReportedNoShareSoItsCallsAreBoundByTheLimitAlone() {
-        machine.set(
+    void coldNodeAboveATierIsBoundByInFlightLimitAlone() {
+        server.set(
                         "domain.below=tier domain.calls_out=0 domain.cpus=8 domain.cold=true rules.cold_share=0.9")
                 .start();
-        assertThat(callsOfFour()).isEqualTo(4);
+        assertThat(callsMadeForFourRequests()).isEqualTo(4);
     }
 
-    private long callsOfFour() {
-        machine.trace.clear();
+    private long callsMadeForFourRequests() {
+        server.trace.clear();
         for (int i = 0; i < 4; i++) {
-            machine.tell(machine.arrive(RecordingServer.SAFE), RequestListener::onCallNeeded);
+            server.deliver(server.admit(RecordingServer.SAFE), RequestListener::onCallNeeded);
         }
-        return machine.printed().lines().filter(line -> line.matches("\\d+ call \\d+")).count();
+        return server.traceText().lines().filter(line -> line.matches("\\d+ call \\d+")).count();
     }
 }
--- a/src/test/java/lupinwood/admission/GoldenFile.java
+++ b/src/test/java/lupinwood/admission/GoldenFile.java
@@ -12,9 +12,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Files that hold byte for byte what leaves the process at an edge. They are written once, by the
- * code whose bytes they hold: with the system property {@code golden.record} a file that is missing
- * is written; one that is there is never changed by a test.
+ * Golden files hold, byte for byte, what leaves the process at an interface. Each is written once,
+ * by the code whose output it holds: with the system property {@code golden.record} a missing file
+ * is written. A test never changes an existing one.
  */
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src", "test", "resources", "golden");
@@ -22,21 +22,24 @@
 
     private GoldenFile() {}
 
-    /** Where a golden file, or the input that belongs to one, stands; relative to the project. */
+    /** The path, relative to the project, of a golden file or of an input that belongs to one. */
     public static Path path(String name) {
         return DIRECTORY.resolve(name);
     }
 
-    /** The text of a file in the folder. */
+    /** The text of a golden file. */
     public static String text(String name) {
         try {
             return Files.readString(path(name));
         } catch (IOException e) {
-            throw new UncheckedIOException("can't read the golden file " + path(name), e);
+            throw new UncheckedIOException("cannot read golden file " + path(name), e);
         }
     }
 
-    /** Fails unless the file has just this text; the message names the first line that differs. */
+    /**
+     * Asserts that a golden file has exactly this text; the message names the first line that
+     * differs.
+     */
     public static void holds(String name, String actual) {
         if (!Files.exists(path(name)) && Boolean.getBoolean(RECORD_PROPERTY)) {
             record(name, actual);
@@ -45,7 +48,9 @@
         if (!expected.equals(actual)) {
             int line = firstDifference(expected, actual);
             assertThat(actual)
-                    .as("bytes at an edge changed; see line %d of %s", line, path(name))
+                    .as(
+                            "output differs from the golden file, first at line %d of %s",
+                            line, path(name))
                     .isEqualTo(expected);
         }
     }
@@ -55,21 +60,23 @@
             Files.createDirectories(path(name).getParent());
             Files.writeString(path(name), actual);
         } catch (IOException e) {
-            throw new UncheckedIOException("can't write the golden file " + path(name), e);
+            throw new UncheckedIOException("cannot write golden file " + path(name), e);
         }
     }
 
     private static int firstDifference(String expected, String actual) {
-        String[] before = expected.split("\n", -1);
-        String[] now = actual.split("\n", -1);
+        String[] expectedLines = expected.split("\n", -1);
+        String[] actualLines = actual.split("\n", -1);
         int line = 0;
-        while (line < before.length && line < now.length && before[line].equals(now[line])) {
+        while (line < expectedLines.length
+                && line < actualLines.length
+                && expectedLines[line].equals(actualLines[line])) {
             line++;
         }
         return line + 1;
     }
 
-    /** A map as sorted lines of {@code key=value}. */
+    /** A map as lines of {@code key=value}, sorted by key. */
     public static String lines(Map<String, String> map) {
         return new TreeMap<>(map)
                 .entrySet().stream()
@@ -77,27 +84,27 @@
                         .collect(Collectors.joining());
     }
 
-    /** Bytes in one line: printable ASCII as it is, all else escaped. */
+    /** Bytes as one line: printable ASCII unchanged, all other bytes escaped. */
     public static String shown(byte[] bytes) {
-        StringBuilder out = new StringBuilder();
+        StringBuilder escaped = new StringBuilder();
         for (byte each : bytes) {
             switch (each) {
-                case '\r' -> out.append("\\r");
-                case '\n' -> out.append("\\n");
-                case '\\' -> out.append("\\\\");
+                case '\r' -> escaped.append("\\r");
+                case '\n' -> escaped.append("\\n");
+                case '\\' -> escaped.append("\\\\");
                 default -> {
                     if (each >= ' ' && each < 0x7f) {
-                        out.append((char) each);
+                        escaped.append((char) each);
                     } else {
-                        out.append(String.format("\\x%02x", each));
+                        escaped.append(String.format("\\x%02x", each));
                     }
                 }
             }
         }
-        return out.toString();
+        return escaped.toString();
     }
 
-    /** The same for a text whose characters stand for one byte each. */
+    /** Escapes a text whose characters stand for one byte each. */
     public static String shown(String bytes) {
         return shown(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/src/test/java/lupinwood/admission/RandomLoadTest.java
+++ b/src/test/java/lupinwood/admission/RandomLoadTest.java
@@ -9,209 +9,230 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Many random but legal days, and the four rules reckoned apart from AdmissionController. */
+/**
+ * Runs random but valid sequences of events and checks four guarantees independently of {@link
+ * AdmissionController}: every request is answered before its timeout and before the node stops; an
+ * idempotent request runs at most once in its window; nothing that arrives past the grace period of
+ * a drain is run; memory, running requests and calls in flight stay within their bounds.
+ */
 final class RandomLoadTest {
     private static final int CORES = 2;
-    private static final double MEMORY = 400;
+    private static final double MEMORY_KB = 400;
 
-    /** What the machine knows of a request. */
-    private static final class Known {
+    /** The state of a request as the node sees it. */
+    private static final class TrackedRequest {
         int classIndex;
-        long original;
-        long reached;
-        double memory;
+        long originalId;
+        long arrivedAtNanos;
+        double memoryKb;
         int runs;
         boolean answered;
-        boolean gone;
-        boolean reuses;
-        boolean stored;
+        boolean clientGone;
+        boolean answeredFromOriginal;
+        boolean remembered;
 
-        /** held, running, needs, calling, or over. */
-        String place = "held";
+        /** One of queued, running, waiting-to-call, calling and finished. */
+        String state = "queued";
     }
 
-    private final List<String> broken = new ArrayList<>();
-    private final Map<Long, Known> all = new TreeMap<>();
-    private RecordingServer machine;
-    private Random chance;
-    private long leftAt;
+    private final List<String> violations = new ArrayList<>();
+    private final Map<Long, TrackedRequest> requests = new TreeMap<>();
+    private RecordingServer server;
+    private Random random;
+    private long drainAtNanos;
 
     @Test
-    void theFourRulesBlockOverManyRandomDays() {
-        for (int day = 0; day < 60; day++) {
-            play(day);
+    void guaranteesHoldUnderRandomLoad() {
+        for (int seed = 0; seed < 60; seed++) {
+            runSeed(seed);
         }
-        assertThat(broken).isEmpty();
+        assertThat(violations).isEmpty();
     }
 
-    private void play(int day) {
-        chance = new Random(day);
-        all.clear();
-        leftAt = Long.MAX_VALUE / 2;
-        machine =
+    private void runSeed(int seed) {
+        random = new Random(seed);
+        requests.clear();
+        drainAtNanos = Long.MAX_VALUE / 2;
+        server =
                 new RecordingServer()
-                        .set("domain.memory_kb=" + (int) MEMORY + " domain.calls_out=3")
+                        .set("domain.memory_kb=" + (int) MEMORY_KB + " domain.calls_out=3")
                         .set(
                                 "domain.cold="
-                                        + (day % 2 == 0)
+                                        + (seed % 2 == 0)
                                         + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000")
                         .set(
                                 "domain.stop_mode="
-                                        + (day % 3 == 0
+                                        + (seed % 3 == 0
                                                 ? "freeze"
-                                                : day % 3 == 1 ? "discard" : "off"))
+                                                : seed % 3 == 1 ? "discard" : "off"))
                         .set(
                                 "domain.class_skip_worth="
-                                        + (day % 4 == 0 ? "0.3,0,0.2,0" : "0,0,0,0"))
+                                        + (seed % 4 == 0 ? "0.3,0,0.2,0" : "0,0,0,0"))
                         .start();
-        machine.listener = this::heard;
-        boolean leaves = day % 5 == 0;
-        long stop = Long.MAX_VALUE / 2;
-        for (int step = 0; step < 1500 && machine.now().nanos() < stop - 210_000_000L; step++) {
-            if (leaves && step == 1000) {
-                leftAt = machine.now().nanos();
-                stop = leftAt + 3_000_000_000L;
-                machine.policy.drain(NanoDuration.ofSeconds(3));
-                machine.policy.decide();
+        server.actionListener = this::onAction;
+        boolean drains = seed % 5 == 0;
+        long stopAtNanos = Long.MAX_VALUE / 2;
+        for (int step = 0;
+                step < 1500 && server.now().nanos() < stopAtNanos - 210_000_000L;
+                step++) {
+            if (drains && step == 1000) {
+                drainAtNanos = server.now().nanos();
+                stopAtNanos = drainAtNanos + 3_000_000_000L;
+                server.policy.drain(NanoDuration.ofSeconds(3));
+                server.policy.decide();
             }
-            if (chance.nextInt(3) == 0) {
+            if (random.nextInt(3) == 0) {
                 arrive();
             }
-            happen();
-            machine.pass(chance.nextInt(step % 300 < 40 ? 200 : 12));
-            check(day, step);
+            deliverEvents();
+            server.advanceMillis(random.nextInt(step % 300 < 40 ? 200 : 12));
+            checkBounds(seed, step);
         }
-        machine.pass(leaves ? (int) ((stop - machine.now().nanos()) / 1_000_000) : 6000);
-        check(day, -1);
+        server.advanceMillis(
+                drains ? (int) ((stopAtNanos - server.now().nanos()) / 1_000_000) : 6000);
+        checkBounds(seed, -1);
     }
 
     private void arrive() {
-        Known known = new Known();
-        known.classIndex = chance.nextInt(4);
-        known.reached = machine.now().nanos();
-        known.memory = 1 + chance.nextInt(12);
-        List<Long> stored = all.keySet().stream().filter(id -> all.get(id).stored).toList();
-        if (known.classIndex == RecordingServer.IDEMPOTENT
-                && !stored.isEmpty()
-                && chance.nextInt(3) == 0) {
-            known.original = stored.get(chance.nextInt(stored.size()));
-            if (machine.now().nanos() - all.get(known.original).reached > 8_000_000_000L) {
-                known.original = 0;
+        TrackedRequest tracked = new TrackedRequest();
+        tracked.classIndex = random.nextInt(4);
+        tracked.arrivedAtNanos = server.now().nanos();
+        tracked.memoryKb = 1 + random.nextInt(12);
+        List<Long> remembered =
+                requests.keySet().stream().filter(id -> requests.get(id).remembered).toList();
+        if (tracked.classIndex == RecordingServer.IDEMPOTENT
+                && !remembered.isEmpty()
+                && random.nextInt(3) == 0) {
+            tracked.originalId = remembered.get(random.nextInt(remembered.size()));
+            if (server.now().nanos() - requests.get(tracked.originalId).arrivedAtNanos
+                    > 8_000_000_000L) {
+                tracked.originalId = 0;
             }
         }
-        all.put(all.size() + 1L, known);
-        machine.arrive(known.classIndex, known.original, known.memory, 0);
+        requests.put(requests.size() + 1L, tracked);
+        server.admit(tracked.classIndex, tracked.originalId, tracked.memoryKb, 0);
     }
 
-    /** Something that the machine's state allows happens to some requests. */
-    private void happen() {
-        for (Map.Entry<Long, Known> entry : List.copyOf(all.entrySet())) {
-            Known known = entry.getValue();
-            if (known.place.equals("over") || chance.nextInt(12) != 0) {
+    /** Sends some requests an event that is possible in their state. */
+    private void deliverEvents() {
+        for (Map.Entry<Long, TrackedRequest> entry : List.copyOf(requests.entrySet())) {
+            TrackedRequest tracked = entry.getValue();
+            if (tracked.state.equals("finished") || random.nextInt(12) != 0) {
                 continue;
             }
             long id = entry.getKey();
-            if (known.place.equals("running")) {
-                if (known.classIndex != RecordingServer.LOCAL
-                        && !known.answered
-                        && !known.gone
-                        && chance.nextBoolean()) {
-                    known.place = "needs";
-                    machine.tell(id, RequestListener::onCallNeeded);
+            if (tracked.state.equals("running")) {
+                if (tracked.classIndex != RecordingServer.LOCAL
+                        && !tracked.answered
+                        && !tracked.clientGone
+                        && random.nextBoolean()) {
+                    tracked.state = "waiting-to-call";
+                    server.deliver(id, RequestListener::onCallNeeded);
                 } else {
                     end(
                             id,
-                            known,
-                            known.answered || known.gone
+                            tracked,
+                            tracked.answered || tracked.clientGone
                                     ? Outcome.CANCELLED
-                                    : chance.nextInt(8) == 0 ? Outcome.ERROR : Outcome.OK);
+                                    : random.nextInt(8) == 0 ? Outcome.ERROR : Outcome.OK);
                 }
-            } else if (known.place.equals("calling")) {
-                Outcome outcome = List.of(Outcome.values()).get(chance.nextInt(6));
-                known.place = outcome == Outcome.OK ? "running" : "needs";
-                machine.tell(
-                        id, handle -> handle.onCallCompleted(outcome, NanoDuration.ofSeconds(0.1)));
-            } else if (known.reuses && chance.nextInt(3) == 0) {
-                end(id, known, Outcome.OK);
-            } else if (!known.answered && chance.nextInt(20) == 0) {
-                known.gone = true;
-                known.place = known.place.equals("held") ? "over" : known.place;
-                machine.tell(id, RequestListener::onClientGone);
-                if (known.place.equals("needs")) {
-                    end(id, known, Outcome.CANCELLED);
+            } else if (tracked.state.equals("calling")) {
+                Outcome outcome = List.of(Outcome.values()).get(random.nextInt(6));
+                tracked.state = outcome == Outcome.OK ? "running" : "waiting-to-call";
+                server.deliver(
+                        id,
+                        listener -> listener.onCallCompleted(outcome, NanoDuration.ofSeconds(0.1)));
+            } else if (tracked.answeredFromOriginal && random.nextInt(3) == 0) {
+                end(id, tracked, Outcome.OK);
+            } else if (!tracked.answered && random.nextInt(20) == 0) {
+                tracked.clientGone = true;
+                tracked.state = tracked.state.equals("queued") ? "finished" : tracked.state;
+                server.deliver(id, RequestListener::onClientGone);
+                if (tracked.state.equals("waiting-to-call")) {
+                    end(id, tracked, Outcome.CANCELLED);
                 }
             }
         }
     }
 
-    private void end(long id, Known known, Outcome outcome) {
-        known.answered = true;
-        known.place = "over";
-        machine.tell(id, handle -> handle.onCompleted(outcome, NanoDuration.ZERO));
+    private void end(long id, TrackedRequest tracked, Outcome outcome) {
+        tracked.answered = true;
+        tracked.state = "finished";
+        server.deliver(id, listener -> listener.onCompleted(outcome, NanoDuration.ZERO));
     }
 
-    private void heard(String line) {
+    private void onAction(String line) {
         String[] words = line.split("[ ,]+", 0);
-        if (words[0].equals("log") || words[0].equals("health") || words[0].equals("over")) {
+        if (words[0].equals("log") || words[0].equals("health") || words[0].equals("release")) {
             return;
         }
-        boolean idLast = words[words.length - 1].matches("\\d+");
-        Known known = all.get(Long.parseLong(words[idLast ? words.length - 1 : 1]));
+        boolean endsWithId = words[words.length - 1].matches("\\d+");
+        TrackedRequest tracked =
+                requests.get(Long.parseLong(words[endsWithId ? words.length - 1 : 1]));
         switch (words[0]) {
             case "run" -> {
-                known.runs++;
-                known.place = "running";
-                expect(known.runs == 1, line + " twice");
-                expect(!known.answered && !known.gone, line + " after its answer");
+                tracked.runs++;
+                tracked.state = "running";
+                expect(tracked.runs == 1, line + " a second time");
+                expect(!tracked.answered && !tracked.clientGone, line + " after its answer");
                 expect(
-                        known.original == 0 || all.get(known.original).runs == 0,
-                        line + " though a try ran");
-                expect(known.reached - 1_000_000_000L <= leftAt, line + " past the grace");
+                        tracked.originalId == 0 || requests.get(tracked.originalId).runs == 0,
+                        line + " although its original ran");
+                expect(
+                        tracked.arrivedAtNanos - 1_000_000_000L <= drainAtNanos,
+                        line + " past the drain grace period");
             }
-            case "bounce", "fail" -> {
-                expect(!known.answered && !known.gone, line + " answered already");
-                expect(!words[0].equals("bounce") || known.runs == 0, line + " after its run");
-                known.answered = true;
-                known.place = known.place.equals("running") ? "running" : "over";
+            case "reject", "fail" -> {
+                expect(!tracked.answered && !tracked.clientGone, line + " after its final answer");
+                expect(!words[0].equals("reject") || tracked.runs == 0, line + " after its run");
+                tracked.answered = true;
+                tracked.state = tracked.state.equals("running") ? "running" : "finished";
             }
-            case "call" -> known.place = "calling";
-            case "skip" -> known.place = "running";
-            case "reuse" -> known.reuses = true;
-            case "remember" -> known.stored = true;
+            case "call" -> tracked.state = "calling";
+            case "skip" -> tracked.state = "running";
+            case "answer" -> tracked.answeredFromOriginal = true;
+            case "remember" -> tracked.remembered = true;
             case "forget" -> {
-                known.stored = false;
-                expect(known.runs == 0, line + " though it ran");
+                tracked.remembered = false;
+                expect(tracked.runs == 0, line + " although it ran");
             }
             default -> {}
         }
     }
 
-    private void check(int day, int step) {
-        long now = machine.now().nanos();
-        double memory = 0;
+    private void checkBounds(int seed, int step) {
+        long now = server.now().nanos();
+        double memoryKb = 0;
         int running = 0;
         int calls = 0;
-        for (Map.Entry<Long, Known> entry : all.entrySet()) {
-            Known known = entry.getValue();
-            boolean due = now > known.reached + 5_000_000_000L || now >= leftAt + 3_000_000_000L;
-            expect(!due || known.answered || known.gone, entry.getKey() + " unanswered");
-            memory += known.place.equals("over") ? 0 : known.memory * (known.runs > 0 ? 4 : 1);
-            memory += known.stored && now < known.reached + 8_000_000_000L ? 1 : 0;
-            running += known.place.equals("running") ? 1 : 0;
-            calls += known.place.equals("calling") ? 1 : 0;
+        for (Map.Entry<Long, TrackedRequest> entry : requests.entrySet()) {
+            TrackedRequest tracked = entry.getValue();
+            boolean isDue =
+                    now > tracked.arrivedAtNanos + 5_000_000_000L
+                            || now >= drainAtNanos + 3_000_000_000L;
+            expect(
+                    !isDue || tracked.answered || tracked.clientGone,
+                    entry.getKey() + " is unanswered");
+            memoryKb +=
+                    tracked.state.equals("finished")
+                            ? 0
+                            : tracked.memoryKb * (tracked.runs > 0 ? 4 : 1);
+            memoryKb += tracked.remembered && now < tracked.arrivedAtNanos + 8_000_000_000L ? 1 : 0;
+            running += tracked.state.equals("running") ? 1 : 0;
+            calls += tracked.state.equals("calling") ? 1 : 0;
         }
-        expect(memory <= MEMORY, "memory " + memory);
-        expect(running <= CORES * 5, "crowd " + running);
-        expect(calls <= 3, "calls in hand " + calls);
-        if (!broken.isEmpty()) {
-            broken.add("day " + day + ", step " + step);
-            throw new AssertionError(broken);
+        expect(memoryKb <= MEMORY_KB, "memory in kilobytes: " + memoryKb);
+        expect(running <= CORES * 5, "running requests: " + running);
+        expect(calls <= 3, "calls in flight: " + calls);
+        if (!violations.isEmpty()) {
+            violations.add("seed " + seed + ", step " + step);
+            throw new AssertionError(violations);
         }
     }
 
-    private void expect(boolean holds, String what) {
-        if (!holds) {
-            broken.add(what);
+    private void expect(boolean isMet, String violation) {
+        if (!isMet) {
+            violations.add(violation);
         }
     }
 }
--- a/src/test/java/lupinwood/admission/RecordingServer.java
+++ b/src/test/java/lupinwood/admission/RecordingServer.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * A machine played by hand: its clock, its settings, and the trace of what its AdmissionController
- * decided.
+ * A node driven by a test: its clock, its settings, and a trace of the actions that its {@link
+ * AdmissionController} requested.
  */
 public final class RecordingServer implements ServerActions {
     static final int SAFE = 0;
@@ -20,25 +20,25 @@
 
     public final Map<String, String> settings = new TreeMap<>();
     final List<String> trace = new ArrayList<>();
-    final Map<Long, RequestListener> handles = new HashMap<>();
+    final Map<Long, RequestListener> listeners = new HashMap<>();
 
-    /** Who listens to each decision, to check it by another reckoning. */
-    Consumer<String> listener = line -> {};
+    /** Receives each action and each release, for checks that a test makes itself. */
+    Consumer<String> actionListener = line -> {};
 
-    final TreeMap<Long, Integer> wakes = new TreeMap<>();
+    final TreeMap<Long, Integer> wakeUps = new TreeMap<>();
     private long nanos = 1_000_000_000L;
     private long nextId = 1;
     ResourceUsage resourceUsage = ResourceUsage.UNKNOWN;
     NanoDuration clientTimeout = NanoDuration.ZERO;
 
-    /** How long each request's latest call may take. */
-    final Map<Long, NanoDuration> caps = new HashMap<>();
+    /** The timeout of the latest call of each request. */
+    final Map<Long, NanoDuration> callTimeouts = new HashMap<>();
 
     AdmissionController policy;
 
     /**
-     * Two cores, four request classes (pure, idempotent and unsafe that call, and one that never
-     * does).
+     * A node with two cores and four request classes: a safe, an idempotent and an unsafe one that
+     * call downstream, and one that never calls.
      */
     public RecordingServer() {
         set(
@@ -50,25 +50,25 @@
                         + " bounds.max_retry_after_ns=1000000000");
         String[] effects = {"pure", "token", "side_effect", "pure"};
         for (int i = 0; i < effects.length; i++) {
-            String at = " services." + i + ".";
+            String prefix = " services." + i + ".";
             set(
-                    (at
+                    (prefix
                                     + "effect="
                                     + effects[i]
-                                    + at
+                                    + prefix
                                     + "aim_ns=2000000000"
-                                    + at
+                                    + prefix
                                     + "give_up_ns=5000000000"
-                                    + at
+                                    + prefix
                                     + "window_ns=8000000000"
-                                    + at
+                                    + prefix
                                     + "worth=1")
                             .strip());
         }
     }
 
-    public RecordingServer set(String pairs) {
-        for (String pair : pairs.split(" ", 0)) {
+    public RecordingServer set(String settingsText) {
+        for (String pair : settingsText.split(" ", 0)) {
             settings.put(
                     pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
@@ -82,14 +82,14 @@
         return this;
     }
 
-    long arrive(int classIndex) {
-        return arrive(classIndex, 0, 10, 0);
+    long admit(int classIndex) {
+        return admit(classIndex, 0, 10, 0);
     }
 
-    long arrive(int classIndex, long original, double memoryKb, int tenant) {
+    long admit(int classIndex, long original, double memoryKb, int tenant) {
         long id = nextId++;
-        RequestId repeats = original == 0 ? null : new RequestId(original);
-        handles.put(
+        RequestId originalId = original == 0 ? null : new RequestId(original);
+        listeners.put(
                 id,
                 policy.admit(
                         new Request(
@@ -104,52 +104,55 @@
                                 0.5,
                                 false,
                                 NanoDuration.ZERO,
-                                repeats)));
+                                originalId)));
         policy.decide();
         return id;
     }
 
-    void tell(long id, Consumer<RequestListener> news) {
-        news.accept(handles.get(id));
+    void deliver(long id, Consumer<RequestListener> event) {
+        event.accept(listeners.get(id));
         policy.decide();
     }
 
-    void end(long id) {
-        tell(id, handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
+    void complete(long id) {
+        deliver(id, listener -> listener.onCompleted(Outcome.OK, NanoDuration.ZERO));
     }
 
-    /** A request comes to its call, and the call ends so after so long. */
+    /** Lets a request make a call that ends with this outcome after this time. */
     void call(long id, int millis, Outcome outcome) {
-        tell(id, RequestListener::onCallNeeded);
-        pass(millis);
-        tell(id, handle -> handle.onCallCompleted(outcome, NanoDuration.ofSeconds(millis / 1e3)));
+        deliver(id, RequestListener::onCallNeeded);
+        advanceMillis(millis);
+        deliver(
+                id,
+                listener ->
+                        listener.onCallCompleted(outcome, NanoDuration.ofSeconds(millis / 1e3)));
     }
 
     void baseline(int millis) {
         for (int i = 0; i < 8; i++) {
-            long id = arrive(SAFE);
+            long id = admit(SAFE);
             call(id, millis, Outcome.OK);
-            end(id);
+            complete(id);
         }
         trace.clear();
     }
 
-    void pass(int millis) {
-        long until = nanos + millis * 1_000_000L;
-        while (!wakes.isEmpty() && wakes.firstKey() <= until) {
-            nanos = Math.max(nanos, wakes.pollFirstEntry().getKey());
+    void advanceMillis(int millis) {
+        long end = nanos + millis * 1_000_000L;
+        while (!wakeUps.isEmpty() && wakeUps.firstKey() <= end) {
+            nanos = Math.max(nanos, wakeUps.pollFirstEntry().getKey());
             policy.wake(resourceUsage);
             policy.decide();
         }
-        nanos = until;
+        nanos = end;
     }
 
-    String printed() {
+    String traceText() {
         return String.join("\n", trace) + "\n";
     }
 
-    private void say(String line) {
-        listener.accept(line);
+    private void record(String line) {
+        actionListener.accept(line);
         trace.add(String.format(Locale.ROOT, "%d %s", (nanos - 1_000_000_000L) / 1_000_000, line));
     }
 
@@ -160,84 +163,84 @@
 
     @Override
     public void run(RequestId requestId) {
-        say("run " + requestId.number());
+        record("run " + requestId.number());
     }
 
     @Override
     public void stop(RequestId requestId) {
-        say("stop " + requestId.number());
+        record("stop " + requestId.number());
     }
 
     @Override
     public void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
-        say(
-                "bounce "
+        record(
+                "reject "
                         + requestId.number()
-                        + (retryAfter.isPositive() ? ", come back later" : "")
-                        + (doNotRetryElsewhere ? ", ask no other" : ""));
+                        + (retryAfter.isPositive() ? ", retry later" : "")
+                        + (doNotRetryElsewhere ? ", do not retry elsewhere" : ""));
     }
 
     @Override
     public void fail(RequestId requestId) {
-        say("fail " + requestId.number());
+        record("fail " + requestId.number());
     }
 
     @Override
-    public void call(RequestId requestId, NanoDuration cap) {
-        caps.put(requestId.number(), cap);
-        say("call " + requestId.number());
+    public void call(RequestId requestId, NanoDuration timeout) {
+        callTimeouts.put(requestId.number(), timeout);
+        record("call " + requestId.number());
     }
 
     @Override
     public void skipCall(RequestId requestId) {
-        say("skip the call of " + requestId.number());
+        record("skip call " + requestId.number());
     }
 
     @Override
     public void answerFromOriginal(RequestId requestId) {
-        say("reuse for " + requestId.number());
+        record("answer from original " + requestId.number());
     }
 
     @Override
     public void remember(RequestId requestId, NanoDuration duration) {
-        say("remember " + requestId.number());
+        record("remember " + requestId.number());
     }
 
     @Override
     public void forget(RequestId requestId) {
-        say("forget " + requestId.number());
+        record("forget " + requestId.number());
     }
 
     @Override
     public void reportHealth(boolean good, boolean fromStore) {
-        say("health " + (good ? "good" : "bad"));
+        record("health " + (good ? "healthy" : "unhealthy"));
     }
 
     @Override
     public void reportAvailableCapacity(double value) {
-        say(String.format(Locale.ROOT, "advise %.2f", value));
+        record(String.format(Locale.ROOT, "report capacity %.2f", value));
     }
 
     @Override
     public void closeIdleConnections(NanoDuration idle) {
-        say(String.format(Locale.ROOT, "close idle after %.2f", idle.seconds()));
+        record(String.format(Locale.ROOT, "close idle connections after %.2f", idle.seconds()));
     }
 
     @Override
     public void wakeAt(MonotonicTime time) {
         if (time.nanos() <= nanos) {
-            throw new IllegalArgumentException("a wake-up in the past is never heard");
+            throw new IllegalArgumentException("wake-up time is not in the future");
         }
-        wakes.merge(time.nanos(), 1, Integer::sum);
+        wakeUps.merge(time.nanos(), 1, Integer::sum);
     }
 
     @Override
     public void release(RequestId requestId) {
-        listener.accept("over " + requestId.number());
+        actionListener.accept("release " + requestId.number());
     }
 
     @Override
     public void log(String line) {
-        say("log " + line);
+        record("log " + line);
     }
 }
--- a/src/test/java/lupinwood/admission/RuleCheckingPolicy.java
+++ b/src/test/java/lupinwood/admission/RuleCheckingPolicy.java
@@ -4,8 +4,12 @@
 import java.util.function.Consumer;
 
 /**
- * A node with somebody beside it: told of each request before it, and of the end of each round
- * after it.
+ * Delegates to another policy, and informs a test of each request before it is admitted and of the
+ * end of each round of decisions.
+ *
+ * @param node the policy that decides
+ * @param taken receives each request before it is admitted
+ * @param settled runs after each round of decisions
  */
 public record RuleCheckingPolicy(AdmissionPolicy node, Consumer<Request> taken, Runnable settled)
         implements AdmissionPolicy {
@@ -22,8 +26,8 @@
     }
 
     @Override
-    public void drain(NanoDuration until) {
-        node.drain(until);
+    public void drain(NanoDuration timeUntilStop) {
+        node.drain(timeUntilStop);
     }
 
     @Override
--- a/src/test/java/lupinwood/admission/ScriptedPolicy.java
+++ b/src/test/java/lupinwood/admission/ScriptedPolicy.java
@@ -7,61 +7,64 @@
 import java.util.function.Consumer;
 
 /**
- * A node that decides nothing: what a request asks for in memory, in whole KB, says what is done
- * with it. So all that leaves at the edges is known beforehand.
+ * A policy whose actions are given by the requests: the memory of a request, in whole KB, selects
+ * what is done with it. So everything that leaves the process is known in advance. The lines that
+ * it reports are part of golden files.
  */
 public final class ScriptedPolicy implements AdmissionPolicy {
-    /** Rejected, with nothing more said. */
+    /** Rejected without Retry-After. */
     public static final int REJECT = 1;
 
-    /** Rejected for a little over 250 ms. */
+    /** Rejected with a Retry-After slightly above 250 ms. */
     public static final int REJECT_FOR_A_TIME = 2;
 
-    /** Rejected for 1500 ms, and no other node is to be asked. */
+    /** Rejected with a Retry-After of 1500 ms, and other nodes are discouraged. */
     public static final int REJECT_FOR_GOOD = 3;
 
     public static final int FAIL = 5;
 
-    /** Advises one of {@link #ADVICES}, the first by this number, and is run. */
+    /**
+     * Reports one of {@link #ADVICES} as available capacity, the first for this number, and runs.
+     */
     public static final int REPORT_CAPACITY = 40;
 
-    /** Run, and stopped at once. */
+    /** Run and stopped at once. */
     public static final int STOP = 15;
 
-    /** Its call is left out. */
+    /** Its call is skipped. */
     public static final int SKIP_CALL = 16;
 
     /** Neither run nor answered. */
     public static final int BLOCK = 17;
 
-    /** A call that did not go well is left out. */
+    /** A call that fails is skipped. */
     public static final int SKIP_FAILED_CALL = 18;
 
-    /** Run, with a wake-up asked for now. */
+    /** Run, and a wake-up is requested at the present time. */
     public static final int WAKE = 19;
 
-    /** Rejected, and health checks hear that all is well, by real work from now on. */
+    /** Rejected; health checks then report a healthy node after real work. */
     public static final int HEALTH_BY_WORK = 30;
 
-    /** Rejected, and health checks hear that nothing is well. */
+    /** Rejected; health checks then report an unhealthy node. */
     public static final int HEALTH_BAD = 31;
 
-    /** Rejected, and health checks hear that all is well. */
+    /** Rejected; health checks then report a healthy node. */
     public static final int HEALTH_GOOD = 32;
 
-    /** Rejected, and connections that were idle for a second are to be closed. */
+    /** Rejected; connections idle for one second are then closed. */
     public static final int CLOSE_IDLE = 33;
 
-    /** Rejected, with a word in the log. */
+    /** Rejected, and a line is logged. */
     public static final int LOG = 34;
 
-    /** Run, remembered, and forgotten at once. */
+    /** Run, remembered and forgotten at once. */
     public static final int FORGET = 35;
 
-    /** Something unforeseen. */
+    /** The policy throws an exception. */
     public static final int THROW = 36;
 
-    /** What is advised, from {@link #REPORT_CAPACITY} on. */
+    /** The values reported as available capacity, from {@link #REPORT_CAPACITY} on. */
     public static final List<Double> ADVICES =
             List.of(
                     0.75,
@@ -75,34 +78,34 @@
                     1e20,
                     Double.MAX_VALUE);
 
-    private static final NanoDuration CALL_CAP = NanoDuration.ofSeconds(1.5);
-    private static final NanoDuration WINDOW = NanoDuration.ofSeconds(9);
-    private static final NanoDuration LITTLE = new NanoDuration(250_000_001);
-    private static final NanoDuration LONG = NanoDuration.ofSeconds(1.5);
+    private static final NanoDuration CALL_TIMEOUT = NanoDuration.ofSeconds(1.5);
+    private static final NanoDuration IDEMPOTENCY_WINDOW = NanoDuration.ofSeconds(9);
+    private static final NanoDuration SHORT_RETRY_AFTER = new NanoDuration(250_000_001);
+    private static final NanoDuration LONG_RETRY_AFTER = NanoDuration.ofSeconds(1.5);
 
     private final ServerActions server;
-    private final Consumer<String> heard;
-    private final Map<Request, Doing> open = new HashMap<>();
-    private boolean leaving;
+    private final Consumer<String> events;
+    private final Map<Request, ScriptedRequest> open = new HashMap<>();
+    private boolean isDraining;
 
     /**
-     * One that tells what it hears.
+     * Starts a policy that reports the events it receives.
      *
-     * @param heard takes one line for each piece of news
+     * @param events receives one line for each event
      */
-    public ScriptedPolicy(ServerActions server, Consumer<String> heard) {
+    public ScriptedPolicy(ServerActions server, Consumer<String> events) {
         this.server = server;
-        this.heard = heard;
+        this.events = events;
         server.reportHealth(true, true);
         server.reportAvailableCapacity(ADVICES.get(0));
     }
 
-    private void hear(String line) {
-        heard.accept(line);
+    private void report(String line) {
+        events.accept(line);
     }
 
-    /** A word of the test's own, so that the constants may have any name. */
-    private static String said(Outcome outcome) {
+    /** The name in golden files, independent of the names of the constants. */
+    private static String goldenName(Outcome outcome) {
         return switch (outcome) {
             case OK -> "ok";
             case ERROR -> "error";
@@ -117,7 +120,7 @@
 
     @Override
     public RequestListener admit(Request request) {
-        hear(
+        report(
                 String.format(
                         Locale.ROOT,
                         "ticket track %d customer %d subject %x caller %d patience %d work %d memory"
@@ -133,89 +136,90 @@
                         request.repeat(),
                         request.waited().nanos(),
                         request.original() == null ? "first" : "again"));
-        Doing doing = new Doing(request);
-        open.put(request, doing);
+        ScriptedRequest scripted = new ScriptedRequest(request);
+        open.put(request, scripted);
         if (request.original() != null) {
             server.answerFromOriginal(request.id());
-        } else if (leaving) {
-            reject(doing, false, LONG);
+        } else if (isDraining) {
+            reject(scripted, false, LONG_RETRY_AFTER);
         } else {
-            begin(doing);
+            start(scripted);
         }
-        return doing;
+        return scripted;
     }
 
-    private void begin(Doing doing) {
-        switch (doing.script) {
-            case REJECT -> reject(doing, false, NanoDuration.ZERO);
-            case REJECT_FOR_A_TIME -> reject(doing, false, LITTLE);
-            case REJECT_FOR_GOOD -> reject(doing, true, LONG);
+    private void start(ScriptedRequest scripted) {
+        switch (scripted.script) {
+            case REJECT -> reject(scripted, false, NanoDuration.ZERO);
+            case REJECT_FOR_A_TIME -> reject(scripted, false, SHORT_RETRY_AFTER);
+            case REJECT_FOR_GOOD -> reject(scripted, true, LONG_RETRY_AFTER);
             case FAIL -> {
-                server.fail(doing.request.id());
-                doing.over();
+                server.fail(scripted.request.id());
+                scripted.finish();
             }
             case BLOCK -> {}
-            case HEALTH_BY_WORK -> healthThenReject(doing, true, false);
-            case HEALTH_BAD -> healthThenReject(doing, false, true);
-            case HEALTH_GOOD -> healthThenReject(doing, true, true);
+            case HEALTH_BY_WORK -> healthThenReject(scripted, true, false);
+            case HEALTH_BAD -> healthThenReject(scripted, false, true);
+            case HEALTH_GOOD -> healthThenReject(scripted, true, true);
             case CLOSE_IDLE -> {
                 server.closeIdleConnections(NanoDuration.ofSeconds(1));
-                reject(doing, false, NanoDuration.ZERO);
+                reject(scripted, false, NanoDuration.ZERO);
             }
             case LOG -> {
                 server.log("said by the node: ä€");
-                reject(doing, false, NanoDuration.ZERO);
+                reject(scripted, false, NanoDuration.ZERO);
             }
             case THROW -> throw new IllegalStateException("unforeseen");
             default -> {
-                int availableCapacity = doing.script - REPORT_CAPACITY;
-                if (availableCapacity >= 0 && availableCapacity < ADVICES.size()) {
-                    server.reportAvailableCapacity(ADVICES.get(availableCapacity));
+                int valueIndex = scripted.script - REPORT_CAPACITY;
+                if (valueIndex >= 0 && valueIndex < ADVICES.size()) {
+                    server.reportAvailableCapacity(ADVICES.get(valueIndex));
                 }
-                run(doing);
+                run(scripted);
             }
         }
     }
 
-    private void healthThenReject(Doing doing, boolean good, boolean fromStore) {
+    private void healthThenReject(ScriptedRequest scripted, boolean good, boolean fromStore) {
         server.reportHealth(good, fromStore);
-        reject(doing, false, NanoDuration.ZERO);
+        reject(scripted, false, NanoDuration.ZERO);
     }
 
-    private void reject(Doing doing, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
-        server.reject(doing.request.id(), doNotRetryElsewhere, retryAfter);
-        doing.over();
+    private void reject(
+            ScriptedRequest scripted, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
+        server.reject(scripted.request.id(), doNotRetryElsewhere, retryAfter);
+        scripted.finish();
     }
 
-    private void run(Doing doing) {
-        server.remember(doing.request.id(), WINDOW);
-        server.run(doing.request.id());
-        if (doing.script == STOP) {
-            server.stop(doing.request.id());
+    private void run(ScriptedRequest scripted) {
+        server.remember(scripted.request.id(), IDEMPOTENCY_WINDOW);
+        server.run(scripted.request.id());
+        if (scripted.script == STOP) {
+            server.stop(scripted.request.id());
         }
-        if (doing.script == WAKE) {
+        if (scripted.script == WAKE) {
             server.wakeAt(server.now());
         }
-        if (doing.script == FORGET) {
-            server.forget(doing.request.id());
+        if (scripted.script == FORGET) {
+            server.forget(scripted.request.id());
         }
     }
 
     @Override
     public void updateSettings(Map<String, String> settings) {
-        hear("retuned\n" + GoldenFile.lines(settings).strip());
+        report("retuned\n" + GoldenFile.lines(settings).strip());
     }
 
     @Override
-    public void drain(NanoDuration until) {
-        leaving = true;
+    public void drain(NanoDuration timeUntilStop) {
+        isDraining = true;
         server.reportHealth(false, true);
-        hear("leave " + until.nanos());
+        report("leave " + timeUntilStop.nanos());
     }
 
     @Override
     public void wake(ResourceUsage resourceUsage) {
-        hear(
+        report(
                 String.format(
                         Locale.ROOT,
                         "wake %s %s %s %s",
@@ -227,50 +231,50 @@
 
     @Override
     public void decide() {
-        // Each piece of news is answered at once.
+        // Each event is handled at once.
     }
 
-    /** A request in hand. */
-    private final class Doing implements RequestListener {
+    /** An admitted request. */
+    private final class ScriptedRequest implements RequestListener {
         private final Request request;
         private final int script;
-        private boolean over;
+        private boolean finished;
 
-        Doing(Request request) {
+        ScriptedRequest(Request request) {
             this.request = request;
             script = (int) request.memoryKb();
         }
 
-        private void over() {
-            if (!over) {
-                over = true;
+        private void finish() {
+            if (!finished) {
+                finished = true;
                 open.remove(request);
                 server.release(request.id());
             }
         }
 
         @Override
-        public void onCompleted(Outcome outcome, NanoDuration took) {
-            hear("ended " + said(outcome) + " " + took.nanos());
+        public void onCompleted(Outcome outcome, NanoDuration duration) {
+            report("ended " + goldenName(outcome) + " " + duration.nanos());
             if (outcome.provesNeverRan()) {
                 server.forget(request.id());
             }
-            over();
+            finish();
         }
 
         @Override
         public void onCallNeeded() {
-            hear("needs a call");
+            report("needs a call");
             if (script == SKIP_CALL) {
                 server.skipCall(request.id());
             } else {
-                server.call(request.id(), CALL_CAP);
+                server.call(request.id(), CALL_TIMEOUT);
             }
         }
 
         @Override
-        public void onCallCompleted(Outcome outcome, NanoDuration took) {
-            hear("call ended " + said(outcome) + " " + took.nanos());
+        public void onCallCompleted(Outcome outcome, NanoDuration duration) {
+            report("call ended " + goldenName(outcome) + " " + duration.nanos());
             if (outcome != Outcome.OK) {
                 if (script == SKIP_FAILED_CALL) {
                     server.skipCall(request.id());
@@ -282,12 +286,12 @@
 
         @Override
         public boolean isFinished() {
-            return over;
+            return finished;
         }
 
         @Override
         public void onClientGone() {
-            hear("left");
+            report("left");
         }
     }
 }
--- a/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
+++ b/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
@@ -14,205 +14,216 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many nodes, each a AdmissionController of its own that hears of no other, above one made-up
- * dependency on one clock. It shares its slots among the calls in its hands, keeps what was given
- * up for a while, and refuses while down. What all nodes hold in its hands together is reckoned
- * apart from AdmissionController, over each window of the settings.
+ * Many nodes, each with an {@link AdmissionController} of its own that knows nothing of the others,
+ * share one simulated dependency on one clock. The dependency divides its capacity among the calls
+ * in flight, goes on with a call that was given up for the linger time, and refuses calls while
+ * down. The calls in flight of all nodes are counted independently of AdmissionController, at each
+ * moment and as a mean over each quota window.
  */
 final class SharedDependencyCallsTest {
-    private static final int WINDOW = 5000; // domain.calls_over_ns, here and below in milliseconds
-    private static final int LINGER = 200; // domain.linger_ns
-    private static final int BEGIN = 6000; // of the trouble
-    private static final int END = 10_000;
-    private static final int LENGTH = 18_000;
+    private static final int QUOTA_WINDOW_MILLIS = 5000; // domain.calls_over_ns
+    private static final int LINGER_MILLIS = 200; // domain.linger_ns
+    private static final int FAULT_BEGIN_MILLIS = 6000;
+    private static final int FAULT_END_MILLIS = 10_000;
+    private static final int RUN_MILLIS = 18_000;
 
-    private enum Trouble {
+    private enum Fault {
         COLD_START,
         DOWN,
         SLOW,
         REPLACED
     }
 
-    /** A call in the hands of the dependency, given up or not. */
+    /** A call that the dependency works on, given up or not. */
     private final class Call {
         final Node node;
         final long requestId;
-        final int madeAt = now;
-        final int cap;
-        double left = 100 * Math.exp(chance.nextGaussian() * 0.4);
-        int goneAt = Integer.MAX_VALUE; // given up, and out of the hands at this time
+        final int madeAtMillis = nowMillis;
+        final int timeoutMillis;
+        double workLeft = 100 * Math.exp(random.nextGaussian() * 0.4);
+        int releasedAtMillis =
+                Integer.MAX_VALUE; // when a call that was given up leaves the dependency
 
         Call(Node node, long requestId) {
             this.node = node;
             this.requestId = requestId;
-            cap = (int) (node.machine.caps.get(requestId).nanos() / 1_000_000);
+            timeoutMillis = (int) (node.server.callTimeouts.get(requestId).nanos() / 1_000_000);
         }
 
         void giveUp() {
-            goneAt = Math.min(goneAt, now + LINGER);
+            releasedAtMillis = Math.min(releasedAtMillis, nowMillis + LINGER_MILLIS);
         }
 
         void end(Outcome outcome) {
-            RequestListener handle = node.machine.handles.get(requestId);
-            if (!handle.isFinished()) {
-                NanoDuration took = NanoDuration.ofSeconds(Math.max(1, now - madeAt) / 1e3);
-                node.machine.tell(requestId, reported -> reported.onCallCompleted(outcome, took));
+            RequestListener listener = node.server.listeners.get(requestId);
+            if (!listener.isFinished()) {
+                NanoDuration duration =
+                        NanoDuration.ofSeconds(Math.max(1, nowMillis - madeAtMillis) / 1e3);
+                node.server.deliver(requestId, target -> target.onCallCompleted(outcome, duration));
                 if (outcome == Outcome.OK) {
-                    node.work(requestId);
+                    node.scheduleRunEnd(requestId);
                 }
             }
         }
     }
 
     private final class Node {
-        final RecordingServer machine;
+        final RecordingServer server;
         final Map<Long, Integer> callsLeft = new HashMap<>();
-        final TreeMap<Integer, List<Long>> works =
-                new TreeMap<>(); // which requests leave the cores when
+        final TreeMap<Integer, List<Long>> runsByEndMillis = new TreeMap<>();
         final List<Long> failed = new ArrayList<>();
 
-        Node(double share, boolean cold) {
-            machine =
+        Node(double quota, boolean cold) {
+            server =
                     new RecordingServer()
                             .set(
                                     "domain.cpus=4 domain.calls_out="
-                                            + share
+                                            + quota
                                             + " domain.calls_over_ns="
-                                            + WINDOW
+                                            + QUOTA_WINDOW_MILLIS
                                             + "000000 domain.linger_ns="
-                                            + LINGER
+                                            + LINGER_MILLIS
                                             + "000000"
                                             + " domain.cold="
                                             + cold
                                             + " rules.cold_share=0.3 rules.ramp_time_ns=9000000000");
-            machine.listener = this::heard;
-            machine.start();
-            machine.pass(now);
+            server.actionListener = this::onAction;
+            server.start();
+            server.advanceMillis(nowMillis);
         }
 
-        private void heard(String line) {
+        private void onAction(String line) {
             String[] words = line.split("[ ,]+", 0);
             switch (words[0]) {
-                case "run" -> work(Long.parseLong(words[1]));
+                case "run" -> scheduleRunEnd(Long.parseLong(words[1]));
                 case "fail" -> failed.add(Long.parseLong(words[1]));
                 case "call" -> {
                     long requestId = Long.parseLong(words[1]);
                     giveUp(call -> call.node == this && call.requestId == requestId);
-                    made.add(new Call(this, requestId));
+                    newCalls.add(new Call(this, requestId));
                 }
                 default -> {}
             }
         }
 
-        void work(long requestId) {
-            works.computeIfAbsent(now + 20 + chance.nextInt(40), at -> new ArrayList<>())
+        void scheduleRunEnd(long requestId) {
+            runsByEndMillis
+                    .computeIfAbsent(nowMillis + 20 + random.nextInt(40), at -> new ArrayList<>())
                     .add(requestId);
         }
 
-        void step(double requestsEach) {
-            if (chance.nextDouble() < requestsEach) {
+        void advance(double arrivalProbability) {
+            if (random.nextDouble() < arrivalProbability) {
                 long requestId =
-                        machine.arrive(
-                                chance.nextInt(5) == 0
+                        server.admit(
+                                random.nextInt(5) == 0
                                         ? RecordingServer.UNSAFE
                                         : RecordingServer.SAFE);
-                callsLeft.put(requestId, 1 + chance.nextInt(2));
+                callsLeft.put(requestId, 1 + random.nextInt(2));
             }
-            machine.pass(1);
-            List<Long> due =
-                    works.isEmpty() || works.firstKey() > now
+            server.advanceMillis(1);
+            List<Long> dueRequests =
+                    runsByEndMillis.isEmpty() || runsByEndMillis.firstKey() > nowMillis
                             ? List.of()
-                            : works.pollFirstEntry().getValue();
-            for (long requestId : due) {
-                if (!machine.handles.get(requestId).isFinished()) {
-                    machine.tell(
+                            : runsByEndMillis.pollFirstEntry().getValue();
+            for (long requestId : dueRequests) {
+                if (!server.listeners.get(requestId).isFinished()) {
+                    server.deliver(
                             requestId,
                             callsLeft.merge(requestId, -1, Integer::sum) >= 0
                                     ? RequestListener::onCallNeeded
-                                    : handle -> handle.onCompleted(Outcome.OK, NanoDuration.ZERO));
+                                    : listener ->
+                                            listener.onCompleted(Outcome.OK, NanoDuration.ZERO));
                 }
             }
             for (long requestId : failed) {
                 if (giveUp(call -> call.node == this && call.requestId == requestId)) {
-                    machine.tell(
+                    server.deliver(
                             requestId,
-                            handle -> handle.onCompleted(Outcome.CANCELLED, NanoDuration.ZERO));
+                            listener -> listener.onCompleted(Outcome.CANCELLED, NanoDuration.ZERO));
                 }
             }
             failed.clear();
-            machine.trace.clear();
+            server.trace.clear();
         }
     }
 
     private final List<Node> nodes = new ArrayList<>();
-    private final List<Call> inHand = new ArrayList<>();
-    private final List<Call> made = new ArrayList<>(); // in this millisecond
-    private Random chance;
-    private int now;
-    private int mostAtOnce;
-    private double mostOverWindow;
-    private int ended;
-
-    private boolean giveUp(Predicate<Call> which) {
+    private final List<Call> inFlight = new ArrayList<>();
+    private final List<Call> newCalls = new ArrayList<>(); // made in the present millisecond
+    private Random random;
+    private int nowMillis;
+    private int maxInFlight;
+    private double maxMeanInFlight;
+    private int served;
+
+    private boolean giveUp(Predicate<Call> filter) {
         List<Call> calls =
-                inHand.stream().filter(call -> call.goneAt > now + LINGER).filter(which).toList();
+                inFlight.stream()
+                        .filter(call -> call.releasedAtMillis > nowMillis + LINGER_MILLIS)
+                        .filter(filter)
+                        .toList();
         calls.forEach(Call::giveUp);
         return !calls.isEmpty();
     }
 
-    private void play(int count, double share, Trouble trouble, double load) {
-        chance = new Random(count);
-        inHand.clear();
+    private void simulate(int count, double quota, Fault fault, double load) {
+        random = new Random(count);
+        inFlight.clear();
         nodes.clear();
-        now = mostAtOnce = ended = 0;
-        mostOverWindow = 0;
+        nowMillis = maxInFlight = served = 0;
+        maxMeanInFlight = 0;
         for (int i = 0; i < count; i++) {
-            nodes.add(new Node(share, trouble == Trouble.COLD_START));
+            nodes.add(new Node(quota, fault == Fault.COLD_START));
         }
-        double slots = count * share / 5;
-        double requestsEach = load * slots / 100 / 1.5 / count;
-        int[] leased = new int[LENGTH];
-        int sum = 0;
-        for (; now < LENGTH; now++) {
-            boolean struck = now >= BEGIN && now < END;
+        double capacity = count * quota / 5;
+        double arrivalProbability = load * capacity / 100 / 1.5 / count;
+        int[] inFlightByMillis = new int[RUN_MILLIS];
+        int total = 0;
+        for (; nowMillis < RUN_MILLIS; nowMillis++) {
+            boolean hasFault = nowMillis >= FAULT_BEGIN_MILLIS && nowMillis < FAULT_END_MILLIS;
             for (int i = 0; i < count; i++) {
                 Node node = nodes.get(i);
-                boolean away = trouble == Trouble.REPLACED && struck && i % 2 == 0;
-                if (away && now == BEGIN) {
+                boolean isStopped = fault == Fault.REPLACED && hasFault && i % 2 == 0;
+                if (isStopped && nowMillis == FAULT_BEGIN_MILLIS) {
                     giveUp(call -> call.node == node);
                     nodes.set(i, null);
-                } else if (!away) {
-                    nodes.set(i, node == null ? new Node(share, true) : node);
-                    nodes.get(i).step(requestsEach);
+                } else if (!isStopped) {
+                    nodes.set(i, node == null ? new Node(quota, true) : node);
+                    nodes.get(i).advance(arrivalProbability);
                 }
             }
-            serve(slots, trouble == Trouble.DOWN && struck, trouble == Trouble.SLOW && struck);
-            leased[now] = inHand.size();
-            sum += leased[now] - (now >= WINDOW ? leased[now - WINDOW] : 0);
-            mostAtOnce = Math.max(mostAtOnce, leased[now]);
-            mostOverWindow = Math.max(mostOverWindow, (double) sum / WINDOW);
+            serve(capacity, fault == Fault.DOWN && hasFault, fault == Fault.SLOW && hasFault);
+            inFlightByMillis[nowMillis] = inFlight.size();
+            total +=
+                    inFlightByMillis[nowMillis]
+                            - (nowMillis >= QUOTA_WINDOW_MILLIS
+                                    ? inFlightByMillis[nowMillis - QUOTA_WINDOW_MILLIS]
+                                    : 0);
+            maxInFlight = Math.max(maxInFlight, inFlightByMillis[nowMillis]);
+            maxMeanInFlight = Math.max(maxMeanInFlight, (double) total / QUOTA_WINDOW_MILLIS);
         }
     }
 
-    private void serve(double slots, boolean down, boolean slow) {
-        List<Call> fresh = List.copyOf(made);
-        made.clear();
+    private void serve(double capacity, boolean down, boolean slow) {
+        List<Call> startedCalls = List.copyOf(newCalls);
+        newCalls.clear();
         if (down) {
-            fresh.forEach(call -> call.end(Outcome.UNREACHABLE));
+            startedCalls.forEach(call -> call.end(Outcome.UNREACHABLE));
         } else {
-            inHand.addAll(fresh);
+            inFlight.addAll(startedCalls);
         }
-        double pace = Math.min(1, slots / Math.max(1, inHand.size())) / (slow ? 6 : 1);
-        for (Call call : List.copyOf(inHand)) {
-            call.left -= pace;
-            boolean givenUp = call.goneAt < Integer.MAX_VALUE;
-            if (down || now >= call.goneAt || (!givenUp && call.left <= 0)) {
-                inHand.remove(call);
-                ended += givenUp || down ? 0 : 1;
+        double progress = Math.min(1, capacity / Math.max(1, inFlight.size())) / (slow ? 6 : 1);
+        for (Call call : List.copyOf(inFlight)) {
+            call.workLeft -= progress;
+            boolean givenUp = call.releasedAtMillis < Integer.MAX_VALUE;
+            if (down || nowMillis >= call.releasedAtMillis || (!givenUp && call.workLeft <= 0)) {
+                inFlight.remove(call);
+                served += givenUp || down ? 0 : 1;
                 if (!givenUp) {
                     call.end(down ? Outcome.BROKEN : Outcome.OK);
                 }
-            } else if (!givenUp && now - call.madeAt >= call.cap) {
+            } else if (!givenUp && nowMillis - call.madeAtMillis >= call.timeoutMillis) {
                 call.giveUp();
                 call.end(Outcome.TIMED_OUT);
             }
@@ -220,35 +231,37 @@
     }
 
     /**
-     * From a share of one on, the shares bound the sum at each moment. Below one they bound its
-     * mean: one window may end within a call more of each node, and that takes at most half of what
-     * the share lets through.
+     * With a quota of at least one call per node, the quotas bound the sum of calls at each moment.
+     * Below one they bound its mean: each node may end a window with one call more, and that takes
+     * at most half of what the quota allows.
      */
     @ParameterizedTest
     @CsvSource({"20, 0.25", "30, 0.25", "30, 0.6", "20, 1.6", "30, 3.3"})
-    void whatManyNodesCallTogetherStaysUnderTheSumOfTheirShares(int count, double share) {
-        double sum = count * share;
-        for (Trouble trouble : Trouble.values()) {
+    void callsOfAllNodesStayWithinTheSumOfTheirQuotas(int count, double quota) {
+        double total = count * quota;
+        for (Fault fault : Fault.values()) {
             for (double load : new double[] {0.8, 3}) {
-                play(count, share, trouble, load);
-                String what =
+                simulate(count, quota, fault, load);
+                String description =
                         String.format(
                                 Locale.ROOT,
-                                "%s at load %.1f: %d nodes, a sum of %.1f,"
-                                        + " %.2f over a window, %d at once, %d calls served",
-                                trouble,
+                                "%s at load %.1f: nodes=%d quota_sum=%.1f"
+                                        + " max_window_mean=%.2f max_in_flight=%d calls_served=%d",
+                                fault,
                                 load,
                                 count,
-                                sum,
-                                mostOverWindow,
-                                mostAtOnce,
-                                ended);
-                assertThat(ended).as(what).isGreaterThan((int) (sum * 3));
-                assertThat(mostOverWindow)
-                        .as(what)
-                        .isLessThan(sum + 2 * Math.sqrt(sum) + 2)
-                        .isLessThanOrEqualTo(sum * Math.max(1, 1.5 - share / 2));
-                assertThat(share < 1 ? 0 : mostAtOnce).as(what).isLessThanOrEqualTo((int) sum);
+                                total,
+                                maxMeanInFlight,
+                                maxInFlight,
+                                served);
+                assertThat(served).as(description).isGreaterThan((int) (total * 3));
+                assertThat(maxMeanInFlight)
+                        .as(description)
+                        .isLessThan(total + 2 * Math.sqrt(total) + 2)
+                        .isLessThanOrEqualTo(total * Math.max(1, 1.5 - quota / 2));
+                assertThat(quota < 1 ? 0 : maxInFlight)
+                        .as(description)
+                        .isLessThanOrEqualTo((int) total);
             }
         }
     }
--- a/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
+++ b/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
@@ -27,16 +27,19 @@
             no value at all\
             """;
 
-    /** Code 17: instance, request, request class, tenant; all after that left off. */
+    /**
+     * Record 0x11, a request: instance, request, request class, tenant; the later fields are
+     * omitted.
+     */
     private static final String REQUEST = "11 0000000b %04x %08x 00 00000000";
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsEmptyReply() throws IOException {
         assertThat(play("")).isEqualTo("00000004 00000000\n");
     }
 
     @Test
-    void aRequestWithItsLastFieldsLeftOffIsRunAndUnknownEventsAreSkipped() throws IOException {
+    void runsTruncatedRequestAndSkipsUnknownEvents() throws IOException {
         assertThat(play(start(3), "63 00000002 ffff " + String.format(REQUEST, 3, 7)))
                 .isEqualTo(
                         """
@@ -46,13 +49,13 @@
     }
 
     @Test
-    void aNodeKilledAndStartedAnewInOneBatchKnowsNothingOfItsFormerLife() throws IOException {
-        String ended = "12 00000010 0003 00000007 0000 0000000000000000";
-        String played =
+    void nodeRestartedWithinABatchKeepsNoState() throws IOException {
+        String completion = "12 00000010 0003 00000007 0000 0000000000000000";
+        String replies =
                 play(
                         start(3) + String.format(REQUEST, 3, 7),
-                        "18 00000002 0003 " + start(3) + ended);
-        assertThat(played.split("\n", 0)[1])
+                        "18 00000002 0003 " + start(3) + completion);
+        assertThat(replies.split("\n", 0)[1])
                 .isEqualTo(
                         "00000020 00000002 5e 00000004 0003 01 01 51 0000000e 0003 000000000cdfe600 00000000");
     }
@@ -60,22 +63,24 @@
     @Test
     void aNodeThatThrowsIsReportedAndTheOthersGoOn() throws IOException {
         String badRequestClass = "11 0000000b 0004 00000008 09 00000000";
-        String played = play(start(3) + start(4), badRequestClass + String.format(REQUEST, 3, 7));
-        assertThat(played.split("\n", 0)[1]).contains(" 5b ").endsWith("56 00000006 0003 00000007");
+        String replies = play(start(3) + start(4), badRequestClass + String.format(REQUEST, 3, 7));
+        assertThat(replies.split("\n", 0)[1])
+                .contains(" 5b ")
+                .endsWith("56 00000006 0003 00000007");
     }
 
     @Test
-    void whatCannotBeAFrameEndsThePlayWithAPlainMessage() {
+    void malformedFrameIsRefusedWithItsCause() {
         assertThatThrownBy(() -> play("11 000000ff 0003"))
                 .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a record of 255 bytes runs past the end of its batch");
         assertThatThrownBy(() -> play("11 00"))
                 .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a record's header runs past the end of its batch");
-        assertThatThrownBy(() -> raw("00000020 00000000"))
+        assertThatThrownBy(() -> exchange("00000020 00000000"))
                 .isInstanceOf(MalformedFrame.class)
                 .hasMessage("the input ended 28 bytes short of a batch");
-        assertThatThrownBy(() -> raw("00000002 0000"))
+        assertThatThrownBy(() -> exchange("00000002 0000"))
                 .isInstanceOf(MalformedFrame.class)
                 .hasMessage("a batch cannot be 2 bytes long");
     }
@@ -89,7 +94,9 @@
                 HexFormat.of().formatHex(SETTINGS.getBytes(UTF_8)));
     }
 
-    /** Plays batches a sixtieth of a second apart; a reply a line, its records' fields apart. */
+    /**
+     * Sends batches 16 ms apart; returns one reply per line with its fields separated by spaces.
+     */
     private static String play(String... batches) throws IOException {
         StringBuilder input = new StringBuilder();
         for (int i = 0; i < batches.length; i++) {
@@ -97,10 +104,10 @@
             long clock = 100_000_000L + i * 16_000_000L;
             input.append(String.format("%08x%016x%s", 8 + records.length() / 2, clock, records));
         }
-        return raw(input.toString());
+        return exchange(input.toString());
     }
 
-    private static String raw(String input) throws IOException {
+    private static String exchange(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(AdmissionController::new)
                 .play(
