--- a/src/main/java/lupinwood/balancing/HealthChecker.java
+++ b/src/main/java/lupinwood/balancing/HealthChecker.java
@@ -1,8 +1,11 @@
 package lupinwood.balancing;
 
-/** Who tries a server that was left out: each node by itself, or one for all. */
+/**
+ * Decides whether this node may probe an ejected server with a request: either each node decides by
+ * itself, or one node checks for all.
+ */
 public interface HealthChecker {
-    /** Each by itself. */
+    /** Every node probes by itself and shares no results. */
     HealthChecker ALONE =
             new HealthChecker() {
                 @Override
@@ -11,14 +14,14 @@
                 }
 
                 @Override
-                public void tried(String server, boolean well) {
-                    // Nobody else is to hear of it.
+                public void tried(String server, boolean healthy) {
+                    // No other node is informed.
                 }
             };
 
-    /** Whether this node may try it now. */
+    /** Whether this node may probe the server now. */
     boolean mayTry(String server);
 
-    /** What a try came to. */
-    void tried(String server, boolean well);
+    /** Reports the result of a probe. */
+    void tried(String server, boolean healthy);
 }
--- a/src/main/java/lupinwood/balancing/OutlierLimits.java
+++ b/src/main/java/lupinwood/balancing/OutlierLimits.java
@@ -3,20 +3,20 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What a pool goes by.
+ * Bounds of a server pool.
  *
- * @param mostOut how many may be out to one server at the most
- * @param failures so many in a row leave a server out
- * @param leftOutFirst how long a server is left out the first time; twice as long each time after,
- *     until it does well
- * @param leftOutMost and no longer than this
- * @param repeatShare tries made again, for each first one
+ * @param mostOut upper bound of a server's in-flight limit
+ * @param consecutiveFailures number of failures in a row after which a server is ejected
+ * @param baseEjectionTime duration of the first ejection; each further one lasts twice as long,
+ *     until an attempt succeeds
+ * @param maxEjectionTime upper bound of an ejection
+ * @param repeatShare retries allowed for each first attempt
  */
 public record OutlierLimits(
         int mostOut,
-        int failures,
-        NanoDuration leftOutFirst,
-        NanoDuration leftOutMost,
+        int consecutiveFailures,
+        NanoDuration baseEjectionTime,
+        NanoDuration maxEjectionTime,
         double repeatShare) {
     public static final OutlierLimits USUAL =
             new OutlierLimits(32, 4, NanoDuration.ofSeconds(0.5), NanoDuration.ofSeconds(30), 0.1);
--- a/src/main/java/lupinwood/balancing/RetryBudget.java
+++ b/src/main/java/lupinwood/balancing/RetryBudget.java
@@ -1,48 +1,47 @@
 package lupinwood.balancing;
 
 /**
- * How many tries may be made again: a small share of the first ones, at any size, with a little
- * saved up for quiet times. When all servers fail, repeats stay that share and no storm comes of
- * them.
+ * Limits retries to a small share of first attempts at any load, with a small reserve for quiet
+ * times. When all servers fail, retries stay at that share and cause no retry storm.
  */
 public final class RetryBudget {
-    private final double share;
-    private final double most;
-    private double saved;
-    private long firsts;
-    private long repeats;
+    private final double retriesPerAttempt;
+    private final double maxReserve;
+    private double reserve;
+    private long firstAttempts;
+    private long retries;
 
     /**
-     * @param share repeats for each first try, from 0 to 1
-     * @param most how many may be saved up
+     * @param retriesPerAttempt retries allowed for each first attempt, from 0 to 1
+     * @param maxReserve how many unused retries may accumulate
      */
-    public RetryBudget(double share, double most) {
-        this.share = share;
-        this.most = most;
-        saved = most;
+    public RetryBudget(double retriesPerAttempt, double maxReserve) {
+        this.retriesPerAttempt = retriesPerAttempt;
+        this.maxReserve = maxReserve;
+        reserve = maxReserve;
     }
 
-    /** A request is tried for the first time. */
+    /** Records the first attempt of a request. */
     public void first() {
-        firsts++;
-        saved = Math.min(most, saved + share);
+        firstAttempts++;
+        reserve = Math.min(maxReserve, reserve + retriesPerAttempt);
     }
 
-    /** Whether one more try may be made again; it is then taken off. */
+    /** Whether a retry is allowed; if so, it is taken from the budget. */
     public boolean again() {
-        if (saved < 1) {
+        if (reserve < 1) {
             return false;
         }
-        saved--;
-        repeats++;
+        reserve--;
+        retries++;
         return true;
     }
 
     public long firsts() {
-        return firsts;
+        return firstAttempts;
     }
 
     public long repeats() {
-        return repeats;
+        return retries;
     }
 }
--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -10,85 +10,96 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * The servers that may carry out a request, as one of their clients sees them.
+ * The back-end servers of one client, with the client's own view of their latency and health.
  *
- * <p>A request goes where it is expected to be done soonest: by how long a server's latest took,
- * times how many it would then have. A failure counts as long as a slow success, however fast it
- * came, so that a server that fails fast attracts no more work. How many may be out to each follows
- * the design's rule: times 0.9 once for each run past TARGET, flagged in flight, or failed; one
- * more for each fast one while half is used. A server that fails so many times in a row is left out
- * for a time that doubles, and comes back with one request at a time until that does well.
+ * <p>An attempt goes to the server with the lowest expected completion time: the mean latency of
+ * its latest attempts times the attempts that it would then have in flight. A failure counts as
+ * long as a slow success, however fast it came, so that a server that fails fast attracts no more
+ * work. The in-flight limit of each server (AIMD) is multiplied by 0.9 once for each attempt that
+ * fails or exceeds {@link #target} (reported while it is in flight), and grows by one for each fast
+ * attempt while at least half of the limit is used. A server with {@link
+ * OutlierLimits#consecutiveFailures} failures in a row is ejected for a time that doubles with each
+ * ejection, and then gets one attempt at a time until one succeeds.
  */
 public final class ServerPool {
-    /** How a run at a server ended. */
+    /** How an attempt at a server ended. */
     public enum AttemptEnd {
-        /** With an answer that shows that the server does its work. */
+        /** With a response that shows that the server works. */
         WELL,
-        /** With an error, or not at all. */
+        /** With an error, or without a response. */
         FAILED,
         /**
-         * Its caller left, or it was given up for another reason than the server's: nothing is
-         * learned of it.
+         * The caller disconnected, or the attempt was abandoned for a reason other than the server:
+         * it says nothing about the server.
          */
         UNKNOWN
     }
 
-    private static final double LATEST = 8; // runs whose time is remembered
-    private static final double BASELINE = 32;
-    private static final double ENOUGH = 6;
-    private static final double START = 4;
-    private static final double SLOWER = 3; // TARGET is so many baseline median
-    private static final double CUT = 0.9;
-    private static final double UNTRIED = 0.9;
-    private static final double FORGOTTEN =
-            5; // seconds after which half of what is known of an idle server is left
-    private static final NanoDuration ASK_AGAIN = NanoDuration.ofSeconds(0.1);
-    private static final NanoDuration FIRST_GUESS = NanoDuration.ofSeconds(0.05);
+    /** Weight of the mean latency, in attempts. */
+    private static final double LATENCY_MEAN_ATTEMPTS = 8;
+
+    /** Weight that the baseline histogram keeps, in attempts. */
+    private static final double BASELINE_ATTEMPTS = 32;
+
+    private static final double MIN_BASELINE_ATTEMPTS = 6;
+    private static final double INITIAL_LIMIT = 4;
+
+    /** The slow-attempt threshold, as a multiple of the baseline median. */
+    private static final double SLOW_BASELINE_MULTIPLE = 3;
+
+    private static final double LIMIT_DECREASE_FACTOR = 0.9;
+    private static final double UNTRIED_LATENCY_RATIO = 0.9;
+
+    /** Time in which the known latency of an idle server loses half of its weight. */
+    private static final double LATENCY_HALF_LIFE_SECONDS = 5;
+
+    private static final NanoDuration HEALTH_CHECK_POLL_INTERVAL = NanoDuration.ofSeconds(0.1);
+    private static final NanoDuration INITIAL_LATENCY = NanoDuration.ofSeconds(0.05);
 
     private static final class ServerState {
         final String name;
-        int out;
-        double limit = START;
+        int inFlight;
+        double limit = INITIAL_LIMIT;
 
-        /** Seconds, a mean over the latest; below zero before the first. */
-        double took = -1;
+        /** Mean over the latest attempts; negative before the first. */
+        double meanLatencySeconds = -1;
 
-        /** When something was learned of it last. */
-        MonotonicTime latest;
+        MonotonicTime lastMeasuredAt;
 
-        int failuresInRow;
-        int timesLeftOut;
+        int consecutiveFailures;
+        int ejectionCount;
 
-        /** Null while it isn't left out. */
-        MonotonicTime backAt;
+        /** Null while not ejected. */
+        MonotonicTime readmitAt;
 
-        MonotonicTime leftOutAt;
+        MonotonicTime ejectedAt;
 
         /**
-         * Somebody else found it well since it was left out: that is worth one request, and no
+         * Another node found it healthy since it was ejected here; this allows one request and no
          * more.
          */
-        boolean vouched;
+        boolean isReportedHealthy;
 
-        /** It came back, and has yet to do well. */
-        boolean onProbation;
+        /** Readmitted, and no attempt has succeeded yet. */
+        boolean isOnProbation;
 
-        /** Nothing new is sent there, by agreement with others and not for what is seen of it. */
-        boolean cordons;
+        /** Gets no new requests because the cluster cordoned it, whatever its health. */
+        boolean isCordoned;
 
         ServerState(String name) {
             this.name = name;
         }
 
-        /** What was known before counts less the longer ago it was learned. */
-        void learn(double seconds, MonotonicTime now) {
-            double known = took < 0 ? seconds : took * left(now);
-            took = known + (seconds - known) / LATEST;
-            latest = now;
+        /** The weight of the previous mean decreases with its age. */
+        void recordLatency(double seconds, MonotonicTime now) {
+            double previous =
+                    meanLatencySeconds < 0 ? seconds : meanLatencySeconds * retainedRatio(now);
+            meanLatencySeconds = previous + (seconds - previous) / LATENCY_MEAN_ATTEMPTS;
+            lastMeasuredAt = now;
         }
 
-        double left(MonotonicTime now) {
-            return Math.pow(0.5, now.since(latest).seconds() / FORGOTTEN);
+        double retainedRatio(MonotonicTime now) {
+            return Math.pow(0.5, now.since(lastMeasuredAt).seconds() / LATENCY_HALF_LIFE_SECONDS);
         }
     }
 
@@ -96,10 +107,10 @@
     private final OutlierLimits limits;
     private final Random random;
 
-    /** What runs took while a server had less than half of what it may: the pool's own calm. */
-    private final Histogram baseline = new Histogram(BASELINE);
+    /** Latency of attempts at servers that used less than half of their in-flight limit. */
+    private final Histogram baseline = new Histogram(BASELINE_ATTEMPTS);
 
-    private int turn;
+    private int nextServer;
     private HealthChecker healthChecker = HealthChecker.ALONE;
 
     public ServerPool(List<String> servers, OutlierLimits limits, long seed) {
@@ -108,62 +119,68 @@
         random = new Random(seed);
     }
 
-    /** Asks before each trial, and tells what it came to. */
-    public void checkHealthBy(HealthChecker requested) {
-        healthChecker = requested;
+    /** Sets who is asked before each probe of an ejected server and is told its result. */
+    public void checkHealthBy(HealthChecker newChecker) {
+        healthChecker = newChecker;
     }
 
     /**
-     * What another node's trial found. Well, and since the server was left out here: then it is
-     * tried here too, soon, and not by all nodes at once. It is not trusted over what is seen here;
-     * what failed there changes nothing.
+     * Applies the result of another node's health check. If the check succeeded and was made after
+     * the server was ejected here, this node probes the server soon, after a random delay so that
+     * nodes don't probe it all at once. This node's own observations take precedence; a failed
+     * check changes nothing.
      */
     public void onHealthCheckResult(
-            String server, boolean well, MonotonicTime at, MonotonicTime now) {
-        for (ServerState book : states) {
-            if (well
-                    && book.name.equals(server)
-                    && book.backAt != null
-                    && !book.vouched
-                    && book.leftOutAt.isBefore(at)) {
-                book.vouched = true;
-                MonotonicTime soon = now.plus(limits.leftOutFirst().times(random.nextDouble()));
-                book.backAt = soon.isBefore(book.backAt) ? soon : book.backAt;
+            String server, boolean healthy, MonotonicTime checkedAt, MonotonicTime now) {
+        for (ServerState state : states) {
+            if (healthy
+                    && state.name.equals(server)
+                    && state.readmitAt != null
+                    && !state.isReportedHealthy
+                    && state.ejectedAt.isBefore(checkedAt)) {
+                state.isReportedHealthy = true;
+                MonotonicTime probeAt =
+                        now.plus(limits.baseEjectionTime().times(random.nextDouble()));
+                state.readmitAt = probeAt.isBefore(state.readmitAt) ? probeAt : state.readmitAt;
             }
         }
     }
 
     /**
-     * These rest and no others: nothing new is sent there. One that rests no more is eased in: it
-     * begins with one request at a time, and is at work once that did well.
+     * Cordons exactly these servers: they get no new requests. An uncordoned server starts on
+     * probation, with one request at a time until one succeeds.
      */
-    public void rest(Collection<String> names) {
-        for (ServerState book : states) {
-            boolean cordons = names.contains(book.name);
-            if (book.cordons && !cordons) {
-                book.onProbation = true;
-                book.backAt = null;
-                book.limit = 1;
+    public void rest(Collection<String> cordonedNames) {
+        for (ServerState state : states) {
+            boolean isCordoned = cordonedNames.contains(state.name);
+            if (state.isCordoned && !isCordoned) {
+                state.isOnProbation = true;
+                state.readmitAt = null;
+                state.limit = 1;
             }
-            book.cordons = cordons;
+            state.isCordoned = isCordoned;
         }
     }
 
-    /** Those that rest and have nothing of this node any more. */
+    /** Cordoned servers at which this node has no attempt in flight. */
     public List<String> drained() {
         return states.stream()
-                .filter(book -> book.cordons && book.out == 0)
-                .map(book -> book.name)
+                .filter(state -> state.isCordoned && state.inFlight == 0)
+                .map(state -> state.name)
                 .toList();
     }
 
-    /** The servers that are left out now. */
+    /** The servers that are ejected now. */
     public List<String> leftOut() {
-        return states.stream().filter(book -> book.backAt != null).map(book -> book.name).toList();
+        return states.stream()
+                .filter(state -> state.readmitAt != null)
+                .map(state -> state.name)
+                .toList();
     }
 
-    private boolean mayComeBack(ServerState book, MonotonicTime now) {
-        return !now.isBefore(book.backAt) && (book.vouched || healthChecker.mayTry(book.name));
+    private boolean canReadmit(ServerState state, MonotonicTime now) {
+        return !now.isBefore(state.readmitAt)
+                && (state.isReportedHealthy || healthChecker.mayTry(state.name));
     }
 
     public int size() {
@@ -175,74 +192,78 @@
     }
 
     public int out(int server) {
-        return states.get(server).out;
+        return states.get(server).inFlight;
     }
 
-    /** How many may be out to it now. */
-    public int limit(int server) {
-        ServerState book = states.get(server);
-        return book.onProbation || book.backAt != null ? 1 : (int) Math.floor(book.limit);
+    /** The server's in-flight limit now. */
+    public int inFlightLimit(int server) {
+        ServerState state = states.get(server);
+        return state.isOnProbation || state.readmitAt != null ? 1 : (int) Math.floor(state.limit);
     }
 
     public boolean isOnProbation(int server) {
-        return states.get(server).onProbation;
+        return states.get(server).isOnProbation;
     }
 
     public boolean isLeftOut(int server) {
-        return states.get(server).backAt != null;
+        return states.get(server).readmitAt != null;
     }
 
     /**
-     * Where a request is to go now; it then counts as out there. Below zero where no server may
-     * have one more.
+     * Chooses a server for an attempt and counts the attempt as in flight there.
      *
-     * @param tried servers that it went to before, which get it only if all others may not
+     * @param tried servers that earlier attempts of the request went to; chosen only if no other
+     *     server can take it
+     * @return the server's index, or a negative number if no server can take another attempt
      */
     public int send(MonotonicTime now, List<Integer> tried) {
         return send(now, tried, server -> true);
     }
 
     /**
-     * Chooses a server and counts the attempt as in flight there.
+     * As {@link #send(MonotonicTime, List)}, among the eligible servers only.
      *
-     * @param may which servers carry out requests of its kind
+     * @param eligible accepts the indexes of servers that can run the request
      */
-    public int send(MonotonicTime now, List<Integer> tried, IntPredicate may) {
-        int best = best(now, tried, may);
+    public int send(MonotonicTime now, List<Integer> tried, IntPredicate eligible) {
+        int best = findBest(now, tried, eligible);
         if (best < 0 && !tried.isEmpty()) {
-            best = best(now, List.of(), may);
+            best = findBest(now, List.of(), eligible);
         }
         if (best >= 0) {
-            ServerState book = states.get(best);
-            if (book.backAt != null) {
-                book.backAt = null;
-                book.onProbation = true;
+            ServerState state = states.get(best);
+            if (state.readmitAt != null) {
+                state.readmitAt = null;
+                state.isOnProbation = true;
             }
-            book.out++;
-            turn = best + 1;
+            state.inFlight++;
+            nextServer = best + 1;
         }
         return best;
     }
 
-    private int best(MonotonicTime now, List<Integer> tried, IntPredicate may) {
+    private int findBest(MonotonicTime now, List<Integer> tried, IntPredicate eligible) {
         int best = -1;
-        double soonest = Double.MAX_VALUE;
+        double lowestExpectedSeconds = Double.MAX_VALUE;
         for (int i = 0; i < states.size(); i++) {
-            int server = (turn + i) % states.size();
-            ServerState book = states.get(server);
-            boolean back = book.backAt == null || mayComeBack(book, now);
-            if (book.cordons
-                    || !back
-                    || book.out >= limit(server)
+            int server = (nextServer + i) % states.size();
+            ServerState state = states.get(server);
+            boolean available = state.readmitAt == null || canReadmit(state, now);
+            if (state.isCordoned
+                    || !available
+                    || state.inFlight >= inFlightLimit(server)
                     || tried.contains(server)
-                    || !may.test(server)) {
+                    || !eligible.test(server)) {
                 continue;
             }
-            // One that was left out is tried before all others: it costs one request, and nothing
-            // else shows it well.
-            double expected = book.backAt != null ? -1 : (book.out + 1) * expected(book, now);
-            if (expected < soonest) {
-                soonest = expected;
+            // An ejected server that can be probed goes first: the probe costs one request, and
+            // nothing else shows that the server has recovered.
+            double expectedSeconds =
+                    state.readmitAt != null
+                            ? -1
+                            : (state.inFlight + 1) * expectedLatencySeconds(state, now);
+            if (expectedSeconds < lowestExpectedSeconds) {
+                lowestExpectedSeconds = expectedSeconds;
                 best = server;
             }
         }
@@ -250,114 +271,127 @@
     }
 
     /**
-     * One that was never tried is expected to be a little faster than the fastest, so that it is.
-     * What is known of one that gets no work halves again and again: else a server that was slow
-     * once would never be seen to be fast.
+     * A server without any attempt is expected to be slightly faster than the fastest, so that it
+     * gets one. The known latency of an idle server decays: otherwise a server that was slow once
+     * would never get the attempts that show that it is fast again.
      */
-    private double expected(ServerState book, MonotonicTime now) {
-        double fastest =
+    private double expectedLatencySeconds(ServerState state, MonotonicTime now) {
+        double fastestSeconds =
                 states.stream()
-                        .filter(one -> one.took >= 0)
-                        .mapToDouble(one -> one.took)
+                        .filter(other -> other.meanLatencySeconds >= 0)
+                        .mapToDouble(other -> other.meanLatencySeconds)
                         .min()
-                        .orElse(FIRST_GUESS.seconds());
-        if (book.took < 0) {
-            return fastest * UNTRIED;
+                        .orElse(INITIAL_LATENCY.seconds());
+        if (state.meanLatencySeconds < 0) {
+            return fastestSeconds * UNTRIED_LATENCY_RATIO;
         }
-        return Math.max(Math.min(book.took, fastest * UNTRIED), book.took * book.left(now));
+        return Math.max(
+                Math.min(state.meanLatencySeconds, fastestSeconds * UNTRIED_LATENCY_RATIO),
+                state.meanLatencySeconds * state.retainedRatio(now));
     }
 
-    /** What a run may take before it is slow; zero while that isn't known. */
+    /**
+     * How long an attempt may take before it counts as slow; zero while the baseline is unknown.
+     */
     public NanoDuration target() {
-        return baseline.weight() < ENOUGH
+        return baseline.weight() < MIN_BASELINE_ATTEMPTS
                 ? NanoDuration.ZERO
-                : NanoDuration.ofSeconds(SLOWER * baseline.median());
+                : NanoDuration.ofSeconds(SLOW_BASELINE_MULTIPLE * baseline.median());
     }
 
-    /** A run is past TARGET and still out; to be told once a run. */
+    /** Reports an attempt in flight that has exceeded {@link #target}; at most once an attempt. */
     public void slow(int server) {
-        cut(states.get(server));
+        decreaseLimit(states.get(server));
     }
 
-    private static void cut(ServerState book) {
-        book.limit = Math.max(1, book.limit * CUT);
+    private static void decreaseLimit(ServerState state) {
+        state.limit = Math.max(1, state.limit * LIMIT_DECREASE_FACTOR);
     }
 
     /**
-     * A run is no longer out.
+     * Reports the end of an attempt.
      *
-     * @param wasSlow whether {@link #slow} was told of it
+     * @param wasSlow whether {@link #slow} was called for it
      */
     public void ended(
             int server, AttemptEnd end, NanoDuration took, boolean wasSlow, MonotonicTime now) {
-        ServerState book = states.get(server);
-        boolean halfUsed = book.out * 2 >= book.limit;
-        boolean wasBaseline = book.out * 2 < Math.max(START, book.limit);
-        book.out--;
+        ServerState state = states.get(server);
+        boolean wasHalfUsed = state.inFlight * 2 >= state.limit;
+        boolean wasLightlyLoaded = state.inFlight * 2 < Math.max(INITIAL_LIMIT, state.limit);
+        state.inFlight--;
         if (end == AttemptEnd.UNKNOWN) {
             return;
         }
-        if (book.onProbation) {
-            healthChecker.tried(book.name, end == AttemptEnd.WELL);
+        if (state.isOnProbation) {
+            healthChecker.tried(state.name, end == AttemptEnd.WELL);
         }
         if (end == AttemptEnd.FAILED) {
-            book.learn(Math.max(took.seconds(), SLOWER * expectedBaseline()), now);
+            state.recordLatency(
+                    Math.max(took.seconds(), SLOW_BASELINE_MULTIPLE * baselineSeconds()), now);
             if (!wasSlow) {
-                cut(book);
+                decreaseLimit(state);
             }
-            if (++book.failuresInRow >= limits.failures() || book.onProbation) {
-                leaveOut(book, now);
+            if (++state.consecutiveFailures >= limits.consecutiveFailures()
+                    || state.isOnProbation) {
+                eject(state, now);
             }
             return;
         }
-        book.learn(took.seconds(), now);
-        book.failuresInRow = 0;
-        if (book.onProbation) {
-            book.onProbation = false;
-            book.limit = 1;
+        state.recordLatency(took.seconds(), now);
+        state.consecutiveFailures = 0;
+        if (state.isOnProbation) {
+            state.isOnProbation = false;
+            state.limit = 1;
         }
-        book.timesLeftOut = Math.max(0, book.timesLeftOut - (wasSlow ? 0 : 1));
-        boolean odd = baseline.weight() >= ENOUGH && took.seconds() > SLOWER * baseline.median();
-        if (wasBaseline && (!odd || random.nextInt(8) == 0)) {
-            baseline.add(
-                    took.seconds()); // of the odd one in eight, as slowness must not become the
-            // calm at once
+        state.ejectionCount = Math.max(0, state.ejectionCount - (wasSlow ? 0 : 1));
+        boolean isOutlier =
+                baseline.weight() >= MIN_BASELINE_ATTEMPTS
+                        && took.seconds() > SLOW_BASELINE_MULTIPLE * baseline.median();
+        if (wasLightlyLoaded && (!isOutlier || random.nextInt(8) == 0)) {
+            // Only one in eight slow attempts counts, so that the baseline follows a slowdown
+            // gradually.
+            baseline.add(took.seconds());
         }
-        if (!wasSlow && !odd && halfUsed) {
-            book.limit = Math.min(limits.mostOut(), book.limit + 1);
+        if (!wasSlow && !isOutlier && wasHalfUsed) {
+            state.limit = Math.min(limits.mostOut(), state.limit + 1);
         }
     }
 
-    private double expectedBaseline() {
-        return baseline.weight() > 0 ? baseline.median() : FIRST_GUESS.seconds();
+    private double baselineSeconds() {
+        return baseline.weight() > 0 ? baseline.median() : INITIAL_LATENCY.seconds();
     }
 
     /**
-     * Twice as long each time, and a little more or less, so that many clients don't come back as
-     * one.
+     * Each ejection lasts twice as long as the one before, with jitter so that many clients don't
+     * return at once.
      */
-    private void leaveOut(ServerState book, MonotonicTime now) {
-        double factor =
-                Math.pow(2, Math.min(30, book.timesLeftOut++)) * (0.75 + random.nextDouble() / 2);
+    private void eject(ServerState state, MonotonicTime now) {
+        double backoffFactor =
+                Math.pow(2, Math.min(30, state.ejectionCount++)) * (0.75 + random.nextDouble() / 2);
         NanoDuration duration =
-                limits.leftOutFirst().times(Math.min(factor, 1e6)).min(limits.leftOutMost());
-        book.backAt = now.plus(duration);
-        book.leftOutAt = now;
-        book.vouched = false;
-        book.onProbation = false;
-        book.failuresInRow = 0;
-        book.limit = 1;
+                limits.baseEjectionTime()
+                        .times(Math.min(backoffFactor, 1e6))
+                        .min(limits.maxEjectionTime());
+        state.readmitAt = now.plus(duration);
+        state.ejectedAt = now;
+        state.isReportedHealthy = false;
+        state.isOnProbation = false;
+        state.consecutiveFailures = 0;
+        state.limit = 1;
     }
 
-    /** When a server that is left out may be tried again, the soonest; never where none is. */
+    /**
+     * The probeAt time at which an ejected server that isn't cordoned may be probed; {@link
+     * MonotonicTime#NEVER} if there is none.
+     */
     public MonotonicTime nextBack(MonotonicTime now) {
         return states.stream()
-                .filter(book -> book.backAt != null && !book.cordons)
+                .filter(state -> state.readmitAt != null && !state.isCordoned)
                 .map(
-                        book ->
-                                now.isBefore(book.backAt) || mayComeBack(book, now)
-                                        ? book.backAt
-                                        : now.plus(ASK_AGAIN))
+                        state ->
+                                now.isBefore(state.readmitAt) || canReadmit(state, now)
+                                        ? state.readmitAt
+                                        : now.plus(HEALTH_CHECK_POLL_INTERVAL))
                 .min(MonotonicTime::compareTo)
                 .orElse(MonotonicTime.NEVER);
     }
--- a/src/main/java/lupinwood/balancing/package-info.java
+++ b/src/main/java/lupinwood/balancing/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which server gets which request, who is left out and tried again, how many may be out to each,
- * and out of what budget a try is made again. Time comes from outside, chance from a seed; no I/O.
+ * Load balancing across back-end servers: server selection, in-flight limits, ejection and
+ * readmission of outliers, and the retry budget. Time and the random seed come from the caller; no
+ * I/O.
  */
 package lupinwood.balancing;
--- a/src/test/java/lupinwood/balancing/ServerPoolTest.java
+++ b/src/test/java/lupinwood/balancing/ServerPoolTest.java
@@ -7,113 +7,120 @@
 import lupinwood.admission.NanoDuration;
 import org.junit.jupiter.api.Test;
 
-/** Choices among servers that do well, fail, slow down and come back. */
+/** Server selection, in-flight limits, ejection, readmission and the retry budget. */
 final class ServerPoolTest {
     private static final NanoDuration FAST = NanoDuration.ofSeconds(0.02);
 
     private final ServerPool pool = new ServerPool(List.of("a", "b", "c"), OutlierLimits.USUAL, 5);
     private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
 
-    private void pass(double seconds) {
+    private void advance(double seconds) {
         now = now.plus(NanoDuration.ofSeconds(seconds));
     }
 
-    /** One request after the other, each ending at once; how many each server got. */
-    private int[] serve(int requests, ServerPool.AttemptEnd endOfA, NanoDuration tookA) {
-        int[] got = new int[pool.size()];
+    /** Sends requests one by one, each ending at once; returns how many each server sent. */
+    private int[] sendSequentially(
+            int requests, ServerPool.AttemptEnd endAtA, NanoDuration latencyAtA) {
+        int[] sent = new int[pool.size()];
         for (int i = 0; i < requests; i++) {
             int server = pool.send(now, List.of());
             if (server < 0) {
                 break;
             }
-            got[server]++;
-            pass(0.001);
+            sent[server]++;
+            advance(0.001);
             pool.ended(
                     server,
-                    server == 0 ? endOfA : ServerPool.AttemptEnd.WELL,
-                    server == 0 ? tookA : FAST,
+                    server == 0 ? endAtA : ServerPool.AttemptEnd.WELL,
+                    server == 0 ? latencyAtA : FAST,
                     false,
                     now);
         }
-        return got;
+        return sent;
     }
 
     @Test
-    void oneThatRestsGetsNothingNewIsEmptyOnceItsOwnHasEndedAndIsEasedIn() {
-        serve(60, ServerPool.AttemptEnd.WELL, FAST);
-        int under = pool.send(now, List.of());
-        pool.rest(List.of(pool.name(under)));
-        assertThat(pool.drained()).as("a run is out there").isEmpty();
-        pool.ended(under, ServerPool.AttemptEnd.WELL, FAST, false, now);
-        assertThat(pool.drained()).containsExactly(pool.name(under));
-        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[under]).isZero();
+    void cordonedServerDrainsAndReturnsOnProbation() {
+        sendSequentially(60, ServerPool.AttemptEnd.WELL, FAST);
+        int cordoned = pool.send(now, List.of());
+        pool.rest(List.of(pool.name(cordoned)));
+        assertThat(pool.drained()).as("an attempt is in flight there").isEmpty();
+        pool.ended(cordoned, ServerPool.AttemptEnd.WELL, FAST, false, now);
+        assertThat(pool.drained()).containsExactly(pool.name(cordoned));
+        assertThat(sendSequentially(300, ServerPool.AttemptEnd.WELL, FAST)[cordoned]).isZero();
         pool.rest(List.of());
         assertThat(pool.drained()).isEmpty();
-        assertThat(pool.limit(under)).as("one at a time, until it does well").isEqualTo(1);
-        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[under]).isGreaterThan(60);
+        assertThat(pool.inFlightLimit(cordoned))
+                .as("one at a time until one succeeds")
+                .isEqualTo(1);
+        assertThat(sendSequentially(300, ServerPool.AttemptEnd.WELL, FAST)[cordoned])
+                .isGreaterThan(60);
     }
 
     @Test
-    void equalServersShareTheWork() {
-        int[] got = serve(300, ServerPool.AttemptEnd.WELL, FAST);
-        assertThat(got[0]).isBetween(90, 110);
-        assertThat(got[1]).isBetween(90, 110);
+    void equalServersShareRequestsEvenly() {
+        int[] sent = sendSequentially(300, ServerPool.AttemptEnd.WELL, FAST);
+        assertThat(sent[0]).isBetween(90, 110);
+        assertThat(sent[1]).isBetween(90, 110);
     }
 
     @Test
-    void oneThatFailsFastIsLeftOutAndTriedWithOneRequestAfterATimeThatDoubles() {
-        serve(60, ServerPool.AttemptEnd.WELL, FAST);
-        int[] got = serve(400, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001));
-        assertThat(got[0]).isLessThanOrEqualTo(5);
-        int tries = 0;
+    void fastFailingServerIsEjectedAndProbedAfterDoublingTimes() {
+        sendSequentially(60, ServerPool.AttemptEnd.WELL, FAST);
+        int[] sent =
+                sendSequentially(400, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001));
+        assertThat(sent[0]).isLessThanOrEqualTo(5);
+        int probes = 0;
         for (int second = 0; second < 64; second++) {
-            tries += serve(1000, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001))[0];
+            probes +=
+                    sendSequentially(
+                            1000, ServerPool.AttemptEnd.FAILED, NanoDuration.ofSeconds(0.0001))[0];
         }
-        assertThat(tries).as("of 64,000 tickets in 64 s").isBetween(2, 15);
-        pass(40);
-        assertThat(serve(1, ServerPool.AttemptEnd.WELL, FAST)[0])
-                .as("tried again at once")
+        assertThat(probes).as("of 64,000 requests in 64 s").isBetween(2, 15);
+        advance(40);
+        assertThat(sendSequentially(1, ServerPool.AttemptEnd.WELL, FAST)[0])
+                .as("probed at once")
                 .isEqualTo(1);
-        assertThat(serve(300, ServerPool.AttemptEnd.WELL, FAST)[0]).isGreaterThan(60);
+        assertThat(sendSequentially(300, ServerPool.AttemptEnd.WELL, FAST)[0]).isGreaterThan(60);
     }
 
     @Test
-    void aSlowOneGetsLessByAsMuchAndItsLimitFallsInFlight() {
-        serve(60, ServerPool.AttemptEnd.WELL, FAST);
-        int[] got = new int[3];
+    void slowServerGetsFewerRequestsAndALowerLimit() {
+        sendSequentially(60, ServerPool.AttemptEnd.WELL, FAST);
+        int[] sent = new int[3];
         for (int i = 0; i < 600; i++) {
             int server = pool.send(now, List.of());
-            got[server]++;
+            sent[server]++;
             boolean slow = server == 0;
             if (slow) {
                 pool.slow(server);
             }
-            pass(0.001);
+            advance(0.001);
             pool.ended(server, ServerPool.AttemptEnd.WELL, slow ? FAST.times(10) : FAST, slow, now);
         }
-        assertThat(got[0]).isLessThan(60);
-        assertThat(pool.limit(0)).isLessThan(4);
+        assertThat(sent[0]).isLessThan(60);
+        assertThat(pool.inFlightLimit(0)).isLessThan(4);
         assertThat(pool.target())
                 .isBetween(NanoDuration.ofSeconds(0.03), NanoDuration.ofSeconds(0.12));
     }
 
     @Test
-    void oneThatWasSlowOnceIsObservedToBeFastAgainUnderALightLoad() {
-        serve(60, ServerPool.AttemptEnd.WELL, FAST);
+    void recoveredServerIsSeenAsFastAgainUnderLightLoad() {
+        sendSequentially(60, ServerPool.AttemptEnd.WELL, FAST);
         for (int i = 0; i < 20; i++) {
-            serve(3, ServerPool.AttemptEnd.WELL, FAST.times(50));
+            sendSequentially(3, ServerPool.AttemptEnd.WELL, FAST.times(50));
         }
-        assertThat(serve(30, ServerPool.AttemptEnd.WELL, FAST)[0]).isZero();
-        int got = 0;
+        assertThat(sendSequentially(30, ServerPool.AttemptEnd.WELL, FAST)[0]).isZero();
+        int sent = 0;
         for (int second = 0; second < 60; second++) {
-            got += serve(10, ServerPool.AttemptEnd.WELL, FAST)[0];
-            pass(1);
+            sent += sendSequentially(10, ServerPool.AttemptEnd.WELL, FAST)[0];
+            advance(1);
         }
-        assertThat(got).isGreaterThan(100);
+        assertThat(sent).isGreaterThan(100);
     }
 
     @Test
-    void whenAllFailOnlyTriesOfTheirReturnGoOut() {
+    void onlyProbesAreSentWhileAllServersFail() {
         for (int i = 0; i < 200; i++) {
             int server = pool.send(now, List.of());
             if (server >= 0) {
@@ -122,20 +129,20 @@
         }
         assertThat(pool.send(now, List.of())).isNegative();
         assertThat(pool.nextBack(now)).isLessThan(now.plus(NanoDuration.ofSeconds(1)));
-        int out = 0;
+        int probes = 0;
         for (int i = 0; i < 600; i++) {
-            pass(0.1);
+            advance(0.1);
             int server = pool.send(now, List.of());
             if (server >= 0) {
-                out++;
+                probes++;
                 pool.ended(server, ServerPool.AttemptEnd.FAILED, NanoDuration.ZERO, false, now);
             }
         }
-        assertThat(out).as("of 600 tickets in a minute").isLessThan(30);
+        assertThat(probes).as("of 600 requests in a minute").isLessThan(30);
     }
 
     @Test
-    void noServerGetsMoreThanItsLimitAndTriedOnesComeLast() {
+    void limitsHoldAndTriedServersAreChosenLast() {
         int sent = 0;
         while (pool.send(now, List.of()) >= 0) {
             sent++;
@@ -144,19 +151,21 @@
         pool.ended(1, ServerPool.AttemptEnd.UNKNOWN, NanoDuration.ZERO, false, now);
         pool.ended(2, ServerPool.AttemptEnd.UNKNOWN, NanoDuration.ZERO, false, now);
         assertThat(pool.send(now, List.of(1))).isEqualTo(2);
-        assertThat(pool.send(now, List.of(1))).as("only the one tried is free").isEqualTo(1);
+        assertThat(pool.send(now, List.of(1)))
+                .as("only the server tried before has capacity")
+                .isEqualTo(1);
     }
 
     @Test
-    void repeatsStayASmallShareAtAnySize() {
+    void retriesStayASmallShareAtAnyLoad() {
         RetryBudget budget = new RetryBudget(0.1, 10);
-        int again = 0;
+        int retries = 0;
         for (int i = 0; i < 100_000; i++) {
             budget.first();
-            again += budget.again() ? 1 : 0;
-            again += budget.again() ? 1 : 0;
+            retries += budget.again() ? 1 : 0;
+            retries += budget.again() ? 1 : 0;
         }
-        assertThat(again).isBetween(10_000, 10_011);
-        assertThat(budget.repeats()).isEqualTo(again);
+        assertThat(retries).isBetween(10_000, 10_011);
+        assertThat(budget.repeats()).isEqualTo(retries);
     }
 }
