--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -381,7 +381,7 @@
     }
 
     /**
-     * The probeAt time at which an ejected server that isn't cordoned may be probed; {@link
+     * The earliest time at which an ejected server that isn't cordoned may be probed; {@link
      * MonotonicTime#NEVER} if there is none.
      */
     public MonotonicTime nextBack(MonotonicTime now) {
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -22,135 +22,153 @@
 import lupinwood.cluster.Site;
 
 /**
- * Makes plans for whoever holds the duty. What a zone needs goes near first, then into the region,
- * then elsewhere, each place to no more than it is trusted with; what is left of a place belongs to
- * its own zone, but for a part kept free, so that others can be helped at once. A plan that takes
- * and gives at once wouldn't fit while nodes may go by the one before: then what is taken is taken
- * first, and given once that plan is retired.
+ * Computes capacity plans for the holder of the planner duty. The demand of a site is placed at
+ * locations of its own zone first, then of its region, then elsewhere, up to the trusted capacity
+ * of each location. The remaining capacity of a location goes to its own zone, except for a reserve
+ * that lets other sites be helped at once. A plan that takes capacity from one site and gives it to
+ * another could overload the location while nodes may still use the previous plan; so a first plan
+ * only takes the capacity away, and a second gives it out once the previous plan is retired.
  */
 public final class CapacityPlanner {
-    /** What came of one life of a node when it was looked at last. */
-    private record Demand(
-            Incarnation incarnation, long offered, double seconds, long well, MonotonicTime at) {}
+    /** The request counts of one incarnation of a node at the last update. */
+    private record NodeDemand(
+            Incarnation incarnation,
+            long offered,
+            double seconds,
+            long succeeded,
+            MonotonicTime at) {}
 
-    /** Of what is needed on the mean, since requests come unevenly and nodes have whole slots. */
-    private static final double ROOM = 1.35;
+    /** Multiple of the mean demand, since requests come unevenly and nodes have whole slots. */
+    private static final double HEADROOM_FACTOR = 1.35;
 
-    private static final double LEARNS = 0.3;
-    private static final int ENOUGH = 20;
+    private static final double SMOOTHING_RATIO = 0.3;
+    private static final int MIN_SUCCEEDED_REQUESTS = 20;
 
-    /** Of what a place has left, that much stays free. */
-    private static final double FREE = 0.3;
+    /** Share of a location's remaining capacity that is not given to its own zone. */
+    private static final double RESERVE_RATIO = 0.3;
 
-    /** Nothing is planned anew for less than this part of a place. */
-    private static final double WORTH = 0.1;
+    /** Changes of at most this share of a location's capacity don't justify a new plan. */
+    private static final double MIN_CHANGE_RATIO = 0.1;
 
-    /** Who has less than so many times what it has in hand now lacks some. */
-    private static final double SCARCE = 1.1;
+    /** A site lacks slots if it has fewer than its mean demand times this. */
+    private static final double SHORTAGE_FACTOR = 1.1;
 
-    /** Looks between two plans for no other cause than that it would be tidier. */
-    private static final double TIDIES_EVERY = 8;
+    /** Decisions between plans that only bring the slots closer to the target. */
+    private static final double REBALANCE_INTERVAL_DECISIONS = 8;
 
     private final LocationHealth health;
-    private final NanoDuration every;
-    private final Map<String, Double> needs = new TreeMap<>();
-    private final Map<String, Double> rates = new TreeMap<>();
-    private final Map<NodeName, Demand> demand = new HashMap<>();
+    private final NanoDuration decisionInterval;
+
+    /** Concurrent requests that each site needs, with headroom. */
+    private final Map<String, Double> neededSlots = new TreeMap<>();
+
+    /** Mean arrival rate of each site. */
+    private final Map<String, Double> requestsPerSecond = new TreeMap<>();
+
+    private final Map<NodeName, NodeDemand> nodeDemands = new HashMap<>();
 
     /**
-     * Seconds that a request of a site takes, with its way there: so more are needed in hand where
-     * they go far.
+     * Mean latency of each site's requests, including the network: a site that sends requests far
+     * away needs more slots.
      */
-    private final Map<String, Double> takes = new TreeMap<>();
+    private final Map<String, Double> latencySeconds = new TreeMap<>();
 
-    /** What is to be given once what it takes has been given back; null for nothing. */
-    private Map<String, Map<String, Integer>> pending;
+    /** Slots to give out once the capacity that they need has been taken back; null for none. */
+    private Map<String, Map<String, Integer>> pendingSlots;
 
-    private MonotonicTime lastLook;
+    private MonotonicTime lastDecisionAt;
     private MonotonicTime plannedAt;
-    private Map<String, Double> trustedThen = Map.of();
+    private Map<String, Double> plannedTrustRatios = Map.of();
     private String why = "";
 
     public CapacityPlanner(NanoDuration lease) {
         health = new LocationHealth(lease);
-        every = lease.times(0.5);
+        decisionInterval = lease.times(0.5);
     }
 
     /**
-     * What the planner goes by.
+     * The planner's input.
      *
-     * @param members of the cluster state: a plan counts them all, also those that are out
-     * @param live all plans that may be gone by still
+     * @param members of the cluster state; a plan counts all of them, also those that are out
+     * @param livePlans all plans that nodes may still use, the newest last
      */
     public record View(
             List<Location> locations,
             Collection<ClusterState.Member> members,
             List<NodeView> nodeViews,
-            List<CapacityPlan> live,
-            long lastPlan) {}
+            List<CapacityPlan> livePlans,
+            long lastPlanNumber) {}
 
-    /** Why it planned last what it did, in one line. */
+    /** The changes of the last plan and their reason, in one line. */
     public String why() {
         return why;
     }
 
-    /** The next plan, or null where the one there is does. */
+    /** The next plan, or null if the current one is good enough. */
     public ClusterCommand.SetCapacityPlan decide(View view, FencingToken token, MonotonicTime now) {
         if (view.locations().isEmpty()
                 || view.members().isEmpty()
-                || (lastLook != null && now.since(lastLook).compareTo(every) < 0)) {
+                || (lastDecisionAt != null
+                        && now.since(lastDecisionAt).compareTo(decisionInterval) < 0)) {
             return null;
         }
-        lastLook = now;
-        boolean settled =
-                view.live().size() < 2; // else what was planned last has yet to be heard everywhere
-        TreeSet<String> names = new TreeSet<>();
-        view.locations().forEach(location -> names.add(location.name()));
-        health.look(view.nodeViews(), names, now);
+        lastDecisionAt = now;
+        // With more than one live plan, some nodes may not know the newest yet.
+        boolean isSettled = view.livePlans().size() < 2;
+        TreeSet<String> locationNames = new TreeSet<>();
+        view.locations().forEach(location -> locationNames.add(location.name()));
+        health.update(view.nodeViews(), locationNames, now);
         Map<String, Site> sites = new TreeMap<>();
-        Map<String, Integer> counts = new TreeMap<>();
+        Map<String, Integer> nodeCounts = new TreeMap<>();
         for (ClusterState.Member member : view.members()) {
             sites.put(member.site().toString(), member.site());
-            counts.merge(member.site().toString(), 1, Integer::sum);
+            nodeCounts.merge(member.site().toString(), 1, Integer::sum);
         }
-        need(view, counts, now);
-        if (!settled) {
+        updateDemand(view, nodeCounts, now);
+        if (!isSettled) {
             return null;
         }
         Map<String, Map<String, Integer>> target =
-                whole(allot(view.locations(), sites, counts), view.locations());
-        Map<String, Integer> bears = new TreeMap<>();
-        Map<String, Map<String, Integer>> alone = new TreeMap<>();
+                roundToWholeSlots(allocate(view.locations(), sites, nodeCounts), view.locations());
+        Map<String, Integer> capacities = new TreeMap<>();
+        Map<String, Map<String, Integer>> unplannedSlots = new TreeMap<>();
         for (Location location : view.locations()) {
-            bears.put(location.name(), location.bears());
+            capacities.put(location.name(), location.bears());
             sites.forEach(
                     (name, site) ->
-                            alone.computeIfAbsent(name, none -> new TreeMap<>())
+                            unplannedSlots
+                                    .computeIfAbsent(name, key -> new TreeMap<>())
                                     .put(location.name(), location.alone(site)));
         }
         CapacityPlan newest =
-                view.live().isEmpty() ? null : view.live().get(view.live().size() - 1);
+                view.livePlans().isEmpty()
+                        ? null
+                        : view.livePlans().get(view.livePlans().size() - 1);
         boolean sameRoster = newest != null && roster(view.members()).equals(newest.roster());
         Map<String, Map<String, Integer>> current = newest == null ? Map.of() : newest.slots();
-        if (sameRoster && pending == null && does(target, current, view, now)) {
+        if (sameRoster
+                && pendingSlots == null
+                && isCurrentPlanSufficient(target, current, view, now)) {
             return null;
         }
-        if (pending != null && sameRoster && trusted(view).equals(trustedThen)) {
-            target = pending; // else what is asked for would move on while what it takes is given
-            // back
+        if (pendingSlots != null && sameRoster && trustRatios(view).equals(plannedTrustRatios)) {
+            // A new target would differ from the one for which capacity is being taken back.
+            target = pendingSlots;
         }
         Map<String, Map<String, Integer>> next =
-                fits(view, target, bears, alone) ? target : least(target, view);
-        if ((sameRoster && next.equals(current)) || !fits(view, next, bears, alone)) {
-            pending = null; // as when a place bears less than before
+                fits(view, target, capacities, unplannedSlots)
+                        ? target
+                        : withoutIncreases(target, view);
+        if ((sameRoster && next.equals(current)) || !fits(view, next, capacities, unplannedSlots)) {
+            pendingSlots = null; // for instance when a location's capacity was reduced
             return null;
         }
-        why = changes(current, next);
-        pending = next.equals(target) ? null : target;
+        why = describeChanges(current, next);
+        pendingSlots = next.equals(target) ? null : target;
         plannedAt = now;
-        trustedThen = trusted(view);
+        plannedTrustRatios = trustRatios(view);
         return new ClusterCommand.SetCapacityPlan(
-                token, view.lastPlan(), bears, alone, next, why, 0);
+                token, view.lastPlanNumber(), capacities, unplannedSlots, next, why, 0);
     }
 
     private static Map<String, String> roster(Collection<ClusterState.Member> members) {
@@ -160,250 +178,278 @@
     }
 
     /**
-     * How many requests at once each site would like to have below: how many come in a second,
-     * times how long one of its own takes. What is out or waits would tell of what it was given,
-     * and not of what it needs.
+     * Updates how many concurrent requests each site needs downstream: its arrival rate times its
+     * mean latency. The number of requests in flight or queued would show what the site was given,
+     * not what it needs.
      */
-    private void need(View view, Map<String, Integer> counts, MonotonicTime now) {
-        Map<String, double[]> took = new TreeMap<>();
-        Map<String, Double> came = new TreeMap<>();
-        for (NodeView one : view.nodeViews()) {
-            if (one.report() == null
-                    || one.status() == NodeStatus.OUT
-                    || one.status() == NodeStatus.UNKNOWN) {
-                demand.remove(one.name());
+    private void updateDemand(View view, Map<String, Integer> nodeCounts, MonotonicTime now) {
+        // By site: sum of the latencies, and the number of requests that succeeded.
+        Map<String, double[]> latencySums = new TreeMap<>();
+        Map<String, Double> arrivalRates = new TreeMap<>();
+        for (NodeView nodeView : view.nodeViews()) {
+            if (nodeView.report() == null
+                    || nodeView.status() == NodeStatus.OUT
+                    || nodeView.status() == NodeStatus.UNKNOWN) {
+                nodeDemands.remove(nodeView.name());
                 continue;
             }
-            long most = 0;
+            long offered = 0;
             double seconds = 0;
-            long well = 0;
-            for (NodeReport.LocationUse use : one.report().uses()) {
-                most = Math.max(most, use.offered());
+            long succeeded = 0;
+            for (NodeReport.LocationUse use : nodeView.report().uses()) {
+                offered = Math.max(offered, use.offered());
                 seconds += use.seconds();
-                well += use.ended() - use.failed();
+                succeeded += use.ended() - use.failed();
             }
-            Demand last =
-                    demand.put(one.name(), new Demand(one.incarnation(), most, seconds, well, now));
+            NodeDemand last =
+                    nodeDemands.put(
+                            nodeView.name(),
+                            new NodeDemand(
+                                    nodeView.incarnation(), offered, seconds, succeeded, now));
             if (last != null
-                    && last.incarnation().equals(one.incarnation())
+                    && last.incarnation().equals(nodeView.incarnation())
                     && now.since(last.at()).isPositive()) {
-                came.merge(
-                        one.site().toString(),
-                        (most - last.offered()) / now.since(last.at()).seconds(),
+                arrivalRates.merge(
+                        nodeView.site().toString(),
+                        (offered - last.offered()) / now.since(last.at()).seconds(),
                         Double::sum);
-                double[] sums = took.computeIfAbsent(one.site().toString(), none -> new double[2]);
+                double[] sums =
+                        latencySums.computeIfAbsent(
+                                nodeView.site().toString(), key -> new double[2]);
                 sums[0] += seconds - last.seconds();
-                sums[1] += well - last.well();
+                sums[1] += succeeded - last.succeeded();
             }
         }
-        took.forEach(
+        latencySums.forEach(
                 (site, sums) -> {
-                    if (sums[1] > ENOUGH) {
-                        takes.merge(
+                    if (sums[1] > MIN_SUCCEEDED_REQUESTS) {
+                        latencySeconds.merge(
                                 site,
                                 sums[0] / sums[1],
-                                (old, latest) -> old + (latest - old) * LEARNS);
+                                (old, latest) -> old + (latest - old) * SMOOTHING_RATIO);
                     }
                 });
-        double usual = takes.values().stream().mapToDouble(one -> one).average().orElse(0);
-        counts.forEach(
+        double meanLatencySeconds =
+                latencySeconds.values().stream()
+                        .mapToDouble(seconds -> seconds)
+                        .average()
+                        .orElse(0);
+        nodeCounts.forEach(
                 (site, count) -> {
-                    double latest = came.getOrDefault(site, -1.0);
-                    if (latest >= 0) {
-                        rates.merge(site, latest, (old, more) -> old + (more - old) * LEARNS);
+                    double arrivalRate = arrivalRates.getOrDefault(site, -1.0);
+                    if (arrivalRate >= 0) {
+                        requestsPerSecond.merge(
+                                site,
+                                arrivalRate,
+                                (old, latest) -> old + (latest - old) * SMOOTHING_RATIO);
                     }
-                    needs.put(
+                    neededSlots.put(
                             site,
                             Math.max(
                                     count,
-                                    rates.getOrDefault(site, 0.0)
-                                            * takes.getOrDefault(site, usual)
-                                            * ROOM));
+                                    requestsPerSecond.getOrDefault(site, 0.0)
+                                            * latencySeconds.getOrDefault(site, meanLatencySeconds)
+                                            * HEADROOM_FACTOR));
                 });
-        needs.keySet().retainAll(counts.keySet());
-        rates.keySet().retainAll(counts.keySet());
-        takes.keySet().retainAll(counts.keySet());
+        neededSlots.keySet().retainAll(nodeCounts.keySet());
+        requestsPerSecond.keySet().retainAll(nodeCounts.keySet());
+        latencySeconds.keySet().retainAll(nodeCounts.keySet());
     }
 
-    /** Slots by site and place, before they are parted among nodes. */
-    private Map<String, Map<String, Double>> allot(
-            List<Location> locations, Map<String, Site> sites, Map<String, Integer> counts) {
-        Map<String, Double> left = new HashMap<>();
+    /** Fractional slots by site and location. */
+    private Map<String, Map<String, Double>> allocate(
+            List<Location> locations, Map<String, Site> sites, Map<String, Integer> nodeCounts) {
+        Map<String, Double> free = new HashMap<>();
         for (Location location : locations) {
-            // Standing rights of all nodes come first, and are part of what each gets.
-            left.put(
-                    location.name(), Math.max(0, location.bears() * health.trust(location.name())));
+            // The slots that nodes may use without a plan are allocated first, and are part of each
+            // site's slots.
+            free.put(
+                    location.name(),
+                    Math.max(0, location.bears() * health.trustRatio(location.name())));
         }
-        Map<String, Map<String, Double>> given = new TreeMap<>();
-        Map<String, Double> open = new TreeMap<>(needs);
-        sites.forEach((name, site) -> given.put(name, new TreeMap<>()));
+        Map<String, Map<String, Double>> allocated = new TreeMap<>();
+        Map<String, Double> unmet = new TreeMap<>(neededSlots);
+        sites.forEach((name, site) -> allocated.put(name, new TreeMap<>()));
         for (Location location : locations) {
             sites.forEach(
                     (name, site) -> {
-                        double standing = (double) location.alone(site) * counts.get(name);
-                        given.get(name).put(location.name(), standing);
-                        left.merge(location.name(), -standing, Double::sum);
-                        if (health.trust(location.name()) > 0) {
-                            open.merge(name, -standing, Double::sum);
+                        double unplanned = (double) location.alone(site) * nodeCounts.get(name);
+                        allocated.get(name).put(location.name(), unplanned);
+                        free.merge(location.name(), -unplanned, Double::sum);
+                        if (health.trustRatio(location.name()) > 0) {
+                            unmet.merge(name, -unplanned, Double::sum);
                         }
                     });
         }
         for (int distance = 0; distance <= 2; distance++) {
-            spread(locations, sites, distance, open, left, given);
+            distribute(locations, sites, distance, unmet, free, allocated);
         }
         for (Location location : locations) {
-            double spare = left.get(location.name()) * (1 - FREE);
-            String own = location.site().toString();
-            if (spare > 0 && given.containsKey(own)) {
-                given.get(own).merge(location.name(), spare, Double::sum);
+            double spare = free.get(location.name()) * (1 - RESERVE_RATIO);
+            String ownSite = location.site().toString();
+            if (spare > 0 && allocated.containsKey(ownSite)) {
+                allocated.get(ownSite).merge(location.name(), spare, Double::sum);
             }
         }
-        return given;
+        return allocated;
     }
 
     /**
-     * What is open still goes to places so far away: each place's room is parted by need, each need
-     * by room.
+     * Distributes the unmet demand of each site over the locations at the given distance in
+     * proportion to their free capacity; a location that is asked for more than it has divides it
+     * in proportion to what the sites ask for.
      */
-    private static void spread(
+    private static void distribute(
             List<Location> locations,
             Map<String, Site> sites,
             int distance,
-            Map<String, Double> open,
-            Map<String, Double> left,
-            Map<String, Map<String, Double>> given) {
+            Map<String, Double> unmet,
+            Map<String, Double> free,
+            Map<String, Map<String, Double>> allocated) {
         for (int round = 0; round < 4; round++) {
-            Map<String, Double> demand = new HashMap<>();
-            Map<String, Map<String, Double>> asks = new TreeMap<>();
+            Map<String, Double> requestedTotals = new HashMap<>();
+            Map<String, Map<String, Double>> requested = new TreeMap<>();
             sites.forEach(
                     (name, site) -> {
-                        double room = 0;
-                        List<Location> there = new ArrayList<>();
+                        double totalFree = 0;
+                        List<Location> reachable = new ArrayList<>();
                         for (Location location : locations) {
                             if (location.distance(site) == distance
-                                    && location.mayReach(site)
-                                    && left.get(location.name()) > 0) {
-                                room += left.get(location.name());
-                                there.add(location);
+                                    && location.canReach(site)
+                                    && free.get(location.name()) > 0) {
+                                totalFree += free.get(location.name());
+                                reachable.add(location);
                             }
                         }
-                        for (Location location : there) {
-                            double part =
-                                    Math.max(0, open.getOrDefault(name, 0.0))
-                                            * left.get(location.name())
-                                            / room;
-                            asks.computeIfAbsent(name, none -> new TreeMap<>())
-                                    .put(location.name(), part);
-                            demand.merge(location.name(), part, Double::sum);
+                        for (Location location : reachable) {
+                            double slots =
+                                    Math.max(0, unmet.getOrDefault(name, 0.0))
+                                            * free.get(location.name())
+                                            / totalFree;
+                            requested
+                                    .computeIfAbsent(name, key -> new TreeMap<>())
+                                    .put(location.name(), slots);
+                            requestedTotals.merge(location.name(), slots, Double::sum);
                         }
                     });
-            asks.forEach(
-                    (name, parts) ->
-                            parts.forEach(
-                                    (location, part) -> {
-                                        double all = demand.get(location);
-                                        double may =
-                                                all <= left.get(location)
-                                                        ? part
-                                                        : part * left.get(location) / all;
-                                        given.get(name).merge(location, may, Double::sum);
-                                        open.merge(name, -may, Double::sum);
+            requested.forEach(
+                    (name, byLocation) ->
+                            byLocation.forEach(
+                                    (location, slots) -> {
+                                        double total = requestedTotals.get(location);
+                                        double granted =
+                                                total <= free.get(location)
+                                                        ? slots
+                                                        : slots * free.get(location) / total;
+                                        allocated.get(name).merge(location, granted, Double::sum);
+                                        unmet.merge(name, -granted, Double::sum);
                                     }));
-            demand.forEach(
-                    (location, all) ->
-                            left.merge(location, -Math.min(all, left.get(location)), Double::sum));
+            requestedTotals.forEach(
+                    (location, total) ->
+                            free.merge(
+                                    location, -Math.min(total, free.get(location)), Double::sum));
         }
     }
 
     /**
-     * Whole slots. What a site loses by that at all places together it gets back in whole ones,
-     * where it lost most and as long as there is room: else a need that is spread thinly would come
-     * to nothing.
+     * Rounds down to whole slots, then gives each site the sum of its lost fractions back in whole
+     * slots, at the locations with the largest fractions first and while these have free capacity:
+     * otherwise demand that is spread over many locations would be rounded down to nothing.
      */
-    private Map<String, Map<String, Integer>> whole(
-            Map<String, Map<String, Double>> given, List<Location> locations) {
-        Map<String, Double> room = new HashMap<>();
+    private Map<String, Map<String, Integer>> roundToWholeSlots(
+            Map<String, Map<String, Double>> allocated, List<Location> locations) {
+        Map<String, Double> free = new HashMap<>();
         for (Location location : locations) {
-            double sum =
-                    given.values().stream()
+            double used =
+                    allocated.values().stream()
                             .mapToDouble(
-                                    parts ->
+                                    byLocation ->
                                             Math.floor(
-                                                    parts.getOrDefault(location.name(), 0.0)
+                                                    byLocation.getOrDefault(location.name(), 0.0)
                                                             + 1e-9))
                             .sum();
-            room.put(
+            free.put(
                     location.name(),
-                    Math.floor(location.bears() * health.trust(location.name())) - sum);
+                    Math.floor(location.bears() * health.trustRatio(location.name())) - used);
         }
         Map<String, Map<String, Integer>> slots = new TreeMap<>();
-        given.forEach(
-                (site, parts) -> {
-                    Map<String, Integer> own = new TreeMap<>();
-                    Map<String, Double> lost = new TreeMap<>();
-                    parts.forEach(
-                            (location, part) -> {
-                                own.put(location, (int) Math.floor(part + 1e-9));
-                                lost.put(location, part - Math.floor(part + 1e-9));
+        allocated.forEach(
+                (site, byLocation) -> {
+                    Map<String, Integer> siteSlots = new TreeMap<>();
+                    Map<String, Double> fractions = new TreeMap<>();
+                    byLocation.forEach(
+                            (location, exact) -> {
+                                siteSlots.put(location, (int) Math.floor(exact + 1e-9));
+                                fractions.put(location, exact - Math.floor(exact + 1e-9));
                             });
-                    double all = lost.values().stream().mapToDouble(one -> one).sum();
-                    List<String> most =
-                            lost.entrySet().stream()
-                                    .filter(one -> one.getValue() > 0)
+                    double lostSlots =
+                            fractions.values().stream().mapToDouble(fraction -> fraction).sum();
+                    List<String> largestFirst =
+                            fractions.entrySet().stream()
+                                    .filter(entry -> entry.getValue() > 0)
                                     .sorted(
                                             Comparator.comparing(
-                                                            (Map.Entry<String, Double> one) ->
-                                                                    -one.getValue())
+                                                            (Map.Entry<String, Double> entry) ->
+                                                                    -entry.getValue())
                                                     .thenComparing(Map.Entry::getKey))
                                     .map(Map.Entry::getKey)
                                     .toList();
-                    for (String location : most) {
-                        if (all > 0.1 && room.get(location) >= 1) {
-                            own.merge(location, 1, Integer::sum);
-                            room.merge(location, -1.0, Double::sum);
-                            all--;
+                    for (String location : largestFirst) {
+                        if (lostSlots > 0.1 && free.get(location) >= 1) {
+                            siteSlots.merge(location, 1, Integer::sum);
+                            free.merge(location, -1.0, Double::sum);
+                            lostSlots--;
                         }
                     }
-                    own.values().removeIf(one -> one == 0);
-                    slots.put(site, own);
+                    siteSlots.values().removeIf(count -> count == 0);
+                    slots.put(site, siteSlots);
                 });
         return slots;
     }
 
     /**
-     * Whether the plan there is does: nobody lacks much, no place's trust has changed, and little
-     * would move.
+     * Whether the current plan may stay: no site lacks slots that the target would give it, the
+     * trust in no location has changed, and a rebalancing isn't due or would move little.
      */
-    private boolean does(
+    private boolean isCurrentPlanSufficient(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
             View view,
             MonotonicTime now) {
-        if (!trusted(view).equals(trustedThen)) {
+        if (!trustRatios(view).equals(plannedTrustRatios)) {
             return false;
         }
-        for (Map.Entry<String, Double> need : needs.entrySet()) {
-            double has = has(current, need.getKey());
-            if (has < need.getValue() / ROOM * SCARCE && has(target, need.getKey()) > has * 1.1) {
+        for (Map.Entry<String, Double> needed : neededSlots.entrySet()) {
+            double currentSlots = trustedSlots(current, needed.getKey());
+            if (currentSlots < needed.getValue() / HEADROOM_FACTOR * SHORTAGE_FACTOR
+                    && trustedSlots(target, needed.getKey()) > currentSlots * 1.1) {
                 return false;
             }
         }
-        boolean late =
-                plannedAt == null || now.since(plannedAt).compareTo(every.times(TIDIES_EVERY)) >= 0;
-        return !late || isNear(target, current, view.locations());
+        boolean isRebalanceDue =
+                plannedAt == null
+                        || now.since(plannedAt)
+                                        .compareTo(
+                                                decisionInterval.times(
+                                                        REBALANCE_INTERVAL_DECISIONS))
+                                >= 0;
+        return !isRebalanceDue || isNear(target, current, view.locations());
     }
 
-    private Map<String, Double> trusted(View view) {
-        Map<String, Double> trusted = new TreeMap<>();
+    private Map<String, Double> trustRatios(View view) {
+        Map<String, Double> trustRatios = new TreeMap<>();
         view.locations()
-                .forEach(location -> trusted.put(location.name(), health.trust(location.name())));
-        return trusted;
+                .forEach(
+                        location ->
+                                trustRatios.put(
+                                        location.name(), health.trustRatio(location.name())));
+        return trustRatios;
     }
 
-    /** What a site has at places that are trusted. */
-    private double has(Map<String, Map<String, Integer>> slots, String site) {
+    /** The number of slots of a site at locations that are trusted at all. */
+    private double trustedSlots(Map<String, Map<String, Integer>> slots, String site) {
         return slots.getOrDefault(site, Map.of()).entrySet().stream()
-                .filter(one -> health.trust(one.getKey()) > 0)
+                .filter(entry -> health.trustRatio(entry.getKey()) > 0)
                 .mapToInt(Map.Entry::getValue)
                 .sum();
     }
@@ -415,91 +461,102 @@
         for (Location location : locations) {
             double moved = 0;
             for (String site : target.keySet()) {
-                int next = target.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
-                int now = current.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
-                moved += Math.abs(next - now);
+                int targetSlots =
+                        target.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
+                int currentSlots =
+                        current.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
+                moved += Math.abs(targetSlots - currentSlots);
             }
-            if (moved > Math.max(1, location.bears() * WORTH)) {
+            if (moved > Math.max(1, location.bears() * MIN_CHANGE_RATIO)) {
                 return false;
             }
         }
         return true;
     }
 
+    /** Whether no location can be overloaded while nodes use any live plan or the given slots. */
     private static boolean fits(
             View view,
             Map<String, Map<String, Integer>> slots,
-            Map<String, Integer> bears,
-            Map<String, Map<String, Integer>> alone) {
-        List<CapacityPlan> all = new ArrayList<>(view.live());
-        all.add(new CapacityPlan(view.lastPlan() + 1, roster(view.members()), slots));
-        return CapacityPlan.overfull(all, bears, alone) == null;
+            Map<String, Integer> capacities,
+            Map<String, Map<String, Integer>> unplannedSlots) {
+        List<CapacityPlan> plans = new ArrayList<>(view.livePlans());
+        plans.add(new CapacityPlan(view.lastPlanNumber() + 1, roster(view.members()), slots));
+        return CapacityPlan.overfull(plans, capacities, unplannedSlots) == null;
     }
 
-    /** What is taken now: nobody gets more than by any live plan, and nobody more than wanted. */
-    private static Map<String, Map<String, Integer>> least(
+    /** The target slots, but for each site and location at most the slots of every live plan. */
+    private static Map<String, Map<String, Integer>> withoutIncreases(
             Map<String, Map<String, Integer>> target, View view) {
-        Map<String, Map<String, Integer>> least = new TreeMap<>();
+        Map<String, Map<String, Integer>> reduced = new TreeMap<>();
         target.forEach(
-                (site, parts) -> {
-                    Map<String, Integer> own = new TreeMap<>();
-                    parts.forEach(
-                            (place, wanted) -> {
-                                int may = wanted;
-                                for (CapacityPlan plan : view.live()) {
-                                    may =
+                (site, byLocation) -> {
+                    Map<String, Integer> siteSlots = new TreeMap<>();
+                    byLocation.forEach(
+                            (location, wanted) -> {
+                                int allowed = wanted;
+                                for (CapacityPlan plan : view.livePlans()) {
+                                    allowed =
                                             Math.min(
-                                                    may,
+                                                    allowed,
                                                     plan.slots()
                                                             .getOrDefault(site, Map.of())
-                                                            .getOrDefault(place, 0));
+                                                            .getOrDefault(location, 0));
                                 }
-                                if (may > 0) {
-                                    own.put(place, may);
+                                if (allowed > 0) {
+                                    siteSlots.put(location, allowed);
                                 }
                             });
-                    least.put(site, own);
+                    reduced.put(site, siteSlots);
                 });
-        return least;
+        return reduced;
     }
 
-    private String changes(
+    private String describeChanges(
             Map<String, Map<String, Integer>> current, Map<String, Map<String, Integer>> next) {
-        List<String> all = new ArrayList<>();
+        List<String> changes = new ArrayList<>();
         next.forEach(
-                (site, parts) -> {
-                    TreeSet<String> places = new TreeSet<>(parts.keySet());
-                    places.addAll(current.getOrDefault(site, Map.of()).keySet());
-                    for (String place : places) {
-                        int was = current.getOrDefault(site, Map.of()).getOrDefault(place, 0);
-                        int is = parts.getOrDefault(place, 0);
-                        if (was != is) {
-                            all.add(site + " at " + place + " " + was + " -> " + is);
+                (site, byLocation) -> {
+                    TreeSet<String> locations = new TreeSet<>(byLocation.keySet());
+                    locations.addAll(current.getOrDefault(site, Map.of()).keySet());
+                    for (String location : locations) {
+                        int before = current.getOrDefault(site, Map.of()).getOrDefault(location, 0);
+                        int after = byLocation.getOrDefault(location, 0);
+                        if (before != after) {
+                            changes.add(
+                                    site
+                                            + " at "
+                                            + location
+                                            + ": slots "
+                                            + before
+                                            + " -> "
+                                            + after);
                         }
                     }
                 });
-        all.sort(Comparator.comparing(one -> one));
-        String trusts = "";
-        for (String place :
+        changes.sort(Comparator.comparing(change -> change));
+        String reducedTrust = "";
+        for (String location :
                 new TreeSet<>(
                         next.values().stream()
-                                .flatMap(parts -> parts.keySet().stream())
+                                .flatMap(byLocation -> byLocation.keySet().stream())
                                 .toList())) {
-            if (health.trust(place) < 1) {
-                trusts +=
-                        ", "
-                                + place
-                                + " is trusted with "
-                                + Math.round(health.trust(place) * 100)
+            if (health.trustRatio(location) < 1) {
+                reducedTrust +=
+                        ", trusted capacity of "
+                                + location
+                                + " is "
+                                + Math.round(health.trustRatio(location) * 100)
                                 + "%";
             }
         }
-        int more = all.size() - 6;
-        return String.join(", ", all.subList(0, Math.min(6, all.size())))
+        int more = changes.size() - 6;
+        return String.join(", ", changes.subList(0, Math.min(6, changes.size())))
                 + (more > 0 ? " and " + more + " more" : "")
-                + trusts
-                + (health.unheard().isEmpty()
+                + reducedTrust
+                + (health.ignoredSites().isEmpty()
                         ? ""
-                        : ", not heeded, since they suffer themselves: " + health.unheard());
+                        : ", reports ignored from sites that are at fault themselves: "
+                                + health.ignoredSites());
     }
 }
--- a/src/main/java/lupinwood/failover/Location.java
+++ b/src/main/java/lupinwood/failover/Location.java
@@ -3,27 +3,27 @@
 import lupinwood.cluster.Site;
 
 /**
- * Something below that carries out requests.
+ * A group of downstream servers.
  *
- * @param bears how many requests at once it can bear, as the operator says
- * @param near how many a node of its own zone may have there without a plan
- * @param far how many any other node may
- * @param staysInRegion whether nodes of other regions may never send there
+ * @param bears its capacity in concurrent requests, as configured by the operator
+ * @param near how many requests a node of the same zone may have in flight there without a plan
+ * @param far how many any other node may have in flight there without a plan
+ * @param staysInRegion whether nodes of other regions may never send requests there
  */
 public record Location(
         String name, Site site, int bears, int near, int far, boolean staysInRegion) {
-    /** What a node there may have without a plan. */
-    public int alone(Site node) {
-        return node.equals(site) ? near : mayReach(node) ? far : 0;
+    /** How many requests a node of the given site may have in flight here without a plan. */
+    public int alone(Site nodeSite) {
+        return nodeSite.equals(site) ? near : canReach(nodeSite) ? far : 0;
     }
 
-    /** Whether a node there may ever send to it. */
-    public boolean mayReach(Site node) {
-        return !staysInRegion || node.region().equals(site.region());
+    /** Whether nodes of the given site may send requests here at all. */
+    public boolean canReach(Site nodeSite) {
+        return !staysInRegion || nodeSite.region().equals(site.region());
     }
 
     /** 0 in the same zone, 1 in the same region, 2 elsewhere. */
-    public int distance(Site node) {
-        return node.equals(site) ? 0 : node.region().equals(site.region()) ? 1 : 2;
+    public int distance(Site nodeSite) {
+        return nodeSite.equals(site) ? 0 : nodeSite.region().equals(site.region()) ? 1 : 2;
     }
 }
--- a/src/main/java/lupinwood/failover/LocationHealth.java
+++ b/src/main/java/lupinwood/failover/LocationHealth.java
@@ -15,53 +15,58 @@
 import lupinwood.cluster.NodeView;
 
 /**
- * What is known of places by what nodes tell: which are sick, and how much each is trusted again
- * after it was. A site to which all is sick while others do well there is itself what suffers, and
- * isn't listened to. Where all that anybody tries is sick, nothing is: a fault of the whole moves
- * nothing.
+ * Health of the locations as the nodes report it: which locations are unhealthy, and how far each
+ * is trusted again after it recovered. A site that finds every location failing while other sites
+ * succeed at one of them is itself at fault, and its reports are ignored. If every location in use
+ * is unhealthy, trust stays as it is: a fault that affects all of them must not move traffic.
  */
 final class LocationHealth {
-    private static final double SICK = 0.5;
-    private static final double WELL = 0.2;
-    private static final int ENOUGH = 4;
+    private static final double UNHEALTHY_FAILURE_RATIO = 0.5;
+    private static final double HEALTHY_FAILURE_RATIO = 0.2;
+    private static final int MIN_ENDED_REQUESTS = 4;
 
-    /** Of what was seen before, that much counts at each look on. */
-    private static final double RETAINED = 0.6;
+    /** Weight of the earlier request counts after each update. */
+    private static final double RETAINED_RATIO = 0.6;
 
-    private static final double TRUST_STEP = 0.25;
-    private static final double LEAST_STEP = 1.0 / 16;
+    private static final double TRUST_STEP_RATIO = 0.25;
+    private static final double MIN_TRUST_STEP_RATIO = 1.0 / 16;
+    private static final double TRUST_STEP_INTERVAL_LEASES = 2;
+    private static final double FLAPPING_WINDOW_LEASES = 40;
 
-    /** In leases. */
-    private static final double STEP_EVERY = 2;
-
-    private static final double FLAPPED_WITHIN = 40;
-
-    private static final class Row {
+    /** Request counts of one site at one location. */
+    private static final class SiteUse {
         double ended;
         double failed;
-        int leaveOut;
+        int ejectingNodes;
         int nodes;
 
-        double share() {
-            // Who leaves a place out tries it no more, so that is what is known of it then.
-            return nodes > 0 && leaveOut * 2 > nodes ? 1 : ended < ENOUGH ? -1 : failed / ended;
+        /** The share of requests that failed; negative while too few have ended. */
+        double failureRatio() {
+            // Nodes that ejected the location send no requests there, so their ejections count
+            // instead of request counts.
+            return nodes > 0 && ejectingNodes * 2 > nodes
+                    ? 1
+                    : ended < MIN_ENDED_REQUESTS ? -1 : failed / ended;
         }
     }
 
     private static final class Trust {
-        double share = 1;
-        double step = TRUST_STEP;
-        boolean sick;
-        MonotonicTime changed;
-        MonotonicTime sickAt;
+        double ratio = 1;
+        double stepRatio = TRUST_STEP_RATIO;
+        boolean isUnhealthy;
+        MonotonicTime changedAt;
+        MonotonicTime unhealthyAt;
     }
 
-    private record NodeLocation(NodeName node, String place) {}
+    private record NodeLocation(NodeName node, String location) {}
 
     private record PreviousUse(Incarnation incarnation, long ended, long failed) {}
 
-    private final Map<NodeLocation, PreviousUse> before = new HashMap<>();
-    private final Map<String, Map<String, Row>> rows = new TreeMap<>();
+    private final Map<NodeLocation, PreviousUse> previousUses = new HashMap<>();
+
+    /** By location, then by site. */
+    private final Map<String, Map<String, SiteUse>> siteUses = new TreeMap<>();
+
     private final Map<String, Trust> trusts = new HashMap<>();
     private final NanoDuration lease;
 
@@ -69,146 +74,169 @@
         this.lease = lease;
     }
 
-    /** A look at all that nodes tell; what came since the last one counts most. */
-    void look(Iterable<NodeView> all, Set<String> places, MonotonicTime now) {
-        rows.values()
+    /** Evaluates the node reports; requests that ended since the last update count most. */
+    void update(Iterable<NodeView> nodeViews, Set<String> locations, MonotonicTime now) {
+        siteUses.values()
                 .forEach(
                         sites ->
                                 sites.values()
                                         .forEach(
-                                                row -> {
-                                                    row.ended *= RETAINED;
-                                                    row.failed *= RETAINED;
-                                                    row.leaveOut = 0;
-                                                    row.nodes = 0;
+                                                siteUse -> {
+                                                    siteUse.ended *= RETAINED_RATIO;
+                                                    siteUse.failed *= RETAINED_RATIO;
+                                                    siteUse.ejectingNodes = 0;
+                                                    siteUse.nodes = 0;
                                                 }));
-        for (NodeView nodeView : all) {
+        for (NodeView nodeView : nodeViews) {
             if (nodeView.status() == NodeStatus.OUT
                     || nodeView.status() == NodeStatus.UNKNOWN
                     || nodeView.report() == null) {
-                continue; // what it said last is old
+                continue; // its last report is out of date
             }
             for (NodeReport.LocationUse use : nodeView.report().uses()) {
                 PreviousUse last =
-                        before.put(
+                        previousUses.put(
                                 new NodeLocation(nodeView.name(), use.place()),
                                 new PreviousUse(nodeView.incarnation(), use.ended(), use.failed()));
-                boolean same = last != null && last.incarnation().equals(nodeView.incarnation());
-                Row row =
-                        rows.computeIfAbsent(use.place(), none -> new TreeMap<>())
-                                .computeIfAbsent(nodeView.site().toString(), none -> new Row());
-                row.nodes++;
-                row.leaveOut += use.leftOut() ? 1 : 0;
-                row.ended += use.ended() - (same ? last.ended() : 0);
-                row.failed += use.failed() - (same ? last.failed() : 0);
+                boolean sameIncarnation =
+                        last != null && last.incarnation().equals(nodeView.incarnation());
+                SiteUse siteUse =
+                        siteUses.computeIfAbsent(use.place(), key -> new TreeMap<>())
+                                .computeIfAbsent(nodeView.site().toString(), key -> new SiteUse());
+                siteUse.nodes++;
+                siteUse.ejectingNodes += use.leftOut() ? 1 : 0;
+                siteUse.ended += use.ended() - (sameIncarnation ? last.ended() : 0);
+                siteUse.failed += use.failed() - (sameIncarnation ? last.failed() : 0);
             }
         }
-        judge(places, now);
+        evaluate(locations, now);
     }
 
-    private void judge(Set<String> places, MonotonicTime now) {
-        Set<String> deaf = suffering();
-        Set<String> sick = new TreeSet<>();
-        Set<String> tried = new TreeSet<>();
-        for (String place : places) {
-            int says = 0;
-            int against = 0;
-            for (Map.Entry<String, Row> site : rows.getOrDefault(place, Map.of()).entrySet()) {
-                double share = site.getValue().share();
-                if (share >= 0 && !deaf.contains(site.getKey())) {
-                    says++;
-                    against += share > SICK ? 1 : 0;
+    private void evaluate(Set<String> locations, MonotonicTime now) {
+        Set<String> ignoredSites = findIgnoredSites();
+        Set<String> unhealthy = new TreeSet<>();
+        Set<String> inUse = new TreeSet<>();
+        for (String location : locations) {
+            int sites = 0;
+            int failingSites = 0;
+            for (Map.Entry<String, SiteUse> site :
+                    siteUses.getOrDefault(location, Map.of()).entrySet()) {
+                double failureRatio = site.getValue().failureRatio();
+                if (failureRatio >= 0 && !ignoredSites.contains(site.getKey())) {
+                    sites++;
+                    failingSites += failureRatio > UNHEALTHY_FAILURE_RATIO ? 1 : 0;
                 }
             }
-            if (says > 0) {
-                tried.add(place);
+            if (sites > 0) {
+                inUse.add(location);
             }
-            if (against * 2 > says) {
-                sick.add(place);
+            if (failingSites * 2 > sites) {
+                unhealthy.add(location);
             }
         }
-        boolean whole =
-                !sick.isEmpty() && sick.equals(tried) && places.size() > 1 && tried.size() > 1;
-        for (String place : places) {
-            Trust trust = trusts.computeIfAbsent(place, none -> new Trust());
-            if (whole) {
+        boolean isGlobalFault =
+                !unhealthy.isEmpty()
+                        && unhealthy.equals(inUse)
+                        && locations.size() > 1
+                        && inUse.size() > 1;
+        for (String location : locations) {
+            Trust trust = trusts.computeIfAbsent(location, key -> new Trust());
+            if (isGlobalFault) {
                 continue;
             }
-            if (sick.contains(place)) {
-                sicken(trust, now);
-            } else if (tried.contains(place)) {
+            if (unhealthy.contains(location)) {
+                markUnhealthy(trust, now);
+            } else if (inUse.contains(location)) {
                 recover(trust, now);
             }
         }
     }
 
-    /** Sites that see all that they try as sick, of which others see some as well. */
-    private Set<String> suffering() {
+    /**
+     * Sites whose reports are ignored: every location that they use fails for them, and another
+     * site succeeds at one of these.
+     */
+    private Set<String> findIgnoredSites() {
+        // By site: locations in use, failing ones, and failing ones at which another site succeeds.
         Map<String, int[]> sites = new TreeMap<>();
-        rows.forEach(
-                (place, bySite) ->
+        siteUses.forEach(
+                (location, bySite) ->
                         bySite.forEach(
-                                (site, row) -> {
-                                    if (row.share() >= 0) {
+                                (site, siteUse) -> {
+                                    if (siteUse.failureRatio() >= 0) {
                                         int[] counts =
-                                                sites.computeIfAbsent(site, none -> new int[3]);
+                                                sites.computeIfAbsent(site, key -> new int[3]);
                                         counts[0]++;
-                                        counts[1] += row.share() > SICK ? 1 : 0;
-                                        boolean wellElsewhere =
+                                        counts[1] +=
+                                                siteUse.failureRatio() > UNHEALTHY_FAILURE_RATIO
+                                                        ? 1
+                                                        : 0;
+                                        boolean isHealthyForOthers =
                                                 bySite.entrySet().stream()
                                                         .anyMatch(
                                                                 other ->
                                                                         !other.getKey().equals(site)
                                                                                 && other.getValue()
-                                                                                                .share()
+                                                                                                .failureRatio()
                                                                                         >= 0
                                                                                 && other.getValue()
-                                                                                                .share()
-                                                                                        < WELL);
-                                        counts[2] += row.share() > SICK && wellElsewhere ? 1 : 0;
+                                                                                                .failureRatio()
+                                                                                        < HEALTHY_FAILURE_RATIO);
+                                        counts[2] +=
+                                                siteUse.failureRatio() > UNHEALTHY_FAILURE_RATIO
+                                                                && isHealthyForOthers
+                                                        ? 1
+                                                        : 0;
                                     }
                                 }));
-        Set<String> suffering = new HashSet<>();
+        Set<String> ignored = new HashSet<>();
         sites.forEach(
                 (site, counts) -> {
                     if (counts[0] == counts[1] && counts[2] > 0) {
-                        suffering.add(site);
+                        ignored.add(site);
                     }
                 });
-        return suffering;
+        return ignored;
     }
 
-    private void sicken(Trust trust, MonotonicTime now) {
-        if (!trust.sick) {
-            // One that falls again soon after it was trusted again gets it back in smaller steps.
-            boolean flaps =
-                    trust.sickAt != null
-                            && now.since(trust.sickAt).compareTo(lease.times(FLAPPED_WITHIN)) < 0;
-            trust.step = flaps ? Math.max(LEAST_STEP, trust.step / 2) : TRUST_STEP;
-            trust.sick = true;
-            trust.sickAt = now;
+    private void markUnhealthy(Trust trust, MonotonicTime now) {
+        if (!trust.isUnhealthy) {
+            // A location that fails again soon after it recovered regains trust in smaller steps.
+            boolean isFlapping =
+                    trust.unhealthyAt != null
+                            && now.since(trust.unhealthyAt)
+                                            .compareTo(lease.times(FLAPPING_WINDOW_LEASES))
+                                    < 0;
+            trust.stepRatio =
+                    isFlapping
+                            ? Math.max(MIN_TRUST_STEP_RATIO, trust.stepRatio / 2)
+                            : TRUST_STEP_RATIO;
+            trust.isUnhealthy = true;
+            trust.unhealthyAt = now;
         }
-        trust.share = 0;
-        trust.changed = now;
+        trust.ratio = 0;
+        trust.changedAt = now;
     }
 
     private void recover(Trust trust, MonotonicTime now) {
-        if (trust.share >= 1 || now.since(trust.changed).compareTo(lease.times(STEP_EVERY)) < 0) {
+        if (trust.ratio >= 1
+                || now.since(trust.changedAt).compareTo(lease.times(TRUST_STEP_INTERVAL_LEASES))
+                        < 0) {
             return;
         }
-        trust.sick = false;
-        trust.share = Math.min(1, trust.share + trust.step);
-        trust.changed = now;
+        trust.isUnhealthy = false;
+        trust.ratio = Math.min(1, trust.ratio + trust.stepRatio);
+        trust.changedAt = now;
     }
 
-    /** How much of what a place bears it is trusted with, from 0 to 1. */
-    double trust(String place) {
-        Trust trust = trusts.get(place);
-        return trust == null ? 1 : trust.share;
+    /** The share of the location's capacity that may be planned, from 0 to 1. */
+    double trustRatio(String location) {
+        Trust trust = trusts.get(location);
+        return trust == null ? 1 : trust.ratio;
     }
 
-    /** Sites whose word isn't taken, since they suffer themselves. */
-    Set<String> unheard() {
-        return suffering();
+    /** The sites whose reports are ignored, since they are at fault themselves. */
+    Set<String> ignoredSites() {
+        return findIgnoredSites();
     }
 }
--- a/src/main/java/lupinwood/failover/package-info.java
+++ b/src/main/java/lupinwood/failover/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decides how much of each zone's work goes to which place below: near as long as near is safe, no
- * more anywhere than a place can bear, out quickly and back in steps. Time comes from outside; no
- * I/O.
+ * Capacity planning for failover: how many requests of each site may be in flight at each
+ * downstream location. Prefers near locations while they are healthy, never exceeds what a location
+ * can take, moves traffic away at once and back in steps. Time comes from the caller; no I/O.
  */
 package lupinwood.failover;
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three zones in two regions, two nodes and one place each, by the real book; each word is heard at
- * once.
+ * Three zones in two regions with two nodes and one location each, planned against a real cluster
+ * state; every node learns each plan at once.
  */
 final class CapacityPlannerTest {
     private static final NanoDuration LEASE = NanoDuration.ofSeconds(2);
@@ -32,8 +32,11 @@
     private final List<Location> locations = new ArrayList<>();
     private final ClusterState clusterState = new ClusterState(100);
     private CapacityPlanner planner = new CapacityPlanner(LEASE);
+
+    /** Requests ended and failed, by node and location. */
     private final long[][][] counts = new long[6][3][2];
-    private final boolean[][] leftOut = new boolean[6][3];
+
+    private final boolean[][] ejected = new boolean[6][3];
     private final long[] offered = new long[6];
     private FencingToken token;
     private double now;
@@ -58,27 +61,27 @@
     }
 
     /**
-     * Each second each node asks for 40 requests of 0.1 s; where it leaves a place out, it sends
-     * nothing there.
+     * Each node gets 40 requests of 0.1 s a second and sends them to the location of its own zone,
+     * but none to a location that it ejected.
      */
-    private void play(int seconds) {
+    private void run(int seconds) {
         for (int second = 0; second < seconds; second++) {
             now++;
             List<NodeView> nodeViews = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 offered[i] += 40;
                 List<NodeReport.LocationUse> uses = new ArrayList<>();
-                for (int place = 0; place < 3; place++) {
-                    counts[i][place][0] += leftOut[i][place] || place != i % 3 ? 0 : 40;
+                for (int location = 0; location < 3; location++) {
+                    counts[i][location][0] += ejected[i][location] || location != i % 3 ? 0 : 40;
                     uses.add(
                             new NodeReport.LocationUse(
-                                    "p" + place,
+                                    "p" + location,
                                     0,
                                     offered[i],
-                                    counts[i][place][0],
-                                    counts[i][place][1],
-                                    counts[i][place][0] * 0.1,
-                                    leftOut[i][place]));
+                                    counts[i][location][0],
+                                    counts[i][location][1],
+                                    counts[i][location][0] * 0.1,
+                                    ejected[i][location]));
                 }
                 nodeViews.add(
                         new NodeView(
@@ -107,88 +110,87 @@
                             token,
                             new MonotonicTime(Math.round(now * 1e9)));
             if (plan != null) {
-                assertThat(clusterState.apply(plan)).as("it fits").isTrue();
+                assertThat(clusterState.apply(plan)).as("the plan overloads no location").isTrue();
             }
             clusterState.apply(
-                    new ClusterCommand.RetireCapacityPlans(clusterState.lastPlan())); // all said so
+                    new ClusterCommand.RetireCapacityPlans(
+                            clusterState.lastPlan())); // all nodes report the newest plan
         }
     }
 
-    private void sick(int place, boolean sick) {
+    private void setFailing(int location, boolean failing) {
         for (int i = 0; i < 6; i++) {
-            leftOut[i][place] = sick;
+            ejected[i][location] = failing;
         }
     }
 
-    private int slots(int zone, int place) {
+    private int slots(int zone, int location) {
         return clusterState
                 .plan()
                 .slots()
                 .getOrDefault(SITES[zone].toString(), Map.of())
-                .getOrDefault("p" + place, 0);
+                .getOrDefault("p" + location, 0);
     }
 
     @Test
-    void allIsNearWhileNearIsWell() {
-        play(20);
+    void healthyLocationsServeOnlyTheirOwnZone() {
+        run(20);
         for (int zone = 0; zone < 3; zone++) {
             assertThat(slots(zone, zone)).isBetween(14, 20);
             assertThat(slots(zone, (zone + 1) % 3)).isZero();
         }
         long plan = clusterState.lastPlan();
-        play(60);
-        assertThat(clusterState.lastPlan())
-                .as("nothing is planned anew without a cause")
-                .isEqualTo(plan);
+        run(60);
+        assertThat(clusterState.lastPlan()).as("no new plan without a cause").isEqualTo(plan);
     }
 
     @Test
-    void aLostPlacesWorkGoesIntoTheRegionFirstAndComesBackInSteps() {
-        play(20);
-        sick(0, true);
-        play(6);
-        assertThat(slots(0, 0)).as("its standing right").isEqualTo(4);
-        assertThat(slots(0, 1)).as("p1 in the region").isGreaterThan(slots(0, 2));
+    void failedLocationsTrafficMovesWithinTheRegionAndReturnsInSteps() {
+        run(20);
+        setFailing(0, true);
+        run(6);
+        assertThat(slots(0, 0)).as("the slots that nodes have without a plan").isEqualTo(4);
+        assertThat(slots(0, 1)).as("p1 is in the same region").isGreaterThan(slots(0, 2));
         assertThat(slots(0, 1) + slots(0, 2)).isGreaterThanOrEqualTo(8);
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
-                .contains("p0 is trusted with 0%");
-        sick(0, false);
-        play(4);
-        assertThat(slots(0, 0)).as("a quarter of its trust at a time").isLessThan(14);
-        play(30);
+                .contains("trusted capacity of p0 is 0%");
+        setFailing(0, false);
+        run(4);
+        assertThat(slots(0, 0)).as("trust returns by a quarter at a time").isLessThan(14);
+        run(30);
         assertThat(slots(0, 0)).isGreaterThanOrEqualTo(14);
         assertThat(slots(0, 1)).isZero();
     }
 
     @Test
-    void whatComesOverAllMovesNothingAndAZoneThatSuffersItselfIsNotHeeded() {
-        play(20);
+    void globalFaultAndFaultySiteMoveNoTraffic() {
+        run(20);
         long plan = clusterState.lastPlan();
-        for (int place = 0; place < 3; place++) {
-            sick(place, true);
+        for (int location = 0; location < 3; location++) {
+            setFailing(location, true);
         }
-        play(20);
-        assertThat(clusterState.lastPlan()).as("all is sick everywhere").isEqualTo(plan);
-        for (int place = 0; place < 3; place++) {
-            sick(place, false);
+        run(20);
+        assertThat(clusterState.lastPlan()).as("all locations fail for all sites").isEqualTo(plan);
+        for (int location = 0; location < 3; location++) {
+            setFailing(location, false);
         }
-        play(5);
-        for (int place = 0; place < 3; place++) {
-            leftOut[2][place] = true;
-            leftOut[5][place] = true;
+        run(5);
+        for (int location = 0; location < 3; location++) {
+            ejected[2][location] = true;
+            ejected[5][location] = true;
         }
-        play(20);
+        run(20);
         assertThat(slots(0, 0)).isGreaterThanOrEqualTo(14);
         assertThat(slots(1, 1)).isGreaterThanOrEqualTo(14);
     }
 
     @Test
-    void aPlaceThatStaysInItsRegionTakesNothingFromElsewhere() {
+    void locationThatStaysInRegionGetsNoTrafficFromOtherRegions() {
         locations.set(2, new Location("p2", SITES[2], 20, 2, 0, true));
         planner = new CapacityPlanner(LEASE);
-        play(20);
-        sick(0, true);
-        play(10);
+        run(20);
+        setFailing(0, true);
+        run(10);
         assertThat(slots(0, 2)).isZero();
         assertThat(slots(0, 1)).isPositive();
     }
