--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -545,7 +545,7 @@
                 reducedTrust +=
                         ", trusted capacity of "
                                 + location
-                                + " is "
+                                + " reduced to "
                                 + Math.round(health.trustRatio(location) * 100)
                                 + "%";
             }
--- a/src/main/java/lupinwood/rollout/CanaryAnalysis.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -11,144 +11,174 @@
 import lupinwood.cluster.RequestCounts;
 
 /**
- * Judges nodes that have what is released beside those that haven't, in the same zone and time,
- * each beside its own past where that is known: so what comes over all of a zone by chance is
- * blamed on nothing. No figure is compared with a fixed number but the harm that the operator
- * wouldn't bear.
+ * Canary analysis: compares nodes that have the release with nodes of the same site that don't,
+ * over the same time, and each node with its own baseline if that is known. So a disturbance that
+ * affects a whole site is not attributed to the release. The only fixed bounds are the harm and the
+ * slowdown that the operator tolerates.
  *
- * <p>All nodes and each zone are looked at, all request classes together and each by itself; the
- * more looks, and they are taken again and again, the surer each has to be.
+ * <p>Compares all nodes and each site, all request classes together and each by itself. As there
+ * are many comparisons, and each is repeated while a wave is observed, each needs a high
+ * confidence.
  */
 public final class CanaryAnalysis {
-    /**
-     * In standard errors: to call it worse, which is looked for again and again, and to call it
-     * well.
-     */
-    private static final double SURE_WORSE = 3.2;
+    /** Higher than for a healthy verdict, since this comparison is repeated again and again. */
+    private static final double WORSE_STANDARD_ERRORS = 3.2;
+
+    /** For comparisons of one site or one request class. */
+    private static final double PARTIAL_WORSE_STANDARD_ERRORS = 4.2;
 
-    private static final double SURE_WORSE_IN_PART = 4.2;
-    private static final double SURE_WELL = 1.6;
+    private static final double HEALTHY_STANDARD_ERRORS = 1.6;
 
     /**
-     * A part of a whole may hide this many times the harm from a look at the whole; it is looked at
-     * for so much.
+     * Multiple of the tolerated harm that is allowed in one request class, which a comparison of
+     * all request classes together may hide.
      */
-    private static final double PART = 3;
+    private static final double PARTIAL_HARM_FACTOR = 3;
 
-    /** How likely so many losses on one side are by chance; below it they aren't. */
-    private static final double CHANCE_OF_LOSSES = 0.02;
+    /** Losses of changed nodes that are less likely by chance are attributed to the release. */
+    private static final double MIN_LOSS_PROBABILITY = 0.02;
 
-    private static final double CHANCE_OF_RESTARTS = 0.002;
+    private static final double MIN_RESTART_PROBABILITY = 0.002;
 
-    /** Requests that a node must have had for its figures to count. */
-    private static final int ENOUGH = 20;
+    /** Requests that a node needs in an interval for its metrics to count. */
+    private static final int MIN_REQUESTS = 20;
 
-    private static final double MOST_KNOWN = 0.6;
+    private static final double MIN_BASELINE_NODES_RATIO = 0.6;
 
     private CanaryAnalysis() {}
 
     public static CanaryVerdict judge(List<NodeSample> samples, CanaryLimits limits) {
-        CanaryVerdict gone = losses(samples);
-        if (gone != null) {
-            return gone;
+        CanaryVerdict losses = judgeLosses(samples);
+        if (losses != null) {
+            return losses;
         }
-        List<String> zones =
+        List<String> sites =
                 new ArrayList<>(
-                        new TreeSet<>(samples.stream().map(one -> one.site().toString()).toList()));
+                        new TreeSet<>(
+                                samples.stream().map(sample -> sample.site().toString()).toList()));
         Set<String> requestClasses = new LinkedHashSet<>();
         samples.forEach(
-                one ->
-                        one.after()
+                sample ->
+                        sample.after()
                                 .counts()
                                 .forEach(count -> requestClasses.add(count.className())));
-        Comparison whole = new Comparison(samples, "", limits.harm(), SURE_WORSE);
-        if (whole.isWorse()) {
-            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, whole.text("worse"));
+        Comparison overall =
+                new Comparison(samples, "", limits.maxHarmRatio(), WORSE_STANDARD_ERRORS);
+        if (overall.isWorse()) {
+            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, overall.text("worse"));
         }
-        Comparison slow = Comparison.ofTime(samples, Math.log1p(limits.slower()), SURE_WORSE);
-        if (slow.isWorse()) {
-            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, slow.text("slower"));
+        Comparison latency =
+                Comparison.ofLatency(
+                        samples, Math.log1p(limits.maxSlowdownRatio()), WORSE_STANDARD_ERRORS);
+        if (latency.isWorse()) {
+            return new CanaryVerdict(CanaryVerdict.Kind.WORSE, latency.text("slower"));
         }
         for (String className : requestClasses) {
-            Comparison look = new Comparison(samples, className, limits.harm(), SURE_WORSE_IN_PART);
-            if (look.isWorse()) {
-                return new CanaryVerdict(CanaryVerdict.Kind.WORSE, look.text("worse"));
+            Comparison comparison =
+                    new Comparison(
+                            samples,
+                            className,
+                            limits.maxHarmRatio(),
+                            PARTIAL_WORSE_STANDARD_ERRORS);
+            if (comparison.isWorse()) {
+                return new CanaryVerdict(CanaryVerdict.Kind.WORSE, comparison.text("worse"));
             }
         }
-        for (String zone : zones) {
-            List<NodeSample> there =
-                    samples.stream().filter(one -> one.site().toString().equals(zone)).toList();
-            Comparison look = new Comparison(there, "", limits.harm(), SURE_WORSE_IN_PART);
-            if (look.isWorse()) {
+        for (String site : sites) {
+            List<NodeSample> siteSamples =
+                    samples.stream()
+                            .filter(sample -> sample.site().toString().equals(site))
+                            .toList();
+            Comparison comparison =
+                    new Comparison(
+                            siteSamples, "", limits.maxHarmRatio(), PARTIAL_WORSE_STANDARD_ERRORS);
+            if (comparison.isWorse()) {
                 return new CanaryVerdict(
-                        CanaryVerdict.Kind.WORSE, "in " + zone + ": " + look.text("worse"));
+                        CanaryVerdict.Kind.WORSE, "in " + site + ": " + comparison.text("worse"));
             }
         }
-        if (whole.estimate == null) {
-            boolean beside =
-                    samples.stream().anyMatch(one -> !one.changed())
+        if (overall.estimate == null) {
+            boolean hasBothGroups =
+                    samples.stream().anyMatch(sample -> !sample.changed())
                             && samples.stream().anyMatch(NodeSample::changed);
             return new CanaryVerdict(
-                    beside ? CanaryVerdict.Kind.UNSURE : CanaryVerdict.Kind.WELL,
-                    beside
-                            ? "too few tickets to tell"
-                            : "no unchanged node is left to compare with");
+                    hasBothGroups ? CanaryVerdict.Kind.UNSURE : CanaryVerdict.Kind.WELL,
+                    hasBothGroups
+                            ? "too few requests to compare"
+                            : "no unchanged node left to compare with");
         }
-        if (!whole.isWell()) {
-            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, whole.text("not sure yet"));
+        if (!overall.isHealthy()) {
+            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, overall.text("not yet conclusive"));
         }
-        if (slow.estimate != null && !slow.isWell()) {
-            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, slow.text("not sure yet"));
+        if (latency.estimate != null && !latency.isHealthy()) {
+            return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, latency.text("not yet conclusive"));
         }
         for (String className : requestClasses) {
-            Comparison look =
-                    new Comparison(samples, className, limits.harm() * PART, SURE_WORSE_IN_PART);
-            if (look.estimate != null && !look.isWell()) {
-                return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, look.text("not sure yet"));
+            Comparison comparison =
+                    new Comparison(
+                            samples,
+                            className,
+                            limits.maxHarmRatio() * PARTIAL_HARM_FACTOR,
+                            PARTIAL_WORSE_STANDARD_ERRORS);
+            if (comparison.estimate != null && !comparison.isHealthy()) {
+                return new CanaryVerdict(
+                        CanaryVerdict.Kind.UNSURE, comparison.text("not yet conclusive"));
             }
         }
-        return new CanaryVerdict(CanaryVerdict.Kind.WELL, whole.text("well"));
+        return new CanaryVerdict(CanaryVerdict.Kind.WELL, overall.text("well"));
     }
 
-    /** Null where nodes that have it don't go missing, or start anew, more than the others do. */
-    static CanaryVerdict losses(List<NodeSample> samples) {
+    /**
+     * A verdict if changed nodes are lost or restart more often than unchanged ones; null
+     * otherwise.
+     */
+    static CanaryVerdict judgeLosses(List<NodeSample> samples) {
         int changed = (int) samples.stream().filter(NodeSample::changed).count();
-        int lost = (int) samples.stream().filter(NodeSample::lost).count();
-        int lostChanged = (int) samples.stream().filter(one -> one.changed() && one.lost()).count();
+        int lost = (int) samples.stream().filter(NodeSample::isLost).count();
+        int lostChanged =
+                (int)
+                        samples.stream()
+                                .filter(sample -> sample.changed() && sample.isLost())
+                                .count();
         if (changed == 0) {
             return null;
         }
-        boolean allOfThem = lostChanged == changed && lost - lostChanged < samples.size() - changed;
+        boolean allChangedLost =
+                lostChanged == changed && lost - lostChanged < samples.size() - changed;
         if (lostChanged > 0
-                && (allOfThem
-                        || atLeast(lostChanged, lost, changed, samples.size())
-                                < CHANCE_OF_LOSSES)) {
+                && (allChangedLost
+                        || hypergeometricTail(lostChanged, lost, changed, samples.size())
+                                < MIN_LOSS_PROBABILITY)) {
             return new CanaryVerdict(
                     CanaryVerdict.Kind.WORSE,
                     lostChanged
                             + " of "
                             + changed
-                            + " nodes that have it are lost, "
+                            + " changed nodes are lost, "
                             + (lost - lostChanged)
                             + " of the "
                             + (samples.size() - changed)
                             + " others");
         }
-        int restarts = samples.stream().mapToInt(NodeSample::restarts).sum();
+        int restarts = samples.stream().mapToInt(NodeSample::unpermittedRestarts).sum();
         int restartsChanged =
-                samples.stream().filter(NodeSample::changed).mapToInt(NodeSample::restarts).sum();
-        // Each restart falls on a node by chance, so it falls on a changed one by their share.
+                samples.stream()
+                        .filter(NodeSample::changed)
+                        .mapToInt(NodeSample::unpermittedRestarts)
+                        .sum();
+        // By chance, each restart hits a changed node with the probability of the changed nodes'
+        // share.
         if (restartsChanged > 1
-                && tail(restartsChanged, restarts, (double) changed / samples.size())
-                        < CHANCE_OF_RESTARTS) {
+                && binomialTail(restartsChanged, restarts, (double) changed / samples.size())
+                        < MIN_RESTART_PROBABILITY) {
             return new CanaryVerdict(
                     CanaryVerdict.Kind.WORSE,
                     restartsChanged
-                            + " restarts at "
+                            + " restarts of "
                             + changed
-                            + " nodes that have it, "
+                            + " changed nodes, "
                             + (restarts - restartsChanged)
-                            + " at the "
+                            + " of the "
                             + (samples.size() - changed)
                             + " others");
         }
@@ -156,34 +186,36 @@
     }
 
     /**
-     * How likely it is that of so many lost ones at least these are changed, drawn without putting
-     * back.
+     * The probability that at least {@code lostChanged} of the lost nodes are changed ones, if the
+     * lost nodes are drawn at random without replacement.
      */
-    private static double atLeast(int lostChanged, int lost, int changed, int all) {
+    private static double hypergeometricTail(int lostChanged, int lost, int changed, int all) {
         double sum = 0;
         for (int i = lostChanged; i <= Math.min(lost, changed); i++) {
             sum +=
                     Math.exp(
-                            choose(changed, i)
-                                    + choose(all - changed, lost - i)
-                                    - choose(all, lost));
+                            logChoose(changed, i)
+                                    + logChoose(all - changed, lost - i)
+                                    - logChoose(all, lost));
         }
         return sum;
     }
 
-    private static double tail(int least, int tries, double share) {
+    /** The probability of at least this many successes in independent trials. */
+    private static double binomialTail(int successes, int trials, double probability) {
         double sum = 0;
-        for (int i = least; i <= tries; i++) {
+        for (int i = successes; i <= trials; i++) {
             sum +=
                     Math.exp(
-                            choose(tries, i)
-                                    + i * Math.log(share)
-                                    + (tries - i) * Math.log(Math.max(1e-12, 1 - share)));
+                            logChoose(trials, i)
+                                    + i * Math.log(probability)
+                                    + (trials - i) * Math.log(Math.max(1e-12, 1 - probability)));
         }
         return sum;
     }
 
-    private static double choose(int n, int k) {
+    /** The logarithm of the binomial coefficient. */
+    private static double logChoose(int n, int k) {
         if (k < 0 || k > n) {
             return Double.NEGATIVE_INFINITY;
         }
@@ -194,114 +226,140 @@
         return sum;
     }
 
-    /** One figure of some nodes. */
+    /** Compares one metric between the changed and unchanged nodes among the samples. */
     private static final class Comparison {
-        private final String what;
+        private final String metric;
         private final double bound;
-        private final double sure;
-        private final boolean inTime;
+        private final double worseStandardErrors;
+        private final boolean isLatency;
         final EffectEstimate estimate;
 
-        /** What goes wrong, as a share; of a request class, or with an empty name of all. */
-        Comparison(List<NodeSample> samples, String className, double harm, double sure) {
+        /**
+         * Compares the share of requests that were not served in time.
+         *
+         * @param className a request class, or empty for all together
+         */
+        Comparison(
+                List<NodeSample> samples,
+                String className,
+                double bound,
+                double worseStandardErrors) {
             this(
-                    className.isEmpty() ? "of all tickets" : "of " + className,
-                    harm,
-                    sure,
+                    className.isEmpty()
+                            ? "in all request classes"
+                            : "in request class " + className,
+                    bound,
+                    worseStandardErrors,
                     false,
-                    points(samples, className));
+                    observations(samples, className));
         }
 
         private Comparison(
-                String what,
+                String metric,
                 double bound,
-                double sure,
-                boolean inTime,
-                List<EffectEstimate.Point> points) {
-            this.what = what;
+                double worseStandardErrors,
+                boolean isLatency,
+                List<EffectEstimate.Observation> observations) {
+            this.metric = metric;
             this.bound = bound;
-            this.sure = sure;
-            this.inTime = inTime;
-            estimate = EffectEstimate.of(points);
+            this.worseStandardErrors = worseStandardErrors;
+            this.isLatency = isLatency;
+            estimate = EffectEstimate.of(observations);
         }
 
-        /** The mean time to answer, as a logarithm. */
-        static Comparison ofTime(List<NodeSample> samples, double bound, double sure) {
-            List<EffectEstimate.Point> points = new ArrayList<>();
-            boolean pasts =
-                    known(
+        /** Compares the logarithm of the mean time from arrival to response. */
+        static Comparison ofLatency(
+                List<NodeSample> samples, double bound, double worseStandardErrors) {
+            List<EffectEstimate.Observation> observations = new ArrayList<>();
+            boolean useBaselines =
+                    hasBaselines(
                             samples,
-                            one -> one.before() != null && one.before().all().served() >= ENOUGH);
-            for (NodeSample one : samples) {
-                if (pasts && (one.before() == null || one.before().all().served() < ENOUGH)) {
+                            sample ->
+                                    sample.before() != null
+                                            && sample.before().all().served() >= MIN_REQUESTS);
+            for (NodeSample sample : samples) {
+                if (useBaselines
+                        && (sample.before() == null
+                                || sample.before().all().served() < MIN_REQUESTS)) {
                     continue;
                 }
-                RequestCounts.ClassCounts after = one.after().all();
-                if (after.served() >= ENOUGH
+                RequestCounts.ClassCounts after = sample.after().all();
+                if (after.served() >= MIN_REQUESTS
                         && after.seconds() > 0
-                        && (!pasts || one.before().all().seconds() > 0)) {
-                    double past = pasts ? log(one.before().all()) : 0;
+                        && (!useBaselines || sample.before().all().seconds() > 0)) {
+                    double baseline = useBaselines ? logMeanSeconds(sample.before().all()) : 0;
                     double variance =
-                            1.0 / after.served() + (pasts ? 1.0 / one.before().all().served() : 0);
-                    points.add(
-                            new EffectEstimate.Point(
-                                    one.site(), one.changed(), log(after) - past, variance));
+                            1.0 / after.served()
+                                    + (useBaselines ? 1.0 / sample.before().all().served() : 0);
+                    observations.add(
+                            new EffectEstimate.Observation(
+                                    sample.site(),
+                                    sample.changed(),
+                                    logMeanSeconds(after) - baseline,
+                                    variance));
                 }
             }
-            return new Comparison("of the time to answer", bound, sure, true, points);
+            return new Comparison(
+                    "in mean time to respond", bound, worseStandardErrors, true, observations);
         }
 
-        private static double log(RequestCounts.ClassCounts count) {
+        private static double logMeanSeconds(RequestCounts.ClassCounts count) {
             return Math.log(Math.max(1e-6, count.seconds() / count.served()));
         }
 
-        private static List<EffectEstimate.Point> points(
+        private static List<EffectEstimate.Observation> observations(
                 List<NodeSample> samples, String className) {
-            ToDoubleFunction<RequestCounts.ClassCounts> share =
+            ToDoubleFunction<RequestCounts.ClassCounts> badRatio =
                     count -> (double) count.bad() / count.all();
-            boolean pasts = known(samples, one -> enough(one.before(), className));
-            List<EffectEstimate.Point> points = new ArrayList<>();
-            for (NodeSample one : samples) {
-                RequestCounts.ClassCounts after = of(one.after(), className);
+            boolean useBaselines =
+                    hasBaselines(samples, sample -> hasEnoughRequests(sample.before(), className));
+            List<EffectEstimate.Observation> observations = new ArrayList<>();
+            for (NodeSample sample : samples) {
+                RequestCounts.ClassCounts after = of(sample.after(), className);
                 if (after != null
-                        && after.all() >= ENOUGH
-                        && (!pasts || enough(one.before(), className))) {
-                    RequestCounts.ClassCounts before = pasts ? of(one.before(), className) : null;
-                    double past = before == null ? 0 : share.applyAsDouble(before);
+                        && after.all() >= MIN_REQUESTS
+                        && (!useBaselines || hasEnoughRequests(sample.before(), className))) {
+                    RequestCounts.ClassCounts before =
+                            useBaselines ? of(sample.before(), className) : null;
+                    double baseline = before == null ? 0 : badRatio.applyAsDouble(before);
                     double variance = variance(after) + (before == null ? 0 : variance(before));
-                    points.add(
-                            new EffectEstimate.Point(
-                                    one.site(),
-                                    one.changed(),
-                                    share.applyAsDouble(after) - past,
+                    observations.add(
+                            new EffectEstimate.Observation(
+                                    sample.site(),
+                                    sample.changed(),
+                                    badRatio.applyAsDouble(after) - baseline,
                                     variance));
                 }
             }
-            return points;
+            return observations;
         }
 
         /**
-         * Whether most of both sides have a past; the few others are then left aside. Else levels
-         * are compared.
+         * Whether most changed and most unchanged nodes have a baseline. If so, changes against the
+         * baseline are compared and nodes without one are left out; otherwise levels are compared.
          */
-        private static boolean known(List<NodeSample> samples, Predicate<NodeSample> has) {
-            for (boolean side : new boolean[] {true, false}) {
-                long all = samples.stream().filter(one -> one.changed() == side).count();
-                long with =
+        private static boolean hasBaselines(
+                List<NodeSample> samples, Predicate<NodeSample> hasBaseline) {
+            for (boolean changed : new boolean[] {true, false}) {
+                long all = samples.stream().filter(sample -> sample.changed() == changed).count();
+                long withBaseline =
                         samples.stream()
-                                .filter(one -> one.changed() == side && has.test(one))
+                                .filter(
+                                        sample ->
+                                                sample.changed() == changed
+                                                        && hasBaseline.test(sample))
                                 .count();
-                if (with < all * MOST_KNOWN) {
+                if (withBaseline < all * MIN_BASELINE_NODES_RATIO) {
                     return false;
                 }
             }
             return true;
         }
 
-        private static boolean enough(RequestCounts requestCounts, String className) {
+        private static boolean hasEnoughRequests(RequestCounts requestCounts, String className) {
             RequestCounts.ClassCounts count =
                     requestCounts == null ? null : of(requestCounts, className);
-            return count != null && count.all() >= ENOUGH;
+            return count != null && count.all() >= MIN_REQUESTS;
         }
 
         private static RequestCounts.ClassCounts of(RequestCounts requestCounts, String className) {
@@ -309,30 +367,33 @@
         }
 
         /**
-         * Of a share of so many; one and a half more of each end guard against shares of nothing
-         * and of all.
+         * The sampling variance of the share of bad requests. 1.5 requests are added to the bad and
+         * to the good ones, so that it isn't zero if all or none are bad.
          */
         private static double variance(RequestCounts.ClassCounts count) {
-            double share = (count.bad() + 1.5) / (count.all() + 3);
-            return share * (1 - share) / count.all();
+            double smoothedRatio = (count.bad() + 1.5) / (count.all() + 3);
+            return smoothedRatio * (1 - smoothedRatio) / count.all();
         }
 
-        /** Worse than what anybody would call noise, and surely more than nothing. */
+        /**
+         * Whether the difference is above half of the bound, and above a tenth of it with the
+         * required confidence: so neither noise nor a negligible harm counts.
+         */
         boolean isWorse() {
             return estimate != null
                     && estimate.difference() > bound * 0.5
-                    && estimate.isAbove(bound * 0.1, sure);
+                    && estimate.isAbove(bound * 0.1, worseStandardErrors);
         }
 
-        boolean isWell() {
-            return estimate.isDownstream(bound, SURE_WELL);
+        boolean isHealthy() {
+            return estimate.isBelow(bound, HEALTHY_STANDARD_ERRORS);
         }
 
-        String text(String word) {
-            String more =
+        String text(String verdict) {
+            String difference =
                     estimate == null
                             ? "unknown"
-                            : inTime
+                            : isLatency
                                     ? String.format(
                                             Locale.ROOT,
                                             "%+.0f%%",
@@ -341,12 +402,12 @@
                                             Locale.ROOT,
                                             "%+.1f points",
                                             estimate.difference() * 100);
-            return word
+            return verdict
                     + ", "
-                    + more
-                    + (inTime ? " " : " gone wrong ")
-                    + what
-                    + " beside unchanged nodes";
+                    + difference
+                    + (isLatency ? " " : " of requests not served in time ")
+                    + metric
+                    + ", compared with unchanged nodes";
         }
     }
 }
--- a/src/main/java/lupinwood/rollout/CanaryLimits.java
+++ b/src/main/java/lupinwood/rollout/CanaryLimits.java
@@ -3,30 +3,33 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What a release goes by.
+ * Bounds of a rollout.
  *
- * @param watch how long a wave is watched at the least
- * @param watchMost how long it may be watched while it isn't sure; then the release halts
- * @param harm a share of requests that may not go wrong beside what goes wrong anyway; from 0 to 1
- * @param slower by how much the mean time to answer may not grow, as a share
- * @param well how long a node that got it has to be well before it counts
- * @param rejoin how long a node may take to run what it got, beside the time it waits for its
- *     permit
+ * @param minWatch how long each wave is observed at least
+ * @param maxWatch how long a wave may be observed while canary analysis is inconclusive; then the
+ *     rollout halts
+ * @param maxHarmRatio by how much the share of requests that were not served in time may grow over
+ *     that of unchanged nodes; from 0 to 1
+ * @param maxSlowdownRatio by how much the mean time to respond may grow, as a share of it
+ * @param minHealthyTime how long a changed node has to be healthy before it counts as healthy
+ * @param rejoinTimeout how long a node may take until it runs what it was given, without the time
+ *     that it waits for its disruption permit
  */
 public record CanaryLimits(
-        NanoDuration watch,
-        NanoDuration watchMost,
-        double harm,
-        double slower,
-        NanoDuration well,
-        NanoDuration rejoin) {
+        NanoDuration minWatch,
+        NanoDuration maxWatch,
+        double maxHarmRatio,
+        double maxSlowdownRatio,
+        NanoDuration minHealthyTime,
+        NanoDuration rejoinTimeout) {
     /**
-     * Makes the limits that follow from the settings.
+     * Returns the limits that follow from the settings.
      *
-     * @param lease the fleet's, which some follow from
+     * @param lease the cluster's lease, from which the healthy time and the rejoin timeout follow
      */
     public static CanaryLimits of(
-            NanoDuration watch, NanoDuration watchMost, double harm, NanoDuration lease) {
-        return new CanaryLimits(watch, watchMost, harm, 0.5, lease, lease.times(10).max(watch));
+            NanoDuration minWatch, NanoDuration maxWatch, double maxHarmRatio, NanoDuration lease) {
+        return new CanaryLimits(
+                minWatch, maxWatch, maxHarmRatio, 0.5, lease, lease.times(10).max(minWatch));
     }
 }
--- a/src/main/java/lupinwood/rollout/CanaryVerdict.java
+++ b/src/main/java/lupinwood/rollout/CanaryVerdict.java
@@ -1,18 +1,18 @@
 package lupinwood.rollout;
 
 /**
- * What a watch came to.
+ * The result of a canary analysis.
  *
- * @param text why, with figures, in one line
+ * @param text the reason with its figures, in one line
  */
 public record CanaryVerdict(Kind kind, String text) {
-    /** How sure it is. */
+    /** What the analysis can tell with enough confidence. */
     public enum Kind {
-        /** Those that have it surely do no worse than allowed. */
+        /** Changed nodes do no worse than allowed. */
         WELL,
-        /** They surely do worse. */
+        /** Changed nodes do worse. */
         WORSE,
-        /** Neither is sure yet. */
+        /** Neither can be told yet. */
         UNSURE
     }
 }
--- a/src/main/java/lupinwood/rollout/EffectEstimate.java
+++ b/src/main/java/lupinwood/rollout/EffectEstimate.java
@@ -7,81 +7,93 @@
 import lupinwood.cluster.Site;
 
 /**
- * By how much one figure is higher at changed nodes than at unchanged ones of the same zone, with
- * its standard error. A node counts as one observation, since its requests share its machine; how
- * far nodes lie apart is taken from both sides within their zones, and is never taken for less than
- * chance alone gives with so few requests.
+ * By how much a metric is higher at changed nodes than at unchanged nodes of the same site, with
+ * its standard error. Each node counts as one observation, since its requests share one machine.
+ * The variance between nodes is pooled over the changed and unchanged nodes of all sites, and is
+ * never taken to be smaller than the sampling variance of so few requests.
  */
 final class EffectEstimate {
-    /** A node's figure; the variance is what chance alone does to it. */
-    record Point(Site site, boolean changed, double value, double variance) {}
+    /** A node's metric, with its sampling variance. */
+    record Observation(Site site, boolean changed, double value, double variance) {}
 
     private final double difference;
-    private final double error;
-    private final int freedom;
+    private final double standardError;
+    private final int degreesOfFreedom;
 
-    private EffectEstimate(double difference, double error, int freedom) {
+    private EffectEstimate(double difference, double standardError, int degreesOfFreedom) {
         this.difference = difference;
-        this.error = error;
-        this.freedom = freedom;
+        this.standardError = standardError;
+        this.degreesOfFreedom = degreesOfFreedom;
     }
 
-    /** Null where no zone has nodes of both sides. */
-    static EffectEstimate of(List<Point> points) {
-        Map<String, List<Point>> zones = new TreeMap<>();
-        points.forEach(
-                point ->
-                        zones.computeIfAbsent(point.site().toString(), none -> new ArrayList<>())
-                                .add(point));
-        zones.values()
+    /** Null if no site has both changed and unchanged nodes. */
+    static EffectEstimate of(List<Observation> observations) {
+        Map<String, List<Observation>> sites = new TreeMap<>();
+        observations.forEach(
+                observation ->
+                        sites.computeIfAbsent(
+                                        observation.site().toString(), key -> new ArrayList<>())
+                                .add(observation));
+        sites.values()
                 .removeIf(
-                        zone ->
-                                zone.stream().noneMatch(Point::changed)
-                                        || zone.stream().allMatch(Point::changed));
-        if (zones.isEmpty()) {
+                        site ->
+                                site.stream().noneMatch(Observation::changed)
+                                        || site.stream().allMatch(Observation::changed));
+        if (sites.isEmpty()) {
             return null;
         }
-        double squares = 0;
-        double chance = 0;
-        int freedom = 0;
-        int all = 0;
-        for (List<Point> zone : zones.values()) {
-            for (boolean side : new boolean[] {true, false}) {
-                List<Point> of = zone.stream().filter(point -> point.changed() == side).toList();
-                double mean = of.stream().mapToDouble(Point::value).average().orElse(0);
-                squares +=
-                        of.stream()
+        double squaredDeviations = 0;
+        double samplingVariances = 0;
+        int degreesOfFreedom = 0;
+        int nodes = 0;
+        for (List<Observation> site : sites.values()) {
+            for (boolean changed : new boolean[] {true, false}) {
+                List<Observation> group =
+                        site.stream()
+                                .filter(observation -> observation.changed() == changed)
+                                .toList();
+                double mean = group.stream().mapToDouble(Observation::value).average().orElse(0);
+                squaredDeviations +=
+                        group.stream()
                                 .mapToDouble(
-                                        point -> (point.value() - mean) * (point.value() - mean))
+                                        observation ->
+                                                (observation.value() - mean)
+                                                        * (observation.value() - mean))
                                 .sum();
-                chance += of.stream().mapToDouble(Point::variance).sum();
-                freedom += of.size() - 1;
-                all += of.size();
+                samplingVariances += group.stream().mapToDouble(Observation::variance).sum();
+                degreesOfFreedom += group.size() - 1;
+                nodes += group.size();
             }
         }
-        double spread = Math.max(freedom > 0 ? squares / freedom : 0, chance / all);
+        double variance =
+                Math.max(
+                        degreesOfFreedom > 0 ? squaredDeviations / degreesOfFreedom : 0,
+                        samplingVariances / nodes);
         double weights = 0;
-        double sum = 0;
-        for (List<Point> zone : zones.values()) {
-            double changed = zone.stream().filter(Point::changed).count();
-            double others = zone.size() - changed;
-            double weight = 1 / (1 / changed + 1 / others);
-            double there =
-                    zone.stream()
-                            .filter(Point::changed)
-                            .mapToDouble(Point::value)
+        double weightedDifferences = 0;
+        for (List<Observation> site : sites.values()) {
+            double changed = site.stream().filter(Observation::changed).count();
+            double unchanged = site.size() - changed;
+            double weight = 1 / (1 / changed + 1 / unchanged);
+            double changedMean =
+                    site.stream()
+                            .filter(Observation::changed)
+                            .mapToDouble(Observation::value)
                             .average()
                             .orElse(0);
-            double beside =
-                    zone.stream()
-                            .filter(point -> !point.changed())
-                            .mapToDouble(Point::value)
+            double unchangedMean =
+                    site.stream()
+                            .filter(observation -> !observation.changed())
+                            .mapToDouble(Observation::value)
                             .average()
                             .orElse(0);
-            sum += weight * (there - beside);
+            weightedDifferences += weight * (changedMean - unchangedMean);
             weights += weight;
         }
-        return new EffectEstimate(sum / weights, Math.sqrt(spread / weights), Math.max(1, freedom));
+        return new EffectEstimate(
+                weightedDifferences / weights,
+                Math.sqrt(variance / weights),
+                Math.max(1, degreesOfFreedom));
     }
 
     double difference() {
@@ -89,20 +101,24 @@
     }
 
     /**
-     * Surely above, at so many standard errors of a normal one; more are asked for where few nodes
-     * tell of the spread.
+     * Whether the difference is above the bound by this many standard errors of a normal
+     * distribution; more are required if the variance is estimated from few nodes.
      */
-    boolean isAbove(double bound, double errors) {
-        return difference - widened(errors) * error > bound;
+    boolean isAbove(double bound, double normalQuantile) {
+        return difference - studentQuantile(normalQuantile) * standardError > bound;
     }
 
-    boolean isDownstream(double bound, double errors) {
-        return difference + widened(errors) * error < bound;
+    /** As {@link #isAbove}, for a difference below the bound. */
+    boolean isBelow(double bound, double normalQuantile) {
+        return difference + studentQuantile(normalQuantile) * standardError < bound;
     }
 
-    /** Student's quantile beside the normal one, by the first two terms of its expansion. */
-    private double widened(double z) {
-        double f = freedom;
+    /**
+     * The quantile of Student's t-distribution for a normal quantile, by the first two correction
+     * terms of its expansion in the degrees of freedom.
+     */
+    private double studentQuantile(double z) {
+        double f = degreesOfFreedom;
         double z2 = z * z;
         return z * (1 + (z2 + 1) / (4 * f) + (5 * z2 * z2 + 16 * z2 + 3) / (96 * f * f));
     }
--- a/src/main/java/lupinwood/rollout/NodeHistory.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -10,115 +10,122 @@
 import lupinwood.cluster.RequestCounts;
 
 /**
- * What one node told lately, as far as the one who leads the release heard it. A node's counts
- * begin anew with each life; here they go on over lives, so that a stretch of time has its requests
- * whatever happened in it.
+ * The recent reports of one node, as seen by the rollout controller. A node's request counts start
+ * at zero with each incarnation; here they are summed over incarnations, so that the counts of an
+ * interval are complete even if the node restarted in it.
  */
 final class NodeHistory {
-    /** What is kept of the latest watch, so that memory stays bounded with hundreds of nodes. */
-    static final int POINTS_A_WATCH = 24;
+    /** Samples kept of one observation, so that memory stays bounded with hundreds of nodes. */
+    static final int SAMPLES_PER_WATCH = 24;
 
-    private record Point(MonotonicTime at, RequestCounts total) {}
+    private record Sample(MonotonicTime at, RequestCounts total) {}
 
-    private final Deque<Point> points = new ArrayDeque<>();
+    private final Deque<Sample> samples = new ArrayDeque<>();
     private Incarnation incarnation;
-    private RequestCounts ofLife = RequestCounts.NOTHING;
-    private RequestCounts before = RequestCounts.NOTHING;
-    private int lives;
-    private RequestCounts marked = RequestCounts.NOTHING;
-    private int livesMarked;
+    private RequestCounts currentCounts = RequestCounts.NOTHING;
+    private RequestCounts earlierCounts = RequestCounts.NOTHING;
+    private int incarnations;
+    private RequestCounts countsAtMark = RequestCounts.NOTHING;
+    private int incarnationsAtMark;
 
     /**
-     * What it answered over a watch before the release, on the old; null where that wasn't seen.
+     * Request counts over one observation before the rollout, with the previous version; null if
+     * unknown.
      */
-    private RequestCounts past;
+    private RequestCounts baselineCounts;
 
-    /** Since when it has been well; null while it isn't. */
-    private MonotonicTime wellSince;
+    /** Null while the node is not healthy. */
+    private MonotonicTime healthySince;
 
-    private MonotonicTime lastWell;
+    private MonotonicTime lastHealthyAt;
 
-    /** What it runs, and since when it has been seen to. */
+    /** The configuration digest and the program version that the node runs. */
     private String version = "";
 
     private MonotonicTime versionSince;
 
     /**
-     * @param every how far apart kept points are at the least
+     * Takes in the node's state.
+     *
+     * @param sampleInterval minimum time between samples
      */
-    void heard(NodeView nodeView, MonotonicTime now, NanoDuration every) {
-        boolean well = nodeView.status() == NodeStatus.WARM;
-        boolean another = !nodeView.incarnation().equals(incarnation);
-        wellSince = !well ? null : wellSince == null || another ? now : wellSince;
-        lastWell = well ? now : lastWell;
-        if (another) {
-            before = before.plus(ofLife);
-            ofLife = RequestCounts.NOTHING;
+    void update(NodeView nodeView, MonotonicTime now, NanoDuration sampleInterval) {
+        boolean isHealthy = nodeView.status() == NodeStatus.WARM;
+        boolean hasRestarted = !nodeView.incarnation().equals(incarnation);
+        healthySince =
+                !isHealthy ? null : healthySince == null || hasRestarted ? now : healthySince;
+        lastHealthyAt = isHealthy ? now : lastHealthyAt;
+        if (hasRestarted) {
+            earlierCounts = earlierCounts.plus(currentCounts);
+            currentCounts = RequestCounts.NOTHING;
             incarnation = nodeView.incarnation();
-            lives++;
+            incarnations++;
         }
         if (nodeView.report() == null || nodeView.report().requestCounts() == null) {
             return;
         }
-        ofLife = nodeView.report().requestCounts();
-        String runs = nodeView.report().runs() + " " + nodeView.report().program();
-        if (!runs.equals(version)) {
-            version = runs;
+        currentCounts = nodeView.report().requestCounts();
+        String reportedVersion = nodeView.report().runs() + " " + nodeView.report().program();
+        if (!reportedVersion.equals(version)) {
+            version = reportedVersion;
             versionSince = now;
         }
-        if (points.isEmpty() || now.since(points.peekLast().at()).compareTo(every) >= 0) {
-            points.addLast(new Point(now, before.plus(ofLife)));
-            if (points.size() > POINTS_A_WATCH + 2) {
-                points.removeFirst();
+        if (samples.isEmpty()
+                || now.since(samples.peekLast().at()).compareTo(sampleInterval) >= 0) {
+            samples.addLast(new Sample(now, earlierCounts.plus(currentCounts)));
+            if (samples.size() > SAMPLES_PER_WATCH + 2) {
+                samples.removeFirst();
             }
         }
     }
 
-    /** What it answered over the latest watch; null where that isn't known whole. */
-    RequestCounts latest(NanoDuration watch, MonotonicTime now) {
-        boolean whole =
-                !points.isEmpty()
-                        && now.since(points.peekFirst().at()).compareTo(watch.times(0.8)) >= 0;
-        return whole ? before.plus(ofLife).since(points.peekFirst().total()) : null;
+    /** Request counts over the kept samples; null if these cover less than 80% of the watch. */
+    RequestCounts latestCounts(NanoDuration watch, MonotonicTime now) {
+        boolean coversWatch =
+                !samples.isEmpty()
+                        && now.since(samples.peekFirst().at()).compareTo(watch.times(0.8)) >= 0;
+        return coversWatch
+                ? earlierCounts.plus(currentCounts).since(samples.peekFirst().total())
+                : null;
     }
 
-    /** That is what this node is compared with from now on. */
-    void past(RequestCounts known) {
-        past = known;
+    /** Sets what this node is compared with from now on; null for unknown. */
+    void setBaselineCounts(RequestCounts counts) {
+        baselineCounts = counts;
     }
 
-    RequestCounts past() {
-        return past;
+    RequestCounts baselineCounts() {
+        return baselineCounts;
     }
 
-    /** Counting begins here. */
+    /** Starts the counts of requests and restarts since the mark. */
     void mark() {
-        marked = before.plus(ofLife);
-        livesMarked = lives;
+        countsAtMark = earlierCounts.plus(currentCounts);
+        incarnationsAtMark = incarnations;
     }
 
-    RequestCounts sinceMark() {
-        return before.plus(ofLife).since(marked);
+    RequestCounts countsSinceMark() {
+        return earlierCounts.plus(currentCounts).since(countsAtMark);
     }
 
     int restartsSinceMark() {
-        return livesMarked == 0 ? 0 : lives - livesMarked;
+        return incarnationsAtMark == 0 ? 0 : incarnations - incarnationsAtMark;
     }
 
-    /** With what it runs now. */
-    boolean isWellFor(NanoDuration duration, MonotonicTime now) {
-        return wellSince != null
+    /** Whether it has been healthy that long with the version that it runs now. */
+    boolean isHealthyFor(NanoDuration duration, MonotonicTime now) {
+        return healthySince != null
                 && versionSince != null
-                && now.since(wellSince).compareTo(duration) >= 0
+                && now.since(healthySince).compareTo(duration) >= 0
                 && now.since(versionSince).compareTo(duration) >= 0;
     }
 
-    /** Whether it was ever well, and isn't for so long. */
+    /** Whether it was ever healthy, and has not been for that long. */
     boolean isLost(NanoDuration duration, MonotonicTime now) {
-        return lastWell != null && now.since(lastWell).compareTo(duration) >= 0;
+        return lastHealthyAt != null && now.since(lastHealthyAt).compareTo(duration) >= 0;
     }
 
-    boolean wasEverWell() {
-        return lastWell != null;
+    boolean wasEverHealthy() {
+        return lastHealthyAt != null;
     }
 }
--- a/src/main/java/lupinwood/rollout/NodeSample.java
+++ b/src/main/java/lupinwood/rollout/NodeSample.java
@@ -5,14 +5,14 @@
 import lupinwood.cluster.Site;
 
 /**
- * One node over a watch.
+ * What one node did while a wave was observed.
  *
- * @param changed whether it has what is released
- * @param before what it answered over as long a time before the wave, on the old; null where that
- *     isn't known
- * @param after what it answered during the watch
- * @param restarts how often it was started anew during the watch without having been let go
- * @param lost whether it isn't well, and hasn't been for a while
+ * @param changed whether it has the release
+ * @param before its request counts over an equally long time before the rollout, with the previous
+ *     version; null if unknown
+ * @param after its request counts since the observation began
+ * @param unpermittedRestarts restarts during the observation without a disruption permit
+ * @param isLost whether it has not been healthy for a while
  */
 public record NodeSample(
         NodeName node,
@@ -20,5 +20,5 @@
         boolean changed,
         RequestCounts before,
         RequestCounts after,
-        int restarts,
-        boolean lost) {}
+        int unpermittedRestarts,
+        boolean isLost) {}
--- a/src/main/java/lupinwood/rollout/RolloutAction.java
+++ b/src/main/java/lupinwood/rollout/RolloutAction.java
@@ -4,18 +4,17 @@
 import lupinwood.cluster.NodeName;
 
 /**
- * What the rollout controller wants done next. All may be lost or come twice, and does no harm
- * then.
+ * What the rollout controller wants done next. Each action may be lost or done twice without harm.
  */
 public sealed interface RolloutAction {
-    /** Written into the cluster state. */
+    /** Proposes a command to the cluster state. */
     record Propose(ClusterCommand command) implements RolloutAction {}
 
     /**
-     * A node asks for its permit to go, so that it comes back with what it is to run.
+     * Requests a disruption permit for a node, so that it restarts with what it is to run.
      *
-     * @param order names the asking for one life of the node: again under the same name it is done
-     *     once
+     * @param order names the request for one incarnation of the node; the same name again is
+     *     carried out once
      */
     record PermitRestart(String order, NodeName node) implements RolloutAction {}
 }
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -21,148 +21,152 @@
 import lupinwood.cluster.Rollout;
 
 /**
- * Leads a release for whoever holds the duty: checks it first, gives it to one node a zone, then to
- * waves that grow, and watches after each. What it has decided is in the cluster state; what it has
- * seen it learns anew when another begins, which then watches the wave under way from its own
- * start. It never resumes what was halted.
+ * Runs a rollout for the holder of the rollout controller duty: checks that all nodes accept the
+ * release, gives it to one node of each site, then to growing waves, and observes the nodes after
+ * each wave. Its decisions are in the cluster state; its observations are not, so a new holder of
+ * the duty observes the current wave from its own start. It never resumes a halted rollout.
  */
 public final class RolloutController {
-    private static final double GROWTH = 3;
+    /** By this factor the number of changed nodes grows with each wave. */
+    private static final double WAVE_GROWTH_FACTOR = 3;
 
-    /**
-     * Of those that haven't got it yet a wave takes no more, so that some are left to compare with.
-     */
-    private static final double MOST_OF_THE_REST = 0.6;
+    /** Largest share of the unchanged nodes in one wave; the others are left to compare with. */
+    private static final double MAX_WAVE_RATIO = 0.6;
 
-    /** Askings for permits at once. */
-    private static final int MAX_REQUESTED = 8;
+    private static final int MAX_PERMIT_REQUESTS = 8;
 
-    /**
-     * Counts of the past that are kept: what is written has to fit into one message, a few times.
-     */
-    private static final int MOST_COUNTS = 330;
+    /** Baseline counts that are stored: the command has to fit into one message several times. */
+    private static final int MAX_BASELINE_COUNTS = 330;
 
     private final NodeName self;
     private final CanaryLimits limits;
     private final Map<NodeName, NodeHistory> histories = new HashMap<>();
-    private long number = -1;
+    private long rolloutNumber = -1;
     private int step = -1;
-    private boolean back;
+    private boolean isRollingBack;
     private boolean wasHalted;
 
-    /** When the wave under way was first seen here. */
-    private MonotonicTime stepObserved;
+    /** When this controller first saw the current step. */
+    private MonotonicTime stepSeenAt;
 
-    /** From when the wave is watched: all that are there run it; null before. */
-    private MonotonicTime watchFrom;
+    /** Start of the observation of the current wave; null until its nodes run the release. */
+    private MonotonicTime watchStartedAt;
 
-    /** Since when a node had it and wasn't seen to be well with it. */
-    private final Map<NodeName, MonotonicTime> missing = new HashMap<>();
+    /** Since when a node has not been healthy with the version that it is to run. */
+    private final Map<NodeName, MonotonicTime> unhealthySince = new HashMap<>();
 
-    /** Given it, and waiting for a permit to go and come back with it. */
-    private final Set<NodeName> unpermitted = new HashSet<>();
+    /** Nodes that were given the release and wait for a disruption permit to restart with it. */
+    private final Set<NodeName> awaitingPermit = new HashSet<>();
 
-    /** All that were seen to have it in this release. */
-    private final Set<NodeName> hadIt = new HashSet<>();
+    /** All nodes that were seen to be given the release in this rollout. */
+    private final Set<NodeName> everGiven = new HashSet<>();
 
-    private int halts;
-    private String says = "";
-    private boolean wantsPast;
+    private int haltCount;
+    private String statusMessage = "";
+    private boolean needsBaseline;
 
     public RolloutController(NodeName self, CanaryLimits limits) {
         this.self = self;
         this.limits = limits;
     }
 
-    /** What it waits for or found last, in one line. */
+    /** What the controller waits for, or its last finding, in one line. */
     public String says() {
-        return says;
+        return statusMessage;
     }
 
     /**
-     * Whether the cluster state is to tell how nodes did before the release: it began under
-     * another.
+     * Whether the next snapshot is to contain the stored baseline counts, since the rollout began
+     * under another holder of the duty.
      */
     public boolean wantsPast() {
-        return wantsPast;
+        return needsBaseline;
     }
 
     /**
-     * What is to be done now; asked again and again with a fresh picture, and the same is said
-     * until it is in the cluster state.
+     * Returns the next actions. Called regularly with a new snapshot; the same actions are returned
+     * until the cluster state shows that they were carried out.
      */
     public List<RolloutAction> decide(
             RolloutSnapshot snapshot, FencingToken token, MonotonicTime now) {
         Rollout rollout = snapshot.rollout();
         if (rollout == null) {
-            number = -1;
-            says = "";
+            rolloutNumber = -1;
+            statusMessage = "";
             histories.clear();
-            return snapshot.haltedBy().isEmpty() ? catchUp(snapshot) : List.of();
+            return snapshot.haltedBy().isEmpty() ? restartOutdated(snapshot) : List.of();
         }
-        if (rollout.number() != number) {
-            number = rollout.number();
+        if (rollout.number() != rolloutNumber) {
+            rolloutNumber = rollout.number();
             step = -1;
             histories.clear();
-            hadIt.clear();
-            wantsPast = rollout.steps() > 0;
+            everGiven.clear();
+            needsBaseline = rollout.steps() > 0;
         }
         Set<NodeName> known = new HashSet<>();
         for (NodeView nodeView : snapshot.nodeViews()) {
             known.add(nodeView.name());
             histories
-                    .computeIfAbsent(nodeView.name(), none -> new NodeHistory())
-                    .heard(nodeView, now, limits.watch().times(1.0 / NodeHistory.POINTS_A_WATCH));
+                    .computeIfAbsent(nodeView.name(), key -> new NodeHistory())
+                    .update(
+                            nodeView,
+                            now,
+                            limits.minWatch().times(1.0 / NodeHistory.SAMPLES_PER_WATCH));
         }
         histories.keySet().retainAll(known);
-        hadIt.addAll(rollout.given());
-        if (wantsPast && snapshot.past() != null) {
-            wantsPast = false;
-            snapshot.past()
+        everGiven.addAll(rollout.given());
+        if (needsBaseline && snapshot.baselineCounts() != null) {
+            needsBaseline = false;
+            snapshot.baselineCounts()
                     .forEach(
                             (node, requestCounts) ->
                                     Optional.ofNullable(histories.get(new NodeName(node)))
-                                            .ifPresent(history -> history.past(requestCounts)));
+                                            .ifPresent(
+                                                    history ->
+                                                            history.setBaselineCounts(
+                                                                    requestCounts)));
         }
-        boolean halted = !snapshot.haltedBy().isEmpty();
-        if (rollout.steps() != step || rollout.back() != back || (wasHalted && !halted)) {
+        boolean isHalted = !snapshot.haltedBy().isEmpty();
+        if (rollout.steps() != step
+                || rollout.back() != isRollingBack
+                || (wasHalted && !isHalted)) {
             step = rollout.steps();
-            back = rollout.back();
-            stepObserved = now;
-            watchFrom = null;
-            missing.clear();
+            isRollingBack = rollout.back();
+            stepSeenAt = now;
+            watchStartedAt = null;
+            unhealthySince.clear();
         }
-        wasHalted = halted;
-        if (halted) {
-            says = "halted by " + snapshot.haltedBy();
+        wasHalted = isHalted;
+        if (isHalted) {
+            statusMessage = "halted by " + snapshot.haltedBy();
             return List.of();
         }
         if (rollout.back()) {
-            return goBack(snapshot, rollout, token, now);
+            return rollBack(snapshot, rollout, token, now);
         }
         return rollout.steps() == 0
-                ? check(snapshot, rollout, token, now)
-                : wave(snapshot, rollout, token, now);
+                ? prepare(snapshot, rollout, token, now)
+                : advance(snapshot, rollout, token, now);
     }
 
     /**
-     * Nodes that were away, or came back while nobody could tell them, take what was agreed on, if
-     * need be by a restart.
+     * Requests permits for nodes that need a restart to run the agreed configuration, as they were
+     * away or came back while no leader could inform them.
      */
-    private List<RolloutAction> catchUp(RolloutSnapshot snapshot) {
+    private List<RolloutAction> restartOutdated(RolloutSnapshot snapshot) {
         List<RolloutAction> actions = new ArrayList<>();
         for (NodeView nodeView : snapshot.nodeViews()) {
-            boolean lags =
-                    isThere(nodeView)
+            boolean isOutdated =
+                    isReachable(nodeView)
                             && nodeView.report() != null
-                            && !nodeView.report().runs().equals(snapshot.good());
-            if (lags
-                    && restartsFor(nodeView, snapshot.good())
+                            && !nodeView.report().runs().equals(snapshot.agreedDigest());
+            if (isOutdated
+                    && reportsRestartNeeded(nodeView, snapshot.agreedDigest())
                     && !snapshot.hasPermit(nodeView.name())) {
                 actions.add(
                         new RolloutAction.PermitRestart(
                                 "g"
-                                        + snapshot.good()
+                                        + snapshot.agreedDigest()
                                         + "."
                                         + nodeView.name()
                                         + "."
@@ -170,26 +174,26 @@
                                 nodeView.name()));
             }
         }
-        says =
+        statusMessage =
                 actions.isEmpty()
                         ? ""
-                        : actions.size() + " nodes need a restart to run what was agreed on";
-        return few(actions);
+                        : actions.size() + " nodes need a restart to run the agreed configuration";
+        return limitRequests(actions);
     }
 
-    // ---- before it starts ----
+    // ---- preparation ----
 
-    private List<RolloutAction> check(
+    private List<RolloutAction> prepare(
             RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
-        List<NodeView> there =
-                snapshot.nodeViews().stream().filter(RolloutController::isThere).toList();
-        for (NodeView nodeView : there) {
+        List<NodeView> reachable =
+                snapshot.nodeViews().stream().filter(RolloutController::isReachable).toList();
+        for (NodeView nodeView : reachable) {
             NodeReport report = nodeView.report();
             if (report == null) {
                 return refuse(
                         rollout,
                         token,
-                        nodeView.name() + " is of a version that knows of no releases");
+                        nodeView.name() + " runs a program version that doesn't support rollouts");
             }
             NodeReport.ConfigCheck checked = report.checked();
             if (rollout.kind() == Rollout.Kind.CONFIGURATION
@@ -197,60 +201,68 @@
                     && checked.digest().equals(rollout.to())
                     && !checked.fits()) {
                 return refuse(
-                        rollout, token, nodeView.name() + " would not take it: " + checked.why());
+                        rollout,
+                        token,
+                        nodeView.name() + " rejects the configuration: " + checked.why());
             }
         }
-        List<NodeName> open =
-                there.stream()
+        List<NodeName> unchecked =
+                reachable.stream()
                         .filter(nodeView -> !isChecked(nodeView, rollout))
                         .map(NodeView::name)
                         .toList();
-        if (there.size() * 2 <= snapshot.nodeViews().size()) {
-            says =
+        if (reachable.size() * 2 <= snapshot.nodeViews().size()) {
+            statusMessage =
                     "only "
-                            + there.size()
+                            + reachable.size()
                             + " of "
                             + snapshot.nodeViews().size()
-                            + " nodes are there";
-            return late(rollout, token, now);
+                            + " nodes are reachable";
+            return refuseIfLate(rollout, token, now);
         }
-        if (!open.isEmpty()) {
-            says =
-                    "waits for "
-                            + open.get(0)
-                            + (open.size() > 1 ? " and " + (open.size() - 1) + " more" : "")
-                            + " to check it";
-            return late(rollout, token, now);
+        if (!unchecked.isEmpty()) {
+            statusMessage =
+                    "waiting for "
+                            + unchecked.get(0)
+                            + (unchecked.size() > 1
+                                    ? " and " + (unchecked.size() - 1) + " more"
+                                    : "")
+                            + " to check the release";
+            return refuseIfLate(rollout, token, now);
         }
-        if (now.since(stepObserved).compareTo(limits.watch()) < 0) {
-            says = "looks at the fleet as it was before";
-            return List.of(); // what the waves are compared with
+        if (now.since(stepSeenAt).compareTo(limits.minWatch()) < 0) {
+            statusMessage = "recording the baseline before the first wave";
+            return List.of();
         }
-        Map<String, RequestCounts> past = new TreeMap<>();
-        long counts =
+        Map<String, RequestCounts> baselineCounts = new TreeMap<>();
+        long countEntries =
                 snapshot.nodeViews().stream()
                         .filter(nodeView -> nodeView.report() != null)
                         .mapToLong(nodeView -> nodeView.report().requestCounts().counts().size())
                         .sum();
         histories.forEach(
                 (node, history) -> {
-                    RequestCounts latest = history.latest(limits.watch(), now);
-                    if (latest != null && past.size() < MOST_COUNTS) {
-                        // In large fleets all request classes together: what is kept of each
-                        // request class would be
-                        // too long.
-                        past.put(
+                    RequestCounts latest = history.latestCounts(limits.minWatch(), now);
+                    if (latest != null && baselineCounts.size() < MAX_BASELINE_COUNTS) {
+                        // Large clusters store all request classes together, since counts by
+                        // request class would be too long.
+                        baselineCounts.put(
                                 node.text(),
-                                counts <= MOST_COUNTS
+                                countEntries <= MAX_BASELINE_COUNTS
                                         ? latest
                                         : new RequestCounts(List.of(latest.all())));
                     }
-                    history.past(latest);
+                    history.setBaselineCounts(latest);
                 });
-        return give(rollout, token, canaries(snapshot, rollout), "all have checked it", past);
+        return giveTo(
+                rollout,
+                token,
+                chooseCanaries(snapshot, rollout),
+                "all nodes accept the release",
+                baselineCounts);
     }
 
-    /** Whether it runs what all ran before, and would run the new. */
+    /** Whether the node runs the previous or the new version, and has checked the new one. */
     private static boolean isChecked(NodeView nodeView, Rollout rollout) {
         NodeReport report = nodeView.report();
         if (rollout.kind() == Rollout.Kind.PROGRAM) {
@@ -263,10 +275,12 @@
                 && report.checked().digest().equals(rollout.to());
     }
 
-    private List<RolloutAction> late(Rollout rollout, FencingToken token, MonotonicTime now) {
-        return now.since(stepObserved).compareTo(limits.watchMost()) < 0
+    /** Refuses the release if it has been waiting for too long. */
+    private List<RolloutAction> refuseIfLate(
+            Rollout rollout, FencingToken token, MonotonicTime now) {
+        return now.since(stepSeenAt).compareTo(limits.maxWatch()) < 0
                 ? List.of()
-                : refuse(rollout, token, says);
+                : refuse(rollout, token, statusMessage);
     }
 
     private static List<RolloutAction> refuse(Rollout rollout, FencingToken token, String why) {
@@ -275,31 +289,28 @@
                         new ClusterCommand.FinishRollout(token, rollout.number(), false, why, 0)));
     }
 
-    private static boolean isThere(NodeView nodeView) {
+    private static boolean isReachable(NodeView nodeView) {
         return nodeView.status() == NodeStatus.WARM || nodeView.status() == NodeStatus.UP;
     }
 
     // ---- waves ----
 
-    /** One of each zone: well, and rather not this node. */
-    private List<NodeName> canaries(RolloutSnapshot snapshot, Rollout rollout) {
-        Map<String, List<NodeView>> zones = byZone(snapshot, rollout);
+    /** One healthy node of each site; this node only if it is the only one. */
+    private List<NodeName> chooseCanaries(RolloutSnapshot snapshot, Rollout rollout) {
+        Map<String, List<NodeView>> sites = unchangedBySite(snapshot, rollout);
         List<NodeName> chosen = new ArrayList<>();
-        zones.values()
+        sites.values()
                 .forEach(
-                        zone ->
-                                zone.stream()
+                        site ->
+                                site.stream()
                                         .findFirst()
                                         .ifPresent(nodeView -> chosen.add(nodeView.name())));
         return chosen;
     }
 
-    /**
-     * Nodes that are well and haven't got it, in an order that begins with those that others need
-     * least.
-     */
-    private Map<String, List<NodeView>> byZone(RolloutSnapshot snapshot, Rollout rollout) {
-        Map<String, List<NodeView>> zones = new TreeMap<>();
+    /** Healthy nodes without the release by site, ordered by name with this node last. */
+    private Map<String, List<NodeView>> unchangedBySite(RolloutSnapshot snapshot, Rollout rollout) {
+        Map<String, List<NodeView>> sites = new TreeMap<>();
         snapshot.nodeViews().stream()
                 .filter(
                         nodeView ->
@@ -310,45 +321,45 @@
                                 .thenComparing(NodeView::name))
                 .forEach(
                         nodeView ->
-                                zones.computeIfAbsent(
+                                sites.computeIfAbsent(
                                                 nodeView.site().toString(),
-                                                none -> new ArrayList<>())
+                                                key -> new ArrayList<>())
                                         .add(nodeView));
-        return zones;
+        return sites;
     }
 
-    private List<NodeName> next(RolloutSnapshot snapshot, Rollout rollout) {
-        Map<String, List<NodeView>> zones = byZone(snapshot, rollout);
-        int left = zones.values().stream().mapToInt(List::size).sum();
+    private List<NodeName> chooseNextWave(RolloutSnapshot snapshot, Rollout rollout) {
+        Map<String, List<NodeView>> sites = unchangedBySite(snapshot, rollout);
+        int unchanged = sites.values().stream().mapToInt(List::size).sum();
         int given = rollout.given().size();
-        int all = given + left;
-        int few = Math.max(zones.size(), all / 10);
+        int all = given + unchanged;
+        int maxLastWave = Math.max(sites.size(), all / 10);
         int size =
-                left <= few
-                        ? left
+                unchanged <= maxLastWave
+                        ? unchanged
                         : (int)
                                 Math.max(
                                         1,
                                         Math.min(
-                                                given * (GROWTH - 1),
-                                                Math.ceil(left * MOST_OF_THE_REST)));
+                                                given * (WAVE_GROWTH_FACTOR - 1),
+                                                Math.ceil(unchanged * MAX_WAVE_RATIO)));
         List<NodeName> chosen = new ArrayList<>();
-        for (int turn = 0; chosen.size() < size; turn++) {
-            for (List<NodeView> zone : zones.values()) {
-                if (turn < zone.size() && chosen.size() < size) {
-                    chosen.add(zone.get(turn).name());
+        for (int index = 0; chosen.size() < size; index++) {
+            for (List<NodeView> site : sites.values()) {
+                if (index < site.size() && chosen.size() < size) {
+                    chosen.add(site.get(index).name());
                 }
             }
         }
         return chosen;
     }
 
-    private static List<RolloutAction> give(
+    private static List<RolloutAction> giveTo(
             Rollout rollout,
             FencingToken token,
             List<NodeName> nodes,
             String why,
-            Map<String, RequestCounts> past) {
+            Map<String, RequestCounts> baselineCounts) {
         return nodes.isEmpty()
                 ? List.of()
                 : List.of(
@@ -360,23 +371,24 @@
                                         false,
                                         nodes,
                                         why,
-                                        past,
+                                        baselineCounts,
                                         0)));
     }
 
-    private List<RolloutAction> wave(
+    /** Waits until the current wave is healthy, then observes it and decides on the next one. */
+    private List<RolloutAction> advance(
             RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
         List<RolloutAction> actions = new ArrayList<>();
-        List<NodeName> waits = new ArrayList<>();
-        unpermitted.clear();
+        List<NodeName> waitingFor = new ArrayList<>();
+        awaitingPermit.clear();
         for (NodeName node : rollout.given()) {
             NodeView nodeView = snapshot.of(node).orElse(null);
             if (nodeView == null
-                    || (runs(nodeView, rollout.kind(), rollout.to()) && isWell(node, now))) {
-                missing.remove(node);
+                    || (runs(nodeView, rollout.kind(), rollout.to()) && isHealthy(node, now))) {
+                unhealthySince.remove(node);
                 continue;
             }
-            if (isThere(nodeView)
+            if (isReachable(nodeView)
                     && !runs(nodeView, rollout.kind(), rollout.to())
                     && needsRestart(nodeView, rollout, rollout.to())) {
                 if (!snapshot.hasPermit(node)) {
@@ -389,58 +401,61 @@
                                             + "."
                                             + nodeView.incarnation(),
                                     node));
-                    missing.remove(node); // it waits for its permit, which is nobody's fault
-                    unpermitted.add(node);
-                    waits.add(node);
+                    unhealthySince.remove(node); // waiting for a permit is no fault of the node
+                    awaitingPermit.add(node);
+                    waitingFor.add(node);
                     continue;
                 }
             }
-            MonotonicTime since = missing.computeIfAbsent(node, none -> now);
-            if (now.since(since).compareTo(limits.rejoin()) < 0) {
-                waits.add(node);
+            MonotonicTime since = unhealthySince.computeIfAbsent(node, key -> now);
+            if (now.since(since).compareTo(limits.rejoinTimeout()) < 0) {
+                waitingFor.add(node);
             }
         }
-        if (!waits.isEmpty()) {
-            says =
-                    "waits for "
-                            + waits.get(0)
-                            + (waits.size() > 1 ? " and " + (waits.size() - 1) + " more" : "")
-                            + " to be well with it";
-            watchFrom = watchFrom == null || !actions.isEmpty() ? null : watchFrom;
-        } else if (watchFrom == null) {
-            watchFrom = now;
+        if (!waitingFor.isEmpty()) {
+            statusMessage =
+                    "waiting for "
+                            + waitingFor.get(0)
+                            + (waitingFor.size() > 1
+                                    ? " and " + (waitingFor.size() - 1) + " more"
+                                    : "")
+                            + " to be healthy with the release";
+            watchStartedAt = watchStartedAt == null || !actions.isEmpty() ? null : watchStartedAt;
+        } else if (watchStartedAt == null) {
+            watchStartedAt = now;
             histories.values().forEach(NodeHistory::mark);
         }
-        if (watchFrom == null) {
-            CanaryVerdict gone = CanaryAnalysis.losses(samples(snapshot, rollout, now));
-            if (gone != null) {
-                return List.of(bad(rollout, token, gone.text()));
+        if (watchStartedAt == null) {
+            CanaryVerdict losses = CanaryAnalysis.judgeLosses(samples(snapshot, rollout, now));
+            if (losses != null) {
+                return List.of(rollBackOrHalt(rollout, token, losses.text()));
             }
-            return now.since(stepObserved).compareTo(limits.watchMost().plus(limits.rejoin())) < 0
-                    ? few(actions)
-                    : List.of(halt(rollout, token, "it takes too long: " + says));
+            return now.since(stepSeenAt).compareTo(limits.maxWatch().plus(limits.rejoinTimeout()))
+                            < 0
+                    ? limitRequests(actions)
+                    : List.of(halt(rollout, token, "the wave takes too long: " + statusMessage));
         }
-        actions.addAll(judge(snapshot, rollout, token, now, waits.isEmpty()));
+        actions.addAll(judgeWave(snapshot, rollout, token, now, waitingFor.isEmpty()));
         return actions;
     }
 
-    private List<RolloutAction> judge(
+    private List<RolloutAction> judgeWave(
             RolloutSnapshot snapshot,
             Rollout rollout,
             FencingToken token,
             MonotonicTime now,
-            boolean settled) {
-        NanoDuration watched = now.since(watchFrom);
+            boolean isSettled) {
+        NanoDuration watched = now.since(watchStartedAt);
         CanaryVerdict verdict = CanaryAnalysis.judge(samples(snapshot, rollout, now), limits);
-        says = verdict.text();
+        statusMessage = verdict.text();
         if (verdict.kind() == CanaryVerdict.Kind.WORSE) {
-            return List.of(bad(rollout, token, verdict.text()));
+            return List.of(rollBackOrHalt(rollout, token, verdict.text()));
         }
-        if (watched.compareTo(limits.watch()) < 0 || !settled) {
+        if (watched.compareTo(limits.minWatch()) < 0 || !isSettled) {
             return List.of();
         }
         if (verdict.kind() == CanaryVerdict.Kind.UNSURE) {
-            return watched.compareTo(limits.watchMost()) < 0
+            return watched.compareTo(limits.maxWatch()) < 0
                     ? List.of()
                     : List.of(
                             halt(
@@ -448,31 +463,36 @@
                                     token,
                                     "it can't be told whether it is well: " + verdict.text()));
         }
-        boolean all =
+        boolean isComplete =
                 snapshot.nodeViews().stream()
                         .allMatch(
                                 nodeView ->
                                         rollout.isGiven(nodeView.name())
-                                                || (!isThere(nodeView)
+                                                || (!isReachable(nodeView)
                                                         && nodeView.status()
                                                                 != NodeStatus.LEAVING));
-        if (!all) {
-            long out =
+        if (!isComplete) {
+            long unavailableNodes =
                     snapshot.nodeViews().stream()
                             .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
                             .count();
-            return out > snapshot.mostOut()
+            return unavailableNodes > snapshot.maxUnavailableNodes()
                     ? List.of(
                             halt(
                                     rollout,
                                     token,
-                                    out
+                                    unavailableNodes
                                             + " of "
                                             + snapshot.nodeViews().size()
-                                            + " nodes are out, and no more than "
-                                            + snapshot.mostOut()
-                                            + " may be"))
-                    : give(rollout, token, next(snapshot, rollout), verdict.text(), null);
+                                            + " nodes are unavailable, and the disruption limit is "
+                                            + snapshot.maxUnavailableNodes()
+                                            + " nodes"))
+                    : giveTo(
+                            rollout,
+                            token,
+                            chooseNextWave(snapshot, rollout),
+                            verdict.text(),
+                            null);
         }
         return List.of(
                 new RolloutAction.Propose(
@@ -485,131 +505,136 @@
         for (NodeView nodeView : snapshot.nodeViews()) {
             NodeHistory history = histories.get(nodeView.name());
             boolean changed =
-                    rollout.isGiven(nodeView.name()) && !unpermitted.contains(nodeView.name());
-            if (!changed && !history.wasEverWell()) {
-                continue; // it was away before this began
+                    rollout.isGiven(nodeView.name()) && !awaitingPermit.contains(nodeView.name());
+            if (!changed && !history.wasEverHealthy()) {
+                continue; // it was unavailable before the rollout began
             }
-            MonotonicTime since = missing.get(nodeView.name());
-            boolean lost =
+            MonotonicTime since = unhealthySince.get(nodeView.name());
+            boolean isLost =
                     changed
-                            ? since != null && now.since(since).compareTo(limits.rejoin()) >= 0
-                            : history.isLost(limits.rejoin(), now);
+                            ? since != null
+                                    && now.since(since).compareTo(limits.rejoinTimeout()) >= 0
+                            : history.isLost(limits.rejoinTimeout(), now);
             samples.add(
                     new NodeSample(
                             nodeView.name(),
                             nodeView.site(),
                             changed,
-                            history.past(),
-                            history.sinceMark(),
-                            watchFrom == null || snapshot.hasPermit(nodeView.name())
+                            history.baselineCounts(),
+                            history.countsSinceMark(),
+                            watchStartedAt == null || snapshot.hasPermit(nodeView.name())
                                     ? 0
                                     : history.restartsSinceMark(),
-                            lost));
+                            isLost));
         }
         return samples;
     }
 
-    private boolean isWell(NodeName node, MonotonicTime now) {
+    private boolean isHealthy(NodeName node, MonotonicTime now) {
         NodeHistory history = histories.get(node);
-        return history != null && history.isWellFor(limits.well(), now);
+        return history != null && history.isHealthyFor(limits.minHealthyTime(), now);
     }
 
-    private static boolean runs(NodeView nodeView, Rollout.Kind kind, String what) {
+    private static boolean runs(NodeView nodeView, Rollout.Kind kind, String version) {
         NodeReport report = nodeView.report();
         return report != null
-                && what.equals(kind == Rollout.Kind.PROGRAM ? report.program() : report.runs());
+                && version.equals(kind == Rollout.Kind.PROGRAM ? report.program() : report.runs());
     }
 
-    /**
-     * Whether a node that is there says that it would run the one or the other after a restart
-     * only.
-     */
-    private static boolean needsRestart(NodeView nodeView, Rollout rollout, String what) {
-        return rollout.kind() == Rollout.Kind.PROGRAM || restartsFor(nodeView, what);
+    /** Whether the node needs a restart to run this version of the program or configuration. */
+    private static boolean needsRestart(NodeView nodeView, Rollout rollout, String version) {
+        return rollout.kind() == Rollout.Kind.PROGRAM || reportsRestartNeeded(nodeView, version);
     }
 
-    private static boolean restartsFor(NodeView nodeView, String digest) {
+    private static boolean reportsRestartNeeded(NodeView nodeView, String digest) {
         NodeReport.ConfigCheck checked =
                 nodeView.report() == null ? null : nodeView.report().checked();
         return checked != null && checked.digest().equals(digest) && checked.restarts();
     }
 
-    // ---- halts, and back ----
+    // ---- halting and rolling back ----
 
-    private RolloutAction bad(Rollout rollout, FencingToken token, String why) {
+    private RolloutAction rollBackOrHalt(Rollout rollout, FencingToken token, String why) {
         return rollout.backsOnHalt()
                 ? new RolloutAction.Propose(
                         new ClusterCommand.RollBack(
                                 "back" + rollout.number(),
                                 rollout.number(),
-                                "the watch (" + why + ")",
+                                "the canary analysis (" + why + ")",
                                 0))
                 : halt(rollout, token, why);
     }
 
     private RolloutAction halt(Rollout rollout, FencingToken token, String why) {
-        String order = "r" + rollout.number() + "." + rollout.steps() + "." + token + "." + halts++;
+        String order =
+                "r" + rollout.number() + "." + rollout.steps() + "." + token + "." + haltCount++;
         return new RolloutAction.Propose(
                 new ClusterCommand.SetHalt(
                         order,
                         true,
-                        rollout + (rollout.back() ? ", its way back: " : ", its watch: ") + why,
+                        rollout + (rollout.back() ? ", rolling back: " : ", rolling out: ") + why,
                         0));
     }
 
     /**
-     * One node a zone first, the zone that is served worst before all others; once they are well,
-     * the rest.
+     * Rolls back one node of each site first, starting with the node that serves requests worst;
+     * once these are healthy, all others.
      */
-    private List<RolloutAction> goBack(
+    private List<RolloutAction> rollBack(
             RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
         List<RolloutAction> actions = new ArrayList<>();
-        List<NodeName> waits = new ArrayList<>();
-        NodeName late = null;
+        List<NodeName> waitingFor = new ArrayList<>();
+        NodeName overdue = null;
         for (NodeView nodeView : snapshot.nodeViews()) {
             NodeName node = nodeView.name();
-            boolean old =
+            boolean runsPrevious =
                     rollout.kind() == Rollout.Kind.PROGRAM
                             ? !runs(nodeView, rollout.kind(), rollout.to())
                             : runs(nodeView, rollout.kind(), rollout.from());
             if (rollout.isGiven(node)
-                    || (!isThere(nodeView) && !hadIt.contains(node))
-                    || (old && isWell(node, now))) {
-                missing.remove(node);
+                    || (!isReachable(nodeView) && !everGiven.contains(node))
+                    || (runsPrevious && isHealthy(node, now))) {
+                unhealthySince.remove(node);
                 continue;
             }
-            waits.add(node);
-            if (isThere(nodeView)
-                    && !old
+            waitingFor.add(node);
+            if (isReachable(nodeView)
+                    && !runsPrevious
                     && needsRestart(nodeView, rollout, rollout.from())
                     && !snapshot.hasPermit(node)) {
                 actions.add(
                         new RolloutAction.PermitRestart(
                                 "b" + rollout.number() + "." + node + "." + nodeView.incarnation(),
                                 node));
-                missing.remove(node); // it waits for its permit
+                unhealthySince.remove(node); // waiting for a permit is no fault of the node
                 continue;
             }
-            MonotonicTime since = missing.computeIfAbsent(node, none -> now);
-            late = late == null && now.since(since).compareTo(limits.rejoin()) >= 0 ? node : late;
+            MonotonicTime since = unhealthySince.computeIfAbsent(node, key -> now);
+            overdue =
+                    overdue == null && now.since(since).compareTo(limits.rejoinTimeout()) >= 0
+                            ? node
+                            : overdue;
         }
-        if (late != null) {
-            return List.of(halt(rollout, token, late + " is not well with what it ran before"));
+        if (overdue != null) {
+            return List.of(
+                    halt(rollout, token, overdue + " is not healthy with the previous version"));
         }
-        if (!waits.isEmpty()) {
-            says =
-                    "on its way back, waits for "
-                            + waits.get(0)
-                            + (waits.size() > 1 ? " and " + (waits.size() - 1) + " more" : "");
-            return few(actions);
+        if (!waitingFor.isEmpty()) {
+            statusMessage =
+                    "rolling back, waiting for "
+                            + waitingFor.get(0)
+                            + (waitingFor.size() > 1
+                                    ? " and " + (waitingFor.size() - 1) + " more"
+                                    : "");
+            return limitRequests(actions);
         }
         if (rollout.given().isEmpty()) {
             return List.of(
                     new RolloutAction.Propose(
                             new ClusterCommand.FinishRollout(
-                                    token, rollout.number(), false, "all are back", 0)));
+                                    token, rollout.number(), false, "all nodes rolled back", 0)));
         }
-        boolean first = rollout.steps() == rollout.turnedAt();
+        boolean isFirstStep = rollout.steps() == rollout.turnedAt();
         return List.of(
                 new RolloutAction.Propose(
                         new ClusterCommand.AdvanceRollout(
@@ -617,18 +642,22 @@
                                 rollout.number(),
                                 rollout.steps() + 1,
                                 true,
-                                first ? worstFirst(snapshot, rollout) : rollout.given(),
-                                first ? "one of each zone first" : "the first are well again",
+                                isFirstStep
+                                        ? chooseWorstOfEachSite(snapshot, rollout)
+                                        : rollout.given(),
+                                isFirstStep
+                                        ? "one node of each site first"
+                                        : "the first nodes are healthy again",
                                 null,
                                 0)));
     }
 
-    private static List<RolloutAction> few(List<RolloutAction> actions) {
-        return actions.subList(0, Math.min(actions.size(), MAX_REQUESTED));
+    private static List<RolloutAction> limitRequests(List<RolloutAction> actions) {
+        return actions.subList(0, Math.min(actions.size(), MAX_PERMIT_REQUESTS));
     }
 
-    /** Of each zone the node that is served worst, in the order of how bad that is. */
-    private List<NodeName> worstFirst(RolloutSnapshot snapshot, Rollout rollout) {
+    /** The node of each site that serves requests worst, the worst node first. */
+    private List<NodeName> chooseWorstOfEachSite(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, NodeView> worst = new TreeMap<>();
         snapshot.nodeViews().stream()
                 .filter(nodeView -> rollout.isGiven(nodeView.name()))
@@ -637,22 +666,25 @@
                                 worst.merge(
                                         nodeView.site().toString(),
                                         nodeView,
-                                        (one, other) ->
-                                                bad(one.name()) >= bad(other.name())
-                                                        ? one
-                                                        : other));
+                                        (first, second) ->
+                                                badRatio(first.name()) >= badRatio(second.name())
+                                                        ? first
+                                                        : second));
         List<NodeName> nodes =
                 worst.values().stream()
                         .map(NodeView::name)
                         .sorted(
-                                Comparator.comparing((NodeName node) -> -bad(node))
+                                Comparator.comparing((NodeName node) -> -badRatio(node))
                                         .thenComparing(node -> node))
                         .toList();
-        return nodes.isEmpty() ? rollout.given() : nodes; // who has it may be known no more
+        return nodes.isEmpty()
+                ? rollout.given()
+                : nodes; // the cluster may have forgotten the nodes that have it
     }
 
-    private double bad(NodeName node) {
-        RequestCounts.ClassCounts all = histories.get(node).sinceMark().all();
-        return all.all() == 0 ? 1 : (double) all.bad() / all.all();
+    /** The share of requests since the mark that were not served in time; 1 without requests. */
+    private double badRatio(NodeName node) {
+        RequestCounts.ClassCounts total = histories.get(node).countsSinceMark().all();
+        return total.all() == 0 ? 1 : (double) total.bad() / total.all();
     }
 }
--- a/src/main/java/lupinwood/rollout/RolloutSnapshot.java
+++ b/src/main/java/lupinwood/rollout/RolloutSnapshot.java
@@ -11,25 +11,26 @@
 import lupinwood.cluster.Rollout;
 
 /**
- * What the rollout controller goes by: the cluster state and what the one who leads sees.
+ * The rollout controller's input: the cluster state, and what its leader sees of the nodes.
  *
- * @param rollout null while none is open
- * @param good the digest of the text that all run while no release is open
- * @param haltedBy empty while nothing is halted
- * @param mostOut so many nodes may be out at once
- * @param past what each node answered over a watch before the first wave; null where it wasn't
- *     asked for
+ * @param rollout null while none is in progress
+ * @param agreedDigest the digest of the configuration that all nodes run while no rollout is in
+ *     progress
+ * @param haltedBy empty while rollouts are not halted
+ * @param maxUnavailableNodes how many nodes may be out at once
+ * @param baselineCounts each node's request counts over one observation before the first wave; null
+ *     if they were not requested
  */
 public record RolloutSnapshot(
         Rollout rollout,
-        String good,
+        String agreedDigest,
         String haltedBy,
         List<NodeView> nodeViews,
         Collection<DisruptionPermit> permits,
-        int mostOut,
-        Map<String, RequestCounts> past) {
+        int maxUnavailableNodes,
+        Map<String, RequestCounts> baselineCounts) {
     Optional<NodeView> of(NodeName node) {
-        return nodeViews.stream().filter(one -> one.name().equals(node)).findFirst();
+        return nodeViews.stream().filter(nodeView -> nodeView.name().equals(node)).findFirst();
     }
 
     boolean hasPermit(NodeName node) {
--- a/src/main/java/lupinwood/rollout/package-info.java
+++ b/src/main/java/lupinwood/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides how a release goes through a fleet: who gets it next, whether those that have it do worse
- * than those that haven't, when it halts, and how it goes back. Time comes from outside; no I/O.
+ * Rollouts of a release through a fleet: which nodes get it next, canary analysis against the nodes
+ * that don't have it, halting, and rolling back. Time comes from the caller; no I/O.
  */
 package lupinwood.rollout;
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -153,7 +153,7 @@
         assertThat(slots(0, 1)).as("p1 is in the same region").isGreaterThan(slots(0, 2));
         assertThat(slots(0, 1) + slots(0, 2)).isGreaterThanOrEqualTo(8);
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
-                .contains("trusted capacity of p0 is 0%");
+                .contains("trusted capacity of p0 reduced to 0%");
         setFailing(0, false);
         run(4);
         assertThat(slots(0, 0)).as("trust returns by a quarter at a time").isLessThan(14);
--- a/src/test/java/lupinwood/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/lupinwood/rollout/CanaryAnalysisTest.java
@@ -11,7 +11,7 @@
 import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
-/** What a watch blames on a release, and what it doesn't. */
+/** What canary analysis attributes to a release, and what it doesn't. */
 final class CanaryAnalysisTest {
     private static final CanaryLimits LIMITS =
             CanaryLimits.of(
@@ -20,67 +20,70 @@
                     0.03,
                     NanoDuration.ofSeconds(3));
 
-    private interface Bad {
-        double share(int node, boolean changed, boolean after, String className);
+    /** The share of requests that are not served in time. */
+    private interface BadRatio {
+        double of(int node, boolean changed, boolean after, String className);
     }
 
     private final Random random = new Random(7);
     private int restartsOfChanged;
     private int lostChanged;
     private int lostOthers;
-    private double slower = 1;
+    private double latencyFactor = 1;
 
-    private RequestCounts tally(int node, boolean changed, boolean after, int requests, Bad bad) {
+    private RequestCounts generateCounts(
+            int node, boolean changed, boolean after, int requests, BadRatio badRatio) {
         List<RequestCounts.ClassCounts> counts = new ArrayList<>();
         for (String className : List.of("look", "unlock")) {
             long all = className.equals("look") ? requests * 3L / 4 : requests / 4;
-            double share = bad.share(node, changed, after, className);
-            long wrong =
+            double ratio = badRatio.of(node, changed, after, className);
+            long bad =
                     Math.max(
                             0,
                             Math.min(
                                     all,
                                     Math.round(
-                                            all * share
-                                                    + Math.sqrt(all * share * (1 - share))
+                                            all * ratio
+                                                    + Math.sqrt(all * ratio * (1 - ratio))
                                                             * random.nextGaussian())));
             double seconds =
-                    (all - wrong)
+                    (all - bad)
                             * 0.05
-                            * (changed && after ? slower : 1)
+                            * (changed && after ? latencyFactor : 1)
                             * (1 + 0.05 * random.nextGaussian());
-            counts.add(new RequestCounts.ClassCounts(className, all - wrong, 0, 0, wrong, seconds));
+            counts.add(new RequestCounts.ClassCounts(className, all - bad, 0, 0, bad, seconds));
         }
         return new RequestCounts(counts);
     }
 
-    /** Four zones of six nodes, one of each changed. */
-    private CanaryVerdict judge(int requests, Bad bad) {
+    /** Four sites with six nodes each, one of which is changed. */
+    private CanaryVerdict judge(int requests, BadRatio badRatio) {
         List<NodeSample> samples = new ArrayList<>();
         for (int node = 0; node < 24; node++) {
             boolean changed = node < 4;
-            boolean lost = changed ? node < lostChanged : node - 4 < lostOthers;
+            boolean isLost = changed ? node < lostChanged : node - 4 < lostOthers;
             samples.add(
                     new NodeSample(
                             new NodeName("n" + node),
                             new Site("r", "z" + node % 4),
                             changed,
-                            tally(node, changed, false, requests, bad),
-                            tally(node, changed, true, requests, bad),
+                            generateCounts(node, changed, false, requests, badRatio),
+                            generateCounts(node, changed, true, requests, badRatio),
                             changed ? restartsOfChanged : 0,
-                            lost));
+                            isLost));
         }
         return CanaryAnalysis.judge(samples, LIMITS);
     }
 
     @Test
-    void whatDoesAsWellIsWellAndWhatDoesWorseIsFound() {
+    void findsWorseAndSlowerNodesButNotEquallyGoodOnes() {
         assertThat(judge(1000, (node, changed, after, className) -> 0.02).kind())
                 .isEqualTo(CanaryVerdict.Kind.WELL);
         CanaryVerdict worse =
                 judge(1000, (node, changed, after, className) -> changed && after ? 0.1 : 0.02);
         assertThat(worse.kind()).isEqualTo(CanaryVerdict.Kind.WORSE);
-        assertThat(worse.text()).contains("points gone wrong of all tickets");
+        assertThat(worse.text())
+                .contains("points of requests not served in time in all request classes");
         assertThat(
                         judge(
                                         1000,
@@ -90,25 +93,26 @@
                                                         : 0.02)
                                 .kind())
                 .isEqualTo(CanaryVerdict.Kind.WORSE);
-        slower = 2;
+        latencyFactor = 2;
         assertThat(judge(1000, (node, changed, after, className) -> 0.02).text())
                 .contains("slower");
     }
 
     @Test
-    void whatComesOverAllOfAZoneIsBlamedOnNothing() {
-        Bad inZone = (node, changed, after, className) -> after && node % 4 == 1 ? 0.4 : 0.02;
-        assertThat(judge(1000, inZone).kind()).isEqualTo(CanaryVerdict.Kind.WELL);
-        Bad everywhere = (node, changed, after, className) -> after ? 0.3 : 0.02;
+    void siteWideDisturbancesAreNotAttributedToTheRelease() {
+        BadRatio inOneSite =
+                (node, changed, after, className) -> after && node % 4 == 1 ? 0.4 : 0.02;
+        assertThat(judge(1000, inOneSite).kind()).isEqualTo(CanaryVerdict.Kind.WELL);
+        BadRatio everywhere = (node, changed, after, className) -> after ? 0.3 : 0.02;
         assertThat(judge(1000, everywhere).kind()).isNotEqualTo(CanaryVerdict.Kind.WORSE);
-        Bad badBefore = (node, changed, after, className) -> changed ? 0.2 : 0.02;
+        BadRatio badBefore = (node, changed, after, className) -> changed ? 0.2 : 0.02;
         assertThat(judge(1000, badBefore).kind())
-                .as("they were as bad before")
+                .as("changed nodes were as bad before")
                 .isEqualTo(CanaryVerdict.Kind.WELL);
     }
 
     @Test
-    void littleTrafficIsNoProof() {
+    void littleTrafficIsInconclusive() {
         assertThat(judge(10, (node, changed, after, className) -> 0.02).kind())
                 .isEqualTo(CanaryVerdict.Kind.UNSURE);
         assertThat(judge(40, (node, changed, after, className) -> 0.1).kind())
@@ -116,18 +120,18 @@
     }
 
     @Test
-    void nodesThatGoMissingOrStartAnewAreFoundUnlessOthersDoTheSame() {
-        Bad fine = (node, changed, after, className) -> 0.02;
+    void findsLostOrRestartingNodesUnlessOthersDoTheSame() {
+        BadRatio fine = (node, changed, after, className) -> 0.02;
         lostChanged = 3;
         assertThat(judge(1000, fine).text())
-                .contains("3 of 4 nodes that have it are lost, 0 of the 20 others");
+                .contains("3 of 4 changed nodes are lost, 0 of the 20 others");
         lostOthers = 15;
         assertThat(judge(1000, fine).kind())
-                .as("most of all are lost")
+                .as("most nodes of both kinds are lost")
                 .isEqualTo(CanaryVerdict.Kind.WELL);
         lostChanged = 0;
         lostOthers = 0;
         restartsOfChanged = 2;
-        assertThat(judge(1000, fine).text()).contains("8 restarts at 4 nodes that have it");
+        assertThat(judge(1000, fine).text()).contains("8 restarts of 4 changed nodes");
     }
 }
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -21,7 +21,7 @@
 import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
-/** A release of nine nodes in three zones, by the real book. */
+/** A rollout over nine nodes in three zones, against a real cluster state. */
 final class RolloutControllerTest {
     private static final CanaryLimits LIMITS =
             CanaryLimits.of(
@@ -30,14 +30,17 @@
                     0.05,
                     NanoDuration.ofSeconds(3));
     private final ClusterState clusterState = new ClusterState(100);
-    private final String[] runs = {"", "", "", "", "", "", "", "", ""};
-    private final boolean[] there = {true, true, true, true, true, true, true, true, true};
-    private final boolean[] refuses = new boolean[9];
-    private final boolean[] bad = new boolean[9];
+    private final String[] runningDigests = {"", "", "", "", "", "", "", "", ""};
+    private final boolean[] reachable = {true, true, true, true, true, true, true, true, true};
+    private final boolean[] rejectsRelease = new boolean[9];
+    private final boolean[] failsWithRelease = new boolean[9];
+
+    /** Requests served and failed, by node. */
     private final long[][] counts = new long[9][2];
+
     private RolloutController rolloutController = new RolloutController(name(0), LIMITS);
     private FencingToken token;
-    private double now;
+    private double nowSeconds;
 
     private static NodeName name(int i) {
         return new NodeName("n" + i);
@@ -70,12 +73,15 @@
                 .isTrue();
     }
 
-    private RolloutSnapshot picture() {
+    private RolloutSnapshot snapshot() {
         List<NodeView> nodeViews = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             NodeReport.ConfigCheck checked =
                     new NodeReport.ConfigCheck(
-                            "new", !refuses[i], false, refuses[i] ? "no such track" : "");
+                            "new",
+                            !rejectsRelease[i],
+                            false,
+                            rejectsRelease[i] ? "no such track" : "");
             RequestCounts requestCounts =
                     new RequestCounts(
                             List.of(
@@ -91,11 +97,11 @@
                             name(i),
                             new Incarnation(i),
                             new Site("r", "z" + i % 3),
-                            there[i] ? NodeStatus.WARM : NodeStatus.UNKNOWN,
+                            reachable[i] ? NodeStatus.WARM : NodeStatus.UNKNOWN,
                             NanoDuration.ZERO,
                             new NodeReport(
                                     "1",
-                                    runs[i],
+                                    runningDigests[i],
                                     checked,
                                     List.of(),
                                     0,
@@ -112,18 +118,22 @@
                 clusterState.past());
     }
 
-    /** Seconds go by, and nodes do as they are told. */
-    private void play(int seconds) {
+    /** Advances the time by seconds; reachable nodes run what the cluster state wants. */
+    private void run(int seconds) {
         for (int i = 0; i < seconds; i++) {
-            now++;
+            nowSeconds++;
             for (int node = 0; node < 9; node++) {
-                if (there[node]) {
-                    counts[node][bad[node] && runs[node].equals("new") ? 1 : 0] += 50;
-                    runs[node] = clusterState.wanted(name(node)).runs();
+                if (reachable[node]) {
+                    counts[node][
+                                    failsWithRelease[node] && runningDigests[node].equals("new")
+                                            ? 1
+                                            : 0] +=
+                            50;
+                    runningDigests[node] = clusterState.wanted(name(node)).runs();
                 }
             }
             rolloutController
-                    .decide(picture(), token, new MonotonicTime(Math.round(now * 1e9)))
+                    .decide(snapshot(), token, new MonotonicTime(Math.round(nowSeconds * 1e9)))
                     .forEach(
                             action ->
                                     clusterState.apply(((RolloutAction.Propose) action).command()));
@@ -131,74 +141,74 @@
     }
 
     @Test
-    void oneOfEachZoneThenMoreThenAll() {
+    void releaseGoesToOneNodePerZoneThenMoreThenAll() {
         begin(false);
-        play(19);
-        assertThat(clusterState.rollout().steps()).as("it looks at the fleet before").isZero();
-        play(3);
+        run(19);
+        assertThat(clusterState.rollout().steps()).as("the baseline is recorded first").isZero();
+        run(3);
         assertThat(clusterState.rollout().given())
                 .extracting(NodeName::text)
                 .containsExactlyInAnyOrder("n1", "n2", "n3");
-        play(15);
-        assertThat(clusterState.rollout().steps()).as("a watch is 20 s").isEqualTo(1);
-        play(15);
+        run(15);
+        assertThat(clusterState.rollout().steps()).as("a wave is observed for 20 s").isEqualTo(1);
+        run(15);
         assertThat(clusterState.rollout().given()).hasSize(7);
-        play(60);
+        run(60);
         assertThat(clusterState.rollout()).isNull();
         assertThat(clusterState.wanted(name(5)).runs()).isEqualTo("new");
     }
 
     @Test
-    void aNodeThatWouldRefuseItStopsItBeforeItStarts() {
+    void rejectionByOneNodeEndsTheRolloutBeforeTheFirstWave() {
         begin(false);
-        refuses[4] = true;
-        play(5);
+        rejectsRelease[4] = true;
+        run(5);
         assertThat(clusterState.rollout()).isNull();
         assertThat(clusterState.wanted(name(1)).runs()).isEmpty();
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
-                .contains("n4 would not take it: no such track");
+                .contains("n4 rejects the configuration: no such track");
     }
 
     @Test
-    void whoDoesWorseHaltsItAndNothingGoesOnUntilAnOperatorSaysSo() {
+    void worseNodesHaltTheRolloutUntilAnOperatorActs() {
         begin(false);
-        bad[1] = bad[2] = bad[3] = true;
-        play(40);
-        assertThat(clusterState.haltedBy()).contains("release 1, its watch: worse");
+        failsWithRelease[1] = failsWithRelease[2] = failsWithRelease[3] = true;
+        run(40);
+        assertThat(clusterState.haltedBy()).contains("release 1, rolling out: worse");
         List<NodeName> given = clusterState.rollout().given();
-        play(200);
+        run(200);
         assertThat(clusterState.rollout().given()).isEqualTo(given);
         clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
-        play(40);
+        run(40);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(runs).containsOnly("");
+        assertThat(runningDigests).containsOnly("");
     }
 
     @Test
-    void itTurnsBackByItselfOnlyWhereItSaidSoOneNodeAZoneFirst() {
+    void rollsBackAutomaticallyIfRequestedOneNodePerZoneFirst() {
         begin(true);
-        play(60); // seven have it
+        run(60); // seven nodes have the release
         assertThat(clusterState.rollout().steps()).isEqualTo(2);
-        Arrays.fill(bad, true);
+        Arrays.fill(failsWithRelease, true);
         for (int i = 0; i < 60 && !clusterState.rollout().back(); i++) {
-            play(1);
+            run(1);
         }
-        int had = clusterState.rollout().given().size();
-        play(2);
-        assertThat(clusterState.rollout().given()).hasSize(had - 3);
-        play(40);
+        int givenBefore = clusterState.rollout().given().size();
+        run(2);
+        assertThat(clusterState.rollout().given()).hasSize(givenBefore - 3);
+        run(40);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(runs).containsOnly("");
+        assertThat(runningDigests).containsOnly("");
     }
 
     @Test
-    void aSuccessorGoesOnFromTheBookWithWhatWasStoredOfThePast() {
+    void newControllerContinuesWithTheStoredBaseline() {
         begin(false);
-        play(25);
+        run(25);
         clusterState.apply(
                 new ClusterCommand.ReleaseLease(
                         DutyName.ROLLOUT_CONTROLLER, token, ClusterCommand.LeaseEnd.LAPSED));
-        FencingToken old = token;
+        FencingToken previousToken = token;
         clusterState.apply(
                 new ClusterCommand.GrantLease(
                         DutyName.ROLLOUT_CONTROLLER, name(1), new Incarnation(1), token));
@@ -206,30 +216,30 @@
         assertThat(
                         clusterState.apply(
                                 new ClusterCommand.AdvanceRollout(
-                                        old, 1, 2, false, List.of(name(8)), "", null, 1)))
-                .as("the old one's word")
+                                        previousToken, 1, 2, false, List.of(name(8)), "", null, 1)))
+                .as("a command under the previous token")
                 .isFalse();
         rolloutController = new RolloutController(name(1), LIMITS);
-        play(1);
-        assertThat(rolloutController.wantsPast()).as("it was told").isFalse();
+        run(1);
+        assertThat(rolloutController.wantsPast()).as("it read the stored baseline").isFalse();
         assertThat(clusterState.past()).hasSize(9);
-        play(100);
+        run(100);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(runs).containsOnly("new");
+        assertThat(runningDigests).containsOnly("new");
     }
 
     @Test
-    void aWayBackThatFailsHaltsAndSaysSo() {
+    void failedRollbackHalts() {
         begin(false);
-        play(40);
+        run(40);
         clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
-        play(2);
+        run(2);
         for (int i = 0; i < 9; i++) {
-            there[i] = clusterState.rollout().isGiven(name(i)) || i > 3;
+            reachable[i] = clusterState.rollout().isGiven(name(i)) || i > 3;
         }
-        play(40);
+        run(40);
         assertThat(clusterState.haltedBy())
-                .contains("its way back: ")
-                .contains("is not well with what it ran before");
+                .contains("release 1, rolling back: ")
+                .contains("is not healthy with the previous version");
     }
 }
