--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -39,10 +39,10 @@
             MonotonicTime at) {}
 
     /** Multiple of the mean demand, since requests come unevenly and nodes have whole slots. */
-    private static final double HEADROOM_FACTOR = 1.35;
+    private static final double HEADROOM = 1.35;
 
-    private static final double SMOOTHING_RATIO = 0.3;
-    private static final int MIN_SUCCEEDED_REQUESTS = 20;
+    private static final double SMOOTHING = 0.3;
+    private static final int MIN_SAMPLES = 20;
 
     /** Share of a location's remaining capacity that is not given to its own zone. */
     private static final double RESERVE_RATIO = 0.3;
@@ -57,21 +57,21 @@
     private static final double REBALANCE_INTERVAL_DECISIONS = 8;
 
     private final LocationHealth health;
-    private final NanoDuration decisionInterval;
+    private final NanoDuration interval;
 
     /** Concurrent requests that each site needs, with headroom. */
     private final Map<String, Double> neededSlots = new TreeMap<>();
 
-    /** Mean arrival rate of each site. */
-    private final Map<String, Double> requestsPerSecond = new TreeMap<>();
+    /** Mean arrival rate of each site, in requests per second. */
+    private final Map<String, Double> rates = new TreeMap<>();
 
-    private final Map<NodeName, NodeDemand> nodeDemands = new HashMap<>();
+    private final Map<NodeName, NodeDemand> demands = new HashMap<>();
 
     /**
-     * Mean latency of each site's requests, including the network: a site that sends requests far
-     * away needs more slots.
+     * Mean latency in seconds of each site's requests, including the network: a site that sends
+     * requests far away needs more slots.
      */
-    private final Map<String, Double> latencySeconds = new TreeMap<>();
+    private final Map<String, Double> latencies = new TreeMap<>();
 
     /** Slots to give out once the capacity that they need has been taken back; null for none. */
     private Map<String, Map<String, Integer>> pendingSlots;
@@ -83,7 +83,7 @@
 
     public CapacityPlanner(NanoDuration lease) {
         health = new LocationHealth(lease);
-        decisionInterval = lease.times(0.5);
+        interval = lease.times(0.5);
     }
 
     /**
@@ -108,8 +108,7 @@
     public ClusterCommand.SetCapacityPlan decide(View view, FencingToken token, MonotonicTime now) {
         if (view.locations().isEmpty()
                 || view.members().isEmpty()
-                || (lastDecisionAt != null
-                        && now.since(lastDecisionAt).compareTo(decisionInterval) < 0)) {
+                || (lastDecisionAt != null && now.since(lastDecisionAt).compareTo(interval) < 0)) {
             return null;
         }
         lastDecisionAt = now;
@@ -129,14 +128,14 @@
             return null;
         }
         Map<String, Map<String, Integer>> target =
-                roundToWholeSlots(allocate(view.locations(), sites, nodeCounts), view.locations());
+                toWholeSlots(allocate(view.locations(), sites, nodeCounts), view.locations());
         Map<String, Integer> capacities = new TreeMap<>();
-        Map<String, Map<String, Integer>> unplannedSlots = new TreeMap<>();
+        Map<String, Map<String, Integer>> unplanned = new TreeMap<>();
         for (Location location : view.locations()) {
             capacities.put(location.name(), location.bears());
             sites.forEach(
                     (name, site) ->
-                            unplannedSlots
+                            unplanned
                                     .computeIfAbsent(name, key -> new TreeMap<>())
                                     .put(location.name(), location.alone(site)));
         }
@@ -146,9 +145,7 @@
                         : view.livePlans().get(view.livePlans().size() - 1);
         boolean sameRoster = newest != null && roster(view.members()).equals(newest.roster());
         Map<String, Map<String, Integer>> current = newest == null ? Map.of() : newest.slots();
-        if (sameRoster
-                && pendingSlots == null
-                && isCurrentPlanSufficient(target, current, view, now)) {
+        if (sameRoster && pendingSlots == null && isSufficient(target, current, view, now)) {
             return null;
         }
         if (pendingSlots != null && sameRoster && trustRatios(view).equals(plannedTrustRatios)) {
@@ -156,10 +153,8 @@
             target = pendingSlots;
         }
         Map<String, Map<String, Integer>> next =
-                fits(view, target, capacities, unplannedSlots)
-                        ? target
-                        : withoutIncreases(target, view);
-        if ((sameRoster && next.equals(current)) || !fits(view, next, capacities, unplannedSlots)) {
+                fits(view, target, capacities, unplanned) ? target : withoutIncreases(target, view);
+        if ((sameRoster && next.equals(current)) || !fits(view, next, capacities, unplanned)) {
             pendingSlots = null; // for instance when a location's capacity was reduced
             return null;
         }
@@ -168,7 +163,7 @@
         plannedAt = now;
         plannedTrustRatios = trustRatios(view);
         return new ClusterCommand.SetCapacityPlan(
-                token, view.lastPlanNumber(), capacities, unplannedSlots, next, why, 0);
+                token, view.lastPlanNumber(), capacities, unplanned, next, why, 0);
     }
 
     private static Map<String, String> roster(Collection<ClusterState.Member> members) {
@@ -180,80 +175,68 @@
     /**
      * Updates how many concurrent requests each site needs downstream: its arrival rate times its
      * mean latency. The number of requests in flight or queued would show what the site was given,
-     * not what it needs.
+     * not what it needs. The mean latency of a site comes from the sum of the latencies of its
+     * requests that succeeded and from their number, the two elements of its entry in {@code sums}.
      */
     private void updateDemand(View view, Map<String, Integer> nodeCounts, MonotonicTime now) {
-        // By site: sum of the latencies, and the number of requests that succeeded.
-        Map<String, double[]> latencySums = new TreeMap<>();
-        Map<String, Double> arrivalRates = new TreeMap<>();
-        for (NodeView nodeView : view.nodeViews()) {
-            if (nodeView.report() == null
-                    || nodeView.status() == NodeStatus.OUT
-                    || nodeView.status() == NodeStatus.UNKNOWN) {
-                nodeDemands.remove(nodeView.name());
+        Map<String, double[]> sums = new TreeMap<>();
+        Map<String, Double> latestRates = new TreeMap<>();
+        for (NodeView node : view.nodeViews()) {
+            if (node.report() == null
+                    || node.status() == NodeStatus.OUT
+                    || node.status() == NodeStatus.UNKNOWN) {
+                demands.remove(node.name());
                 continue;
             }
             long offered = 0;
             double seconds = 0;
             long succeeded = 0;
-            for (NodeReport.LocationUse use : nodeView.report().uses()) {
+            for (NodeReport.LocationUse use : node.report().uses()) {
                 offered = Math.max(offered, use.offered());
                 seconds += use.seconds();
                 succeeded += use.ended() - use.failed();
             }
             NodeDemand last =
-                    nodeDemands.put(
-                            nodeView.name(),
-                            new NodeDemand(
-                                    nodeView.incarnation(), offered, seconds, succeeded, now));
+                    demands.put(
+                            node.name(),
+                            new NodeDemand(node.incarnation(), offered, seconds, succeeded, now));
             if (last != null
-                    && last.incarnation().equals(nodeView.incarnation())
+                    && last.incarnation().equals(node.incarnation())
                     && now.since(last.at()).isPositive()) {
-                arrivalRates.merge(
-                        nodeView.site().toString(),
+                latestRates.merge(
+                        node.site().toString(),
                         (offered - last.offered()) / now.since(last.at()).seconds(),
                         Double::sum);
-                double[] sums =
-                        latencySums.computeIfAbsent(
-                                nodeView.site().toString(), key -> new double[2]);
-                sums[0] += seconds - last.seconds();
-                sums[1] += succeeded - last.succeeded();
+                double[] sum = sums.computeIfAbsent(node.site().toString(), key -> new double[2]);
+                sum[0] += seconds - last.seconds();
+                sum[1] += succeeded - last.succeeded();
             }
         }
-        latencySums.forEach(
-                (site, sums) -> {
-                    if (sums[1] > MIN_SUCCEEDED_REQUESTS) {
-                        latencySeconds.merge(
-                                site,
-                                sums[0] / sums[1],
-                                (old, latest) -> old + (latest - old) * SMOOTHING_RATIO);
+        sums.forEach(
+                (site, sum) -> {
+                    if (sum[1] > MIN_SAMPLES) {
+                        latencies.merge(site, sum[0] / sum[1], (a, b) -> a + (b - a) * SMOOTHING);
                     }
                 });
-        double meanLatencySeconds =
-                latencySeconds.values().stream()
-                        .mapToDouble(seconds -> seconds)
-                        .average()
-                        .orElse(0);
+        double meanSeconds =
+                latencies.values().stream().mapToDouble(mean -> mean).average().orElse(0);
         nodeCounts.forEach(
                 (site, count) -> {
-                    double arrivalRate = arrivalRates.getOrDefault(site, -1.0);
-                    if (arrivalRate >= 0) {
-                        requestsPerSecond.merge(
-                                site,
-                                arrivalRate,
-                                (old, latest) -> old + (latest - old) * SMOOTHING_RATIO);
+                    double rate = latestRates.getOrDefault(site, -1.0);
+                    if (rate >= 0) {
+                        rates.merge(site, rate, (a, b) -> a + (b - a) * SMOOTHING);
                     }
                     neededSlots.put(
                             site,
                             Math.max(
                                     count,
-                                    requestsPerSecond.getOrDefault(site, 0.0)
-                                            * latencySeconds.getOrDefault(site, meanLatencySeconds)
-                                            * HEADROOM_FACTOR));
+                                    rates.getOrDefault(site, 0.0)
+                                            * latencies.getOrDefault(site, meanSeconds)
+                                            * HEADROOM));
                 });
         neededSlots.keySet().retainAll(nodeCounts.keySet());
-        requestsPerSecond.keySet().retainAll(nodeCounts.keySet());
-        latencySeconds.keySet().retainAll(nodeCounts.keySet());
+        rates.keySet().retainAll(nodeCounts.keySet());
+        latencies.keySet().retainAll(nodeCounts.keySet());
     }
 
     /** Fractional slots by site and location. */
@@ -356,7 +339,7 @@
      * slots, at the locations with the largest fractions first and while these have free capacity:
      * otherwise demand that is spread over many locations would be rounded down to nothing.
      */
-    private Map<String, Map<String, Integer>> roundToWholeSlots(
+    private Map<String, Map<String, Integer>> toWholeSlots(
             Map<String, Map<String, Double>> allocated, List<Location> locations) {
         Map<String, Double> free = new HashMap<>();
         for (Location location : locations) {
@@ -411,7 +394,7 @@
      * Whether the current plan may stay: no site lacks slots that the target would give it, the
      * trust in no location has changed, and a rebalancing isn't due or would move little.
      */
-    private boolean isCurrentPlanSufficient(
+    private boolean isSufficient(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
             View view,
@@ -421,7 +404,7 @@
         }
         for (Map.Entry<String, Double> needed : neededSlots.entrySet()) {
             double currentSlots = trustedSlots(current, needed.getKey());
-            if (currentSlots < needed.getValue() / HEADROOM_FACTOR * SHORTAGE_FACTOR
+            if (currentSlots < needed.getValue() / HEADROOM * SHORTAGE_FACTOR
                     && trustedSlots(target, needed.getKey()) > currentSlots * 1.1) {
                 return false;
             }
@@ -429,9 +412,7 @@
         boolean isRebalanceDue =
                 plannedAt == null
                         || now.since(plannedAt)
-                                        .compareTo(
-                                                decisionInterval.times(
-                                                        REBALANCE_INTERVAL_DECISIONS))
+                                        .compareTo(interval.times(REBALANCE_INTERVAL_DECISIONS))
                                 >= 0;
         return !isRebalanceDue || isNear(target, current, view.locations());
     }
@@ -479,10 +460,10 @@
             View view,
             Map<String, Map<String, Integer>> slots,
             Map<String, Integer> capacities,
-            Map<String, Map<String, Integer>> unplannedSlots) {
+            Map<String, Map<String, Integer>> unplanned) {
         List<CapacityPlan> plans = new ArrayList<>(view.livePlans());
         plans.add(new CapacityPlan(view.lastPlanNumber() + 1, roster(view.members()), slots));
-        return CapacityPlan.overfull(plans, capacities, unplannedSlots) == null;
+        return CapacityPlan.overfull(plans, capacities, unplanned) == null;
     }
 
     /** The target slots, but for each site and location at most the slots of every live plan. */
--- a/src/main/java/lupinwood/rollout/EffectEstimate.java
+++ b/src/main/java/lupinwood/rollout/EffectEstimate.java
@@ -30,10 +30,9 @@
     static EffectEstimate of(List<Observation> observations) {
         Map<String, List<Observation>> sites = new TreeMap<>();
         observations.forEach(
-                observation ->
-                        sites.computeIfAbsent(
-                                        observation.site().toString(), key -> new ArrayList<>())
-                                .add(observation));
+                node ->
+                        sites.computeIfAbsent(node.site().toString(), key -> new ArrayList<>())
+                                .add(node));
         sites.values()
                 .removeIf(
                         site ->
@@ -42,35 +41,28 @@
         if (sites.isEmpty()) {
             return null;
         }
-        double squaredDeviations = 0;
-        double samplingVariances = 0;
+        double squares = 0;
+        double sampling = 0;
         int degreesOfFreedom = 0;
         int nodes = 0;
         for (List<Observation> site : sites.values()) {
             for (boolean changed : new boolean[] {true, false}) {
                 List<Observation> group =
-                        site.stream()
-                                .filter(observation -> observation.changed() == changed)
-                                .toList();
+                        site.stream().filter(node -> node.changed() == changed).toList();
                 double mean = group.stream().mapToDouble(Observation::value).average().orElse(0);
-                squaredDeviations +=
+                squares +=
                         group.stream()
-                                .mapToDouble(
-                                        observation ->
-                                                (observation.value() - mean)
-                                                        * (observation.value() - mean))
+                                .mapToDouble(node -> (node.value() - mean) * (node.value() - mean))
                                 .sum();
-                samplingVariances += group.stream().mapToDouble(Observation::variance).sum();
+                sampling += group.stream().mapToDouble(Observation::variance).sum();
                 degreesOfFreedom += group.size() - 1;
                 nodes += group.size();
             }
         }
         double variance =
-                Math.max(
-                        degreesOfFreedom > 0 ? squaredDeviations / degreesOfFreedom : 0,
-                        samplingVariances / nodes);
+                Math.max(degreesOfFreedom > 0 ? squares / degreesOfFreedom : 0, sampling / nodes);
         double weights = 0;
-        double weightedDifferences = 0;
+        double weightedSum = 0;
         for (List<Observation> site : sites.values()) {
             double changed = site.stream().filter(Observation::changed).count();
             double unchanged = site.size() - changed;
@@ -83,15 +75,15 @@
                             .orElse(0);
             double unchangedMean =
                     site.stream()
-                            .filter(observation -> !observation.changed())
+                            .filter(node -> !node.changed())
                             .mapToDouble(Observation::value)
                             .average()
                             .orElse(0);
-            weightedDifferences += weight * (changedMean - unchangedMean);
+            weightedSum += weight * (changedMean - unchangedMean);
             weights += weight;
         }
         return new EffectEstimate(
-                weightedDifferences / weights,
+                weightedSum / weights,
                 Math.sqrt(variance / weights),
                 Math.max(1, degreesOfFreedom));
     }
