--- a/src/main/java/lupinwood/experiment/MixedListenersExperiment.java
+++ b/src/main/java/lupinwood/experiment/MixedListenersExperiment.java
@@ -71,7 +71,9 @@
             await("the executor's WELCOME", () -> node.executorAt() != null);
             play();
             await("the last answer", () -> audit.openRequests() == 0);
-            await("tables that are level", () -> node.figures().contains("open 0, tickets 0,"));
+            await(
+                    "tables that are level",
+                    () -> node.figures().contains(" openRequests=0 requests=0 "));
             leave(node);
             List<String> broken = new ArrayList<>(audit.close());
             broken.addAll(wrong);
--- a/src/main/java/lupinwood/experiment/ReloadStormExperiment.java
+++ b/src/main/java/lupinwood/experiment/ReloadStormExperiment.java
@@ -100,7 +100,9 @@
         Thread.sleep(300); // the load goes on for a while under the last configuration
         sending.set(false);
         await("the last answer", () -> audit.openRequests() == 0);
-        await("tables that are level", () -> node.figures().contains("open 0, tickets 0,"));
+        await(
+                "tables that are level",
+                () -> node.figures().contains(" openRequests=0 requests=0 "));
         node.leave();
         List<String> broken = new ArrayList<>(audit.close());
         broken.addAll(wrong);
--- a/src/main/java/lupinwood/processing/ActiveRequest.java
+++ b/src/main/java/lupinwood/processing/ActiveRequest.java
@@ -5,14 +5,14 @@
 import lupinwood.admission.RequestListener;
 
 /**
- * A request in the table: where its answer goes, and how far its run and its call are. The parts of
- * the request processor each keep their own fields of it here.
+ * A request in the request table: where its response goes, and the progress of its run and its
+ * call. Each class of the request processor keeps its state of the request in fields here.
  *
  * <p>Owned by the event loop thread.
  */
 final class ActiveRequest {
-    /** In place of a reply: the run is to go on without its call. */
-    static final byte[] NO_CALL = {};
+    /** Stands in for a reply: the run shall continue without its call. */
+    static final byte[] SKIP_CALL = {};
 
     final ConnectionId connection;
     final long tag;
@@ -21,49 +21,49 @@
     /** Set when it is added to the table. */
     RequestId id;
 
-    /** What the admission policy wants to hear of it. */
+    /** Receives the admission policy's notifications about the request. */
     RequestListener listener;
 
     /** The idempotency record of an earlier attempt, or null. */
-    IdempotencyStore.IdempotencyRecord original;
+    IdempotencyStore.IdempotencyRecord originalRecord;
 
-    /** An answer was given, or none is owed any more. */
+    /** Whether the response was written, or is no longer needed since the client left. */
     boolean answered;
 
-    /** It was given to the executor, link or no link. */
+    /** Whether a run was requested, with or without a connection to the executor. */
     boolean started;
 
-    /** It runs at a server and not on the executor's link. */
-    boolean offLink;
+    /** Whether it runs at a server and does not use the executor connection. */
+    boolean runsAtServer;
 
-    /** The command to run it was written to a link, so it may have been read. */
+    /** Whether the run command was written to a connection, so the executor may have read it. */
     boolean runSent;
 
-    /** Something was heard that proves that the executor read the command to run it. */
+    /** Whether a later message proved that the executor read the run command. */
     boolean runConfirmed;
 
-    /** The last command, to run it or with a reply, may have been lost with a link. */
+    /** Whether the last command, a run or a reply, may have been lost with a connection. */
     boolean inDoubt;
 
-    /** The last tag asked about before the command to run it was written. */
+    /** The last tag issued before the run command was written. */
     long lastTagBeforeRun;
 
-    /** The last tag asked about before the latest reply was written. */
+    /** The last tag issued before the latest reply was written. */
     long lastTagBeforeReply;
 
-    /** The call that its run waits for, as it came; null while there is none. */
+    /** The body of the call that the run waits for, as received; null while it waits for none. */
     byte[] callBody;
 
-    /** The reply last handed to its run, until it is known to have been read; or null. */
-    byte[] unreadReply;
+    /** The last reply to the run, until the executor is known to have read it; otherwise null. */
+    byte[] unconfirmedReply;
 
-    /** The reply was written to a link, so it may have been read. */
+    /** Whether the reply was written to a connection, so the executor may have read it. */
     boolean replySent;
 
-    /** When the call under way was made; null while none is. */
+    /** When the pending call was made; null if none is pending. */
     MonotonicTime calledAt;
 
-    /** When the call under way is given up; null while none is. */
+    /** Fires when the pending call times out; null if none is pending. */
     TimerService.Timer callTimer;
 
     ActiveRequest(ConnectionId connection, long tag, IncomingRequest incomingRequest) {
@@ -72,8 +72,8 @@
         this.incomingRequest = incomingRequest;
     }
 
-    /** Whether its run is to go on without its call, and is not known to have read so. */
+    /** Whether the run was told to continue without its call and may not have read that yet. */
     boolean isSkippingCall() {
-        return unreadReply == NO_CALL;
+        return unconfirmedReply == SKIP_CALL;
     }
 }
--- a/src/main/java/lupinwood/processing/AttemptId.java
+++ b/src/main/java/lupinwood/processing/AttemptId.java
@@ -1,13 +1,13 @@
 package lupinwood.processing;
 
 /**
- * The name that an upstream load balancer gives one try of a request: 16 hex digits, new with every
- * try.
+ * The id that an upstream load balancer gives to one attempt of a request: 16 lower-case hex
+ * digits, unique to each attempt.
  */
 public record AttemptId(String digits) {
     private static final int LENGTH = 16;
 
-    /** Whether a text, or null, is such a name. */
+    /** Whether the text is a valid attempt id; false for null. */
     public static boolean isValid(String text) {
         return text != null
                 && text.length() == LENGTH
--- a/src/main/java/lupinwood/processing/Completion.java
+++ b/src/main/java/lupinwood/processing/Completion.java
@@ -3,53 +3,57 @@
 import lupinwood.admission.Outcome;
 
 /**
- * Every way in which a run, a call or a connection can end. The outcome that the node hears is
- * settled here and nowhere else, and with it what proves that nothing ran.
+ * Every way in which a run, a call or a connection can end. Only this enum maps a completion to the
+ * outcome that the admission policy is told, and thereby defines which completions prove that
+ * nothing ran.
  */
 public enum Completion {
-    /** The run or the call went well. */
+    /** The run or the call succeeded. */
     WELL(Outcome.OK),
     /** The run failed. */
     FAILED(Outcome.ERROR),
-    /** The executor was started anew during the run, which may have had its effect. */
+    /** The executor restarted during the run; the run may have had its effect. */
     EXECUTOR_GONE(Outcome.ERROR),
-    /** The executor would not carry out the command to run it: nothing ran. */
+    /** The executor refused the run command: nothing ran. */
     NOT_CARRIED_OUT(Outcome.MOOT),
-    /** The run was stopped, or ended at a call since its request is over. */
+    /** The run was stopped, or ended at a call because its request was already over. */
     STOPPED(Outcome.CANCELLED),
-    /** Nothing was started: the request was over. */
+    /** Nothing was started, because the request was already over. */
     NOTHING_STARTED(Outcome.MOOT),
-    /** The shared dependency turned the call away unseen. */
+    /** The shared dependency rejected the call without processing it. */
     SHED(Outcome.REFUSED),
     /** The shared dependency failed the call; it may have had its effect. */
     FAILED_DOWNSTREAM(Outcome.BROKEN),
-    /** The shared dependency gave the call up; it may have had its effect. */
+    /** The call timed out at the shared dependency; it may have had its effect. */
     TIMED_OUT_DOWNSTREAM(Outcome.TIMED_OUT),
-    /** No run waits for the call: it never ran. */
+    /** No run waits for the call: the call was never made. */
     NOBODY_WAITS(Outcome.MOOT),
-    /** This node gave the call up at its cap. */
+    /** This node cancelled the call at its timeout. */
     GIVEN_UP(Outcome.TIMED_OUT),
     /** The connection was refused: nothing was sent on it. */
     CONNECTION_REFUSED(Outcome.UNREACHABLE),
-    /** The connection never came about: nothing was sent on it. */
+    /** The connection was never established: nothing was sent on it. */
     NEVER_CONNECTED(Outcome.UNREACHABLE),
-    /** The connection ended before the request was written to it: nothing ran. */
+    /** The connection closed before the request was written: nothing ran. */
     NOT_WRITTEN(Outcome.UNREACHABLE),
-    /** The other side did not say in time that it is there, and so was sent nothing. */
+    /** The peer did not reply to the ping in time, so nothing was sent to it. */
     NO_PONG(Outcome.UNREACHABLE),
-    /** The other side closed or reset the connection; what was under way on it may have run. */
+    /** The peer closed or reset the connection; requests pending on it may have run. */
     CLOSED_BY_PEER(Outcome.BROKEN),
-    /** The other side sent what can't be read. */
+    /** The peer sent data that can't be parsed. */
     MALFORMED(Outcome.BROKEN),
-    /** The other side didn't read what was written to it. */
+    /** The peer didn't read what was written to it. */
     SLOW_READER(Outcome.BROKEN),
-    /** The other side never said anything whole, or left off within a message. */
+    /** The peer never sent a complete message, or stopped in the middle of one. */
     SAID_NOTHING(Outcome.BROKEN),
-    /** The other side sent what no one should who knows the protocol. */
+    /** The peer violated the protocol. */
     UNSOUND(Outcome.BROKEN),
-    /** Others needed its place. */
+    /** The connection was evicted to make room for another. */
     MADE_ROOM(Outcome.BROKEN),
-    /** Others needed its place, and for so long nobody used it that nothing can cross the close. */
+    /**
+     * The connection was evicted after it had been unused for so long that no request can cross the
+     * close.
+     */
     LEFT_UNUSED(Outcome.BROKEN),
     /** This node closed the connection. */
     CLOSED_HERE(Outcome.BROKEN);
@@ -60,7 +64,7 @@
         this.outcome = outcome;
     }
 
-    /** What the admission policy hears of such an end. */
+    /** The outcome that the admission policy is told for this completion. */
     public Outcome outcome() {
         return outcome;
     }
--- a/src/main/java/lupinwood/processing/ConnectionId.java
+++ b/src/main/java/lupinwood/processing/ConnectionId.java
@@ -1,4 +1,7 @@
 package lupinwood.processing;
 
-/** An upstream load balancer's connection, as its slot and the slot's generation. */
+/**
+ * Identifies a connection of an upstream load balancer. The number holds the slot in the connection
+ * table and the slot's generation.
+ */
 public record ConnectionId(long number) {}
--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -14,130 +14,127 @@
 import lupinwood.admission.RequestId;
 
 /**
- * The upstream load balancers' connections: what is open on each, which were idle for too long, and
- * which are no upstream load balancer's. A connection has a standing once the executor carried out
- * a request of it. Without one it goes for its first unsound request, and is asked to close where
- * one after the other is turned away; who sends on all the same errs. Owned by the event loop
- * thread.
+ * The connections of upstream load balancers: the open requests of each, which connections have
+ * been idle for too long, and which don't come from an upstream load balancer. A connection is
+ * trusted once the executor has run a request of it. An untrusted connection is closed at its first
+ * invalid request, and is asked to close after many rejected or aborted requests; a peer that keeps
+ * sending after that violates the protocol.
+ *
+ * <p>Owned by the event loop thread.
  */
 final class ConnectionTable {
-    /** The protocol's bound on open requests of one connection. */
-    static final int MOST_OPEN = 32;
+    /** The protocol's limit of open requests on one connection. */
+    static final int MAX_OPEN_REQUESTS = 32;
 
-    /**
-     * An upstream load balancer that was asked to close an idle connection and doesn't is cut off
-     * then.
-     */
-    private static final NanoDuration TIME_TO_CLOSE = NanoDuration.ofSeconds(5);
+    /** An upstream that doesn't close an idle connection on request is cut off after this long. */
+    private static final NanoDuration CLOSE_REQUEST_TIMEOUT = NanoDuration.ofSeconds(5);
 
     /**
-     * Who connects speaks within so many of these; upstream load balancers connect to send at once.
-     * Each begins when the one before was seen to be over: after a pause, what was said meanwhile
-     * has still to be read here, so a pause counts once.
+     * A new connection must send its first message within {@link #MAX_SILENT_INTERVALS} of these
+     * intervals; upstream load balancers connect to send at once. Each interval begins when the end
+     * of the previous one is observed: after a pause of this process, messages that arrived
+     * meanwhile have still to be read, so a pause counts as one interval only.
      */
-    private static final NanoDuration SILENCE = NanoDuration.ofSeconds(0.25);
+    private static final NanoDuration SILENCE_INTERVAL = NanoDuration.ofSeconds(0.25);
 
-    private static final int MOST_SILENCES = 6;
+    private static final int MAX_SILENT_INTERVALS = 6;
 
-    /** Who has taken its last answers, and the end behind them, closes its side by then. */
-    private static final NanoDuration TIME_TO_END = NanoDuration.ofSeconds(0.5);
+    /** How long an upstream may take to close its side once its last responses were sent. */
+    private static final NanoDuration PEER_CLOSE_TIMEOUT = NanoDuration.ofSeconds(0.5);
 
-    /** So many unsound requests in a row are forgiven to one with a standing. */
-    private static final int MOST_STRIKES = 16;
+    /** At this many invalid requests without a run in between any connection is closed. */
+    private static final int MAX_INVALID_IN_A_ROW = 16;
 
-    /** One without a standing for so long, and turned away as often, is asked to close. */
-    private static final NanoDuration NEW = NanoDuration.ofSeconds(1);
+    /** An untrusted connection must be older to be asked to close for unserved requests. */
+    private static final NanoDuration MIN_CLOSE_REQUEST_AGE = NanoDuration.ofSeconds(1);
 
-    private static final int MOST_UNWANTED = 32;
+    private static final int MAX_UNSERVED_REQUESTS = 32;
 
-    /** A request may cross the wish to close for as long, by a pause of either machine. */
-    private static final NanoDuration CROSSING = NanoDuration.ofSeconds(2);
+    /** How long requests may cross a close request, because either host paused. */
+    private static final NanoDuration MAX_CROSSING_TIME = NanoDuration.ofSeconds(2);
 
-    /**
-     * What stands without an open request; each kind is kept in the order in which it came to be
-     * so.
-     */
+    /** The states of a connection without open requests, each ordered by when it was entered. */
     private enum IdleState {
-        /** Its last answers and the end behind them have gone out. */
-        ENDED,
-        /** It never spoke. */
+        /** Its last responses and the end of the stream have been sent. */
+        FLUSHED,
+        /** It has not sent a message yet. */
         SILENT,
         CLOSE_REQUESTED,
-        RESTING,
-        /** Its last answers are on their way. */
-        OWED
+        IDLE,
+        /** Its last responses are being sent. */
+        FLUSHING
     }
 
     private static final class Connection {
         ConnectionId id;
-        final Map<Long, RequestId> open = new HashMap<>();
-        TimerService.Timer idle;
+        final Map<Long, RequestId> openByTag = new HashMap<>();
+        TimerService.Timer idleTimer;
         MonotonicTime idleSince;
 
-        /** Null while a request is open on it. */
-        IdleState rest;
+        /** Null while a request is open on the connection. */
+        IdleState idleState;
 
-        boolean spoke;
+        boolean hasSentMessage;
 
-        /** So many times it was seen to have said nothing. */
-        int silences;
+        /** How many silence intervals have passed without a message. */
+        int silentIntervals;
 
-        boolean standing;
-        int strikes;
-        int unwanted;
+        boolean trusted;
+        int invalidInARow;
+        int unservedRequests;
         MonotonicTime openedAt;
 
-        /** Since when a message on it is known to be unfinished; null where none is. */
+        /** Since when a message is known to be incomplete; null if none is. */
         MonotonicTime unfinishedSince;
 
-        /** When it was asked to close, or null. */
+        /** When the upstream was asked to close it; null if it was not. */
         MonotonicTime closeRequestedAt;
 
         boolean closing;
-        boolean written;
-        Completion why;
+        boolean flushed;
+        Completion closeReason;
 
-        IdleState restsAs() {
-            return !open.isEmpty()
+        IdleState currentIdleState() {
+            return !openByTag.isEmpty()
                     ? null
                     : closing
-                            ? written ? IdleState.ENDED : IdleState.OWED
-                            : !spoke
+                            ? flushed ? IdleState.FLUSHED : IdleState.FLUSHING
+                            : !hasSentMessage
                                     ? IdleState.SILENT
                                     : closeRequestedAt != null
                                             ? IdleState.CLOSE_REQUESTED
-                                            : IdleState.RESTING;
+                                            : IdleState.IDLE;
         }
     }
 
     private final SlotTable<Connection> table;
-    private final Map<IdleState, Set<Connection>> resting = new EnumMap<>(IdleState.class);
+    private final Map<IdleState, Set<Connection>> idleConnections = new EnumMap<>(IdleState.class);
 
-    /** Past so many that spoke and were not asked to close, those that rest are asked to. */
-    private final int many;
+    /** Idle connections are asked to close beyond this many, silent and asked ones not counted. */
+    private final int closeRequestThreshold;
 
     private final UpstreamConnections upstreams;
     private final TimerService timers;
     private final Supplier<MonotonicTime> clock;
-    private final NanoDuration timeToRead;
-    private NanoDuration longestIdle;
-    private boolean leaving;
-    private int open;
-    private long everAdded;
+    private final NanoDuration longestTimeout;
+    private NanoDuration idleTimeout;
+    private boolean draining;
+    private int openRequests;
+    private long totalCount;
 
     ConnectionTable(
-            int most,
-            NanoDuration longestIdle,
-            NanoDuration timeToRead,
+            int maxConnections,
+            NanoDuration idleTimeout,
+            NanoDuration longestTimeout,
             UpstreamConnections upstreams,
             TimerService timers,
             Supplier<MonotonicTime> clock) {
-        this.longestIdle = longestIdle;
-        this.timeToRead = timeToRead;
-        table = new SlotTable<>(most);
-        many = most - most / 8;
-        for (IdleState rest : IdleState.values()) {
-            resting.put(rest, new LinkedHashSet<>());
+        this.idleTimeout = idleTimeout;
+        this.longestTimeout = longestTimeout;
+        table = new SlotTable<>(maxConnections);
+        closeRequestThreshold = maxConnections - maxConnections / 8;
+        for (IdleState state : IdleState.values()) {
+            idleConnections.put(state, new LinkedHashSet<>());
         }
         this.upstreams = upstreams;
         this.timers = timers;
@@ -148,351 +145,353 @@
         return table.size();
     }
 
-    /** How many came so far, those without a place among them. */
-    long everAdded() {
-        return everAdded;
+    /** The number of connections so far, including those that found the table full. */
+    long totalCount() {
+        return totalCount;
     }
 
     int openRequests() {
-        return open;
+        return openRequests;
     }
 
-    /** A place for a new connection, or null where the table is full of such with open requests. */
+    /** Adds a connection; null if the table is full of connections with open requests. */
     ConnectionId add() {
-        everAdded++;
-        if (table.isFull() && !makeRoom()) {
+        totalCount++;
+        if (table.isFull() && !evictIdle()) {
             return null;
         }
         Connection connection = new Connection();
         connection.id = new ConnectionId(table.put(connection));
         connection.openedAt = clock.get();
-        rest(connection);
-        askInTime();
+        markIdle(connection);
+        requestCloseNearCapacity();
         return connection.id;
     }
 
     /**
-     * Guards against the silent and the forgotten: a full table must not shut out who has something
-     * to say. Who came just now goes after those that have rested for as long as it takes to speak,
-     * and before those in use.
+     * Evicts a few connections without open requests, so that silent or forgotten connections which
+     * fill the table don't shut out upstreams with requests to send. Connections that have just
+     * been opened are evicted after those that have been idle for a silence interval, and before
+     * those that were in use more recently.
      */
-    private boolean makeRoom() {
-        List<Connection> going =
-                first(
+    private boolean evictIdle() {
+        List<Connection> evicted =
+                firstFew(
                         Stream.of(
-                                of(IdleState.ENDED),
-                                of(IdleState.SILENT).takeWhile(c -> c.silences > 0),
-                                of(IdleState.CLOSE_REQUESTED),
-                                of(IdleState.RESTING)
+                                inState(IdleState.FLUSHED),
+                                inState(IdleState.SILENT).takeWhile(c -> c.silentIntervals > 0),
+                                inState(IdleState.CLOSE_REQUESTED),
+                                inState(IdleState.IDLE)
                                         .takeWhile(
                                                 c ->
                                                         c.idleSince
-                                                                .plus(SILENCE)
+                                                                .plus(SILENCE_INTERVAL)
                                                                 .isBefore(clock.get())),
-                                of(IdleState.SILENT),
-                                of(IdleState.RESTING),
-                                of(IdleState.OWED)));
-        for (Connection connection : going) {
+                                inState(IdleState.SILENT),
+                                inState(IdleState.IDLE),
+                                inState(IdleState.FLUSHING)));
+        for (Connection connection : evicted) {
             remove(connection.id);
             boolean unused = isLeftUnused(connection);
-            if (connection.rest == IdleState.RESTING) {
+            if (connection.idleState == IdleState.IDLE) {
                 upstreams.sayNoMore(connection.id);
             }
             upstreams.close(connection.id, unused ? Completion.LEFT_UNUSED : Completion.MADE_ROOM);
         }
-        return !going.isEmpty();
+        return !evicted.isEmpty();
     }
 
     /**
-     * A pause of this machine, after which something has still to be read, is over by the second
-     * silence.
+     * Whether a connection has been unused for so long that no request can cross its close. A pause
+     * of this process, after which messages may still have to be read, is over by the second
+     * silence interval.
      */
     private boolean isLeftUnused(Connection connection) {
-        return connection.rest == IdleState.ENDED
-                || connection.silences > 1
-                || (connection.rest == IdleState.CLOSE_REQUESTED && isStubborn(connection));
+        return connection.idleState == IdleState.FLUSHED
+                || connection.silentIntervals > 1
+                || (connection.idleState == IdleState.CLOSE_REQUESTED
+                        && ignoresCloseRequest(connection));
     }
 
-    private Stream<Connection> of(IdleState rest) {
-        return resting.get(rest).stream();
+    private Stream<Connection> inState(IdleState state) {
+        return idleConnections.get(state).stream();
     }
 
-    /** A few at once, as more will come. */
-    private List<Connection> first(Stream<Stream<Connection>> inOrder) {
-        return inOrder.flatMap(one -> one).distinct().limit(1 + table.size() / 32).toList();
+    /** Takes more than one connection, because more new ones are likely to follow. */
+    private List<Connection> firstFew(Stream<Stream<Connection>> inOrder) {
+        return inOrder.flatMap(sorted -> sorted).distinct().limit(1 + table.size() / 32).toList();
     }
 
     /**
-     * Guards against a table that fills with those that rest: asked in time they close by
-     * themselves, and no request crosses a close from here.
+     * Guards against a table full of idle connections: upstreams that are asked in time close them,
+     * so that no request crosses a close by this node.
      */
-    private void askInTime() {
+    private void requestCloseNearCapacity() {
         if (table.size()
-                        - resting.get(IdleState.SILENT).size()
-                        - resting.get(IdleState.CLOSE_REQUESTED).size()
-                > many) {
-            first(Stream.of(of(IdleState.RESTING))).forEach(this::askToClose);
+                        - idleConnections.get(IdleState.SILENT).size()
+                        - idleConnections.get(IdleState.CLOSE_REQUESTED).size()
+                > closeRequestThreshold) {
+            firstFew(Stream.of(inState(IdleState.IDLE))).forEach(this::requestClose);
         }
     }
 
-    /** It may stand elsewhere in the order now, and there behind all others. */
-    private void sort(Connection connection) {
-        if (connection.rest != null) {
-            resting.get(connection.rest).remove(connection);
+    /** Updates the idle state of a connection, and moves it to the end of that state's order. */
+    private void updateIdleState(Connection connection) {
+        if (connection.idleState != null) {
+            idleConnections.get(connection.idleState).remove(connection);
         }
-        connection.rest = connection.restsAs();
-        if (connection.rest != null) {
-            resting.get(connection.rest).add(connection);
+        connection.idleState = connection.currentIdleState();
+        if (connection.idleState != null) {
+            idleConnections.get(connection.idleState).add(connection);
         }
     }
 
-    /** A check came on it. */
-    void touch(ConnectionId id) {
+    /** Handles a health check that arrived on the connection. */
+    void onHealthCheck(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null) {
-            connection.spoke = true;
+            connection.hasSentMessage = true;
             connection.unfinishedSince = null;
-            rest(connection);
+            markIdle(connection);
         }
     }
 
-    /** A connection that came about while leaving hears so at once. */
-    void greet(ConnectionId id) {
-        if (leaving) {
-            askToClose(table.get(id.number()));
+    /** Handles a connection that can now be written to; while draining it is asked to close. */
+    void onWritable(ConnectionId id) {
+        if (draining) {
+            requestClose(table.get(id.number()));
         }
     }
 
-    /** The requests that were still open on it. */
+    /** Removes a connection and returns the requests that were still open on it. */
     List<RequestId> remove(ConnectionId id) {
         Connection connection = table.remove(id.number());
         if (connection == null) {
             return List.of();
         }
-        timers.cancel(connection.idle);
-        if (connection.rest != null) {
-            resting.get(connection.rest).remove(connection);
+        timers.cancel(connection.idleTimer);
+        if (connection.idleState != null) {
+            idleConnections.get(connection.idleState).remove(connection);
         }
-        open -= connection.open.size();
-        return new ArrayList<>(connection.open.values());
+        openRequests -= connection.openByTag.size();
+        return new ArrayList<>(connection.openByTag.values());
     }
 
-    boolean isFull(ConnectionId id) {
-        return table.get(id.number()).open.size() >= MOST_OPEN;
+    boolean isAtRequestLimit(ConnectionId id) {
+        return table.get(id.number()).openByTag.size() >= MAX_OPEN_REQUESTS;
     }
 
-    /** Nothing that comes on it counts any more. */
+    /** Whether the connection is closing or gone, so that no request on it may run. */
     boolean isClosing(ConnectionId id) {
         Connection connection = table.get(id.number());
         return connection == null || connection.closing;
     }
 
-    /** It was asked to close long ago, and still sends. */
-    boolean isStubborn(ConnectionId id) {
-        return isStubborn(table.get(id.number()));
+    /** Whether it was asked to close so long ago that no request can have crossed that. */
+    boolean ignoresCloseRequest(ConnectionId id) {
+        return ignoresCloseRequest(table.get(id.number()));
     }
 
-    private boolean isStubborn(Connection connection) {
-        MonotonicTime requested = connection.closeRequestedAt;
-        return requested != null && requested.plus(CROSSING).isBefore(clock.get());
+    private boolean ignoresCloseRequest(Connection connection) {
+        MonotonicTime closeRequestedAt = connection.closeRequestedAt;
+        return closeRequestedAt != null
+                && closeRequestedAt.plus(MAX_CROSSING_TIME).isBefore(clock.get());
     }
 
-    RequestId open(ConnectionId id, long tag) {
+    RequestId findRequest(ConnectionId id, long tag) {
         Connection connection = table.get(id.number());
-        return connection == null ? null : connection.open.get(tag);
+        return connection == null ? null : connection.openByTag.get(tag);
     }
 
-    void begin(ConnectionId id, long tag, RequestId requestId) {
+    void addRequest(ConnectionId id, long tag, RequestId requestId) {
         Connection connection = table.get(id.number());
-        connection.spoke = true;
+        connection.hasSentMessage = true;
         connection.unfinishedSince = null;
-        connection.open.put(tag, requestId);
-        open++;
-        sort(connection);
-        timers.cancel(connection.idle);
-        connection.idle = null;
+        connection.openByTag.put(tag, requestId);
+        openRequests++;
+        updateIdleState(connection);
+        timers.cancel(connection.idleTimer);
+        connection.idleTimer = null;
     }
 
-    void end(ConnectionId id, long tag) {
+    void removeRequest(ConnectionId id, long tag) {
         Connection connection = table.get(id.number());
-        if (connection != null && connection.open.remove(tag) != null) {
-            open--;
-            if (connection.open.isEmpty()) {
+        if (connection != null && connection.openByTag.remove(tag) != null) {
+            openRequests--;
+            if (connection.openByTag.isEmpty()) {
                 if (connection.closing) {
-                    close(connection);
+                    closeAfterFlush(connection);
                 } else {
-                    rest(connection);
+                    markIdle(connection);
                 }
             }
         }
     }
 
-    /** The executor carried out a request of it. */
-    void trust(ConnectionId id) {
+    /** Marks the connection as trusted after the executor ran a request of it. */
+    void markTrusted(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null) {
-            connection.standing = true;
-            connection.strikes = 0;
+            connection.trusted = true;
+            connection.invalidInARow = 0;
         }
     }
 
-    /**
-     * What came on it was unsound. Whoever has no standing goes for it, once all that is open is
-     * answered.
-     */
-    void fault(ConnectionId id) {
+    /** Handles an invalid request: an untrusted connection closes once no request is open. */
+    void onInvalidRequest(ConnectionId id) {
         Connection connection = table.get(id.number());
-        if (connection != null && !connection.standing) {
-            end(connection, Completion.UNSOUND);
+        if (connection != null && !connection.trusted) {
+            beginClose(connection, Completion.UNSOUND);
         } else {
-            strike(id);
+            countInvalidRequest(id);
         }
     }
 
-    /**
-     * A request of it was unsound in a figure of its own; only many in a row tell of who errs in
-     * all.
-     */
-    void strike(ConnectionId id) {
+    /** Counts a request with one invalid value; only many in a row show a protocol violation. */
+    void countInvalidRequest(ConnectionId id) {
         Connection connection = table.get(id.number());
-        if (connection != null && !connection.closing && ++connection.strikes >= MOST_STRIKES) {
-            end(connection, Completion.UNSOUND);
+        if (connection != null
+                && !connection.closing
+                && ++connection.invalidInARow >= MAX_INVALID_IN_A_ROW) {
+            beginClose(connection, Completion.UNSOUND);
         }
     }
 
-    /** A request of it was turned away or withdrawn, which alone is nothing bad. */
-    void unwanted(ConnectionId id) {
+    /**
+     * Counts a request that was rejected or aborted, or arrived late, which is no fault by itself:
+     * only an untrusted connection with many of them is asked to close.
+     */
+    void countUnservedRequest(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null
-                && !connection.standing
-                && ++connection.unwanted >= MOST_UNWANTED
-                && connection.openedAt.plus(NEW).isBefore(clock.get())) {
-            askToClose(connection);
+                && !connection.trusted
+                && ++connection.unservedRequests >= MAX_UNSERVED_REQUESTS
+                && connection.openedAt.plus(MIN_CLOSE_REQUEST_AGE).isBefore(clock.get())) {
+            requestClose(connection);
         }
     }
 
-    /** Nothing more counts that comes on it; it is closed once what is open is answered. */
-    void end(ConnectionId id, Completion why) {
+    /** Begins to close the connection, unless an incomplete message on it may still be finished. */
+    void beginClose(ConnectionId id, Completion closeReason) {
         Connection connection = table.get(id.number());
-        if (connection != null && (why != Completion.SAID_NOTHING || !mayStillFinish(connection))) {
-            end(connection, why);
+        if (connection != null
+                && (closeReason != Completion.SAID_NOTHING || !mayStillFinish(connection))) {
+            beginClose(connection, closeReason);
         }
     }
 
     /**
-     * An upstream load balancer may be slow to write, and somebody waits for what it began until
-     * the longest timeout is over.
+     * Whether an incomplete message may still be finished. An upstream load balancer may write
+     * slowly, and a client may wait for the request that it began to write until the longest
+     * timeout is over.
      */
     private boolean mayStillFinish(Connection connection) {
         if (connection.unfinishedSince == null) {
             connection.unfinishedSince = clock.get();
         }
-        return connection.standing
-                && clock.get().isBefore(connection.unfinishedSince.plus(timeToRead));
+        return connection.trusted
+                && clock.get().isBefore(connection.unfinishedSince.plus(longestTimeout));
     }
 
-    /** Nothing more is read from it, and it is closed once what is open is answered. */
-    private void end(Connection connection, Completion why) {
+    /** Stops reading, and closes the connection once its open requests are answered. */
+    private void beginClose(Connection connection, Completion closeReason) {
         if (connection.closing) {
             return;
         }
         connection.closing = true;
-        connection.why = why;
+        connection.closeReason = closeReason;
         upstreams.readNoMore(connection.id);
-        if (connection.open.isEmpty()) {
-            close(connection);
+        if (connection.openByTag.isEmpty()) {
+            closeAfterFlush(connection);
         }
     }
 
-    /** Its last answers go out first; nobody waits for them longer than the longest timeout. */
-    private void close(Connection connection) {
-        sort(connection);
-        cutOffIn(connection, timeToRead);
-        upstreams.close(connection.id, connection.why);
+    /** Closes after the last responses; no client waits for them beyond the longest timeout. */
+    private void closeAfterFlush(Connection connection) {
+        updateIdleState(connection);
+        scheduleForcedClose(connection, longestTimeout);
+        upstreams.close(connection.id, connection.closeReason);
     }
 
-    /** All that was written to it has gone out. */
-    void written(ConnectionId id) {
+    /** Handles that everything written to the connection has been sent. */
+    void onFlushed(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null && connection.closing) {
-            connection.written = true;
-            sort(connection);
-            cutOffIn(connection, TIME_TO_END);
+            connection.flushed = true;
+            updateIdleState(connection);
+            scheduleForcedClose(connection, PEER_CLOSE_TIMEOUT);
         }
     }
 
-    private void cutOffIn(Connection connection, NanoDuration wait) {
-        timers.cancel(connection.idle);
-        connection.idle =
+    private void scheduleForcedClose(Connection connection, NanoDuration delay) {
+        timers.cancel(connection.idleTimer);
+        connection.idleTimer =
                 timers.schedule(
-                        clock.get().plus(wait),
+                        clock.get().plus(delay),
                         () -> upstreams.close(connection.id, Completion.SLOW_READER));
     }
 
-    void closeIdle(NanoDuration idle) {
-        longestIdle = idle;
-        table.forEach(this::watch);
+    void setIdleTimeout(NanoDuration newIdleTimeout) {
+        idleTimeout = newIdleTimeout;
+        table.forEach(this::scheduleIdleTimer);
     }
 
-    void leave() {
-        leaving = true;
-        table.forEach(this::askToClose);
+    void drain() {
+        draining = true;
+        table.forEach(this::requestClose);
     }
 
-    /** Some rest until this side ends them. */
-    void end() {
-        table.forEach(connection -> end(connection, Completion.CLOSED_HERE));
+    /** Begins to close all connections, because some stay idle until this node closes them. */
+    void beginCloseOfAll() {
+        table.forEach(connection -> beginClose(connection, Completion.CLOSED_HERE));
     }
 
-    /** It carries nothing from now on. */
-    private void rest(Connection connection) {
+    /** Marks the connection as idle from now on. */
+    private void markIdle(Connection connection) {
         connection.idleSince = clock.get();
-        sort(connection);
-        watch(connection);
+        updateIdleState(connection);
+        scheduleIdleTimer(connection);
     }
 
-    private void watch(Connection connection) {
-        if (connection.open.isEmpty() && !connection.closing) {
-            if (!connection.spoke) {
-                if (connection.idle == null) {
+    private void scheduleIdleTimer(Connection connection) {
+        if (connection.openByTag.isEmpty() && !connection.closing) {
+            if (!connection.hasSentMessage) {
+                if (connection.idleTimer == null) {
                     awaitFirstMessage(connection);
                 }
                 return;
             }
-            timers.cancel(connection.idle);
-            MonotonicTime since = connection.idleSince;
-            connection.idle =
+            timers.cancel(connection.idleTimer);
+            MonotonicTime idleSince = connection.idleSince;
+            connection.idleTimer =
                     connection.closeRequestedAt != null
                             ? timers.schedule(
-                                    since.plus(TIME_TO_CLOSE),
-                                    () -> end(connection, Completion.CLOSED_HERE))
+                                    idleSince.plus(CLOSE_REQUEST_TIMEOUT),
+                                    () -> beginClose(connection, Completion.CLOSED_HERE))
                             : timers.schedule(
-                                    since.plus(longestIdle), () -> askToClose(connection));
+                                    idleSince.plus(idleTimeout), () -> requestClose(connection));
         }
     }
 
     private void awaitFirstMessage(Connection connection) {
-        connection.idle =
+        connection.idleTimer =
                 timers.schedule(
-                        clock.get().plus(SILENCE),
+                        clock.get().plus(SILENCE_INTERVAL),
                         () -> {
-                            if (++connection.silences < MOST_SILENCES) {
+                            if (++connection.silentIntervals < MAX_SILENT_INTERVALS) {
                                 awaitFirstMessage(connection);
                             } else {
-                                end(connection, Completion.SAID_NOTHING);
+                                beginClose(connection, Completion.SAID_NOTHING);
                             }
                         });
     }
 
-    /**
-     * Closing at once could cross a request that is on its way; so the upstream load balancer is
-     * asked to close.
-     */
-    private void askToClose(Connection connection) {
+    /** Asks the upstream to close, because a close by this node could cross a request. */
+    private void requestClose(Connection connection) {
         if (connection.closeRequestedAt == null) {
             connection.closeRequestedAt = clock.get();
             upstreams.sayNoMore(connection.id);
-            rest(connection);
+            markIdle(connection);
         }
     }
 }
--- a/src/main/java/lupinwood/processing/Dependency.java
+++ b/src/main/java/lupinwood/processing/Dependency.java
@@ -2,15 +2,17 @@
 
 import lupinwood.admission.NanoDuration;
 
-/** What the request processor asks of the shared dependency, from the event loop thread. */
+/**
+ * The calls that the request processor makes to the shared dependency, from the event loop thread.
+ */
 public interface Dependency {
     /**
-     * Make a call; its end is reported by the attempt's id.
+     * Makes a call; its completion is reported with the attempt's id.
      *
-     * @param cap after so long it will be given up
+     * @param timeout how long until the call will be cancelled
      */
-    void call(AttemptId id, NanoDuration cap, byte[] body);
+    void call(AttemptId id, NanoDuration timeout, byte[] body);
 
-    /** Give up the call under way; nothing more is reported of it. */
+    /** Cancels the pending call; its completion is not reported. */
     void giveUp(AttemptId id);
 }
--- a/src/main/java/lupinwood/processing/DownstreamCalls.java
+++ b/src/main/java/lupinwood/processing/DownstreamCalls.java
@@ -4,8 +4,8 @@
 import lupinwood.admission.RequestId;
 
 /**
- * The calls that runs need of the shared dependency, at most one under way for each request; each
- * ends by its own end or by its cap.
+ * The calls that runs make to the shared dependency, at most one pending for each request. A call
+ * ends when the dependency completes it or when it times out.
  *
  * <p>Owned by the event loop thread.
  */
@@ -32,63 +32,65 @@
         this.clock = clock;
     }
 
-    /** A run needs a call and waits for its reply; the admission policy hears so. */
-    void needed(AttemptId id, byte[] body) {
+    /**
+     * Handles a run that needs a call and waits for the reply: the admission policy is notified.
+     */
+    void onCallNeeded(AttemptId id, byte[] body) {
         ActiveRequest activeRequest = requests.findStarted(id);
         if (activeRequest != null) {
-            connections.trust(activeRequest.connection);
-            session.callReceived(activeRequest);
+            connections.markTrusted(activeRequest.connection);
+            session.onCallNeeded(activeRequest);
             activeRequest.callBody = body;
             activeRequest.listener.onCallNeeded();
         }
     }
 
-    /** Makes the call that a request's run waits for, and gives up the one before. */
-    void call(RequestId requestId, NanoDuration cap) {
+    /** Makes the call that a request's run waits for, and cancels the previous one if pending. */
+    void call(RequestId requestId, NanoDuration timeout) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null && activeRequest.callBody != null) {
             cancel(activeRequest);
             AttemptId id = activeRequest.incomingRequest.attemptId();
             activeRequest.calledAt = clock.now();
-            activeRequest.callTimer = timers.schedule(clock.now().plus(cap), () -> timeOut(id));
-            dependency.call(id, cap, activeRequest.callBody);
+            activeRequest.callTimer = timers.schedule(clock.now().plus(timeout), () -> timeOut(id));
+            dependency.call(id, timeout, activeRequest.callBody);
         }
     }
 
     private void timeOut(AttemptId id) {
         dependency.giveUp(id);
-        ended(id, Completion.GIVEN_UP, null);
+        onCallEnded(id, Completion.GIVEN_UP, null);
     }
 
     /**
-     * A call ended: its run gets the reply where there is one, and the admission policy hears of
-     * it. Of a call that is no longer under way this means nothing.
+     * Handles the completion of a call: its run gets the reply if there is one, and the admission
+     * policy is notified. Ignored if the call is no longer pending.
      *
-     * @param reply null where the call went not well
+     * @param reply null unless the call succeeded
      */
-    void ended(AttemptId id, Completion ending, byte[] reply) {
+    void onCallEnded(AttemptId id, Completion completion, byte[] reply) {
         ActiveRequest activeRequest = requests.find(id);
         if (activeRequest == null || activeRequest.calledAt == null) {
             return;
         }
         NanoDuration latency = clock.now().since(activeRequest.calledAt);
-        clear(activeRequest);
-        if (ending == Completion.WELL) {
+        clearPendingCall(activeRequest);
+        if (completion == Completion.WELL) {
             activeRequest.callBody = null;
             session.giveReply(activeRequest, reply);
         }
-        activeRequest.listener.onCallCompleted(ending.outcome(), latency);
+        activeRequest.listener.onCallCompleted(completion.outcome(), latency);
     }
 
-    /** Gives up a request's call if one is under way; the admission policy hears nothing. */
+    /** Cancels a request's pending call, if any; the admission policy is not notified. */
     void cancel(ActiveRequest activeRequest) {
         if (activeRequest.calledAt != null) {
             dependency.giveUp(activeRequest.incomingRequest.attemptId());
-            clear(activeRequest);
+            clearPendingCall(activeRequest);
         }
     }
 
-    private void clear(ActiveRequest activeRequest) {
+    private void clearPendingCall(ActiveRequest activeRequest) {
         timers.cancel(activeRequest.callTimer);
         activeRequest.callTimer = null;
         activeRequest.calledAt = null;
--- a/src/main/java/lupinwood/processing/Drain.java
+++ b/src/main/java/lupinwood/processing/Drain.java
@@ -4,7 +4,8 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Whether the node drains, how long ago the last request came, and whether all have their answer.
+ * Tracks the drain of the node: whether it has begun, how long ago the last request arrived, and
+ * whether all requests were answered.
  *
  * <p>Owned by the event loop thread.
  */
@@ -13,7 +14,7 @@
     private final WakeUpScheduler wakeUps;
     private final ConnectionTable connections;
     private final HealthChecks checks;
-    private boolean begun;
+    private boolean hasBegun;
     private MonotonicTime lastRequestAt;
 
     Drain(
@@ -28,31 +29,31 @@
         lastRequestAt = clock.now();
     }
 
-    boolean isBegun() {
-        return begun;
+    boolean hasBegun() {
+        return hasBegun;
     }
 
-    /** Begins to drain; false where that was done before. */
+    /** Begins to drain; false if that has begun already. */
     boolean begin() {
-        if (begun) {
+        if (hasBegun) {
             return false;
         }
-        begun = true;
+        hasBegun = true;
         wakeUps.startDraining();
         lastRequestAt = clock.now();
         return true;
     }
 
-    void requestArrived() {
+    void onRequest() {
         lastRequestAt = clock.now();
     }
 
-    /** How long ago the last request came, or the drain began. */
+    /** Time since the last request arrived, or since the drain began if that was later. */
     NanoDuration sinceLastRequest() {
         return clock.now().since(lastRequestAt);
     }
 
-    /** Whether everything read has its answer. */
+    /** Whether every request and health check that was read has its response. */
     boolean isAnswered() {
         return connections.openRequests() == 0 && checks.isIdle();
     }
--- a/src/main/java/lupinwood/processing/EventLoopClock.java
+++ b/src/main/java/lupinwood/processing/EventLoopClock.java
@@ -5,14 +5,14 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * The event loop's time, set from outside, and how far the clock that stamps requests differs.
+ * The event loop's time, set from outside, and its offset from the clock that stamps requests.
  *
  * <p>Owned by the event loop thread.
  */
 final class EventLoopClock {
     private MonotonicTime now;
 
-    /** How far the stamping clock is ahead; negative where it is behind. */
+    /** How far the stamping clock is ahead of this one; negative if it is behind. */
     private NanoDuration stampLead = NanoDuration.ZERO;
 
     EventLoopClock(MonotonicTime now) {
@@ -23,37 +23,40 @@
         return now;
     }
 
-    /** Sets the time; one that was set back stands still until it is caught up with. */
+    /**
+     * Sets the time; ignored while {@code time} is before the current time, so the clock never goes
+     * back.
+     */
     void advance(MonotonicTime time) {
         now = now.isBefore(time) ? time : now;
     }
 
-    /** Tells what the stamping clock, which may step either way, shows now. */
-    void stampClockShows(MonotonicTime time) {
+    /** Sets the current time of the stamping clock, which may step in either direction. */
+    void setStampTime(MonotonicTime time) {
         stampLead = time.since(now);
     }
 
-    /** A time of the stamping clock, by this one. */
+    /** Converts a time of the stamping clock to this clock. */
     MonotonicTime fromStamp(MonotonicTime stamp) {
         return stamp.minus(stampLead);
     }
 
-    /** A time of this clock, by the one that stamps requests. */
+    /** Converts a time of this clock to the stamping clock. */
     MonotonicTime toStamp(MonotonicTime time) {
         return time.plus(stampLead);
     }
 
-    /** How long ago that was; zero where it is still to come. */
+    /** How long ago a time was; zero if it is in the future. */
     NanoDuration elapsedSince(MonotonicTime time) {
         return now.since(time).max(NanoDuration.ZERO);
     }
 
-    /** Does something as if it were that time. */
+    /** Performs an action with the clock set to this time. */
     <T> T callAt(MonotonicTime time, Supplier<T> action) {
-        MonotonicTime present = now;
+        MonotonicTime realNow = now;
         now = time;
         T result = action.get();
-        now = present;
+        now = realNow;
         return result;
     }
 }
--- a/src/main/java/lupinwood/processing/Executor.java
+++ b/src/main/java/lupinwood/processing/Executor.java
@@ -1,33 +1,36 @@
 package lupinwood.processing;
 
 /**
- * What the request processor asks of the executor, from the event loop thread. Nothing is sent
- * while there is no link.
+ * The commands that the request processor sends to the executor, from the event loop thread.
+ * Nothing is sent while there is no connection to it.
  */
 public interface Executor {
-    /** Start a run; false where there is no link to ask on, and so nothing can have started. */
+    /** Starts a run. Returns false without a connection; then nothing can have started. */
     boolean run(AttemptId id, String className, byte[] body);
 
-    /** Hand a run the reply to the call that it waits for; false where there is no link. */
+    /** Sends a run the reply to the call that it waits for; false without a connection. */
     boolean giveReply(AttemptId id, byte[] reply);
 
-    /** Stop a run; false where there is no link, and so it goes on to its end. */
+    /** Stops a run. Returns false without a connection; then the run continues to its end. */
     boolean stop(AttemptId id);
 
-    /** Let a run go on without the call that it waits for; false where there is no link. */
+    /** Lets a run continue without the call that it waits for; false without a connection. */
     boolean skipCall(AttemptId id);
 
     /**
-     * Whether a request class's runs are on the link, so that its loss puts their commands in
-     * doubt. Runs elsewhere end by themselves, each with its own ending.
+     * Whether runs of a request class use the executor connection, so that losing it puts their
+     * commands in doubt. Runs at servers don't use it: each of them reports its own completion.
      */
     default boolean isOnLink(String className) {
         return true;
     }
 
-    /** Ask for resource usage, which comes with this tag after all notices before. */
+    /**
+     * Asks for resource usage. It arrives with this tag, after all messages that the executor sent
+     * before.
+     */
     void askResourceUsage(long tag);
 
-    /** Do the work of a deep health check. */
+    /** Starts the work of a deep health check; its result is reported with this tag. */
     void checkDeep(long tag);
 }
--- a/src/main/java/lupinwood/processing/ExecutorSession.java
+++ b/src/main/java/lupinwood/processing/ExecutorSession.java
@@ -9,17 +9,17 @@
 import lupinwood.admission.ResourceUsage;
 
 /**
- * The commands about runs that the executor was given, and which of them it is known to have read:
- * a link that is lost may lose the last ones. Whether it can stop runs and skip calls is learned
- * here too.
+ * Sends the executor commands about runs and tracks which of them it is known to have read, because
+ * the last commands before a connection is lost may be lost with it. Also tracks whether the
+ * executor can stop runs and skip calls.
  *
  * <p>Owned by the event loop thread.
  */
 final class ExecutorSession {
-    /** While commands are in doubt the executor's cores are looked at so often. */
+    /** How often resource usage is polled while commands are in doubt. */
     private static final NanoDuration DOUBT_POLL_INTERVAL = NanoDuration.ofSeconds(0.004);
 
-    /** No question has this tag. */
+    /** A tag that no query has. */
     private static final long NO_TAG = 0;
 
     private final Executor executor;
@@ -31,24 +31,25 @@
     private final Consumer<String> log;
 
     /**
-     * The tag whose resource usage, when it comes, proves that all notices missed by the loss of a
-     * link were read; {@link #NO_TAG} while none is awaited.
+     * The tag of the resource usage query that was sent on a restored connection. Its reply proves
+     * that all executor messages missed while the connection was lost have been read. {@link
+     * #NO_TAG} while no such reply is awaited.
      */
-    private long replayTag = NO_TAG;
+    private long recoveryTag = NO_TAG;
 
-    /** Whether the executor may stop runs; so until it says otherwise. */
+    /** Whether the executor can stop runs; assumed until it refuses to. */
     private boolean canStop = true;
 
-    /** Whether the executor may let runs go on without a call; so until it says otherwise. */
+    /** Whether the executor can let runs continue without a call; assumed until it refuses to. */
     private boolean canSkipCalls = true;
 
-    /** When resource usage is asked for next to settle doubts, or null. */
+    /** The next poll of resource usage that resolves doubts; null if none is scheduled. */
     private TimerService.Timer doubtPoll;
 
     /**
-     * A session before its first link.
+     * Creates a session that has no connection yet.
      *
-     * @param validator the one in force, which tells what may run twice
+     * @param validator supplies the current validator, which knows which requests may run twice
      */
     ExecutorSession(
             Executor executor,
@@ -69,11 +70,11 @@
 
     // ---- commands ----
 
-    /** Asks for a run. */
+    /** Asks the executor to run a request. */
     void run(ActiveRequest activeRequest) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
         activeRequest.lastTagBeforeRun = tags.last();
-        activeRequest.offLink = !executor.isOnLink(incomingRequest.className());
+        activeRequest.runsAtServer = !executor.isOnLink(incomingRequest.className());
         activeRequest.runSent =
                 executor.run(
                         incomingRequest.attemptId(),
@@ -81,7 +82,11 @@
                         incomingRequest.body());
     }
 
-    /** Once answered nothing can start any more, so asking is safe, and tells whether it runs. */
+    /**
+     * Sends a run command in doubt again, for a request whose response was written or is no longer
+     * needed. Such a command can't start a run any more, and the reply tells whether the request
+     * runs.
+     */
     void runIfInDoubt(ActiveRequest activeRequest) {
         if (activeRequest.inDoubt && !activeRequest.runConfirmed) {
             activeRequest.inDoubt = false;
@@ -89,25 +94,28 @@
         }
     }
 
-    /** Stops a run; one that can't be stopped goes on to its end, and its request is over then. */
+    /**
+     * Stops a run if the executor can; otherwise the run continues, and its request is over at its
+     * end.
+     */
     void stop(ActiveRequest activeRequest) {
-        if (canStop && activeRequest.started && !activeRequest.offLink) {
+        if (canStop && activeRequest.started && !activeRequest.runsAtServer) {
             executor.stop(activeRequest.incomingRequest.attemptId());
         }
     }
 
-    /** Hands a run the reply to the call that it waits for. */
+    /** Sends a run the reply to the call that it waits for. */
     void giveReply(ActiveRequest activeRequest, byte[] reply) {
-        activeRequest.unreadReply = reply;
+        activeRequest.unconfirmedReply = reply;
         giveReply(activeRequest);
     }
 
-    /** Lets a run go on without its call; false where no run can. */
+    /** Lets a run continue without its call; false if the executor can't do that for this run. */
     boolean skipCall(ActiveRequest activeRequest) {
-        if (!canSkipCalls || activeRequest.offLink) {
+        if (!canSkipCalls || activeRequest.runsAtServer) {
             return false;
         }
-        giveReply(activeRequest, ActiveRequest.NO_CALL);
+        giveReply(activeRequest, ActiveRequest.SKIP_CALL);
         return true;
     }
 
@@ -117,64 +125,78 @@
         activeRequest.replySent =
                 activeRequest.isSkippingCall()
                         ? executor.skipCall(id)
-                        : executor.giveReply(id, activeRequest.unreadReply);
+                        : executor.giveReply(id, activeRequest.unconfirmedReply);
     }
 
-    /** Asks for resource usage; when that of this tag comes, all commands before were read. */
+    /**
+     * Asks for resource usage. The reply with the returned tag proves that all earlier commands
+     * were read.
+     */
     long askResourceUsage() {
         long tag = tags.next();
         executor.askResourceUsage(tag);
         return tag;
     }
 
-    // ---- what the executor can do ----
+    // ---- executor capabilities ----
 
     boolean canSkipCalls() {
         return canSkipCalls;
     }
 
-    /** The executor refused to stop a run: it is asked for no other. */
+    /** Records that the executor refused to stop a run: it is not asked again. */
     void disableStop() {
         canStop = false;
     }
 
-    /** The executor refused to skip a call: it is asked for no other. False where known before. */
+    /**
+     * Records that the executor refused to skip a call: it is not asked again. Returns false if
+     * that was known before.
+     */
     boolean disableSkippingCalls() {
         boolean wasEnabled = canSkipCalls;
         canSkipCalls = false;
         return wasEnabled;
     }
 
-    /** The runs that were told to go on without their call and may not have read so. */
+    /** The runs that were told to continue without their call and may not have read that yet. */
     List<ActiveRequest> skippingCalls() {
         return requests.started().stream().filter(ActiveRequest::isSkippingCall).toList();
     }
 
-    // ---- what was read ----
+    // ---- command confirmation ----
 
-    /** A link stands again. Resource usage asked for now comes after all notices missed. */
-    void linkRestored() {
-        replayTag = tags.next();
-        executor.askResourceUsage(replayTag);
+    /**
+     * Handles a restored connection. Resource usage queried now arrives after all missed messages.
+     */
+    void onConnectionRestored() {
+        recoveryTag = tags.next();
+        executor.askResourceUsage(recoveryTag);
     }
 
-    /** A run needs a call, so it read the command to run it and the reply to its call before. */
-    void callReceived(ActiveRequest activeRequest) {
+    /**
+     * Handles a run's need for a call, which proves that the run command and the reply to its
+     * previous call were read.
+     */
+    void onCallNeeded(ActiveRequest activeRequest) {
         activeRequest.runConfirmed = true;
         activeRequest.inDoubt = false;
-        activeRequest.unreadReply = null;
+        activeRequest.unconfirmedReply = null;
     }
 
-    /** Resource usage was read, and so all commands before the question with this tag. */
-    void resourceUsageRead(long tag, ResourceUsage usage) {
-        if (replayTag != NO_TAG && tag == replayTag) {
-            replayTag = NO_TAG;
-            sendAgain();
-        } else if (replayTag == NO_TAG) {
+    /**
+     * Handles the reply to a resource usage query: all commands before the query with this tag were
+     * read.
+     */
+    void onResourceUsage(long tag, ResourceUsage usage) {
+        if (recoveryTag != NO_TAG && tag == recoveryTag) {
+            recoveryTag = NO_TAG;
+            recover();
+        } else if (recoveryTag == NO_TAG) {
             requests.started().forEach(activeRequest -> confirmBefore(tag, activeRequest));
         }
-        if (replayTag == NO_TAG) {
-            settleDoubts(usage.wantingCore());
+        if (recoveryTag == NO_TAG) {
+            resolveDoubts(usage.wantingCore());
         }
     }
 
@@ -187,29 +209,30 @@
                 && !activeRequest.inDoubt
                 && tag > activeRequest.lastTagBeforeReply) {
             activeRequest.callBody = activeRequest.isSkippingCall() ? null : activeRequest.callBody;
-            activeRequest.unreadReply = null;
+            activeRequest.unconfirmedReply = null;
         }
     }
 
     /**
-     * After a lost link: what was sent last may not have been read. What was never written is
-     * written now, and a safe request's run may be asked for twice, since a run that goes on
-     * ignores it. All else is in doubt.
+     * Recovers after a lost connection, on which the last commands may not have been read. Commands
+     * that were never written are written now. A safe request's run command is sent again even if
+     * it was written, because a run in progress ignores it. All other unconfirmed commands are in
+     * doubt.
      */
-    private void sendAgain() {
+    private void recover() {
         requests.started().stream()
-                .filter(activeRequest -> !activeRequest.offLink)
-                .forEach(this::sendAgain);
+                .filter(activeRequest -> !activeRequest.runsAtServer)
+                .forEach(this::recover);
     }
 
-    private void sendAgain(ActiveRequest activeRequest) {
+    private void recover(ActiveRequest activeRequest) {
         if (!activeRequest.runConfirmed) {
             if (activeRequest.runSent && !validator.get().isSafe(activeRequest.incomingRequest)) {
                 activeRequest.inDoubt = true;
             } else {
                 run(activeRequest);
             }
-        } else if (activeRequest.unreadReply != null && !activeRequest.answered) {
+        } else if (activeRequest.unconfirmedReply != null && !activeRequest.answered) {
             activeRequest.inDoubt = activeRequest.replySent;
             if (!activeRequest.inDoubt) {
                 giveReply(activeRequest);
@@ -218,31 +241,32 @@
     }
 
     /**
-     * Commands in doubt must not simply be given again: an idempotent run might have ended just now
-     * and run twice, and a run that has its reply would take the same for that to its next call.
-     * The gauge of requests on the cores tells: it counts every run there (and what else uses
-     * them), and all notices up to it were read before. Where it counts no more than the runs that
-     * are there for certain, none of those in doubt is, so none of the commands was read. Until it
-     * does it is asked for again.
+     * Sends commands in doubt again once it is proved that they were not read. They must not be
+     * repeated without proof: an idempotent run might just have ended and would run twice, and a
+     * run that has its reply would take a repeated one for the reply to its next call. The number
+     * of requests that use or wait for a core is the proof: it counts every run there (and whatever
+     * else uses the cores), and all executor messages before it have been read. If it is no more
+     * than the number of runs that are certainly there, no run in doubt is there, so none of the
+     * commands was read. Until then it is polled.
      *
-     * @param wantingCore the requests that run or wait for a core there; NaN where not known
+     * @param wantingCore how many requests use or wait for a core at the executor; NaN if unknown
      */
-    private void settleDoubts(double wantingCore) {
-        int certain = 0;
-        List<ActiveRequest> doubtful = new ArrayList<>();
+    private void resolveDoubts(double wantingCore) {
+        int certainCount = 0;
+        List<ActiveRequest> inDoubt = new ArrayList<>();
         for (ActiveRequest activeRequest : requests.started()) {
             if (activeRequest.inDoubt) {
-                doubtful.add(activeRequest);
+                inDoubt.add(activeRequest);
             } else if (isCertainlyOnCore(activeRequest)) {
-                certain++;
+                certainCount++;
             }
         }
-        if (doubtful.isEmpty() || Double.isNaN(wantingCore)) {
+        if (inDoubt.isEmpty() || Double.isNaN(wantingCore)) {
             return;
         }
-        if (wantingCore <= certain) {
-            log.accept("commands lost with a link, given again: " + doubtful.size());
-            doubtful.forEach(this::giveAgain);
+        if (wantingCore <= certainCount) {
+            log.accept("resent commands lost with the executor connection count=" + inDoubt.size());
+            inDoubt.forEach(this::resend);
         } else if (doubtPoll == null) {
             MonotonicTime next = clock.now().plus(DOUBT_POLL_INTERVAL);
             doubtPoll = timers.schedule(next, this::pollDoubts);
@@ -250,13 +274,13 @@
     }
 
     private static boolean isCertainlyOnCore(ActiveRequest activeRequest) {
-        return !activeRequest.offLink
+        return !activeRequest.runsAtServer
                 && activeRequest.runConfirmed
                 && activeRequest.callBody == null
-                && activeRequest.unreadReply == null;
+                && activeRequest.unconfirmedReply == null;
     }
 
-    private void giveAgain(ActiveRequest activeRequest) {
+    private void resend(ActiveRequest activeRequest) {
         activeRequest.inDoubt = false;
         if (!activeRequest.runConfirmed) {
             run(activeRequest);
--- a/src/main/java/lupinwood/processing/HealthChecks.java
+++ b/src/main/java/lupinwood/processing/HealthChecks.java
@@ -7,19 +7,20 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Health checks under way by real work, and what the others hear.
+ * Answers health checks: from the last reported health, or after a deep check that does real work
+ * at the executor.
  *
  * <p>Owned by the event loop thread.
  */
 final class HealthChecks {
-    /** Answers a check. */
+    /** Writes the response to a health check. */
     interface Responder {
         void answer(ConnectionId connection, long tag, boolean healthy);
     }
 
     private record DeepCheck(ConnectionId connection, long tag, TimerService.Timer timer) {}
 
-    /** An upstream load balancer that asked for a deep check hears by then at the latest. */
+    /** A deep check that takes longer than this fails. */
     private static final NanoDuration DEEP_CHECK_TIMEOUT = NanoDuration.ofSeconds(1);
 
     private static final int MAX_DEEP_CHECKS = 64;
@@ -31,10 +32,11 @@
     private final Responder responder;
     private final Map<Long, DeepCheck> deepChecks = new HashMap<>();
 
-    /** Until there is a node, none is well. */
-    private boolean good;
+    /** Whether the admission policy reports the node as healthy; false until there is a policy. */
+    private boolean healthy;
 
-    private boolean fromStore = true;
+    /** Whether every check is answered at once from {@link #healthy}. */
+    private boolean answersAtOnce = true;
 
     HealthChecks(
             TimerService timers,
@@ -49,29 +51,30 @@
         this.responder = responder;
     }
 
-    void set(boolean isGood, boolean isFromStore) {
-        good = isGood;
-        fromStore = isFromStore;
+    void setHealth(boolean isHealthy, boolean isAnsweredAtOnce) {
+        healthy = isHealthy;
+        answersAtOnce = isAnsweredAtOnce;
     }
 
-    void check(ConnectionId connection, long tag, boolean real) {
-        if (!real || fromStore || deepChecks.size() >= MAX_DEEP_CHECKS) {
-            responder.answer(connection, tag, good);
+    void check(ConnectionId connection, long tag, boolean deep) {
+        if (!deep || answersAtOnce || deepChecks.size() >= MAX_DEEP_CHECKS) {
+            responder.answer(connection, tag, healthy);
             return;
         }
-        long requested = tags.next();
+        long deepCheckTag = tags.next();
         TimerService.Timer timer =
                 timers.schedule(
-                        clock.get().plus(DEEP_CHECK_TIMEOUT), () -> diagnosed(requested, false));
-        deepChecks.put(requested, new DeepCheck(connection, tag, timer));
-        executor.checkDeep(requested);
+                        clock.get().plus(DEEP_CHECK_TIMEOUT),
+                        () -> onDeepCheckCompleted(deepCheckTag, false));
+        deepChecks.put(deepCheckTag, new DeepCheck(connection, tag, timer));
+        executor.checkDeep(deepCheckTag);
     }
 
-    void diagnosed(long tag, boolean healthy) {
-        DeepCheck check = deepChecks.remove(tag);
-        if (check != null) {
-            timers.cancel(check.timer());
-            responder.answer(check.connection(), check.tag(), healthy && good);
+    void onDeepCheckCompleted(long tag, boolean checkPassed) {
+        DeepCheck deepCheck = deepChecks.remove(tag);
+        if (deepCheck != null) {
+            timers.cancel(deepCheck.timer());
+            responder.answer(deepCheck.connection(), deepCheck.tag(), checkPassed && healthy);
         }
     }
 
--- a/src/main/java/lupinwood/processing/IdempotencyKey.java
+++ b/src/main/java/lupinwood/processing/IdempotencyKey.java
@@ -1,4 +1,4 @@
 package lupinwood.processing;
 
-/** What all tries of one idempotent request have in common. */
+/** The key that all attempts of one idempotent request share. */
 public record IdempotencyKey(String digits) {}
--- a/src/main/java/lupinwood/processing/IdempotencyStore.java
+++ b/src/main/java/lupinwood/processing/IdempotencyStore.java
@@ -11,10 +11,10 @@
 import lupinwood.admission.RequestId;
 
 /**
- * The idempotent requests remembered here, with the results of those that ran, bounded in number
- * and in bytes. When bodies and results outgrow their bound the oldest lose theirs; the idempotency
- * record itself stays, so a repeat is still known and never runs. When there are too many, no more
- * are admitted.
+ * The idempotency records, with the results of the requests that ran, bounded in number and in
+ * bytes. When bodies and results exceed their bound, those of the records that finished first are
+ * dropped; the idempotency record itself stays, so a repeat is still recognized and never runs.
+ * When the number of records is at its bound, no further idempotent request is admitted.
  *
  * <p>Owned by the event loop thread.
  */
@@ -24,29 +24,30 @@
         final IdempotencyKey key;
         final RequestId requestId;
 
-        /** By the clock that stamps requests. */
-        final MonotonicTime ends;
+        /** The end of the window, by the clock that stamps requests. */
+        final MonotonicTime windowEndsAt;
 
-        /** Null once it was dropped for want of room. */
+        /** Null once it was dropped to free memory. */
         byte[] body;
 
-        /** Null before the run went well, or once it was dropped for want of room. */
+        /** Null until the run succeeds, and once it was dropped to free memory. */
         byte[] result;
 
-        boolean over;
+        /** Whether the request has ended: its result, if any, is final. */
+        boolean finished;
 
-        /** Repeats that wait for the result. */
-        final List<RequestId> waiting = new ArrayList<>();
+        /** The repeats that wait for the result. */
+        final List<RequestId> waitingRepeats = new ArrayList<>();
 
         private IdempotencyRecord(
-                IdempotencyKey key, RequestId requestId, MonotonicTime ends, byte[] body) {
+                IdempotencyKey key, RequestId requestId, MonotonicTime windowEndsAt, byte[] body) {
             this.key = key;
             this.requestId = requestId;
-            this.ends = ends;
+            this.windowEndsAt = windowEndsAt;
             this.body = body;
         }
 
-        private int size() {
+        private int byteCount() {
             return (body == null ? 0 : body.length) + (result == null ? 0 : result.length);
         }
     }
@@ -55,14 +56,14 @@
     private final Map<RequestId, IdempotencyRecord> byRequest = new HashMap<>();
 
     /**
-     * Those that are over and still have their bytes, the oldest first: what is dropped is found in
-     * one step.
+     * Finished records that still hold their bytes, in the order in which they finished, so that
+     * the next bytes to drop are found in one step.
      */
     private final Set<IdempotencyRecord> evictable = new LinkedHashSet<>();
 
     private final int maxRecords;
     private final long maxBytes;
-    private long bytes;
+    private long storedBytes;
 
     IdempotencyStore(int maxRecords, long maxBytes) {
         this.maxRecords = maxRecords;
@@ -73,24 +74,28 @@
         return byRequest.size() >= maxRecords;
     }
 
-    /** The idempotency record that a request which came at this moment repeats, or null. */
+    /**
+     * Finds the record that a request with this arrival time repeats; null if there is none or its
+     * window has ended.
+     */
     IdempotencyRecord find(IdempotencyKey key, MonotonicTime reached) {
-        IdempotencyRecord known = key == null ? null : byKey.get(key);
-        return known != null && reached.isBefore(known.ends) ? known : null;
+        IdempotencyRecord found = key == null ? null : byKey.get(key);
+        return found != null && reached.isBefore(found.windowEndsAt) ? found : null;
     }
 
-    IdempotencyRecord of(RequestId requestId) {
+    IdempotencyRecord findByRequest(RequestId requestId) {
         return byRequest.get(requestId);
     }
 
     IdempotencyRecord remember(
-            IdempotencyKey key, RequestId requestId, MonotonicTime ends, byte[] body) {
-        // One before, past its window, may still run and have repeats that wait for it; it goes at
-        // its own time.
-        IdempotencyRecord idempotencyRecord = new IdempotencyRecord(key, requestId, ends, body);
+            IdempotencyKey key, RequestId requestId, MonotonicTime windowEndsAt, byte[] body) {
+        // An earlier request with this key, past its window, may still run and have repeats that
+        // wait for it; its record is dropped when it expires itself.
+        IdempotencyRecord idempotencyRecord =
+                new IdempotencyRecord(key, requestId, windowEndsAt, body);
         byKey.put(key, idempotencyRecord);
         byRequest.put(requestId, idempotencyRecord);
-        bytes += idempotencyRecord.size();
+        storedBytes += idempotencyRecord.byteCount();
         evictToFit();
         return idempotencyRecord;
     }
@@ -98,27 +103,27 @@
     void keepResult(IdempotencyRecord idempotencyRecord, byte[] result) {
         if (byRequest.get(idempotencyRecord.requestId) == idempotencyRecord) {
             idempotencyRecord.result = result;
-            bytes += result.length;
+            storedBytes += result.length;
             evictToFit();
         }
     }
 
-    /** It runs no more: its bytes may go. */
-    void over(IdempotencyRecord idempotencyRecord) {
-        idempotencyRecord.over = true;
+    /** Marks a record whose request has ended: its bytes may be dropped. */
+    void finish(IdempotencyRecord idempotencyRecord) {
+        idempotencyRecord.finished = true;
         if (byRequest.get(idempotencyRecord.requestId) == idempotencyRecord
-                && idempotencyRecord.size() > 0) {
+                && idempotencyRecord.byteCount() > 0) {
             evictable.add(idempotencyRecord);
             evictToFit();
         }
     }
 
     void drop(IdempotencyRecord idempotencyRecord) {
-        idempotencyRecord.over = true;
+        idempotencyRecord.finished = true;
         evictable.remove(idempotencyRecord);
         if (byRequest.remove(idempotencyRecord.requestId, idempotencyRecord)) {
             byKey.remove(idempotencyRecord.key, idempotencyRecord);
-            bytes -= idempotencyRecord.size();
+            storedBytes -= idempotencyRecord.byteCount();
         }
     }
 
@@ -127,11 +132,11 @@
     }
 
     private void evictToFit() {
-        Iterator<IdempotencyRecord> oldest = evictable.iterator();
-        while (bytes > maxBytes && oldest.hasNext()) {
-            IdempotencyRecord idempotencyRecord = oldest.next();
-            oldest.remove();
-            bytes -= idempotencyRecord.size();
+        Iterator<IdempotencyRecord> oldestFirst = evictable.iterator();
+        while (storedBytes > maxBytes && oldestFirst.hasNext()) {
+            IdempotencyRecord idempotencyRecord = oldestFirst.next();
+            oldestFirst.remove();
+            storedBytes -= idempotencyRecord.byteCount();
             idempotencyRecord.body = null;
             idempotencyRecord.result = null;
         }
--- a/src/main/java/lupinwood/processing/IdempotentRequests.java
+++ b/src/main/java/lupinwood/processing/IdempotentRequests.java
@@ -11,13 +11,16 @@
 import lupinwood.admission.RequestId;
 
 /**
- * What idempotent requests have in common with their repeats: remembered for their window, a repeat
- * is answered from its original's result, or waits for it, and never runs.
+ * Remembers idempotent requests for their window. Within it a repeat never runs: it gets the result
+ * of its original, or waits for it.
  *
  * <p>Owned by the event loop thread.
  */
 final class IdempotentRequests {
-    /** On sockets the window is longer by this; a repeat so late is not run. */
+    /**
+     * How much longer the window is for requests that arrive over sockets; a repeat that arrives
+     * this late doesn't run either.
+     */
     private static final NanoDuration WINDOW_SLACK = NanoDuration.ofSeconds(0.05);
 
     private final IdempotencyStore store;
@@ -29,10 +32,10 @@
     private final Consumer<Runnable> deferred;
 
     /**
-     * The idempotent requests of one table.
+     * Creates the handler of one request table.
      *
-     * @param validator the one in force, for timeouts
-     * @param deferred takes what is to be done once the admission policy has decided
+     * @param validator supplies the current validator, for timeouts
+     * @param deferred receives actions to perform once the admission policy has decided
      */
     IdempotentRequests(
             IdempotencyStore store,
@@ -51,91 +54,103 @@
         this.deferred = deferred;
     }
 
-    /** How many are remembered. */
+    /** The number of idempotency records. */
     int size() {
         return store.size();
     }
 
     /**
-     * The record of the original that a request repeats, or null. The window counts in the clock by
-     * which requests are stamped, all else in one that never steps.
+     * Finds the record of the original that a request repeats; null if there is none. The window is
+     * measured by the clock that stamps requests, everything else by a clock that never steps.
      *
-     * @param stamped the request with its stamp as it came, or null
+     * @param stampedRequest the request with its original time stamp, or null
      */
-    IdempotencyStore.IdempotencyRecord findOriginal(IncomingRequest stamped) {
-        return stamped == null ? null : store.find(stamped.idempotencyKey(), stamped.reached());
+    IdempotencyStore.IdempotencyRecord findOriginal(IncomingRequest stampedRequest) {
+        return stampedRequest == null
+                ? null
+                : store.find(stampedRequest.idempotencyKey(), stampedRequest.reached());
     }
 
-    /** Whether a request, or null, would have to be remembered and can't be. */
+    /** Whether a request has to be remembered but the store is full; false for null. */
     boolean hasNoRoomFor(IncomingRequest incomingRequest) {
         return incomingRequest != null
                 && incomingRequest.idempotencyKey() != null
                 && store.isFull();
     }
 
-    /** Remembers a request for its window, if it is an idempotent one. */
+    /** Remembers a request for its window; ignored unless it has an idempotency key. */
     void remember(RequestId requestId, NanoDuration window) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest == null || activeRequest.incomingRequest.idempotencyKey() == null) {
             return;
         }
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
-        MonotonicTime ends = clock.toStamp(clock.now().plus(window).plus(WINDOW_SLACK));
+        MonotonicTime windowEndsAt = clock.toStamp(clock.now().plus(window).plus(WINDOW_SLACK));
         IdempotencyStore.IdempotencyRecord idempotencyRecord =
                 store.remember(
-                        incomingRequest.idempotencyKey(), requestId, ends, incomingRequest.body());
-        dropOnceOver(idempotencyRecord, validator.get().requestClassId(incomingRequest));
+                        incomingRequest.idempotencyKey(),
+                        requestId,
+                        windowEndsAt,
+                        incomingRequest.body());
+        dropWhenExpired(idempotencyRecord, validator.get().requestClassId(incomingRequest));
     }
 
     /**
-     * A repeat that came in time may be read up to its timeout later; that time may grow meanwhile,
-     * by a configuration, and the idempotency record must outlive it all the same.
+     * Drops a record once no repeat can need it. A repeat that arrived within the window may be
+     * read up to its timeout later. A reload may extend that timeout meanwhile, and the idempotency
+     * record must outlive the extended one too.
      */
-    private void dropOnceOver(
+    private void dropWhenExpired(
             IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId classId) {
         NanoDuration timeout = validator.get().requestClass(classId).timeout();
-        MonotonicTime over = clock.fromStamp(idempotencyRecord.ends.plus(timeout));
-        if (clock.now().isBefore(over)) {
-            timers.schedule(over, () -> dropOnceOver(idempotencyRecord, classId));
+        MonotonicTime expiresAt = clock.fromStamp(idempotencyRecord.windowEndsAt.plus(timeout));
+        if (clock.now().isBefore(expiresAt)) {
+            timers.schedule(expiresAt, () -> dropWhenExpired(idempotencyRecord, classId));
         } else {
             store.drop(idempotencyRecord);
         }
     }
 
-    /** Forgets a request, which never ran; its waiting repeats fail. */
+    /** Forgets a request that never ran; the repeats that wait for it fail. */
     void forget(RequestId requestId) {
-        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.of(requestId);
+        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.findByRequest(requestId);
         if (idempotencyRecord != null) {
             store.drop(idempotencyRecord);
-            deferred.accept(() -> answerWaiting(idempotencyRecord, null));
+            deferred.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
         }
     }
 
-    /** A request is over; where it left no result its waiting repeats fail. */
-    void released(RequestId requestId) {
-        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.of(requestId);
+    /** Handles the release of a request; if it has no result, the repeats that wait for it fail. */
+    void onReleased(RequestId requestId) {
+        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.findByRequest(requestId);
         if (idempotencyRecord != null && idempotencyRecord.result == null) {
-            store.over(idempotencyRecord);
-            deferred.accept(() -> answerWaiting(idempotencyRecord, null));
+            store.finish(idempotencyRecord);
+            deferred.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
         }
     }
 
-    /** A run went well: its result is kept. Its request's record, or null where there is none. */
+    /**
+     * Keeps the result of a successful run. Returns the record of its request, or null if there is
+     * none.
+     */
     IdempotencyStore.IdempotencyRecord keepResult(RequestId requestId, byte[] result) {
-        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.of(requestId);
+        IdempotencyStore.IdempotencyRecord idempotencyRecord = store.findByRequest(requestId);
         if (idempotencyRecord != null) {
             store.keepResult(idempotencyRecord, result);
         }
         return idempotencyRecord;
     }
 
-    /** A request whose run went well has its answer; now its waiting repeats have theirs. */
-    void completed(IdempotencyStore.IdempotencyRecord idempotencyRecord, byte[] result) {
-        store.over(idempotencyRecord);
-        answerWaiting(idempotencyRecord, result);
+    /**
+     * Answers the waiting repeats of a request whose run succeeded, after the request's own
+     * response.
+     */
+    void onCompleted(IdempotencyStore.IdempotencyRecord idempotencyRecord, byte[] result) {
+        store.finish(idempotencyRecord);
+        answerWaitingRepeats(idempotencyRecord, result);
     }
 
-    /** Answers a repeat from its original's result, once that is there. */
+    /** Answers a repeat with its original's result, as soon as there is one. */
     void answerFromOriginal(RequestId repeatId) {
         deferred.accept(() -> answerOrWait(repeatId));
     }
@@ -145,26 +160,26 @@
         if (repeat == null) {
             return;
         }
-        IdempotencyStore.IdempotencyRecord original = repeat.original;
-        // Guards against one key on two bodies: the other's result must not be handed out for this
-        // one.
-        boolean same =
+        IdempotencyStore.IdempotencyRecord original = repeat.originalRecord;
+        // Guards against one key used with two bodies: the result for one body must not be returned
+        // for the other.
+        boolean hasSameBody =
                 original != null && Arrays.equals(original.body, repeat.incomingRequest.body());
-        if (same && original.result == null && !original.over) {
-            original.waiting.add(repeatId);
+        if (hasSameBody && original.result == null && !original.finished) {
+            original.waitingRepeats.add(repeatId);
         } else {
-            answerRepeat(repeatId, same ? original.result : null);
+            answerRepeat(repeatId, hasSameBody ? original.result : null);
         }
     }
 
-    private void answerWaiting(
+    private void answerWaitingRepeats(
             IdempotencyStore.IdempotencyRecord idempotencyRecord, byte[] result) {
-        List<RequestId> waiting = new ArrayList<>(idempotencyRecord.waiting);
-        idempotencyRecord.waiting.clear();
-        waiting.forEach(id -> answerRepeat(id, result));
+        List<RequestId> repeatIds = new ArrayList<>(idempotencyRecord.waitingRepeats);
+        idempotencyRecord.waitingRepeats.clear();
+        repeatIds.forEach(id -> answerRepeat(id, result));
     }
 
-    /** A repeat has its original's result, or null where there is none to be had. */
+    /** Answers a repeat with its original's result; the repeat fails if that is null. */
     private void answerRepeat(RequestId repeatId, byte[] result) {
         ActiveRequest repeat = requests.get(repeatId);
         if (repeat != null) {
--- a/src/main/java/lupinwood/processing/IncomingRequest.java
+++ b/src/main/java/lupinwood/processing/IncomingRequest.java
@@ -8,16 +8,16 @@
 /**
  * A request as an upstream load balancer sent it.
  *
- * @param className the request class's name, as it came
- * @param tenant the tenant's name, as it came
- * @param clientTimeout how long from then its caller waits; zero where that isn't told
- * @param work the hint of its cost on a standard core; zero where there is none
- * @param repeat it was marked as a further try or a second copy of another
- * @param reached when it came to the machine, by the clock that stamped it
- * @param idempotencyKey null where the request carries none
- * @param body the bytes as they came
+ * @param className the name of the request class, as received
+ * @param tenant the name of the tenant, as received
+ * @param clientTimeout how long the client waits, counted from {@code reached}; zero if not given
+ * @param work the cost hint: processing time on a standard core; zero if not given
+ * @param repeat whether it is marked as a retry or a hedged copy of another request
+ * @param reached when it reached the host, by the clock that stamped it
+ * @param idempotencyKey null if the request has none
+ * @param body the bytes as received
  */
-@SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
+@SuppressWarnings("ArrayRecordComponent") // passed on once and never compared
 public record IncomingRequest(
         AttemptId attemptId,
         String className,
@@ -34,12 +34,12 @@
         byte[] body) {
 
     /**
-     * What stands for a time that was told and is none: no figure, none above zero, or out of all
-     * bounds.
+     * Stands in for a duration that was given but is invalid: not a number, not positive, or out of
+     * range.
      */
     public static final NanoDuration NO_TIME = new NanoDuration(-1);
 
-    /** One that tells only what every request does. */
+    /** Creates a request with only the values that every request has. */
     public IncomingRequest(
             AttemptId attemptId,
             String className,
@@ -67,7 +67,7 @@
                 body);
     }
 
-    /** The same, with that moment told by another clock. */
+    /** Returns a copy with the arrival time expressed by another clock. */
     IncomingRequest reachedAt(MonotonicTime time) {
         return new IncomingRequest(
                 attemptId,
--- a/src/main/java/lupinwood/processing/PolicyRunner.java
+++ b/src/main/java/lupinwood/processing/PolicyRunner.java
@@ -12,8 +12,8 @@
 import lupinwood.admission.ServerActions;
 
 /**
- * The admission policy: made once the executor is up, with the settings of the configuration and
- * what was learned of the executor, and asked to decide in rounds.
+ * Creates the admission policy once the executor is connected, with the configured settings and the
+ * executor's known capabilities, and lets it decide in rounds.
  *
  * <p>Owned by the event loop thread.
  */
@@ -23,24 +23,26 @@
     private final EventLoopClock clock;
     private final BooleanSupplier canSkipCalls;
 
-    /** Events of the processor's own making, which follow once the policy has decided. */
+    /**
+     * Events that the request processor itself produced, to be handled once the policy has decided.
+     */
     private final Deque<Runnable> deferred = new ArrayDeque<>();
 
     private Map<String, String> settings;
 
-    /** Null before the executor is up. */
+    /** Null until the executor is connected. */
     private AdmissionPolicy policy;
 
-    /** When the executor was started; null before its first word. */
+    /** When the executor was started; null until it is connected. */
     private MonotonicTime executorStartedAt;
 
-    /** Whether the executor was cold when the policy was made. */
+    /** Whether the executor was cold when the policy was created. */
     private boolean executorCold;
 
     /**
-     * A runner without a policy.
+     * Creates a runner that has no policy yet.
      *
-     * @param canSkipCalls whether the executor may let runs go on without a call
+     * @param canSkipCalls tells whether the executor can let runs continue without a call
      */
     PolicyRunner(
             RequestProcessor.PolicyFactory factory,
@@ -59,12 +61,12 @@
         return policy != null;
     }
 
-    /** The policy; null before it is started. */
+    /** The policy; null until it is started. */
     AdmissionPolicy policy() {
         return policy;
     }
 
-    /** Makes the policy, whose life began when the executor's did. */
+    /** Creates the policy as of the time at which the executor was started. */
     void start(ServerActions server, boolean cold, NanoDuration executorAge) {
         executorCold = cold;
         executorStartedAt = clock.now().minus(executorAge);
@@ -74,14 +76,20 @@
                         () -> factory.make(server, seed, settingsForPolicy(settings)));
     }
 
-    /** Whether the executor is there, and warm, or started so long ago that it is. */
+    /**
+     * Whether the executor is connected and was warm when the policy was created, or was started at
+     * least this long ago.
+     */
     boolean isWarm(NanoDuration warmAfter) {
         return executorStartedAt != null
                 && (!executorCold
                         || clock.now().since(executorStartedAt).compareTo(warmAfter) >= 0);
     }
 
-    /** Takes over settings that differ only in what may change while the policy runs. */
+    /**
+     * Applies settings that differ from the current ones only in entries that may change while the
+     * policy runs.
+     */
     void updateSettings(Map<String, String> changed) {
         if (isStarted()) {
             policy.updateSettings(settingsForPolicy(changed));
@@ -89,17 +97,20 @@
         settings = changed;
     }
 
-    /** What is known of the executor changed: the running policy gets its settings anew. */
+    /**
+     * Passes the settings to the running policy again after the known capabilities of the executor
+     * changed.
+     */
     void refreshSettings() {
         policy.updateSettings(settingsForPolicy(settings));
     }
 
-    /** Puts an event off until the policy has decided. */
+    /** Defers an event until the policy has decided. */
     void defer(Runnable event) {
         deferred.add(event);
     }
 
-    /** Lets the policy decide, and again after the events that were put off, until none is. */
+    /** Lets the policy decide, then handles the deferred events, and repeats until none is left. */
     void settle() {
         if (isStarted()) {
             policy.decide();
@@ -112,20 +123,20 @@
         }
     }
 
-    /** A wake-up that the policy asked for is due, or resource usage was read anew. */
+    /** Wakes the policy at a time that it asked for, with resource usage. */
     void wake(ResourceUsage usage) {
         policy.wake(usage);
     }
 
-    /** Notice of a stop after this long, for a policy that runs. */
-    void drain(NanoDuration until) {
+    /** Tells the policy, if started, that the node will stop after this duration. */
+    void drain(NanoDuration timeUntilStop) {
         if (isStarted()) {
-            policy.drain(until);
+            policy.drain(timeUntilStop);
         }
     }
 
-    private Map<String, String> settingsForPolicy(Map<String, String> from) {
-        Map<String, String> result = new HashMap<>(from);
+    private Map<String, String> settingsForPolicy(Map<String, String> configured) {
+        Map<String, String> result = new HashMap<>(configured);
         result.put("domain.cold", Boolean.toString(executorCold));
         if (!canSkipCalls.getAsBoolean()) {
             result.remove("domain.class_skip_worth");
--- a/src/main/java/lupinwood/processing/RefusedCommands.java
+++ b/src/main/java/lupinwood/processing/RefusedCommands.java
@@ -3,12 +3,12 @@
 import java.util.function.Supplier;
 
 /**
- * What follows where the executor would not carry out a command.
+ * Handles commands that the executor refused.
  *
  * <p>Owned by the event loop thread.
  */
 final class RefusedCommands {
-    /** In place of a command's name: it was one that the executor doesn't know. */
+    /** Stands for the name of a command that the executor doesn't know. */
     private static final String UNNAMED = "-";
 
     private final RequestTable requests;
@@ -19,9 +19,9 @@
     private final Supplier<RequestValidator> validator;
 
     /**
-     * The refusals of one executor.
+     * Creates the handler of one executor's refusals.
      *
-     * @param validator the one in force, which tells what may run twice
+     * @param validator supplies the current validator, which knows which requests may run twice
      */
     RefusedCommands(
             RequestTable requests,
@@ -39,43 +39,46 @@
     }
 
     /**
-     * The executor refused a command about this attempt. A run that was refused is over. Stopping
-     * runs and skipping calls are given up for good at the first refusal. Other commands matter
-     * not.
+     * Handles the refusal of a command about this attempt. A refused run is over. At the first
+     * refusal to stop a run or to skip a call, the executor is never asked for that again. Refusals
+     * of other commands are ignored.
      *
-     * @param command its name on the executor's link
+     * @param command its name in the executor protocol
      */
-    void refused(String command, AttemptId id) {
+    void onRefused(String command, AttemptId id) {
         ActiveRequest activeRequest = requests.find(id);
         switch (command) {
             case "EXEC" -> {
                 if (activeRequest != null) {
-                    runs.lost(id, Completion.NOT_CARRIED_OUT);
-                    connections.fault(activeRequest.connection);
+                    runs.completeLost(id, Completion.NOT_CARRIED_OUT);
+                    connections.onInvalidRequest(activeRequest.connection);
                 }
             }
-            case "KILL" -> session.disableStop(); // the run goes on to its end, as it would have
-            // Where the answer names neither, it can be only to those whose call was to be left
-            // out.
+            case "KILL" ->
+                    session.disableStop(); // the run continues to its end, as without the command
+            // A refusal that names neither command nor attempt can only be about runs that were
+            // told to skip their call.
             case "BYPASS", UNNAMED ->
                     session.skippingCalls().stream()
-                            .filter(one -> one == activeRequest || command.equals(UNNAMED))
-                            .forEach(this::skipRefused);
+                            .filter(
+                                    skipping ->
+                                            skipping == activeRequest || command.equals(UNNAMED))
+                            .forEach(this::onSkipRefused);
             default -> {}
         }
     }
 
     /**
-     * No call can be left out here: its run still waits for one, which is made now where that does
-     * no harm.
+     * Handles a refusal to skip a call: the run still waits for the call, which is made now if the
+     * request is safe. Any other request fails.
      */
-    private void skipRefused(ActiveRequest activeRequest) {
+    private void onSkipRefused(ActiveRequest activeRequest) {
         if (session.disableSkippingCalls()) {
             policyRunner.refreshSettings();
         }
-        activeRequest.unreadReply = null;
+        activeRequest.unconfirmedReply = null;
         if (!validator.get().isSafe(activeRequest.incomingRequest)) {
-            runs.lost(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
+            runs.completeLost(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         } else if (!activeRequest.answered) {
             activeRequest.listener.onCallNeeded();
         }
--- a/src/main/java/lupinwood/processing/RequestActions.java
+++ b/src/main/java/lupinwood/processing/RequestActions.java
@@ -4,8 +4,8 @@
 import lupinwood.admission.RequestId;
 
 /**
- * What the admission policy may ask for one request, from its run to its release, and what a caller
- * that leaves does to it. Of a request that was released all of it means nothing.
+ * Carries out the admission policy's actions on one request, from its run to its release, and
+ * handles a client that leaves. Actions on a released request are ignored.
  *
  * <p>Owned by the event loop thread.
  */
@@ -54,7 +54,7 @@
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null) {
             responses.reject(activeRequest, doNotRetryElsewhere, retryAfter);
-            connections.unwanted(activeRequest.connection);
+            connections.countUnservedRequest(activeRequest.connection);
         }
     }
 
@@ -67,11 +67,12 @@
         }
     }
 
-    /** Where no run can go on without its call the request can only fail. */
+    /** Lets a run continue without its call; fails the request if the executor can't do that. */
     void skipCall(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null && !session.skipCall(activeRequest)) {
-            runs.lostAfterDecision(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
+            runs.completeLostAfterDecision(
+                    activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         }
     }
 
@@ -79,13 +80,13 @@
         ActiveRequest activeRequest = requests.remove(requestId);
         if (activeRequest != null) {
             calls.cancel(activeRequest);
-            // Guards against a request that is over and yet owed an answer; none should be.
+            // Guards against a released request without a response, which should not occur.
             responses.fail(activeRequest);
-            idempotency.released(requestId);
+            idempotency.onReleased(requestId);
         }
     }
 
-    /** The caller left, or its connection did; the admission policy hears so. */
+    /** Handles a client that left, or whose connection closed; the admission policy is notified. */
     void clientGone(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null && !activeRequest.answered) {
--- a/src/main/java/lupinwood/processing/RequestFault.java
+++ b/src/main/java/lupinwood/processing/RequestFault.java
@@ -1,51 +1,56 @@
 package lupinwood.processing;
 
-/** Why a request that arrived is refused before the admission policy hears of it. */
+/** Why an arriving request fails before the admission policy sees it. */
 enum RequestFault {
-    /** No request could be parsed from what was sent. */
-    UNREADABLE("that can't be read", Kind.CALLER),
-    /** The settings name no such request class. */
-    UNKNOWN_CLASS("of no known track", Kind.CALLER),
-    /** The settings name tenants, and not this one. */
-    UNKNOWN_TENANT("of no known customer", Kind.CALLER),
-    /** Another request in the table has the same attempt id. */
-    ATTEMPT_ID_IN_USE("named like another", Kind.CALLER),
-    /** It has an idempotency key and its class is not idempotent, or the other way round. */
-    IDEMPOTENCY_KEY_MISMATCH("with a mark on the wrong track, or without one", Kind.CALLER),
-    /** Its idempotency key was remembered with another body. */
-    IDEMPOTENCY_KEY_REUSED("with the mark of another", Kind.CALLER),
-    /** Its time of arrival lies further ahead than clocks of one machine differ. */
-    FROM_THE_FUTURE("from the future", Kind.CALLER),
-    /** Its client timeout or its cost hint is no positive duration. */
-    INVALID_DURATION("with a time to wait or a hint that is none", Kind.INVALID_DURATION),
+    /** The request can't be parsed. */
+    MALFORMED("malformed_request", Kind.PROTOCOL_VIOLATION),
+    /** The settings have no such request class. */
+    UNKNOWN_CLASS("unknown_request_class", Kind.PROTOCOL_VIOLATION),
+    /** The settings name tenants, but not this one. */
+    UNKNOWN_TENANT("unknown_tenant", Kind.PROTOCOL_VIOLATION),
+    /** Another request in the request table has the same attempt id. */
+    ATTEMPT_ID_IN_USE("attempt_id_in_use", Kind.PROTOCOL_VIOLATION),
+    /**
+     * It has an idempotency key but its request class is not idempotent, or it has none but the
+     * class is.
+     */
+    IDEMPOTENCY_KEY_MISMATCH("idempotency_key_mismatch", Kind.PROTOCOL_VIOLATION),
+    /** Its idempotency key is remembered with another body. */
+    IDEMPOTENCY_KEY_REUSED("idempotency_key_reused", Kind.PROTOCOL_VIOLATION),
+    /** Its arrival time is further ahead than two clocks of one host can differ. */
+    ARRIVAL_TIME_IN_FUTURE("arrival_time_in_future", Kind.PROTOCOL_VIOLATION),
+    /** Its client timeout or its cost hint is not a valid positive duration. */
+    INVALID_DURATION("invalid_timeout_or_cost_hint", Kind.INVALID_DURATION),
     /** Its deadline passed before it was read. */
-    PAST_DEADLINE("past its abandon time", Kind.LATE),
+    PAST_DEADLINE("deadline_passed", Kind.LATE),
     /** Its memory, rank or body length is outside the protocol's bounds. */
-    OUT_OF_BOUNDS("out of bounds", Kind.CALLER),
-    /** Its connection was asked to close long ago. */
-    CONNECTION_CLOSE_REQUESTED("on a connection asked to close", Kind.CALLER);
+    OUT_OF_BOUNDS("out_of_bounds", Kind.PROTOCOL_VIOLATION),
+    /** Its connection was asked to close long before. */
+    CONNECTION_CLOSE_REQUESTED("connection_close_requested", Kind.PROTOCOL_VIOLATION);
 
-    /** Who is to blame, which decides what the fault costs the connection. */
+    /** The origin of the fault, which decides how the connection is charged. */
     enum Kind {
-        /** The caller doesn't know the protocol. */
-        CALLER,
-        /** One duration of this request alone; the caller may well know the protocol otherwise. */
+        /** The upstream violates the protocol. */
+        PROTOCOL_VIOLATION,
+        /**
+         * One duration of this request only; the upstream may comply with the protocol otherwise.
+         */
         INVALID_DURATION,
-        /** Perhaps this side: a pause, or a queue in front of the listener. */
+        /** Perhaps this host: a pause, or a queue in front of the listener. */
         LATE
     }
 
-    private final String logText;
+    private final String logReason;
     private final Kind kind;
 
-    RequestFault(String logText, Kind kind) {
-        this.logText = logText;
+    RequestFault(String logReason, Kind kind) {
+        this.logReason = logReason;
         this.kind = kind;
     }
 
-    /** The end of the log line about a refused request. */
-    String logText() {
-        return logText;
+    /** The reason in the log line about the failed request. */
+    String logReason() {
+        return logReason;
     }
 
     Kind kind() {
--- a/src/main/java/lupinwood/processing/RequestIntake.java
+++ b/src/main/java/lupinwood/processing/RequestIntake.java
@@ -7,16 +7,17 @@
 import lupinwood.admission.Request;
 
 /**
- * The checks between a request's arrival and its admission: is there room for it, can it be
- * remembered, is it sound. What passes enters the table and is handed to the admission policy.
+ * Checks an arriving request before the admission policy sees it: whether there is room for it,
+ * whether it can be remembered, and whether it is valid. A request that passes enters the request
+ * table and is passed to the policy.
  *
  * <p>Owned by the event loop thread.
  */
 final class RequestIntake {
-    /** By then the executor may be up. */
+    /** The Retry-After before the executor is connected; it may be by then. */
     private static final NanoDuration RETRY_AFTER_START = NanoDuration.ofSeconds(1);
 
-    /** By then idempotency records may have ended. */
+    /** The Retry-After while the idempotency store is full; records may have expired by then. */
     private static final NanoDuration RETRY_AFTER_STORE_FULL = NanoDuration.ofSeconds(1);
 
     private final ConnectionTable connections;
@@ -29,9 +30,9 @@
     private final Consumer<String> log;
 
     /**
-     * The intake of one request processor.
+     * Creates the intake of one request processor.
      *
-     * @param validator the one in force
+     * @param validator supplies the current validator
      */
     RequestIntake(
             ConnectionTable connections,
@@ -53,66 +54,69 @@
     }
 
     /**
-     * Guards against a request read with what ended its connection: it is owed an answer, and must
-     * not run.
+     * Rejects a request that was read after its connection began to close. Such a request must get
+     * a response, and must not run.
      */
     void rejectOnClosing(ConnectionId connection, long tag) {
-        if (connections.open(connection, tag) == null) {
+        if (connections.findRequest(connection, tag) == null) {
             responses.rejectArrival(connection, tag, NanoDuration.ZERO);
         }
     }
 
     /**
-     * Answers a request at once, or admits it.
+     * Rejects or fails a request at once, or passes it to the admission policy.
      *
-     * @param stamped the request with its stamp as it came, or null where it can't be read
+     * @param stampedRequest the request with its original time stamp; null if it can't be parsed
      */
-    void accept(ConnectionId connection, long tag, IncomingRequest stamped) {
-        boolean connectionFull = connections.isFull(connection);
-        if (!policyRunner.isStarted() || connectionFull || requests.isFull()) {
-            rejectForWantOfRoom(connection, tag, connectionFull);
+    void accept(ConnectionId connection, long tag, IncomingRequest stampedRequest) {
+        boolean isConnectionFull = connections.isAtRequestLimit(connection);
+        if (!policyRunner.isStarted() || isConnectionFull || requests.isFull()) {
+            rejectWithoutRoom(connection, tag, isConnectionFull);
             return;
         }
-        IdempotencyStore.IdempotencyRecord original = idempotency.findOriginal(stamped);
+        IdempotencyStore.IdempotencyRecord original = idempotency.findOriginal(stampedRequest);
         IncomingRequest incomingRequest =
-                stamped == null ? null : stamped.reachedAt(clock.fromStamp(stamped.reached()));
+                stampedRequest == null
+                        ? null
+                        : stampedRequest.reachedAt(clock.fromStamp(stampedRequest.reached()));
         if (original == null && idempotency.hasNoRoomFor(incomingRequest)) {
-            rejectUnrememberable(connection, tag);
+            rejectStoreFull(connection, tag);
             return;
         }
         Optional<RequestFault> fault = fault(connection, incomingRequest, original);
         if (fault.isPresent()) {
-            refuse(connection, tag, incomingRequest, fault.get());
+            failInvalid(connection, tag, incomingRequest, fault.get());
             return;
         }
         admit(new ActiveRequest(connection, tag, incomingRequest), original);
     }
 
-    private void rejectForWantOfRoom(ConnectionId connection, long tag, boolean connectionFull) {
-        boolean started = policyRunner.isStarted();
+    private void rejectWithoutRoom(ConnectionId connection, long tag, boolean isConnectionFull) {
+        boolean isStarted = policyRunner.isStarted();
         log.accept(
-                "bounced a ticket that came "
-                        + (started ? "beyond what may be open" : "before the executor was up"));
-        responses.rejectArrival(connection, tag, started ? NanoDuration.ZERO : RETRY_AFTER_START);
-        if (connectionFull) {
-            connections.fault(connection);
+                "request rejected reason="
+                        + (isStarted ? "too_many_open_requests" : "executor_not_connected"));
+        responses.rejectArrival(connection, tag, isStarted ? NanoDuration.ZERO : RETRY_AFTER_START);
+        if (isConnectionFull) {
+            connections.onInvalidRequest(connection);
         }
     }
 
     /**
-     * Guards against a flood of keys that are seen once: what could not be remembered must not run.
+     * Guards against a flood of keys that are used once each: a request that can't be remembered
+     * must not run.
      */
-    private void rejectUnrememberable(ConnectionId connection, long tag) {
-        log.accept("bounced a ticket whose mark there is no room to remember");
+    private void rejectStoreFull(ConnectionId connection, long tag) {
+        log.accept("request rejected reason=idempotency_store_full");
         responses.rejectArrival(connection, tag, RETRY_AFTER_STORE_FULL);
-        connections.unwanted(connection);
+        connections.countUnservedRequest(connection);
     }
 
     private Optional<RequestFault> fault(
             ConnectionId connection,
             IncomingRequest incomingRequest,
             IdempotencyStore.IdempotencyRecord original) {
-        if (connections.isStubborn(connection)) {
+        if (connections.ignoresCloseRequest(connection)) {
             return Optional.of(RequestFault.CONNECTION_CLOSE_REQUESTED);
         }
         boolean attemptIdInUse =
@@ -120,49 +124,51 @@
         return validator.get().fault(incomingRequest, original, attemptIdInUse, clock.now());
     }
 
-    /** An unsound request fails at once, and costs its connection what the fault tells of it. */
-    private void refuse(
+    /** Fails an invalid request at once, and charges its connection by the kind of the fault. */
+    private void failInvalid(
             ConnectionId connection,
             long tag,
             IncomingRequest incomingRequest,
             RequestFault fault) {
-        log.accept("abandoned a ticket " + fault.logText());
+        log.accept("request failed reason=" + fault.logReason());
         responses.failArrival(connection, tag);
         switch (fault.kind()) {
             case LATE -> {
                 responses.report(incomingRequest, Response.Kind.FAILED);
-                connections.unwanted(connection);
+                connections.countUnservedRequest(connection);
             }
-            case INVALID_DURATION -> connections.strike(connection);
-            case CALLER -> connections.fault(connection);
+            case INVALID_DURATION -> connections.countInvalidRequest(connection);
+            case PROTOCOL_VIOLATION -> connections.onInvalidRequest(connection);
         }
     }
 
     private void admit(ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord original) {
         requests.add(activeRequest);
-        connections.begin(activeRequest.connection, activeRequest.tag, activeRequest.id);
-        activeRequest.original = original;
+        connections.addRequest(activeRequest.connection, activeRequest.tag, activeRequest.id);
+        activeRequest.originalRecord = original;
         activeRequest.listener = policyRunner.policy().admit(policyRequest(activeRequest));
     }
 
     private Request policyRequest(ActiveRequest activeRequest) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
-        RequestValidator settings = validator.get();
-        NanoDuration waited = clock.elapsedSince(incomingRequest.reached());
+        RequestValidator currentValidator = validator.get();
+        NanoDuration elapsed = clock.elapsedSince(incomingRequest.reached());
         return new Request(
                 activeRequest.id,
-                settings.requestClassId(incomingRequest),
-                settings.tenantId(incomingRequest),
+                currentValidator.requestClassId(incomingRequest),
+                currentValidator.tenantId(incomingRequest),
                 incomingRequest.subject(),
                 incomingRequest.upstreamId(),
                 incomingRequest.clientTimeout().isPositive()
-                        ? settings.effectiveTimeout(incomingRequest).minus(waited)
+                        ? currentValidator.effectiveTimeout(incomingRequest).minus(elapsed)
                         : NanoDuration.ZERO,
                 incomingRequest.work(),
                 incomingRequest.memoryKb(),
                 incomingRequest.rank(),
                 incomingRequest.repeat(),
-                waited,
-                activeRequest.original == null ? null : activeRequest.original.requestId);
+                elapsed,
+                activeRequest.originalRecord == null
+                        ? null
+                        : activeRequest.originalRecord.requestId);
     }
 }
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -13,50 +13,52 @@
 import lupinwood.admission.SettingsMap;
 
 /**
- * The node without its sockets: takes events of connections, executor and shared dependency, lets
- * the admission policy decide, and carries out what it decided through the ports. This class shows
- * the order of the steps; each step is done by a class of its own.
+ * Processes requests without doing I/O: takes events of connections, the executor and the shared
+ * dependency, lets the admission policy decide, and carries out its decisions through the ports.
+ * This class defines the order of the steps; each step is performed by a class of its own.
  *
- * <p>Owned by the event loop thread, which sets the time first with {@link #advance} and ends each
- * round of events with {@link #settle}.
+ * <p>Owned by the event loop thread, which sets the time with {@link #advance} before it passes in
+ * events, and calls {@link #settle} after each batch of them.
  */
 public final class RequestProcessor implements ServerActions {
-    /** Makes the admission policy once the executor is up. */
+    /** Creates the admission policy once the executor is connected. */
     public interface PolicyFactory {
         /**
-         * Makes a policy.
+         * Creates a policy.
          *
-         * @param server what the policy may ask for
-         * @param seed where its chance begins
-         * @param settings the configuration, with what is known of the executor
+         * @param server the actions that the policy may request
+         * @param seed the seed of the policy's random numbers
+         * @param settings the configured settings by entry, with what is known of the executor
          */
         AdmissionPolicy make(ServerActions server, long seed, Map<String, String> settings);
     }
 
     /**
-     * How much a processor may keep; none of it is the policy's own reckoning of memory.
+     * The capacity of a processor's tables, independent of the memory that the policy reserves.
      *
-     * @param connections at most so many connections
-     * @param requests at most so many requests that the policy has not released
-     * @param idempotencyRecords at most so many requests remembered for their repeats
-     * @param idempotencyBytes at most so many bytes of their bodies and results
+     * @param connections the maximum number of connections
+     * @param requests the maximum number of requests that the policy has not released
+     * @param idempotencyRecords the maximum number of idempotency records
+     * @param idempotencyBytes the maximum total size of the bodies and results in them, in bytes
      */
     public record TableLimits(
             int connections, int requests, int idempotencyRecords, long idempotencyBytes) {}
 
-    /** Where results go. */
+    /** The outputs of a processor. */
     public record Ports(
             UpstreamConnections upstreams,
             Executor executor,
             Dependency dependency,
             Consumer<String> log) {}
 
-    /** Settings that may be taken over in one step, made outside of the event loop thread. */
+    /**
+     * Settings for a reload: created on any thread, applied in one step on the event loop thread.
+     */
     public static final class ReloadableSettings {
         private final Map<String, String> settings;
         private final RequestValidator validator;
 
-        /** Reads all that a request processor needs of the settings. */
+        /** Reads all settings that a request processor needs. */
         public ReloadableSettings(Map<String, String> settings) {
             this.settings = Map.copyOf(settings);
             validator = new RequestValidator(new SettingsMap(settings));
@@ -82,15 +84,15 @@
     private final PolicyRunner policyRunner;
     private final RequestIntake intake;
 
-    /** The one in force; replaced with the settings. */
+    /** The current validator; replaced when settings are reloaded. */
     private RequestValidator validator;
 
     /**
-     * A processor that rejects all until the executor is up.
+     * Creates a processor that rejects all requests until the executor is connected.
      *
-     * @param settings the configuration, by entry
-     * @param seed where the policy's chance begins
-     * @param now the time at which it begins
+     * @param settings the configured settings, by entry
+     * @param seed the seed of the policy's random numbers
+     * @param now the current time
      */
     public RequestProcessor(
             Map<String, String> settings,
@@ -106,31 +108,31 @@
         SettingsMap settingsMap = new SettingsMap(settings);
         resourceUsageNames = ProcessorSettings.resourceUsageNames(settingsMap);
         validator = new RequestValidator(settingsMap);
-        Supplier<RequestValidator> inForce = () -> validator;
+        Supplier<RequestValidator> current = () -> validator;
         TagSequence tags = new TagSequence();
         Executor executor = ports.executor();
         connections =
                 new ConnectionTable(
                         limits.connections(),
-                        ProcessorSettings.longestIdle(settingsMap),
+                        ProcessorSettings.idleTimeout(settingsMap),
                         validator.longestTimeout(),
                         ports.upstreams(),
                         timers,
                         clock::now);
         requests = new RequestTable(limits.requests());
         session =
-                new ExecutorSession(executor, tags, requests, timers, clock, inForce, ports.log());
+                new ExecutorSession(executor, tags, requests, timers, clock, current, ports.log());
         policyRunner =
                 new PolicyRunner(policyFactory, seed, settings, clock, session::canSkipCalls);
         calls =
                 new DownstreamCalls(
                         ports.dependency(), requests, connections, session, timers, clock);
-        responses = new ResponseWriter(ports.upstreams(), connections, clock, inForce);
+        responses = new ResponseWriter(ports.upstreams(), connections, clock, current);
         IdempotencyStore store =
                 new IdempotencyStore(limits.idempotencyRecords(), limits.idempotencyBytes());
         idempotency =
                 new IdempotentRequests(
-                        store, requests, responses, timers, clock, inForce, policyRunner::defer);
+                        store, requests, responses, timers, clock, current, policyRunner::defer);
         runs =
                 new RunCompletions(
                         requests, connections, calls, idempotency, responses, policyRunner::defer);
@@ -139,7 +141,7 @@
                         resourceUsageNames, timers, executor, tags, clock::now, policyRunner::wake);
         checks = new HealthChecks(timers, executor, tags, clock::now, responses::answerHealthCheck);
         refusedCommands =
-                new RefusedCommands(requests, connections, session, runs, policyRunner, inForce);
+                new RefusedCommands(requests, connections, session, runs, policyRunner, current);
         actions =
                 new RequestActions(
                         requests, connections, session, calls, responses, idempotency, runs);
@@ -152,216 +154,212 @@
                         responses,
                         policyRunner,
                         clock,
-                        inForce,
+                        current,
                         ports.log());
     }
 
-    /** From now on each final answer is reported, or that its caller left before it. */
+    /** Sets the listener for final responses and for clients that leave before theirs. */
     public void answersTo(ResponseListener listener) {
         responses.setListener(listener);
     }
 
     // ---- time ----
 
-    /** Sets the time; a clock that was set back stands still until it is caught up with. */
+    /** Sets the time; ignored while it is before the current time, so time never goes back. */
     public void advance(MonotonicTime time) {
         clock.advance(time);
     }
 
-    /**
-     * What the machine's clock, by which requests are stamped, shows at this time; it may step
-     * either way.
-     */
+    /** Sets the time of the host clock that stamps requests; it may step in either direction. */
     public void clockShows(MonotonicTime time) {
-        clock.stampClockShows(time);
+        clock.setStampTime(time);
     }
 
-    /** All events of this moment were given: the policy decides, until nothing follows from it. */
+    /** Ends a batch of events: the policy decides until its decisions cause no further event. */
     public void settle() {
         policyRunner.settle();
     }
 
     // ---- upstream load balancers ----
 
-    /** A place for a new connection, or null where there is none. */
+    /** Adds a new connection and returns its id; null if there is no room for it. */
     public ConnectionId connected() {
         return connections.add();
     }
 
-    /** The connection can be written to now. */
+    /** Handles a connection that can now be written to. */
     public void greet(ConnectionId connection) {
-        connections.greet(connection);
+        connections.onWritable(connection);
     }
 
-    /** The upstream load balancer sends nothing more on the connection, and may still read. */
+    /** Handles an upstream load balancer that sends nothing more but may still read. */
     public void halfClosed(ConnectionId connection) {
-        connections.end(connection, Completion.CLOSED_BY_PEER);
+        connections.beginClose(connection, Completion.CLOSED_BY_PEER);
     }
 
-    /** All that was written to a connection that ends has gone out. */
+    /** Handles that everything written to a closing connection has been sent. */
     public void written(ConnectionId connection) {
-        connections.written(connection);
+        connections.onFlushed(connection);
     }
 
-    /** Nobody waits any more for what was open on it. */
+    /** Handles a closed connection: no client waits for its open requests any more. */
     public void disconnected(ConnectionId connection) {
         connections.remove(connection).forEach(actions::clientGone);
     }
 
     /**
-     * A request came.
+     * Handles an arriving request.
      *
-     * @param stamped null where it can't be read
-     * @return false where the tag is still open: the upstream load balancer has lost count, and no
-     *     answer could be told apart
+     * @param stampedRequest the request with its original time stamp; null if it can't be parsed
+     * @return false if a request with this tag is still open: the upstream load balancer reused the
+     *     tag, and the responses could not be told apart
      */
-    public boolean arrived(ConnectionId connection, long tag, IncomingRequest stamped) {
+    public boolean arrived(ConnectionId connection, long tag, IncomingRequest stampedRequest) {
         if (connections.isClosing(connection)) {
             intake.rejectOnClosing(connection, tag);
             return true;
         }
-        drain.requestArrived();
-        if (connections.open(connection, tag) != null) {
+        drain.onRequest();
+        if (connections.findRequest(connection, tag) != null) {
             return false;
         }
-        intake.accept(connection, tag, stamped);
+        intake.accept(connection, tag, stampedRequest);
         return true;
     }
 
-    /** The upstream load balancer waits no more for it. */
+    /** Handles an abort: the upstream load balancer no longer waits for the request. */
     public void aborted(ConnectionId connection, long tag) {
-        RequestId requestId = connections.open(connection, tag);
+        RequestId requestId = connections.findRequest(connection, tag);
         if (requestId != null) {
-            connections.end(connection, tag);
-            connections.unwanted(connection);
+            connections.removeRequest(connection, tag);
+            connections.countUnservedRequest(connection);
             actions.clientGone(requestId);
         }
     }
 
-    /** What can't be read came on it: it ends once all that is open on it is answered. */
+    /** Handles unparsable data: the connection closes once its open requests are answered. */
     public void malformed(ConnectionId connection) {
-        connections.end(connection, Completion.MALFORMED);
+        connections.beginClose(connection, Completion.MALFORMED);
     }
 
-    /** A message on it was begun and never ended. */
+    /** Handles a message that has stayed incomplete for too long. */
     public void leftOff(ConnectionId connection) {
-        connections.end(connection, Completion.SAID_NOTHING);
+        connections.beginClose(connection, Completion.SAID_NOTHING);
     }
 
     /**
-     * A health check came.
+     * Handles a health check.
      *
-     * @param real it asks for real work of the executor
+     * @param deep whether it asks for real work of the executor
      */
-    public void checked(ConnectionId connection, long tag, boolean real) {
-        connections.touch(connection);
-        checks.check(connection, tag, real);
+    public void checked(ConnectionId connection, long tag, boolean deep) {
+        connections.onHealthCheck(connection);
+        checks.check(connection, tag, deep);
     }
 
     // ---- executor ----
 
     /**
-     * A link stands. The first makes the policy; later ones follow one that was lost.
+     * Handles an established executor connection. The first one creates the policy; each later one
+     * replaces a lost connection.
      *
-     * @param cold whether the executor has still to warm up
+     * @param cold whether the executor is still warming up
      * @param age how long ago the executor was started
      */
     public void welcomed(boolean cold, NanoDuration age) {
         if (policyRunner.isStarted()) {
-            session.linkRestored();
-        } else if (!drain.isBegun()) {
-            // A node that drains before it had an executor begins nothing.
+            session.onConnectionRestored();
+        } else if (!drain.hasBegun()) {
+            // A node that drains before its executor connected starts no policy.
             policyRunner.start(this, cold, age);
-            log("the executor is up, " + (cold ? "cold" : "warm"));
+            log("executor connected state=" + (cold ? "cold" : "warm"));
         }
     }
 
-    /** Whether the executor is there, and warm, or started so long ago that it is. */
+    /** Whether the executor connected warm, or was started at least this long ago. */
     public boolean isWarm(NanoDuration warmAfter) {
         return policyRunner.isWarm(warmAfter);
     }
 
     /**
-     * Takes over settings that differ only in what may change while the node runs; false once it
-     * drains, since the notice was given under the old ones.
+     * Applies settings that differ from the current ones only in entries that may change while the
+     * node runs. Returns false once the node drains, because the drain was announced under the old
+     * settings.
      */
-    public boolean retune(ReloadableSettings changed) {
-        if (drain.isBegun()) {
+    public boolean retune(ReloadableSettings reloaded) {
+        if (drain.hasBegun()) {
             return false;
         }
-        policyRunner.updateSettings(changed.settings);
-        validator = changed.validator;
+        policyRunner.updateSettings(reloaded.settings);
+        validator = reloaded.validator;
         return true;
     }
 
-    /** What ran there will never end, and may have had its effect. */
+    /** Handles an executor restart: its runs never complete, but may have had their effect. */
     public void executorStartedAnew() {
-        log("the executor was started anew, its runs are lost");
-        runs.allLost();
+        log("executor restarted, its runs are lost");
+        runs.completeAllLost();
     }
 
     /**
-     * A run ended.
+     * Handles the completion of a run.
      *
-     * @param elapsed how long it ran
-     * @param result null unless it went well
+     * @param elapsed how long the run took
+     * @param result null unless the run succeeded
      */
-    public void exited(AttemptId id, Completion ending, NanoDuration elapsed, byte[] result) {
-        runs.completed(id, ending, elapsed, result);
+    public void exited(AttemptId id, Completion completion, NanoDuration elapsed, byte[] result) {
+        runs.completed(id, completion, elapsed, result);
     }
 
     /**
-     * A run needs a call of the shared dependency, and waits for its reply.
+     * Handles a run that needs a call to the shared dependency and waits for the reply.
      *
-     * @param body what to call with
+     * @param body the body of the call
      */
     public void calledOut(AttemptId id, byte[] body) {
-        calls.needed(id, body);
+        calls.onCallNeeded(id, body);
     }
 
-    /**
-     * The executor would not carry out this command about an attempt, which ends a run that was to
-     * start.
-     */
+    /** Handles the refusal of a command about an attempt. Refusing a run command ends the run. */
     public void notCarriedOut(String command, AttemptId id) {
-        log("the executor did not carry out " + command + " " + id.digits());
-        refusedCommands.refused(command, id);
+        log("executor refused command=" + command + " attempt=" + id.digits());
+        refusedCommands.onRefused(command, id);
     }
 
     /**
-     * Resource usage was read.
+     * Handles the reply to a resource usage query.
      *
-     * @param tag the one it was asked for by
-     * @param values in the order in which the settings name them
+     * @param tag the tag of the query
+     * @param values the values, in the order in which the settings name them
      */
     public void resourceUsageRead(long tag, double[] values) {
         ResourceUsage usage = ResourceUsage.named(resourceUsageNames, values);
-        session.resourceUsageRead(tag, usage);
-        wakeUps.read(tag, usage);
+        session.onResourceUsage(tag, usage);
+        wakeUps.onResourceUsage(tag, usage);
     }
 
-    /** Asks for resource usage; when that of this tag comes, all commands before were read. */
+    /** Asks for resource usage; the reply with this tag proves that earlier commands were read. */
     public long askResourceUsage() {
         return session.askResourceUsage();
     }
 
-    /** The work of a deep health check, asked for by this tag, ended. */
+    /** Handles the result of the deep health check with this tag. */
     public void diagnosed(long tag, boolean healthy) {
-        checks.diagnosed(tag, healthy);
+        checks.onDeepCheckCompleted(tag, healthy);
     }
 
     // ---- shared dependency ----
 
     /**
-     * A call ended.
+     * Handles the completion of a call.
      *
-     * @param reply null unless it went well
+     * @param reply null unless the call succeeded
      */
-    public void callEnded(AttemptId id, Completion ending, byte[] reply) {
-        calls.ended(id, ending, reply);
+    public void callEnded(AttemptId id, Completion completion, byte[] reply) {
+        calls.onCallEnded(id, completion, reply);
     }
 
-    // ---- what the policy asks ----
+    // ---- actions of the policy ----
 
     @Override
     public MonotonicTime now() {
@@ -389,8 +387,8 @@
     }
 
     @Override
-    public void call(RequestId requestId, NanoDuration cap) {
-        calls.call(requestId, cap);
+    public void call(RequestId requestId, NanoDuration timeout) {
+        calls.call(requestId, timeout);
     }
 
     @Override
@@ -414,23 +412,23 @@
     }
 
     @Override
-    public void reportHealth(boolean good, boolean fromStore) {
-        checks.set(good, fromStore);
+    public void reportHealth(boolean isHealthy, boolean isAnsweredAtOnce) {
+        checks.setHealth(isHealthy, isAnsweredAtOnce);
     }
 
     @Override
-    public void reportAvailableCapacity(double value) {
-        responses.setAvailableCapacity(value);
+    public void reportAvailableCapacity(double availableCapacity) {
+        responses.setAvailableCapacity(availableCapacity);
     }
 
     @Override
-    public void closeIdleConnections(NanoDuration idle) {
-        connections.closeIdle(idle);
+    public void closeIdleConnections(NanoDuration idleTimeout) {
+        connections.setIdleTimeout(idleTimeout);
     }
 
     @Override
     public void wakeAt(MonotonicTime time) {
-        wakeUps.at(time);
+        wakeUps.schedule(time);
     }
 
     @Override
@@ -445,54 +443,54 @@
 
     // ---- drain ----
 
-    /** Notice that the machine will be stopped after this long. */
-    public void leave(NanoDuration until) {
+    /** Begins to drain; the node will stop after this duration. */
+    public void leave(NanoDuration timeUntilStop) {
         if (drain.begin()) {
-            policyRunner.drain(until);
+            policyRunner.drain(timeUntilStop);
         }
     }
 
-    /** Asks for no more on every connection. */
+    /** Asks the upstreams to close all connections. */
     public void closeConnections() {
-        connections.leave();
+        connections.drain();
     }
 
-    /** Ends those that still stand; what is open on them is answered first. */
+    /** Closes the remaining connections, each after its open requests are answered. */
     public void endConnections() {
-        connections.end();
+        connections.beginCloseOfAll();
     }
 
-    /** How long ago the last request came, or the notice. */
+    /** Time since the last request arrived, or since the drain began if that was later. */
     public NanoDuration sinceLastRequest() {
         return drain.sinceLastRequest();
     }
 
-    /** Whether everything read has its answer. */
+    /** Whether every request and health check that was read has its response. */
     public boolean isAnswered() {
         return drain.isAnswered();
     }
 
-    /** How many connections stand. */
+    /** The number of connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** How many came so far, those without a place among them. */
+    /** The number of connections so far, including those that there was no room for. */
     public long connectionsEver() {
-        return connections.everAdded();
+        return connections.totalCount();
     }
 
-    /** What stands open, for the log. */
+    /** A log line with the sizes of the processor's tables. */
     public String figures() {
-        return "connections "
+        return "request processor state connections="
                 + connections.size()
-                + ", open "
+                + " openRequests="
                 + connections.openRequests()
-                + ", tickets "
+                + " requests="
                 + requests.size()
-                + ", receipts "
+                + " idempotencyRecords="
                 + idempotency.size()
-                + ", deadlines "
+                + " timers="
                 + timers.size();
     }
 }
--- a/src/main/java/lupinwood/processing/RequestTable.java
+++ b/src/main/java/lupinwood/processing/RequestTable.java
@@ -16,7 +16,10 @@
     private final SlotTable<ActiveRequest> slots;
     private final Map<AttemptId, ActiveRequest> byAttempt = new HashMap<>();
 
-    /** Those given to the executor: what goes through these must not grow with all that queue. */
+    /**
+     * The requests for which a run was requested. Kept apart so that loops over them don't grow
+     * with the number of queued requests.
+     */
     private final Set<ActiveRequest> started = new LinkedHashSet<>();
 
     RequestTable(int maxRequests) {
@@ -37,17 +40,17 @@
         byAttempt.put(activeRequest.incomingRequest.attemptId(), activeRequest);
     }
 
-    /** The request of this id, or null once it was released. */
+    /** The request with this id; null once it was released. */
     ActiveRequest get(RequestId id) {
         return slots.get(id.number());
     }
 
-    /** The request with this attempt id, or null. */
+    /** The request with this attempt id; null if there is none. */
     ActiveRequest find(AttemptId id) {
         return byAttempt.get(id);
     }
 
-    /** The request with this attempt id if it was given to the executor, or null. */
+    /** The request with this attempt id; null unless a run was requested for it. */
     ActiveRequest findStarted(AttemptId id) {
         ActiveRequest activeRequest = byAttempt.get(id);
         return activeRequest != null && activeRequest.started ? activeRequest : null;
@@ -57,18 +60,18 @@
         return byAttempt.containsKey(id);
     }
 
-    /** From now on the request counts as given to the executor. */
+    /** Marks the request as one for which a run was requested. */
     void markStarted(ActiveRequest activeRequest) {
         activeRequest.started = true;
         started.add(activeRequest);
     }
 
-    /** Those given to the executor, in that order. */
+    /** The requests for which a run was requested, in the order of those runs. */
     Set<ActiveRequest> started() {
         return Collections.unmodifiableSet(started);
     }
 
-    /** Removes a request; null where it was released before. */
+    /** Removes and returns a request; null if it was released before. */
     ActiveRequest remove(RequestId id) {
         ActiveRequest activeRequest = slots.remove(id.number());
         if (activeRequest != null) {
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -17,21 +17,23 @@
 import lupinwood.admission.TenantId;
 
 /**
- * Decides whether a request is sound: readable, known, within the protocol's bounds and in time.
- * All else is refused at once and never reaches the admission policy, whose picture of tenants,
- * waiting and cost it would spoil.
+ * Decides whether a request is valid: parsed, of a known request class and tenant, within the
+ * protocol's bounds and in time. Invalid requests fail at once and never reach the admission
+ * policy, because they would distort its measurements of tenants, waiting times and cost.
  *
- * <p>Immutable: made by any thread from one set of settings, used by the event loop thread.
+ * <p>Immutable: created by any thread from one version of the settings, used by the event loop
+ * thread.
  */
 final class RequestValidator {
-    /** The protocol's bound on a body. */
+    /** The protocol's limit for a body. */
     private static final int MAX_BODY_BYTES = 2048;
 
-    /** The protocol's bound on the memory that a request may ask for, itself out of bounds. */
+    /** The protocol's exclusive limit for the memory that a request may ask for. */
     private static final int MEMORY_LIMIT_KB = 2000;
 
     /**
-     * Both clocks are this machine's; a request from further ahead would outlive its own window.
+     * How far an arrival time may be ahead of this clock. Both clocks are on this host, and a
+     * request from further ahead would outlive its own idempotency window.
      */
     private static final NanoDuration MAX_CLOCK_LEAD = NanoDuration.ofSeconds(0.25);
 
@@ -48,23 +50,23 @@
     }
 
     private static void numberByName(
-            SettingsMap settings, String list, Map<String, Integer> numbers) {
-        for (int i = 0; i < settings.number(list + ".count", 0); i++) {
-            numbers.put(settings.text(list + "." + i + ".name"), i);
+            SettingsMap settings, String listName, Map<String, Integer> numbers) {
+        for (int i = 0; i < settings.number(listName + ".count", 0); i++) {
+            numbers.put(settings.text(listName + "." + i + ".name"), i);
         }
     }
 
-    /** The id of a valid request's class. */
+    /** The request class id of a valid request. */
     RequestClassId requestClassId(IncomingRequest incomingRequest) {
         return new RequestClassId(classNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
-    /** The tenant's id, the first where the settings name no tenants. */
+    /** The tenant id; the first if the settings name no tenants. */
     TenantId tenantId(IncomingRequest incomingRequest) {
         return new TenantId(tenantNumbers.getOrDefault(incomingRequest.tenant(), 0));
     }
 
-    /** The longest timeout of any request class; zero where there is no class. */
+    /** The longest timeout of any request class; zero if there is no request class. */
     NanoDuration longestTimeout() {
         return requestClasses.stream()
                 .map(RequestClass::timeout)
@@ -72,12 +74,12 @@
                 .orElse(NanoDuration.ZERO);
     }
 
-    /** What the settings say about a request class. */
+    /** The settings of a request class. */
     RequestClass requestClass(RequestClassId classId) {
         return requestClasses.get(classId.number());
     }
 
-    /** What the settings say about a valid request's class. */
+    /** The settings of a valid request's request class. */
     RequestClass requestClass(IncomingRequest incomingRequest) {
         return requestClasses.get(classNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
@@ -87,7 +89,10 @@
         return requestClass(incomingRequest).idempotency() == Idempotency.SAFE;
     }
 
-    /** How long from its arrival the caller waits: its own timeout, or its class's if shorter. */
+    /**
+     * How long the client waits from the request's arrival: its own timeout, or that of the request
+     * class if shorter.
+     */
     NanoDuration effectiveTimeout(IncomingRequest incomingRequest) {
         NanoDuration timeout = requestClass(incomingRequest).timeout();
         return incomingRequest.clientTimeout().isPositive()
@@ -96,11 +101,11 @@
     }
 
     /**
-     * The first fault of a request, or none.
+     * Finds the first fault of a request; empty if it is valid.
      *
-     * @param incomingRequest null where none could be read
-     * @param original the idempotency record of an earlier attempt with its key, or null
-     * @param attemptIdInUse whether another request in the table has its attempt id
+     * @param incomingRequest null if it can't be parsed
+     * @param original the idempotency record of an earlier attempt with the same key, or null
+     * @param attemptIdInUse whether another request in the request table has its attempt id
      */
     Optional<RequestFault> fault(
             IncomingRequest incomingRequest,
@@ -116,13 +121,13 @@
             boolean attemptIdInUse,
             MonotonicTime now) {
         if (incomingRequest == null) {
-            return RequestFault.UNREADABLE;
+            return RequestFault.MALFORMED;
         }
         if (!classNumbers.containsKey(SettingsMap.word(incomingRequest.className()))) {
             return RequestFault.UNKNOWN_CLASS;
         }
-        // Where the settings name no tenants, requests carry none, and whatever they carry means
-        // nothing.
+        // If the settings name no tenants, requests need none, and a tenant that they carry is
+        // ignored.
         if (!tenantNumbers.isEmpty() && !tenantNumbers.containsKey(incomingRequest.tenant())) {
             return RequestFault.UNKNOWN_TENANT;
         }
@@ -140,7 +145,7 @@
             return RequestFault.IDEMPOTENCY_KEY_REUSED;
         }
         if (now.plus(MAX_CLOCK_LEAD).isBefore(incomingRequest.reached())) {
-            return RequestFault.FROM_THE_FUTURE;
+            return RequestFault.ARRIVAL_TIME_IN_FUTURE;
         }
         if (incomingRequest.clientTimeout().equals(IncomingRequest.NO_TIME)
                 || incomingRequest.work().equals(IncomingRequest.NO_TIME)) {
--- a/src/main/java/lupinwood/processing/Response.java
+++ b/src/main/java/lupinwood/processing/Response.java
@@ -3,39 +3,43 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What an upstream load balancer hears about a request or a health check.
+ * The response to a request or a health check of an upstream load balancer.
  *
- * @param word the kind of answer
- * @param availableCapacity the available capacity, below zero for none
- * @param retryAfter zero for no such advice
- * @param doNotRetryElsewhere it should not be sent to another node either
- * @param result the bytes as the executor gave them
+ * @param word the kind of response
+ * @param availableCapacity the load report; negative while there is none
+ * @param retryAfter zero if the response carries no Retry-After
+ * @param doNotRetryElsewhere whether the upstream is asked not to retry at another node either
+ * @param result the bytes that the executor returned, unchanged; empty unless the request was
+ *     served
  */
-@SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
+@SuppressWarnings("ArrayRecordComponent") // passed on once and never compared
 public record Response(
         Kind word,
         double availableCapacity,
         NanoDuration retryAfter,
         boolean doNotRetryElsewhere,
         byte[] result) {
-    /** The kinds of answer. */
+    /** The kinds of response. */
     public enum Kind {
         /** The result of the run. */
         SERVED,
-        /** It never ran here and may be sent elsewhere, unless the answer says otherwise. */
+        /**
+         * The request never ran here and may be retried at another node, unless the response
+         * forbids it.
+         */
         REJECTED,
-        /** An error; it may have run. */
+        /** The request failed; it may have run. */
         FAILED,
-        /** A health check found the node well. */
+        /** The node passed the health check. */
         HEALTHY,
-        /** A health check found the node not well. */
+        /** The node failed the health check. */
         UNHEALTHY
     }
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_RESULT = {};
 
-    static Response plain(Kind word, double availableCapacity) {
-        return new Response(word, availableCapacity, NanoDuration.ZERO, false, NOTHING);
+    static Response plain(Kind kind, double availableCapacity) {
+        return new Response(kind, availableCapacity, NanoDuration.ZERO, false, NO_RESULT);
     }
 
     static Response served(double availableCapacity, byte[] result) {
@@ -45,6 +49,6 @@
     static Response rejected(
             double availableCapacity, NanoDuration retryAfter, boolean doNotRetryElsewhere) {
         return new Response(
-                Kind.REJECTED, availableCapacity, retryAfter, doNotRetryElsewhere, NOTHING);
+                Kind.REJECTED, availableCapacity, retryAfter, doNotRetryElsewhere, NO_RESULT);
     }
 }
--- a/src/main/java/lupinwood/processing/ResponseListener.java
+++ b/src/main/java/lupinwood/processing/ResponseListener.java
@@ -2,13 +2,17 @@
 
 import lupinwood.admission.NanoDuration;
 
-/** Hears of each final answer to a request that was taken in or rejected at the listener. */
+/**
+ * Receives each final response to a request that was admitted, and to one that arrived after its
+ * deadline.
+ */
 public interface ResponseListener {
     /**
-     * One was given.
+     * Called when a final response was written, or when the client left before it.
      *
-     * @param elapsed since the request came to the machine
-     * @param late whether that is past its latency objective
+     * @param kind {@code FAILED} where the client left first
+     * @param elapsed time since the request reached the host
+     * @param late whether {@code elapsed} exceeds the latency objective of the request class
      */
     void answered(String className, Response.Kind kind, NanoDuration elapsed, boolean late);
 }
--- a/src/main/java/lupinwood/processing/ResponseWriter.java
+++ b/src/main/java/lupinwood/processing/ResponseWriter.java
@@ -4,8 +4,8 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * The answers to upstream load balancers, each with the available capacity of its moment; at most
- * one goes out for a request in the table. A listener hears of the final ones.
+ * Writes the responses to upstream load balancers, each with the current available capacity; at
+ * most one for each request in the request table. Reports final responses to a listener.
  *
  * <p>Owned by the event loop thread.
  */
@@ -18,13 +18,13 @@
     private final Supplier<RequestValidator> validator;
     private double availableCapacity = NO_AVAILABLE_CAPACITY;
 
-    /** Null while nobody listens. */
+    /** Null while there is no listener. */
     private ResponseListener listener;
 
     /**
-     * A writer whose answers have no available capacity yet.
+     * Creates a writer whose responses carry no available capacity yet.
      *
-     * @param validator the one in force, for latency objectives
+     * @param validator supplies the current validator, for latency objectives
      */
     ResponseWriter(
             UpstreamConnections upstreams,
@@ -45,44 +45,44 @@
         this.availableCapacity = availableCapacity;
     }
 
-    /** Rejects a request that is not in the table; no listener hears of it. */
+    /** Rejects a request that is not in the request table; not reported to the listener. */
     void rejectArrival(ConnectionId connection, long tag, NanoDuration retryAfter) {
         upstreams.answer(connection, tag, Response.rejected(availableCapacity, retryAfter, false));
     }
 
-    /** Fails a request that is not in the table; no listener hears of it. */
+    /** Fails a request that is not in the request table; not reported to the listener. */
     void failArrival(ConnectionId connection, long tag) {
         upstreams.answer(connection, tag, Response.plain(Response.Kind.FAILED, availableCapacity));
     }
 
-    /** Answers a health check. */
+    /** Writes the response to a health check. */
     void answerHealthCheck(ConnectionId connection, long tag, boolean healthy) {
         Response.Kind kind = healthy ? Response.Kind.HEALTHY : Response.Kind.UNHEALTHY;
         upstreams.answer(connection, tag, Response.plain(kind, availableCapacity));
     }
 
-    /** The final answer that a request was rejected. */
+    /** Writes the final response that rejects a request, unless it has one. */
     void reject(ActiveRequest activeRequest, boolean doNotRetryElsewhere, NanoDuration retryAfter) {
-        answer(
+        writeFinal(
                 activeRequest,
                 Response.rejected(availableCapacity, retryAfter, doNotRetryElsewhere));
     }
 
-    /** The final answer that a request failed, unless it has one. */
+    /** Writes the final response that fails a request, unless it has one. */
     void fail(ActiveRequest activeRequest) {
-        answer(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
+        writeFinal(activeRequest, Response.plain(Response.Kind.FAILED, availableCapacity));
     }
 
     /**
-     * The final answer of a run, or of a repeat, unless one was given; and the admission policy
-     * hears of the end.
+     * Writes the final response for a completed run or repeat, unless the request has one, and
+     * notifies the admission policy of the completion.
      */
     void complete(
             ActiveRequest activeRequest,
             Completion completion,
             NanoDuration elapsed,
             byte[] result) {
-        answer(
+        writeFinal(
                 activeRequest,
                 completion == Completion.WELL
                         ? Response.served(availableCapacity, result)
@@ -90,22 +90,22 @@
         activeRequest.listener.onCompleted(completion.outcome(), elapsed);
     }
 
-    private void answer(ActiveRequest activeRequest, Response response) {
+    private void writeFinal(ActiveRequest activeRequest, Response response) {
         if (!activeRequest.answered) {
             activeRequest.answered = true;
             report(activeRequest.incomingRequest, response.word());
             upstreams.answer(activeRequest.connection, activeRequest.tag, response);
-            connections.end(activeRequest.connection, activeRequest.tag);
+            connections.removeRequest(activeRequest.connection, activeRequest.tag);
         }
     }
 
-    /** The caller left: no answer is owed any more. */
+    /** Records that the client left: no response is needed any more. */
     void clientGone(ActiveRequest activeRequest) {
         activeRequest.answered = true;
         report(activeRequest.incomingRequest, Response.Kind.FAILED);
     }
 
-    /** Lets the listener hear of a final answer. */
+    /** Reports a final response to the listener, if any. */
     void report(IncomingRequest incomingRequest, Response.Kind kind) {
         if (listener != null) {
             NanoDuration elapsed = clock.elapsedSince(incomingRequest.reached());
--- a/src/main/java/lupinwood/processing/RunCompletions.java
+++ b/src/main/java/lupinwood/processing/RunCompletions.java
@@ -5,7 +5,8 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * The ends of runs: each answers its request, and the repeats that wait for it.
+ * Handles completed runs: each sends the response to its request, and to the repeats that wait for
+ * it.
  *
  * <p>Owned by the event loop thread.
  */
@@ -18,9 +19,9 @@
     private final Consumer<Runnable> deferred;
 
     /**
-     * The ends of one executor's runs.
+     * Handles the completions of one executor's runs.
      *
-     * @param deferred takes what is to be done once the admission policy has decided
+     * @param deferred receives actions to perform once the admission policy has decided
      */
     RunCompletions(
             RequestTable requests,
@@ -38,9 +39,9 @@
     }
 
     /**
-     * A run ended. Of one that is not known here, or over, this means nothing.
+     * Handles the completion of a run. Ignored if the run is unknown or over.
      *
-     * @param result null unless it went well
+     * @param result null unless the run succeeded
      */
     void completed(AttemptId id, Completion completion, NanoDuration elapsed, byte[] result) {
         ActiveRequest activeRequest = requests.findStarted(id);
@@ -49,7 +50,7 @@
         }
         calls.cancel(activeRequest);
         if (!completion.outcome().provesNeverRan()) {
-            connections.trust(activeRequest.connection);
+            connections.markTrusted(activeRequest.connection);
         }
         IdempotencyStore.IdempotencyRecord idempotencyRecord =
                 completion == Completion.WELL
@@ -57,26 +58,29 @@
                         : null;
         responses.complete(activeRequest, completion, elapsed, result);
         if (idempotencyRecord != null) {
-            idempotency.completed(idempotencyRecord, result);
+            idempotency.onCompleted(idempotencyRecord, result);
         }
     }
 
-    /** The executor was started anew: what ran there may have had its effect. */
-    void allLost() {
+    /**
+     * Fails all runs on the executor connection after the executor restarted; they may have had
+     * their effect.
+     */
+    void completeAllLost() {
         for (ActiveRequest activeRequest : List.copyOf(requests.started())) {
-            if (!activeRequest.offLink) {
-                lost(activeRequest.incomingRequest.attemptId(), Completion.EXECUTOR_GONE);
+            if (!activeRequest.runsAtServer) {
+                completeLost(activeRequest.incomingRequest.attemptId(), Completion.EXECUTOR_GONE);
             }
         }
     }
 
-    /** A run ended of which the executor tells nothing. */
-    void lost(AttemptId id, Completion completion) {
+    /** Completes a run for which the executor reports no completion. */
+    void completeLost(AttemptId id, Completion completion) {
         completed(id, completion, NanoDuration.ZERO, null);
     }
 
-    /** The same, once the admission policy has decided. */
-    void lostAfterDecision(AttemptId id, Completion completion) {
-        deferred.accept(() -> lost(id, completion));
+    /** Does the same once the admission policy has decided. */
+    void completeLostAfterDecision(AttemptId id, Completion completion) {
+        deferred.accept(() -> completeLost(id, completion));
     }
 }
--- a/src/main/java/lupinwood/processing/SlotTable.java
+++ b/src/main/java/lupinwood/processing/SlotTable.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * A table of numbered slots. An id is a slot and the generation of its use, so that late news of
- * what stood there before never hits what stands there now.
+ * A table of numbered slots. An id combines a slot with the generation of its use, so that a late
+ * event about a former item never affects the item that uses the slot now.
  *
- * <p>Not safe for several threads; those of the request processor belong to the event loop thread.
+ * <p>Not thread-safe; the tables of the request processor are owned by the event loop thread.
  */
 public final class SlotTable<T> {
     private static final int SLOT_BITS = 20;
@@ -19,24 +19,25 @@
     private final int capacity;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param capacity how many items it takes at most, 1 to 2^20
-     * @throws IllegalArgumentException where that is out of bounds
+     * @param capacity the maximum number of items, 1 to 2^20
+     * @throws IllegalArgumentException if the capacity is out of bounds
      */
     public SlotTable(int capacity) {
         if (capacity < 1 || capacity > 1 << SLOT_BITS) {
-            throw new IllegalArgumentException("no table has " + capacity + " slots");
+            throw new IllegalArgumentException(
+                    "slot table capacity must be 1 to 2^20, not " + capacity + " slots");
         }
         this.capacity = capacity;
     }
 
-    /** Whether no further item has a place. */
+    /** Whether the table has no free slot. */
     public boolean isFull() {
         return size() >= capacity;
     }
 
-    /** How many items stand now. */
+    /** The number of items. */
     public int size() {
         return slots.size() - free.size();
     }
@@ -45,11 +46,11 @@
      * Adds an item.
      *
      * @return its id
-     * @throws IllegalStateException where the table is full
+     * @throws IllegalStateException if the table is full
      */
     public long put(T item) {
         if (isFull()) {
-            throw new IllegalStateException("all " + capacity + " slots are taken");
+            throw new IllegalStateException("all " + capacity + " slots of the table are in use");
         }
         int slot;
         if (free.isEmpty()) {
@@ -64,7 +65,7 @@
         return generations.get(slot) << SLOT_BITS | slot;
     }
 
-    /** What stands under this id, or null once that is over. */
+    /** The item with this id; null once it was removed. */
     public T get(long id) {
         int slot = (int) (id & (1 << SLOT_BITS) - 1);
         return slot < slots.size() && generations.get(slot) == id >>> SLOT_BITS
@@ -72,7 +73,7 @@
                 : null;
     }
 
-    /** Frees the slot of this id; what stood there, or null where that was over before. */
+    /** Removes and returns the item with this id; null if it was removed before. */
     public T remove(long id) {
         T item = get(id);
         if (item != null) {
@@ -83,11 +84,11 @@
         return item;
     }
 
-    /** Each item that stands now; items may go while this runs. */
-    public void forEach(Consumer<T> what) {
+    /** Calls the action with each item; the action may remove items. */
+    public void forEach(Consumer<T> action) {
         for (int slot = 0; slot < slots.size(); slot++) {
             if (slots.get(slot) != null) {
-                what.accept(slots.get(slot));
+                action.accept(slots.get(slot));
             }
         }
     }
--- a/src/main/java/lupinwood/processing/TagSequence.java
+++ b/src/main/java/lupinwood/processing/TagSequence.java
@@ -1,7 +1,7 @@
 package lupinwood.processing;
 
 /**
- * The tags by which answers of the executor are told apart; a later question has a higher one.
+ * Generates the tags that match the executor's replies to queries. Tags increase with each query.
  *
  * <p>Owned by the event loop thread.
  */
--- a/src/main/java/lupinwood/processing/TimerService.java
+++ b/src/main/java/lupinwood/processing/TimerService.java
@@ -7,67 +7,70 @@
 import lupinwood.admission.MonotonicTime;
 
 /**
- * All that is due later, soonest first and in the order given; the only such structure of the
- * request processor.
+ * The timers of the request processor, ordered by due time and then by when they were scheduled. It
+ * is the processor's only timer queue.
  *
  * <p>Owned by the event loop thread.
  */
 public final class TimerService {
-    /** One job due; it can be called off. */
+    /** A scheduled action; it can be cancelled. */
     public static final class Timer {
-        private final MonotonicTime at;
-        private final long order;
-        private final Runnable job;
+        private final MonotonicTime dueAt;
+        private final long sequence;
+        private final Runnable action;
 
-        private Timer(MonotonicTime at, long order, Runnable job) {
-            this.at = at;
-            this.order = order;
-            this.job = job;
+        private Timer(MonotonicTime dueAt, long sequence, Runnable action) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
+            this.action = action;
         }
     }
 
     private final TreeSet<Timer> queue =
             new TreeSet<>(
-                    Comparator.<Timer, MonotonicTime>comparing(timer -> timer.at)
-                            .thenComparingLong(timer -> timer.order));
-    private long order;
+                    Comparator.<Timer, MonotonicTime>comparing(timer -> timer.dueAt)
+                            .thenComparingLong(timer -> timer.sequence));
+    private long sequence;
 
-    /** Has a job done once its time has come. */
-    public Timer schedule(MonotonicTime time, Runnable job) {
-        Timer timer = new Timer(time, order++, job);
+    /** Schedules an action for this time. */
+    public Timer schedule(MonotonicTime time, Runnable action) {
+        Timer timer = new Timer(time, sequence++, action);
         queue.add(timer);
         return timer;
     }
 
-    /** Nothing happens if it was done already, or is null. */
+    /** Cancels a timer; ignored if it has fired already or is null. */
     public void cancel(Timer timer) {
         if (timer != null) {
             queue.remove(timer);
         }
     }
 
-    /** How many jobs are due later. */
+    /** The number of scheduled timers. */
     public int size() {
         return queue.size();
     }
 
-    /** When the first job is due, or {@link MonotonicTime#NEVER}. */
+    /** When the first timer is due; {@link MonotonicTime#NEVER} if there is none. */
     public MonotonicTime earliest() {
-        return queue.isEmpty() ? MonotonicTime.NEVER : queue.first().at;
+        return queue.isEmpty() ? MonotonicTime.NEVER : queue.first().dueAt;
     }
 
-    /** Does what is due now; what that adds waits for the next time, so this always ends. */
+    /**
+     * Fires the timers that are due. Timers that their actions schedule wait for the next call, so
+     * this always ends.
+     */
     public void runDue(MonotonicTime now) {
         List<Timer> due = new ArrayList<>();
         for (Timer timer : queue) {
-            if (now.isBefore(timer.at)) {
+            if (now.isBefore(timer.dueAt)) {
                 break;
             }
             due.add(timer);
         }
         for (Timer timer : due) {
             if (queue.remove(timer)) {
-                timer.job.run();
+                timer.action.run();
             }
         }
     }
--- a/src/main/java/lupinwood/processing/UpstreamConnections.java
+++ b/src/main/java/lupinwood/processing/UpstreamConnections.java
@@ -1,16 +1,19 @@
 package lupinwood.processing;
 
-/** What the request processor writes to upstream load balancers, from the event loop thread. */
+/**
+ * What the request processor does on the connections of upstream load balancers, from the event
+ * loop thread.
+ */
 public interface UpstreamConnections {
-    /** Answer the request or health check with this tag. */
-    void answer(ConnectionId connection, long tag, Response answer);
+    /** Writes the response to the request or health check with this tag. */
+    void answer(ConnectionId connection, long tag, Response response);
 
-    /** Ask that no new request be sent on this connection. */
+    /** Asks the upstream to send no new request on this connection. */
     void sayNoMore(ConnectionId connection);
 
-    /** Pass over what else comes on this connection. */
+    /** Ignores everything that arrives on this connection from now on. */
     void readNoMore(ConnectionId connection);
 
-    /** Close the connection once all that was written to it has gone out. */
-    void close(ConnectionId connection, Completion why);
+    /** Closes the connection once everything written to it has been sent. */
+    void close(ConnectionId connection, Completion completion);
 }
--- a/src/main/java/lupinwood/processing/WakeUpScheduler.java
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -8,29 +8,29 @@
 import lupinwood.admission.ResourceUsage;
 
 /**
- * The node's wake-ups, each with resource usage just read, or read anew where the executor gives it
- * in time.
+ * Wakes the admission policy at the times that it asked for. Each wake-up carries resource usage
+ * that was read recently or is queried first, if the executor replies in time.
  *
  * <p>Owned by the event loop thread.
  */
 final class WakeUpScheduler {
-    /** A wake-up waits so long for resource usage before it does without. */
+    /** How long a wake-up waits for resource usage before it goes ahead without. */
     private static final NanoDuration RESOURCE_USAGE_TIMEOUT = NanoDuration.ofSeconds(0.02);
 
     /**
-     * Resource usage count as just read for as long: each reading costs two messages and two rounds
-     * of deciding.
+     * Resource usage up to this age is used without a new query, because each query costs two
+     * messages and two rounds of decisions.
      */
     private static final NanoDuration MAX_USAGE_AGE = NanoDuration.ofSeconds(0.02);
 
-    private final List<String> names;
+    private final List<String> resourceUsageNames;
     private final TimerService timers;
     private final Executor executor;
     private final TagSequence tags;
     private final Supplier<MonotonicTime> clock;
     private final Consumer<ResourceUsage> wake;
 
-    /** The tag under which resource usage were asked for a wake-up, or 0. */
+    /** The tag of the resource usage query that a wake-up waits for; 0 if none. */
     private long requestedTag;
 
     private boolean draining;
@@ -40,13 +40,13 @@
     private MonotonicTime readAt = new MonotonicTime(0);
 
     WakeUpScheduler(
-            List<String> names,
+            List<String> resourceUsageNames,
             TimerService timers,
             Executor executor,
             TagSequence tags,
             Supplier<MonotonicTime> clock,
             Consumer<ResourceUsage> wake) {
-        this.names = names;
+        this.resourceUsageNames = resourceUsageNames;
         this.timers = timers;
         this.executor = executor;
         this.tags = tags;
@@ -54,32 +54,35 @@
         this.wake = wake;
     }
 
-    /** The node asks for one wake-up at a time; a later word replaces the one before. */
-    void at(MonotonicTime time) {
+    /** Schedules the only wake-up; a later call replaces the earlier one. */
+    void schedule(MonotonicTime time) {
         timers.cancel(nextWakeUp);
-        nextWakeUp = timers.schedule(time, this::due);
+        nextWakeUp = timers.schedule(time, this::onDue);
     }
 
     /**
-     * From now on wake-ups wait for no resource usage, which are read beside them. Guards against
-     * the last answers of a node that leaves: what comes after them by its own deadline, as the
-     * wish to send no more, must not overtake them in a stall.
+     * From now on wake-ups don't wait for resource usage, which is queried alongside. Guards the
+     * last responses of a draining node: events on timers of their own that are due after them,
+     * such as asking upstreams to send no more, must not overtake them when the process stalls.
      */
     void startDraining() {
         draining = true;
     }
 
-    private void due() {
-        // Where the settings name no resource usage there is none to wait for, and what is due must
-        // not wait.
-        if (draining && !names.isEmpty()) {
+    private void onDue() {
+        // If the settings name no resource usage values there is nothing to wait for, and what is
+        // due must not wait.
+        if (draining && !resourceUsageNames.isEmpty()) {
             executor.askResourceUsage(tags.next());
         }
-        if (names.isEmpty() || draining || clock.get().since(readAt).compareTo(MAX_USAGE_AGE) < 0) {
+        if (resourceUsageNames.isEmpty()
+                || draining
+                || clock.get().since(readAt).compareTo(MAX_USAGE_AGE) < 0) {
             wake.accept(resourceUsage);
         } else if (requestedTag == 0) {
             requestedTag = tags.next();
-            // Guards against a link that is lost or slow: the node's alarms must not wait for it.
+            // Guards against a lost or slow executor connection: the policy's wake-ups must not
+            // wait for it.
             usageTimeout =
                     timers.schedule(
                             clock.get().plus(RESOURCE_USAGE_TIMEOUT),
@@ -94,8 +97,8 @@
         }
     }
 
-    /** Resource usage was read, asked for by this tag. */
-    void read(long tag, ResourceUsage usage) {
+    /** Handles the reply to the resource usage query with this tag. */
+    void onResourceUsage(long tag, ResourceUsage usage) {
         resourceUsage = usage;
         readAt = clock.get();
         if (tag == requestedTag) {
@@ -103,9 +106,9 @@
         }
     }
 
-    private void wakeNow(ResourceUsage known) {
+    private void wakeNow(ResourceUsage usage) {
         requestedTag = 0;
         timers.cancel(usageTimeout);
-        wake.accept(known);
+        wake.accept(usage);
     }
 }
--- a/src/test/java/lupinwood/net/CrossingEventsTest.java
+++ b/src/test/java/lupinwood/net/CrossingEventsTest.java
@@ -97,7 +97,7 @@
         start();
         End other = upstream();
         End silent = connect();
-        until(() -> serving.figures().startsWith("connections 2,"));
+        until(() -> serving.figures().startsWith("request processor state connections=2 "));
         for (int i = 0; i < 5; i++) {
             skip(0.26); // all but the last of the times for which it may be silent
             long before = rounds.get();
@@ -137,7 +137,7 @@
         End half = upstream();
         String halved = request(102, "look", "halved");
         half.say(halved.substring(0, 60));
-        until(() -> serving.figures().startsWith("connections 3,"));
+        until(() -> serving.figures().startsWith("request processor state connections=3 "));
         skip(0.2);
         upstream();
         CountDownLatch go = block();
@@ -223,7 +223,7 @@
                                 request -> {},
                                 () -> {
                                     log.drain();
-                                    if (logged.toString(UTF_8).contains("of no known customer")) {
+                                    if (logged.toString(UTF_8).contains("reason=unknown_tenant")) {
                                         ending.countDown();
                                         await(go);
                                     }
@@ -247,7 +247,7 @@
             for (int i = 0; i < 2; i++) {
                 exit(1 + i, 101 + i, result);
             }
-            until(() -> serving.figures().contains(", open 0,"));
+            until(() -> serving.figures().contains(" openRequests=0 "));
             for (int strike = 0; strike < 16; strike++) {
                 write(caller, unsound(300 + strike));
             }
@@ -263,7 +263,7 @@
             }
             go.countDown();
             // Only then is anything read: what a reset takes with it is gone by now.
-            until(() -> serving.figures().startsWith("connections 1,"));
+            until(() -> serving.figures().startsWith("request processor state connections=1 "));
             caller.configureBlocking(true);
             End end = new End(caller.socket());
             for (int i = 0; i < 2; i++) {
@@ -470,9 +470,9 @@
         expectRun(101, "pay", "p");
         first.socket.setSoLinger(true, 0);
         first.socket.close(); // a reset
-        until(() -> serving.figures().startsWith("connections 2,"));
+        until(() -> serving.figures().startsWith("request processor state connections=2 "));
         third.say(request(103, "pay", "p"));
-        until(() -> serving.figures().contains("open 2,"));
+        until(() -> serving.figures().contains(" openRequests=2 "));
         exit(1, 101, "paid");
         assertThat(second.answer()).isEqualTo("102 ACK + paid");
         assertThat(third.answer()).isEqualTo("103 ACK + paid");
@@ -679,7 +679,7 @@
             flood.add(SocketChannel.open(listen));
             write(flood.get(i), array("HEALTH", "1"));
         }
-        until(() -> serving.figures().startsWith("connections 9,"));
+        until(() -> serving.figures().startsWith("request processor state connections=9 "));
         CountDownLatch go = block();
         ByteBuffer many =
                 ByteBuffer.wrap(
--- a/src/test/java/lupinwood/net/NodeServerTest.java
+++ b/src/test/java/lupinwood/net/NodeServerTest.java
@@ -170,7 +170,7 @@
         }
         assertThat(caller.answer()).isEqualTo("101 FAIL +");
         log.drain();
-        assertThat(logged.toString(UTF_8)).containsOnlyOnce("started anew");
+        assertThat(logged.toString(UTF_8)).containsOnlyOnce("executor restarted");
     }
 
     @Test
--- a/src/test/java/lupinwood/net/RandomOperatorTest.java
+++ b/src/test/java/lupinwood/net/RandomOperatorTest.java
@@ -138,7 +138,7 @@
         caller.say(array("ABORT", "102"));
         assertThat(executor.command()).isEqualTo(String.format("KILL %016x", 102));
         executor.say(String.format("BAD KILL %016x\r\n", 102));
-        untilLogged("did not carry out KILL");
+        untilLogged("executor refused command=KILL");
         exit(2, 102, "nobody waits for it");
         caller.say(request(103, "look", "c"));
         expectRun(103, "look", "c");
