--- a/src/test/java/lupinwood/processing/RandomSettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -18,206 +18,211 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Settings by chance, with entries left out by chance, under a light load in made-up time: each
- * request gets one final answer within its caller's time, a mark runs once within its window, and
- * where all below is well each is served, whatever the settings leave out.
+ * Runs the request processor with random settings, of which random entries are missing, under a
+ * light load in simulated time. Each request must get one final response before its client's
+ * deadline, an idempotency key must run only once within its window, and without injected failures
+ * every request must be served, whichever entries are missing.
  */
 final class RandomSettingsTest implements UpstreamConnections, Executor, Dependency {
     private static final byte[] BODY = {'b'};
 
-    /** One request as sent. */
-    private record SentRequest(MonotonicTime due, boolean pressed) {}
+    /** A request that has been sent. */
+    private record SentRequest(MonotonicTime deadline, boolean injectsFailures) {}
 
-    private Random chance;
+    private Random random;
     private Map<String, String> settings;
-    private final TimerService deadlines = new TimerService();
+    private final TimerService timers = new TimerService();
     private final Map<Long, SentRequest> unanswered = new HashMap<>();
     private final Map<Long, String> keys = new HashMap<>();
-    private final Map<String, MonotonicTime> ranFrom = new HashMap<>();
-    private final Map<String, MonotonicTime> reachedOf = new HashMap<>();
+    private final Map<String, MonotonicTime> lastRunArrivals = new HashMap<>();
+    private final Map<String, MonotonicTime> arrivalTimes = new HashMap<>();
     private final Set<AttemptId> running = new HashSet<>();
-    private final Set<AttemptId> over = new HashSet<>();
+    private final Set<AttemptId> completed = new HashSet<>();
     private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
     private RequestProcessor processor;
-    private boolean troubles;
-    private boolean refuses;
+    private boolean injectsFailures;
+    private boolean executorRefuses;
     private NanoDuration work;
     private long tag;
     private int served;
     private final List<String> log = new ArrayList<>();
 
-    private boolean maybe() {
-        return chance.nextBoolean();
+    private boolean randomBoolean() {
+        return random.nextBoolean();
     }
 
-    private double between(double least, double most) {
-        return least * Math.pow(most / least, chance.nextDouble());
+    private double randomBetween(double min, double max) {
+        return min * Math.pow(max / min, random.nextDouble());
     }
 
     private void put(String name, Object value) {
         settings.put(name, value.toString());
     }
 
-    private void maybePut(String name, Object value) {
-        if (maybe()) {
+    private void putSometimes(String name, Object value) {
+        if (randomBoolean()) {
             put(name, value);
         }
     }
 
     @SafeVarargs
-    private <T> T oneOf(T... all) {
-        return all[chance.nextInt(all.length)];
+    private <T> T choose(T... values) {
+        return values[random.nextInt(values.length)];
     }
 
     private static long nanos(double seconds) {
         return Math.round(seconds * 1e9);
     }
 
-    private void draw() {
+    private void drawSettings() {
         settings = new TreeMap<>();
-        int requestClasses = 1 + chance.nextInt(8);
-        double shortest = 60;
+        int requestClasses = 1 + random.nextInt(8);
+        double shortestTimeoutSeconds = 60;
         StringBuilder calls = new StringBuilder();
         StringBuilder skips = new StringBuilder();
         for (int i = 0; i < requestClasses; i++) {
-            String at = "services." + i + ".";
-            double giveUp = between(0.3, 60);
-            shortest = Math.min(shortest, giveUp);
-            put(at + "name", oneOf("EXEC", "a-b", "1", "track.", "x:y") + i);
-            put(at + "give_up_ns", nanos(giveUp));
-            put(at + "aim_ns", nanos(giveUp * oneOf(1.0, 0.5)));
-            String effect = oneOf("pure", "token", "side_effect");
-            put(at + "effect", effect);
-            if (effect.equals("token") || maybe()) {
-                put(at + "window_ns", nanos(between(0.2, 600)));
+            String prefix = "services." + i + ".";
+            double timeoutSeconds = randomBetween(0.3, 60);
+            shortestTimeoutSeconds = Math.min(shortestTimeoutSeconds, timeoutSeconds);
+            put(prefix + "name", choose("EXEC", "a-b", "1", "track.", "x:y") + i);
+            put(prefix + "give_up_ns", nanos(timeoutSeconds));
+            put(prefix + "aim_ns", nanos(timeoutSeconds * choose(1.0, 0.5)));
+            String effect = choose("pure", "token", "side_effect");
+            put(prefix + "effect", effect);
+            if (effect.equals("token") || randomBoolean()) {
+                put(prefix + "window_ns", nanos(randomBetween(0.2, 600)));
             }
-            maybePut(at + "worth", oneOf(0.0, 1.0, 5.0));
-            maybePut(at + "late_value", oneOf(0.0, 0.2));
-            calls.append(i > 0 ? "," : "").append(maybe());
-            skips.append(i > 0 ? "," : "").append(oneOf(0.0, 0.6));
+            putSometimes(prefix + "worth", choose(0.0, 1.0, 5.0));
+            putSometimes(prefix + "late_value", choose(0.0, 0.2));
+            calls.append(i > 0 ? "," : "").append(randomBoolean());
+            skips.append(i > 0 ? "," : "").append(choose(0.0, 0.6));
         }
         put("services.count", requestClasses);
-        if (maybe()) {
-            int tenants = chance.nextInt(4);
+        if (randomBoolean()) {
+            int tenants = random.nextInt(4);
             put("customers.count", tenants);
             for (int i = 0; i < tenants; i++) {
-                put("customers." + i + ".name", oneOf("n", "n.1", "ü") + i);
-                maybePut("customers." + i + ".quota_rps", oneOf(0.0, 0.5, 1e6));
-                maybePut("customers." + i + ".share", 1.0 / tenants);
+                put("customers." + i + ".name", choose("n", "n.1", "ü") + i);
+                putSometimes("customers." + i + ".quota_rps", choose(0.0, 0.5, 1e6));
+                putSometimes("customers." + i + ".share", 1.0 / tenants);
             }
         }
-        String downstream = oneOf("off", "one_for_all", "tier", "");
+        String downstream = choose("off", "one_for_all", "tier", "");
         if (!downstream.isEmpty()) {
             put("domain.below", downstream);
         }
-        maybePut("domain.class_calls", calls);
-        maybePut("domain.class_skip_worth", skips);
+        putSometimes("domain.class_calls", calls);
+        putSometimes("domain.class_skip_worth", skips);
         if (downstream.equals("one_for_all")) {
-            maybePut("domain.calls_out", between(1, 20));
-            maybePut("domain.calls_over_ns", nanos(5));
-            maybePut("domain.linger_ns", nanos(0.2));
+            putSometimes("domain.calls_out", randomBetween(1, 20));
+            putSometimes("domain.calls_over_ns", nanos(5));
+            putSometimes("domain.linger_ns", nanos(0.2));
         }
-        maybePut("domain.cpus", 1 + chance.nextInt(64));
-        maybePut("domain.memory_kb", 400_000);
-        maybePut("domain.entry_kb", 10);
-        maybePut("domain.run_mem_factor", oneOf(1, 8));
-        maybePut("domain.upstreams", chance.nextInt(3000));
-        maybePut("domain.advert", oneOf("off", "floor", "allowance", "weight"));
-        maybePut("domain.stop_mode", oneOf("off", "discard", "freeze"));
-        maybePut("domain.keepalive_max_ns", nanos(30));
-        maybePut("domain.gauges", "core_use,on_cores,heap_share,links");
-        maybePut("domain.registry_follows", maybe());
-        maybePut("domain.real_checks", maybe());
-        maybePut("group_size", 1 + chance.nextInt(300));
-        maybePut("over_share_worth", 0.05);
-        maybePut("goal.worst_class", 0.3);
-        maybePut("rules.fall_multiple", oneOf(2, 8));
-        maybePut("rules.fall_ns", nanos(2));
-        maybePut("rules.drain_grace_ns", nanos(2));
-        maybePut("rules.ramp_time_ns", nanos(18));
-        maybePut("rules.cold_share", 0.2);
-        maybePut("bounds.max_retry_after_ns", nanos(1));
-        put("step_ns", oneOf(1_000_000, 4_000_000));
-        work = NanoDuration.ofSeconds(Math.min(between(0.002, 5), shortest / 50));
-        troubles = maybe();
-        refuses = maybe();
+        putSometimes("domain.cpus", 1 + random.nextInt(64));
+        putSometimes("domain.memory_kb", 400_000);
+        putSometimes("domain.entry_kb", 10);
+        putSometimes("domain.run_mem_factor", choose(1, 8));
+        putSometimes("domain.upstreams", random.nextInt(3000));
+        putSometimes("domain.advert", choose("off", "floor", "allowance", "weight"));
+        putSometimes("domain.stop_mode", choose("off", "discard", "freeze"));
+        putSometimes("domain.keepalive_max_ns", nanos(30));
+        putSometimes("domain.gauges", "core_use,on_cores,heap_share,links");
+        putSometimes("domain.registry_follows", randomBoolean());
+        putSometimes("domain.real_checks", randomBoolean());
+        putSometimes("group_size", 1 + random.nextInt(300));
+        putSometimes("over_share_worth", 0.05);
+        putSometimes("goal.worst_class", 0.3);
+        putSometimes("rules.fall_multiple", choose(2, 8));
+        putSometimes("rules.fall_ns", nanos(2));
+        putSometimes("rules.drain_grace_ns", nanos(2));
+        putSometimes("rules.ramp_time_ns", nanos(18));
+        putSometimes("rules.cold_share", 0.2);
+        putSometimes("bounds.max_retry_after_ns", nanos(1));
+        put("step_ns", choose(1_000_000, 4_000_000));
+        work =
+                NanoDuration.ofSeconds(
+                        Math.min(randomBetween(0.002, 5), shortestTimeoutSeconds / 50));
+        injectsFailures = randomBoolean();
+        executorRefuses = randomBoolean();
     }
 
     private int count(String list) {
         return Integer.parseInt(settings.getOrDefault(list + ".count", "0"));
     }
 
-    private void play(int seed) {
-        chance = new Random(seed);
-        draw();
+    private void runSeed(int seed) {
+        random = new Random(seed);
+        drawSettings();
         processor =
                 new RequestProcessor(
                         settings,
                         seed,
                         AdmissionController::new,
                         new RequestProcessor.Ports(this, this, this, log::add),
-                        deadlines,
+                        timers,
                         new RequestProcessor.TableLimits(64, 1024, 1024, 1 << 20),
                         now);
         processor.welcomed(false, NanoDuration.ZERO);
         processor.settle();
-        ConnectionId line = processor.connected();
+        ConnectionId connection = processor.connected();
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            line = i % 20 == 0 ? processor.connected() : line;
-            send(line);
+            connection = i % 20 == 0 ? processor.connected() : connection;
+            send(connection);
             sent++;
-            pass(work.times(troubles ? oneOf(0.1, 0.5, 3.0) : oneOf(2.0, 3.0, 6.0)));
+            advance(work.times(injectsFailures ? choose(0.1, 0.5, 3.0) : choose(2.0, 3.0, 6.0)));
         }
-        pass(NanoDuration.ofSeconds(70));
-        assertThat(unanswered).as("seed %d left unanswered", seed).isEmpty();
+        advance(NanoDuration.ofSeconds(70));
+        assertThat(unanswered).as("unanswered requests with seed %d", seed).isEmpty();
         assertThat(processor.isAnswered()).isTrue();
-        if (!troubles) {
+        if (!injectsFailures) {
             assertThat(served)
-                    .as("seed %d satisfied; the log: %s; settings %s", seed, log, settings)
+                    .as("requests served with seed %d; log: %s; settings: %s", seed, log, settings)
                     .isEqualTo(sent);
         }
     }
 
-    private void send(ConnectionId line) {
-        int classIndex = chance.nextInt(count("services"));
-        String at = "services." + classIndex + ".";
+    private void send(ConnectionId connection) {
+        int classIndex = random.nextInt(count("services"));
+        String prefix = "services." + classIndex + ".";
         int tenants = count("customers");
         String tenant =
                 tenants > 0
-                        ? settings.get("customers." + chance.nextInt(tenants) + ".name")
-                        : oneOf("", "anyone");
-        double giveUp = Double.parseDouble(settings.get(at + "give_up_ns")) / 1e9;
+                        ? settings.get("customers." + random.nextInt(tenants) + ".name")
+                        : choose("", "anyone");
+        double timeoutSeconds = Double.parseDouble(settings.get(prefix + "give_up_ns")) / 1e9;
         NanoDuration clientTimeout =
-                maybe() ? NanoDuration.ZERO : NanoDuration.ofSeconds(giveUp * oneOf(0.7, 0.9, 1.2));
-        NanoDuration hint = maybe() ? NanoDuration.ZERO : work.times(oneOf(0.5, 1.0, 2.0));
-        boolean keyed = settings.get(at + "effect").equals("token");
-        // The mark names its request class, as an upstream load balancer's would: no two requests
-        // of different request classes
-        // are one.
-        String key = keyed ? classIndex + "f" + chance.nextInt(6) : null;
-        MonotonicTime reached = now.minus(work.times(oneOf(0.0, 0.5)));
-        NanoDuration waits =
+                randomBoolean()
+                        ? NanoDuration.ZERO
+                        : NanoDuration.ofSeconds(timeoutSeconds * choose(0.7, 0.9, 1.2));
+        NanoDuration costHint =
+                randomBoolean() ? NanoDuration.ZERO : work.times(choose(0.5, 1.0, 2.0));
+        boolean isIdempotent = settings.get(prefix + "effect").equals("token");
+        // The key contains the request class, as an upstream load balancer's would, so that
+        // requests of different classes never share a key.
+        String key = isIdempotent ? classIndex + "f" + random.nextInt(6) : null;
+        MonotonicTime reached = now.minus(work.times(choose(0.0, 0.5)));
+        NanoDuration timeout =
                 clientTimeout.isPositive()
-                        ? clientTimeout.min(NanoDuration.ofSeconds(giveUp))
-                        : NanoDuration.ofSeconds(giveUp);
+                        ? clientTimeout.min(NanoDuration.ofSeconds(timeoutSeconds))
+                        : NanoDuration.ofSeconds(timeoutSeconds);
         tag++;
         AttemptId id = new AttemptId(String.format("%016x", tag));
-        unanswered.put(tag, new SentRequest(reached.plus(waits), troubles));
+        unanswered.put(tag, new SentRequest(reached.plus(timeout), injectsFailures));
         keys.put(tag, key == null ? "" : key);
-        reachedOf.put(id.digits(), reached);
+        arrivalTimes.put(id.digits(), reached);
         processor.arrived(
-                line,
+                connection,
                 tag,
                 new IncomingRequest(
                         id,
-                        settings.get(at + "name"),
+                        settings.get(prefix + "name"),
                         tenant,
                         new SubjectId(0),
                         new UpstreamId(1),
                         clientTimeout,
-                        hint,
-                        maybe(),
+                        costHint,
+                        randomBoolean(),
                         reached,
                         10,
                         0.5,
@@ -226,59 +231,63 @@
         processor.settle();
     }
 
-    private void pass(NanoDuration duration) {
-        MonotonicTime until = now.plus(duration);
-        while (!until.isBefore(deadlines.earliest())) {
-            now = now.isBefore(deadlines.earliest()) ? deadlines.earliest() : now;
+    private void advance(NanoDuration duration) {
+        MonotonicTime end = now.plus(duration);
+        while (!end.isBefore(timers.earliest())) {
+            now = now.isBefore(timers.earliest()) ? timers.earliest() : now;
             processor.advance(now);
-            deadlines.runDue(now);
+            timers.runDue(now);
             processor.settle();
         }
-        now = until;
+        now = end;
         processor.advance(now);
     }
 
     @Override
-    public void answer(ConnectionId connection, long to, Response answer) {
-        SentRequest sent = unanswered.remove(to);
-        assertThat(sent).as("a second answer to %d", to).isNotNull();
-        assertThat(now.isBefore(sent.due))
+    public void answer(ConnectionId connection, long responseTag, Response response) {
+        SentRequest sent = unanswered.remove(responseTag);
+        assertThat(sent).as("first response to request %d", responseTag).isNotNull();
+        assertThat(now.isBefore(sent.deadline))
                 .as(
-                        "%d answered %s in time, due %s s before; the log: %s; settings %s",
-                        to, answer.word(), now.since(sent.due).seconds(), log, settings)
+                        "request %d got %s before its deadline %s s ago; log: %s; settings: %s",
+                        responseTag,
+                        response.word(),
+                        now.since(sent.deadline).seconds(),
+                        log,
+                        settings)
                 .isTrue();
-        served += answer.word() == Response.Kind.SERVED ? 1 : 0;
-        if (answer.word() != Response.Kind.SERVED) {
+        served += response.word() == Response.Kind.SERVED ? 1 : 0;
+        if (response.word() != Response.Kind.SERVED) {
             log.add(
-                    to
+                    responseTag
                             + " "
-                            + answer.word()
+                            + response.word()
                             + " "
-                            + sent.due().since(now).seconds()
-                            + " s before it was due");
+                            + sent.deadline().since(now).seconds()
+                            + " s before its deadline");
         }
     }
 
     @Override
     public void sayNoMore(ConnectionId connection) {
-        // Each connection is used for a while only.
+        // Each connection is replaced after 20 requests.
     }
 
     @Override
     public void readNoMore(ConnectionId connection) {
-        // Nothing more comes on it.
+        // Nothing more arrives on it.
     }
 
     @Override
-    public void close(ConnectionId connection, Completion why) {
+    public void close(ConnectionId connection, Completion reason) {
         processor.disconnected(connection);
     }
 
-    // ---- the executor: half of the work, a call where the request class makes any, the other half
-    // ----
+    // ---- the executor: does half of the work, makes a call if the request class may, then does
+    // the other half ----
 
-    private void later(NanoDuration wait, Runnable job) {
-        deadlines.schedule(now.plus(wait), job);
+    private void runLater(NanoDuration delay, Runnable action) {
+        timers.schedule(now.plus(delay), action);
     }
 
     @Override
@@ -286,121 +295,127 @@
         long number = Long.parseLong(id.digits(), 16);
         String key = keys.get(number);
         if (!key.isEmpty()) {
-            int at = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
-            MonotonicTime reached = reachedOf.get(id.digits());
+            int classIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+            MonotonicTime reached = arrivalTimes.get(id.digits());
             NanoDuration window =
-                    new NanoDuration(Long.parseLong(settings.get("services." + at + ".window_ns")));
-            MonotonicTime before = ranFrom.put(key, reached);
-            assertThat(before == null || !reached.isBefore(before.plus(window)))
-                    .as("%s runs twice", key)
+                    new NanoDuration(
+                            Long.parseLong(settings.get("services." + classIndex + ".window_ns")));
+            MonotonicTime previousArrival = lastRunArrivals.put(key, reached);
+            assertThat(previousArrival == null || !reached.isBefore(previousArrival.plus(window)))
+                    .as("key %s runs only once within its window", key)
                     .isTrue();
         }
         assertThat(running.add(id)).isTrue();
-        int place = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+        int callsIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
         boolean downstream =
                 settings.getOrDefault("domain.below", "off").matches("one_for_all|tier");
         String[] calls = settings.getOrDefault("domain.class_calls", "").split(",", 0);
         boolean called =
-                downstream && place < calls.length && calls[place].equals("true") && maybe();
-        later(
+                downstream
+                        && callsIndex < calls.length
+                        && calls[callsIndex].equals("true")
+                        && randomBoolean();
+        runLater(
                 work.times(0.5),
                 () -> {
                     if (called) {
                         processor.calledOut(id, BODY);
                     } else {
-                        rest(id);
+                        finishRun(id);
                     }
                 });
         return true;
     }
 
-    private void rest(AttemptId id) {
-        later(
+    private void finishRun(AttemptId id) {
+        runLater(
                 work.times(0.5),
                 () ->
-                        exit(
+                        completeRun(
                                 id,
-                                troubles && chance.nextInt(8) == 0
+                                injectsFailures && random.nextInt(8) == 0
                                         ? Completion.FAILED
                                         : Completion.WELL));
     }
 
-    private void exit(AttemptId id, Completion ending) {
-        if (running.contains(id) && over.add(id)) {
-            processor.exited(id, ending, work, BODY);
+    private void completeRun(AttemptId id, Completion completion) {
+        if (running.contains(id) && completed.add(id)) {
+            processor.exited(id, completion, work, BODY);
         }
     }
 
     @Override
     public boolean giveReply(AttemptId id, byte[] reply) {
-        rest(id);
+        finishRun(id);
         return true;
     }
 
     @Override
     public boolean stop(AttemptId id) {
         assertThat(settings.getOrDefault("domain.stop_mode", "off"))
-                .as("a way to stop is named")
+                .as("configured stop mode")
                 .isNotEqualTo("off");
-        later(
+        runLater(
                 NanoDuration.ofSeconds(0.001),
-                refuses
+                executorRefuses
                         ? () -> processor.notCarriedOut("KILL", id)
-                        : () -> exit(id, Completion.STOPPED));
+                        : () -> completeRun(id, Completion.STOPPED));
         return true;
     }
 
     @Override
     public boolean skipCall(AttemptId id) {
-        if (refuses) {
-            later(NanoDuration.ofSeconds(0.001), () -> processor.notCarriedOut("BYPASS", id));
+        if (executorRefuses) {
+            runLater(NanoDuration.ofSeconds(0.001), () -> processor.notCarriedOut("BYPASS", id));
         } else {
-            rest(id);
+            finishRun(id);
         }
         return true;
     }
 
     @Override
-    public void askResourceUsage(long requested) {
+    public void askResourceUsage(long queryTag) {
         if (settings.containsKey("domain.gauges")) {
-            later(
+            runLater(
                     NanoDuration.ofSeconds(0.0005),
                     () ->
                             processor.resourceUsageRead(
-                                    requested, new double[] {0.5, running.size(), 0.1, 1}));
+                                    queryTag, new double[] {0.5, running.size(), 0.1, 1}));
         }
     }
 
     @Override
-    public void checkDeep(long requested) {
-        // Nobody checks.
+    public void checkDeep(long queryTag) {
+        // No deep health check is requested.
     }
 
     @Override
-    public void call(AttemptId id, NanoDuration cap, byte[] body) {
-        Completion ending =
-                troubles
-                        ? oneOf(
+    public void call(AttemptId id, NanoDuration timeout, byte[] body) {
+        Completion completion =
+                injectsFailures
+                        ? choose(
                                 Completion.WELL,
                                 Completion.SHED,
                                 Completion.TIMED_OUT_DOWNSTREAM,
                                 Completion.FAILED_DOWNSTREAM,
                                 Completion.CONNECTION_REFUSED)
                         : Completion.WELL;
-        later(
+        runLater(
                 work.times(0.2),
-                () -> processor.callEnded(id, ending, ending == Completion.WELL ? BODY : null));
+                () ->
+                        processor.callEnded(
+                                id, completion, completion == Completion.WELL ? BODY : null));
     }
 
     @Override
     public void giveUp(AttemptId id) {
-        // What comes late is passed over by the request processor.
+        // The request processor ignores a late completion.
     }
 
     @Test
-    void eachRequestGetsOneAnswerInItsTimeAndNoneIsLostToWhatTheSettingsLeaveOut() {
+    void eachRequestGetsOneResponseInTimeWhicheverSettingsAreMissing() {
         for (int seed = 1; seed <= 400; seed++) {
-            new RandomSettingsTest().play(seed);
+            new RandomSettingsTest().runSeed(seed);
         }
     }
 }
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -20,26 +20,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The request processor round a real AdmissionController, with ports that print what is asked of
- * them.
+ * Tests the request processor with a real AdmissionController and ports that record what they are
+ * asked to do.
  */
 final class RequestProcessorTest implements UpstreamConnections, Executor, Dependency {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
-    private final RecordingServer machine = new RecordingServer();
+    private final RecordingServer server = new RecordingServer();
     private final StringBuilder trace = new StringBuilder();
-    private final TimerService deadlines = new TimerService();
+    private final TimerService timers = new TimerService();
     private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
-    private boolean linked = true;
-    private boolean takesAnswers = true;
-    private boolean resourceUsageCome = true;
-    private int onCores = 9;
+    private boolean connected = true;
+    private boolean readsResponses = true;
+    private boolean repliesWithResourceUsage = true;
+    private int wantingCore = 9;
     private RequestProcessor processor;
-    private ConnectionId line;
+    private ConnectionId currentConnection;
     private long tag;
 
     RequestProcessorTest() {
-        machine.set(
+        server.set(
                 "customers.count=1 customers.0.name=acme"
                         + " domain.gauges=core_use,on_cores,heap_share,links domain.keepalive_max_ns=3000000000"
                         + " services.0.name=pure services.1.name=token"
@@ -47,46 +47,48 @@
     }
 
     private void start() {
-        make(8192);
+        createProcessor(8192);
         processor.welcomed(false, NanoDuration.ZERO);
         processor.settle();
-        gainStanding();
+        gainTrust();
     }
 
-    /**
-     * A request of the connection is carried out, so that it is known to be an upstream load
-     * balancer's.
-     */
-    private void gainStanding() {
-        tell(() -> processor.arrived(line, 99, arrival(99, "pure", null, "first")));
-        exit(99, Completion.WELL, "x");
+    /** Completes a run of the connection, so that the connection is trusted. */
+    private void gainTrust() {
+        handle(() -> processor.arrived(currentConnection, 99, arrival(99, "pure", null, "first")));
+        completeRun(99, Completion.WELL, "x");
         trace.setLength(0);
     }
 
-    private void make(long idempotencyBytes) {
-        make(4, idempotencyBytes);
+    private void createProcessor(long idempotencyBytes) {
+        createProcessor(4, idempotencyBytes);
     }
 
-    private void make(int connections, long idempotencyBytes) {
+    private void createProcessor(int connections, long idempotencyBytes) {
         processor =
                 new RequestProcessor(
-                        machine.settings,
+                        server.settings,
                         7,
                         AdmissionController::new,
                         new RequestProcessor.Ports(this, this, this, this::log),
-                        deadlines,
+                        timers,
                         new RequestProcessor.TableLimits(connections, 40, 64, idempotencyBytes),
                         now);
-        line = processor.connected();
+        currentConnection = processor.connected();
     }
 
     private static AttemptId id(long tag) {
         return new AttemptId(String.format("%016x", tag));
     }
 
-    /** A request comes; its tag and its id are the next number. */
+    /** Makes a request arrive, with the next number as its tag and its attempt id. */
     private long arrive(String className, String idempotencyKey, String body) {
-        tell(() -> processor.arrived(line, ++tag, arrival(tag, className, idempotencyKey, body)));
+        handle(
+                () ->
+                        processor.arrived(
+                                currentConnection,
+                                ++tag,
+                                arrival(tag, className, idempotencyKey, body)));
         return tag;
     }
 
@@ -117,10 +119,10 @@
                 memoryKb,
                 rank,
                 null,
-                NOTHING);
+                EMPTY_BODY);
     }
 
-    /** One with what only some deployments' requests carry. */
+    /** Creates a request with the values that only some deployments' requests carry. */
     private IncomingRequest arrival(
             String tenant, NanoDuration clientTimeout, NanoDuration work, boolean repeat) {
         return new IncomingRequest(
@@ -136,128 +138,133 @@
                 10,
                 0.5,
                 null,
-                NOTHING);
+                EMPTY_BODY);
     }
 
-    private void tell(Runnable news) {
-        news.run();
+    private void handle(Runnable event) {
+        event.run();
         processor.settle();
     }
 
-    private void exit(long number, Completion ending, String result) {
-        tell(
+    private void completeRun(long number, Completion completion, String result) {
+        handle(
                 () ->
                         processor.exited(
                                 id(number),
-                                ending,
+                                completion,
                                 NanoDuration.ZERO,
                                 result.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void callOut(long number) {
-        tell(() -> processor.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
+    private void requestCall(long number) {
+        handle(() -> processor.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void pass(int millis) {
-        MonotonicTime until = now.plus(NanoDuration.ofSeconds(millis / 1e3));
-        while (!until.isBefore(deadlines.earliest())) {
-            now = now.isBefore(deadlines.earliest()) ? deadlines.earliest() : now;
+    private void advanceMillis(int millis) {
+        MonotonicTime end = now.plus(NanoDuration.ofSeconds(millis / 1e3));
+        while (!end.isBefore(timers.earliest())) {
+            now = now.isBefore(timers.earliest()) ? timers.earliest() : now;
             processor.advance(now);
-            deadlines.runDue(now);
+            timers.runDue(now);
             processor.settle();
         }
-        now = until;
+        now = end;
         processor.advance(now);
     }
 
-    private void say(String text) {
+    private void record(String text) {
         trace.append((now.nanos() - 1_000_000_000_000L) / 1_000_000)
                 .append(' ')
                 .append(text)
                 .append('\n');
     }
 
-    private String printed() {
+    private String recorded() {
         return trace.toString();
     }
 
     @Override
-    public void answer(ConnectionId connection, long to, Response answer) {
-        say(
-                to
+    public void answer(ConnectionId connection, long responseTag, Response response) {
+        record(
+                responseTag
                         + " "
-                        + answer.word()
-                        + (answer.result().length > 0 ? " " + text(answer.result()) : ""));
+                        + response.word()
+                        + (response.result().length > 0 ? " " + text(response.result()) : ""));
     }
 
     @Override
     public void sayNoMore(ConnectionId connection) {
-        say("no more");
+        record("ask to close");
     }
 
     @Override
     public void readNoMore(ConnectionId connection) {
-        // Told by what the request processor then passes over.
+        // Tested through the input that the request processor then ignores.
     }
 
     @Override
-    public void close(ConnectionId connection, Completion why) {
-        say("close " + (connection.number() & 0xff) + " " + why);
-        if (takesAnswers && why != Completion.SLOW_READER && why != Completion.MADE_ROOM) {
+    public void close(ConnectionId connection, Completion reason) {
+        record("close " + (connection.number() & 0xff) + " " + reason);
+        if (readsResponses && reason != Completion.SLOW_READER && reason != Completion.MADE_ROOM) {
             processor.written(connection);
         }
     }
 
     @Override
     public boolean run(AttemptId id, String className, byte[] body) {
-        say("run " + number(id) + " " + text(body) + (linked ? "" : ", no link"));
-        return linked;
+        record("run " + number(id) + " " + text(body) + (connected ? "" : "; not connected"));
+        return connected;
     }
 
     @Override
     public boolean giveReply(AttemptId id, byte[] reply) {
-        say("reply for " + number(id) + " " + text(reply) + (linked ? "" : ", no link"));
-        return linked;
+        record(
+                "reply for "
+                        + number(id)
+                        + " "
+                        + text(reply)
+                        + (connected ? "" : "; not connected"));
+        return connected;
     }
 
     @Override
     public boolean stop(AttemptId id) {
-        say("stop " + number(id));
-        return linked;
+        record("stop " + number(id));
+        return connected;
     }
 
     @Override
     public boolean skipCall(AttemptId id) {
-        say("no call for " + number(id) + (linked ? "" : ", no link"));
-        return linked;
+        record("skip call for " + number(id) + (connected ? "" : "; not connected"));
+        return connected;
     }
 
     @Override
-    public void askResourceUsage(long requested) {
-        if (!resourceUsageCome) {
+    public void askResourceUsage(long queryTag) {
+        if (!repliesWithResourceUsage) {
             return;
         }
-        processor.resourceUsageRead(requested, new double[] {0.5, onCores, 0.1, 1});
+        processor.resourceUsageRead(queryTag, new double[] {0.5, wantingCore, 0.1, 1});
     }
 
     @Override
-    public void checkDeep(long requested) {
-        say("deep check");
+    public void checkDeep(long queryTag) {
+        record("deep check");
     }
 
     @Override
-    public void call(AttemptId id, NanoDuration cap, byte[] body) {
-        say("call for " + number(id) + " " + text(body));
+    public void call(AttemptId id, NanoDuration timeout, byte[] body) {
+        record("call for " + number(id) + " " + text(body));
     }
 
     @Override
     public void giveUp(AttemptId id) {
-        say("give up the call for " + number(id));
+        record("cancel call for " + number(id));
     }
 
     private void log(String text) {
-        if (!text.startsWith("request rejected ")) {
-            say("log " + text);
+        if (!text.startsWith("request rejected id=")) {
+            record("log " + text);
         }
     }
 
@@ -270,18 +277,20 @@
     }
 
     @Test
-    void aRequestRunsCallsAndGetsItsResultUnchanged() {
+    void requestRunsWithCallAndReturnsResultUnchanged() {
         start();
-        long one = arrive("pure", null, "a");
-        callOut(one);
-        pass(30);
-        tell(
+        long request = arrive("pure", null, "a");
+        requestCall(request);
+        advanceMillis(30);
+        handle(
                 () ->
                         processor.callEnded(
-                                id(one), Completion.WELL, "r".getBytes(StandardCharsets.UTF_8)));
-        exit(one, Completion.WELL, "result");
-        exit(one, Completion.WELL, "late news");
-        assertThat(printed())
+                                id(request),
+                                Completion.WELL,
+                                "r".getBytes(StandardCharsets.UTF_8)));
+        completeRun(request, Completion.WELL, "result");
+        completeRun(request, Completion.WELL, "late");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -292,54 +301,57 @@
     }
 
     @Test
-    void anAbortBeforeDuringAndAfterTheAnswerLeavesNothingBehind() {
+    void abortBeforeDuringAndAfterResponseLeavesNoState() {
         start();
         long running = arrive("pure", null, "a");
         long called = arrive("pure", null, "b");
-        long leased = arrive("pure", null, "c");
-        callOut(called);
-        for (long aborted : new long[] {running, called, leased, 99}) {
-            tell(() -> processor.aborted(line, aborted));
+        long alsoRunning = arrive("pure", null, "c");
+        requestCall(called);
+        for (long aborted : new long[] {running, called, alsoRunning, 99}) {
+            handle(() -> processor.aborted(currentConnection, aborted));
         }
-        exit(called, Completion.STOPPED, "");
-        exit(running, Completion.WELL, "unwanted");
-        exit(leased, Completion.WELL, "unwanted");
-        tell(() -> processor.aborted(line, running));
-        pass(100);
+        completeRun(called, Completion.STOPPED, "");
+        completeRun(running, Completion.WELL, "unused");
+        completeRun(alsoRunning, Completion.WELL, "unused");
+        handle(() -> processor.aborted(currentConnection, running));
+        advanceMillis(100);
         assertThat(processor.isAnswered()).isTrue();
-        assertThat(processor.figures()).startsWith("connections 1, open 0, tickets 0, receipts 0");
-        assertThat(printed())
+        assertThat(processor.figures())
+                .startsWith(
+                        "request processor state connections=1 openRequests=0 requests=0"
+                                + " idempotencyRecords=0 ");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 0 run 2 b
                 0 run 3 c
                 0 call for 2 q
-                0 give up the call for 2
+                0 cancel call for 2
                 """);
     }
 
     @Test
-    void repeatsOfAnIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
+    void repeatsWithinWindowShareTheOriginalRun() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
         arrive("token", "k", "another body");
-        exit(first, Completion.WELL, "result");
-        pass(7000);
-        line = processor.connected();
+        completeRun(first, Completion.WELL, "result");
+        advanceMillis(7000);
+        currentConnection = processor.connected();
         arrive("token", "k", "a");
-        pass(2000);
+        advanceMillis(2000);
         arrive("token", "k", "a");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 log abandoned a ticket with the mark of another
+                0 log request failed reason=idempotency_key_reused
                 0 3 FAILED
                 0 1 SERVED result
                 0 2 SERVED result
-                3000 no more
+                3000 ask to close
                 7000 4 SERVED result
                 8000 close 0 CLOSED_HERE
                 8500 close 0 SLOW_READER
@@ -348,19 +360,19 @@
     }
 
     @Test
-    void repeatsFailWithAnOriginalThatFailedAndOneThatNeverRanIsForgotten() {
+    void repeatsFailWithOriginalAndKeyThatNeverRanIsForgotten() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
-        exit(first, Completion.FAILED, "");
+        completeRun(first, Completion.FAILED, "");
         long full = arrive("pure", null, "b");
         arrive("pure", null, "c");
-        long leased = arrive("token", "l", "d");
+        long queued = arrive("token", "l", "d");
         arrive("token", "l", "d");
-        tell(() -> processor.aborted(line, leased));
-        exit(full, Completion.WELL, "x");
+        handle(() -> processor.aborted(currentConnection, queued));
+        completeRun(full, Completion.WELL, "x");
         arrive("token", "l", "d");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -375,26 +387,27 @@
     }
 
     @Test
-    void anIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesATimeoutThatGrew() {
-        machine.set(
+    void idempotencyRecordKeepsOldWindowAndOutlivesLongerTimeout() {
+        server.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
         start();
         long first = arrive("token", "k", "a");
-        exit(first, Completion.WELL, "paid");
-        Map<String, String> next = new HashMap<>(machine.settings);
+        completeRun(first, Completion.WELL, "paid");
+        Map<String, String> next = new HashMap<>(server.settings);
         next.put("services.1.window_ns", "1000000000");
         next.put("services.1.give_up_ns", "9000000000");
         assertThat(processor.retune(new RequestProcessor.ReloadableSettings(next))).isTrue();
         processor.settle();
-        pass(7000);
+        advanceMillis(7000);
         arrive("token", "k", "a");
         MonotonicTime inWindow = now;
-        pass(7500); // the old timeout after the window's end has passed; the new one has not
-        tell(
+        // The old timeout after the end of the window has passed; the new one has not.
+        advanceMillis(7500);
+        handle(
                 () ->
                         processor.arrived(
-                                line,
+                                currentConnection,
                                 ++tag,
                                 new IncomingRequest(
                                         id(tag),
@@ -407,9 +420,9 @@
                                         0.5,
                                         new IdempotencyKey("k"),
                                         "a".getBytes(StandardCharsets.UTF_8))));
-        // Past the old bounds the decisions know nothing of it any more; it has the result all the
-        // same, and never runs.
-        assertThat(printed())
+        // Past the old window the policy no longer knows the key; the repeat still gets the result,
+        // and never runs.
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -417,38 +430,38 @@
                 7000 2 SERVED paid
                 14500 3 SERVED paid
                 """);
-        assertThat(processor.figures()).contains("receipts 1");
-        pass(4000);
-        assertThat(processor.figures()).contains("receipts 0");
+        assertThat(processor.figures()).contains(" idempotencyRecords=1 ");
+        advanceMillis(4000);
+        assertThat(processor.figures()).contains(" idempotencyRecords=0 ");
     }
 
     @Test
-    void requestsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
+    void reloadedTimeoutAppliesToNewRequestsAndNeverWhileDraining() {
         start();
         arrive("pure", null, "a");
-        Map<String, String> next = new HashMap<>(machine.settings);
+        Map<String, String> next = new HashMap<>(server.settings);
         next.put("services.0.give_up_ns", "20000000000");
         processor.retune(new RequestProcessor.ReloadableSettings(next));
         arrive("pure", null, "b");
-        pass(30_000);
-        assertThat(printed())
+        advanceMillis(30_000);
+        assertThat(recorded())
                 .containsPattern("(?m)^49\\d\\d 1 FAILED$")
                 .containsPattern("(?m)^199\\d\\d 2 FAILED$");
         processor.leave(NanoDuration.ofSeconds(3));
-        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(machine.settings)))
+        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(server.settings)))
                 .isFalse();
     }
 
     @Test
-    void resultsBeyondTheirBoundAreDroppedButTheirIdempotencyRecordsStay() {
-        make(10);
+    void evictedResultsKeepTheirIdempotencyRecords() {
+        createProcessor(10);
         processor.welcomed(false, NanoDuration.ZERO);
         trace.setLength(0);
-        exit(arrive("token", "k", "a"), Completion.WELL, "12345678");
-        exit(arrive("token", "l", "b"), Completion.WELL, "12345678");
+        completeRun(arrive("token", "k", "a"), Completion.WELL, "12345678");
+        completeRun(arrive("token", "l", "b"), Completion.WELL, "12345678");
         arrive("token", "k", "a");
         arrive("token", "l", "b");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -461,17 +474,17 @@
     }
 
     @Test
-    void aTryReadAfterItsOwnWindowIsRememberedForTheTriesInItThatAreReadLater() {
-        machine.set("services.1.window_ns=800000000");
+    void attemptReadAfterItsWindowIsRememberedForLaterRepeats() {
+        server.set("services.1.window_ns=800000000");
         start();
         MonotonicTime stamped = now;
-        pass(1500);
+        advanceMillis(1500);
         for (int i = 0; i < 2; i++) {
             MonotonicTime reached = stamped.plus(NanoDuration.ofSeconds(i * 0.5));
-            tell(
+            handle(
                     () ->
                             processor.arrived(
-                                    line,
+                                    currentConnection,
                                     ++tag,
                                     new IncomingRequest(
                                             id(tag),
@@ -483,11 +496,11 @@
                                             10,
                                             0.5,
                                             new IdempotencyKey("k"),
-                                            NOTHING)));
-            pass(100);
+                                            EMPTY_BODY)));
+            advanceMillis(100);
         }
-        exit(1, Completion.WELL, "x");
-        assertThat(printed())
+        completeRun(1, Completion.WELL, "x");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 1500 run 1\s
@@ -497,18 +510,18 @@
     }
 
     @Test
-    void repeatsThatWaitForATryAreServedByItAlsoWhenItsWindowEndedAndAnotherRuns() {
-        machine.set("services.1.window_ns=800000000");
+    void waitingRepeatsGetOriginalResultAfterItsWindowEnds() {
+        server.set("services.1.window_ns=800000000");
         start();
         long first = arrive("token", "k", "a");
-        pass(500);
+        advanceMillis(500);
         arrive("token", "k", "a");
-        pass(500);
+        advanceMillis(500);
         long next = arrive("token", "k", "a");
-        exit(first, Completion.WELL, "one");
-        exit(next, Completion.WELL, "two");
+        completeRun(first, Completion.WELL, "one");
+        completeRun(next, Completion.WELL, "two");
         arrive("token", "k", "a");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -521,21 +534,21 @@
     }
 
     @Test
-    void whatIsDroppedForRoomIsTheOldestResultAndNeverThatOfWhatRuns() {
-        make(20);
+    void evictionDropsOldestResultsAndSparesRunningRequests() {
+        createProcessor(20);
         processor.welcomed(false, NanoDuration.ZERO);
-        long runs = arrive("token", "a", "body");
-        for (String mark : List.of("b", "c", "d")) {
-            exit(arrive("token", mark, ""), Completion.WELL, "12345678");
+        long running = arrive("token", "a", "body");
+        for (String key : List.of("b", "c", "d")) {
+            completeRun(arrive("token", key, ""), Completion.WELL, "12345678");
         }
         trace.setLength(0);
-        for (String mark : List.of("b", "c", "d")) {
-            arrive("token", mark, "");
+        for (String key : List.of("b", "c", "d")) {
+            arrive("token", key, "");
         }
-        exit(runs, Completion.WELL, "1234");
+        completeRun(running, Completion.WELL, "1234");
         arrive("token", "c", "");
         arrive("token", "a", "body");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 5 FAILED
@@ -548,252 +561,253 @@
     }
 
     @Test
-    void aMarkThatThereIsNoRoomToRememberIsRejectedAndRepeatsOfOthersAreServed() {
+    void newKeyIsRejectedAndRepeatsServedWhileStoreIsFull() {
         start();
-        for (int mark = 0; mark < 64; mark++) {
-            exit(arrive("token", "m" + mark, ""), Completion.WELL, "r");
+        for (int i = 0; i < 64; i++) {
+            completeRun(arrive("token", "m" + i, ""), Completion.WELL, "r");
         }
         trace.setLength(0);
-        arrive("token", "one more", "");
+        arrive("token", "new key", "");
         arrive("token", "m0", "");
         arrive("pure", null, "p");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
-                0 log bounced a ticket whose mark there is no room to remember
+                0 log request rejected reason=idempotency_store_full
                 0 65 REJECTED
                 0 66 SERVED r
                 0 run 67 p
                 """);
-        pass(30_000);
-        line = processor.connected();
-        arrive("token", "one more", "");
-        assertThat(printed()).endsWith("run 68 \n");
+        advanceMillis(30_000);
+        currentConnection = processor.connected();
+        arrive("token", "new key", "");
+        assertThat(recorded()).endsWith("run 68 \n");
     }
 
     @Test
-    void aReplacedLinkRunsAgainOnlyWhatCannotRunTwice() {
+    void newConnectionResendsOnlyRunsThatAreSafeToRepeat() {
         start();
         arrive("pure", null, "a");
         long idempotent = arrive("token", "k", "b");
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        tell(() -> processor.aborted(line, idempotent));
-        exit(idempotent, Completion.NOTHING_STARTED, "");
-        linked = false;
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.aborted(currentConnection, idempotent));
+        completeRun(idempotent, Completion.NOTHING_STARTED, "");
+        connected = false;
         arrive("token", "l", "c");
-        linked = true;
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        assertThat(printed())
+        connected = true;
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 0 run 2 b
                 0 run 1 a
                 0 run 2 b
-                0 run 3 c, no link
+                0 run 3 c; not connected
                 0 run 1 a
                 0 run 3 c
                 """);
     }
 
     @Test
-    void aCommandInDoubtIsGivenAgainOnlyOnceTheResourceUsageShowsThatItWasNotRead() {
+    void commandInDoubtIsResentOnlyOnceResourceUsageProvesItUnread() {
         start();
-        onCores = 1;
+        wantingCore = 1;
         long idempotent = arrive("token", "k", "a");
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        pass(20);
-        onCores = 0;
-        pass(20);
-        callOut(idempotent);
-        tell(
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        advanceMillis(20);
+        wantingCore = 0;
+        advanceMillis(20);
+        requestCall(idempotent);
+        handle(
                 () ->
                         processor.callEnded(
                                 id(idempotent),
                                 Completion.WELL,
                                 "r".getBytes(StandardCharsets.UTF_8)));
-        onCores = 1;
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        pass(20);
-        onCores = 0;
-        pass(20);
-        onCores = 1;
-        pass(20);
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        exit(idempotent, Completion.WELL, "result");
-        assertThat(printed())
+        wantingCore = 1;
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        advanceMillis(20);
+        wantingCore = 0;
+        advanceMillis(20);
+        wantingCore = 1;
+        advanceMillis(20);
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        completeRun(idempotent, Completion.WELL, "result");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
-                24 log commands lost with a link, given again: 1
+                24 log resent commands lost with the executor connection count=1
                 24 run 1 a
                 40 call for 1 q
                 40 reply for 1 r
-                64 log commands lost with a link, given again: 1
+                64 log resent commands lost with the executor connection count=1
                 64 reply for 1 r
                 100 1 SERVED result
                 """);
     }
 
     @Test
-    void whoHasNoStandingIsClosedForOneUnsoundRequestAndForManyThatAreTurnedAway() {
+    void untrustedConnectionClosesForOneInvalidOrManyUnservedRequests() {
         start();
-        line = processor.connected();
-        arrive("no such track", null, "a");
+        currentConnection = processor.connected();
+        arrive("no such class", null, "a");
         arrive("pure", null, "a");
-        line = processor.connected();
-        long unknown = arrive("pure", null, "b");
-        tell(() -> processor.notCarriedOut("EXEC", id(unknown)));
-        line = processor.connected();
-        pass(1100);
+        currentConnection = processor.connected();
+        long refused = arrive("pure", null, "b");
+        handle(() -> processor.notCarriedOut("EXEC", id(refused)));
+        currentConnection = processor.connected();
+        advanceMillis(1100);
         for (int i = 0; i < 34; i++) {
-            pass(i == 33 ? 2100 : 0);
-            long withdrawn = arrive("pure", null, "c");
-            tell(() -> processor.aborted(line, withdrawn));
-            exit(withdrawn, Completion.NOTHING_STARTED, "");
+            advanceMillis(i == 33 ? 2100 : 0);
+            long aborted = arrive("pure", null, "c");
+            handle(() -> processor.aborted(currentConnection, aborted));
+            completeRun(aborted, Completion.NOTHING_STARTED, "");
         }
-        assertThat(printed().replaceAll("[0-9]+ run [0-9]+ c\n", ""))
+        assertThat(recorded().replaceAll("[0-9]+ run [0-9]+ c\n", ""))
                 .isEqualTo(
                         """
-                0 log abandoned a ticket of no known track
+                0 log request failed reason=unknown_request_class
                 0 1 FAILED
                 0 close 1 UNSOUND
                 0 2 REJECTED
                 0 run 3 b
-                0 log the executor did not carry out EXEC 0000000000000003
+                0 log executor refused command=EXEC attempt=0000000000000003
                 0 3 FAILED
                 0 close 2 UNSOUND
                 500 close 1 SLOW_READER
                 500 close 2 SLOW_READER
-                1100 no more
-                3000 no more
-                3200 log abandoned a ticket on a connection asked to close
+                1100 ask to close
+                3000 ask to close
+                3200 log request failed reason=connection_close_requested
                 3200 37 FAILED
                 3200 close 3 UNSOUND
                 """);
     }
 
     @Test
-    void aMarkWhoseRequestTheExecutorWouldNotRunIsFreeAgain() {
+    void keyOfRefusedRunCanBeUsedAgain() {
         start();
-        long unknown = arrive("token", "k", "a");
-        tell(() -> processor.notCarriedOut("EXEC", id(unknown)));
+        long refused = arrive("token", "k", "a");
+        handle(() -> processor.notCarriedOut("EXEC", id(refused)));
         arrive("token", "k", "b");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 log the executor did not carry out EXEC 0000000000000001
+                0 log executor refused command=EXEC attempt=0000000000000001
                 0 1 FAILED
                 0 run 2 b
                 """);
     }
 
     @Test
-    void theSilentAndThoseIdleForLongestMakeRoomAndTheSilentSoonGo() {
+    void silentAndLongestIdleConnectionsAreEvictedAndSilentOnesClosed() {
         start();
         ConnectionId checked = processor.connected();
-        pass(100);
+        advanceMillis(100);
         processor.connected();
-        tell(() -> processor.checked(checked, 1, false));
+        handle(() -> processor.checked(checked, 1, false));
         ConnectionId last = processor.connected();
         arrive("pure", null, "a");
         for (int i = 0; i < 3; i++) {
-            pass(10);
+            advanceMillis(10);
             ConnectionId next = processor.connected();
-            say("one more");
-            tell(() -> processor.checked(next, 1, false));
+            record("connected");
+            handle(() -> processor.checked(next, 1, false));
         }
         processor.disconnected(last);
         processor.connected();
-        pass(1600);
-        assertThat(printed())
+        advanceMillis(1600);
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 100 1 HEALTHY
                 100 run 1 a
                 110 close 2 MADE_ROOM
-                110 one more
+                110 connected
                 110 1 HEALTHY
                 120 close 3 MADE_ROOM
-                120 one more
+                120 connected
                 120 1 HEALTHY
-                130 no more
+                130 ask to close
                 130 close 1 MADE_ROOM
-                130 one more
+                130 connected
                 130 1 HEALTHY
-                130 no more
+                130 ask to close
                 130 close 2 MADE_ROOM
                 1630 close 2 SAID_NOTHING
                 """);
     }
 
     /**
-     * Of sixteen places fourteen are many. Who came just now is no sooner closed than who rests.
+     * With 16 slots, idle connections are asked to close beyond 14 connections. A new connection is
+     * not evicted before idle ones.
      */
     @Test
-    void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
-        make(16, 8192);
+    void onlyIdleConnectionsAreAskedToCloseNearCapacity() {
+        createProcessor(16, 8192);
         processor.welcomed(false, NanoDuration.ZERO);
-        gainStanding();
+        gainTrust();
         arrive("pure", null, "a");
         for (int i = 0; i < 16; i++) {
-            pass(10);
+            advanceMillis(10);
             ConnectionId next = processor.connected();
-            say("so many: " + processor.connectionCount());
-            tell(() -> processor.checked(next, 1, false));
+            record("connections: " + processor.connectionCount());
+            handle(() -> processor.checked(next, 1, false));
         }
         for (int i = 0; i < 4; i++) {
-            pass(i == 0 ? 600 : 0);
+            advanceMillis(i == 0 ? 600 : 0);
             processor.connected();
-            say("so many: " + processor.connectionCount());
+            record("connections: " + processor.connectionCount());
         }
-        pass(600);
+        advanceMillis(600);
         processor.connected();
         assertThat(
-                        printed()
+                        recorded()
                                 .replaceAll("(?m)^.*HEALTHY\n", "")
-                                .replaceAll("(?s).*150 no more", "150 no more"))
+                                .replaceAll("(?s).*150 ask to close", "150 ask to close"))
                 .isEqualTo(
                         """
-                150 no more
-                150 so many: 16
+                150 ask to close
+                150 connections: 16
                 160 close 1 MADE_ROOM
-                160 no more
-                160 so many: 16
+                160 ask to close
+                160 connections: 16
                 760 close 2 MADE_ROOM
-                760 no more
-                760 so many: 16
+                760 ask to close
+                760 connections: 16
                 760 close 3 MADE_ROOM
-                760 so many: 16
-                760 no more
+                760 connections: 16
+                760 ask to close
                 760 close 4 MADE_ROOM
-                760 so many: 16
-                760 no more
+                760 connections: 16
+                760 ask to close
                 760 close 5 MADE_ROOM
-                760 so many: 16
+                760 connections: 16
                 1360 close 2 LEFT_UNUSED
                 """);
     }
 
     @Test
-    void anUpstreamMayBeSlowToWriteForTheLongestTimeoutAndOthersMayNot() {
+    void onlyTrustedConnectionMayFinishMessageUntilLongestTimeout() {
         start();
         processor.closeIdleConnections(NanoDuration.ofSeconds(100));
         ConnectionId other = processor.connected();
-        tell(() -> processor.checked(other, 1, false));
+        handle(() -> processor.checked(other, 1, false));
         processor.leftOff(other);
-        processor.leftOff(line);
-        pass(1500);
-        processor.leftOff(line);
-        tell(() -> processor.checked(line, 2, false));
-        pass(1500);
-        processor.leftOff(line);
-        pass(4999);
-        processor.leftOff(line);
-        pass(1);
-        processor.leftOff(line);
-        assertThat(printed())
+        processor.leftOff(currentConnection);
+        advanceMillis(1500);
+        processor.leftOff(currentConnection);
+        handle(() -> processor.checked(currentConnection, 2, false));
+        advanceMillis(1500);
+        processor.leftOff(currentConnection);
+        advanceMillis(4999);
+        processor.leftOff(currentConnection);
+        advanceMillis(1);
+        processor.leftOff(currentConnection);
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 1 HEALTHY
@@ -805,20 +819,20 @@
     }
 
     @Test
-    void callsThatEndBadlyAreRepeatedOnlyAfterProofThatNoneRan() {
+    void failedCallsAreRetriedOnlyIfProvedNotToHaveRun() {
         start();
         long refused = arrive("side_effect", null, "a");
-        callOut(refused);
-        tell(() -> processor.callEnded(id(refused), Completion.CONNECTION_REFUSED, null));
-        pass(500);
-        tell(() -> processor.callEnded(id(refused), Completion.CLOSED_BY_PEER, null));
-        tell(() -> processor.callEnded(id(refused), Completion.WELL, NOTHING));
-        exit(refused, Completion.STOPPED, "");
+        requestCall(refused);
+        handle(() -> processor.callEnded(id(refused), Completion.CONNECTION_REFUSED, null));
+        advanceMillis(500);
+        handle(() -> processor.callEnded(id(refused), Completion.CLOSED_BY_PEER, null));
+        handle(() -> processor.callEnded(id(refused), Completion.WELL, EMPTY_BODY));
+        completeRun(refused, Completion.STOPPED, "");
         long slow = arrive("pure", null, "b");
-        callOut(slow);
-        pass(2500);
-        tell(() -> processor.callEnded(id(slow), Completion.WELL, NOTHING));
-        assertThat(printed())
+        requestCall(slow);
+        advanceMillis(2500);
+        handle(() -> processor.callEnded(id(slow), Completion.WELL, EMPTY_BODY));
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -827,158 +841,169 @@
                 500 1 FAILED
                 500 run 2 b
                 500 call for 2 q
-                2500 give up the call for 2
+                2500 cancel call for 2
                 2500 2 FAILED
                 """);
     }
 
     @Test
-    void whatTheExecutorWillNotCarryOutIsFailed() {
+    void requestFailsIfExecutorRefusesItsRun() {
         start();
-        long one = arrive("pure", null, "a");
-        tell(() -> processor.notCarriedOut("EXEC", id(one)));
-        tell(() -> processor.notCarriedOut("RETURN", id(one)));
-        assertThat(printed())
+        long request = arrive("pure", null, "a");
+        handle(() -> processor.notCarriedOut("EXEC", id(request)));
+        handle(() -> processor.notCarriedOut("RETURN", id(request)));
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
-                0 log the executor did not carry out EXEC 0000000000000001
+                0 log executor refused command=EXEC attempt=0000000000000001
                 0 1 FAILED
-                0 log the executor did not carry out RETURN 0000000000000001
+                0 log executor refused command=RETURN attempt=0000000000000001
                 """);
     }
 
     @Test
-    void requestsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
-        make(8192);
+    void invalidRequestsAreAnsweredAtOnceButReusedTagsAreNot() {
+        createProcessor(8192);
         arrive("pure", null, "early");
         processor.welcomed(false, NanoDuration.ZERO);
-        gainStanding();
-        arrive("no such track", null, "a");
-        tell(() -> processor.arrived(line, ++tag, null));
+        gainTrust();
+        arrive("no such class", null, "a");
+        handle(() -> processor.arrived(currentConnection, ++tag, null));
         arrive("pure", null, "x".repeat(2049));
-        long taken = arrive("pure", null, "a");
-        assertThat(processor.arrived(line, taken, arrival(50, "pure", null, "a"))).isFalse();
-        tell(() -> processor.arrived(line, ++tag, arrival(taken, "pure", null, "a")));
+        long openTag = arrive("pure", null, "a");
+        assertThat(processor.arrived(currentConnection, openTag, arrival(50, "pure", null, "a")))
+                .isFalse();
+        handle(
+                () ->
+                        processor.arrived(
+                                currentConnection, ++tag, arrival(openTag, "pure", null, "a")));
         arrive("token", null, "a");
         arrive("pure", "k", "a");
-        tell(() -> processor.arrived(line, ++tag, arrival("nobody", now, 10, 0.5)));
-        tell(
+        handle(() -> processor.arrived(currentConnection, ++tag, arrival("nobody", now, 10, 0.5)));
+        handle(
                 () ->
                         processor.arrived(
-                                line,
+                                currentConnection,
                                 ++tag,
                                 arrival("acme", now.plus(NanoDuration.ofSeconds(9)), 10, 0.5)));
-        tell(() -> processor.arrived(line, ++tag, arrival("acme", new MonotonicTime(0), 10, 0.5)));
-        assertThat(printed())
+        handle(
+                () ->
+                        processor.arrived(
+                                currentConnection,
+                                ++tag,
+                                arrival("acme", new MonotonicTime(0), 10, 0.5)));
+        assertThat(recorded())
                 .isEqualTo(
                         """
-                0 log abandoned a ticket of no known track
+                0 log request failed reason=unknown_request_class
                 0 2 FAILED
-                0 log abandoned a ticket that can't be read
+                0 log request failed reason=malformed_request
                 0 3 FAILED
-                0 log abandoned a ticket out of bounds
+                0 log request failed reason=out_of_bounds
                 0 4 FAILED
                 0 run 5 a
-                0 log abandoned a ticket named like another
+                0 log request failed reason=attempt_id_in_use
                 0 6 FAILED
-                0 log abandoned a ticket with a mark on the wrong track, or without one
+                0 log request failed reason=idempotency_key_mismatch
                 0 7 FAILED
-                0 log abandoned a ticket with a mark on the wrong track, or without one
+                0 log request failed reason=idempotency_key_mismatch
                 0 8 FAILED
-                0 log abandoned a ticket of no known customer
+                0 log request failed reason=unknown_tenant
                 0 9 FAILED
-                0 log abandoned a ticket from the future
+                0 log request failed reason=arrival_time_in_future
                 0 10 FAILED
-                0 log abandoned a ticket past its abandon time
+                0 log request failed reason=deadline_passed
                 0 11 FAILED
                 """);
-        for (double[] figures :
+        for (double[] memoryAndRank :
                 new double[][] {
                     {0, 0.5}, {2000, 0.5}, {Double.NaN, 0.5}, {10, 1}, {10, Double.NaN}
                 }) {
-            gainStanding();
-            tell(
+            gainTrust();
+            handle(
                     () ->
                             processor.arrived(
-                                    line, ++tag, arrival("acme", now, figures[0], figures[1])));
-            assertThat(printed())
-                    .isEqualTo("0 log abandoned a ticket out of bounds\n0 " + tag + " FAILED\n");
+                                    currentConnection,
+                                    ++tag,
+                                    arrival("acme", now, memoryAndRank[0], memoryAndRank[1])));
+            assertThat(recorded())
+                    .isEqualTo("0 log request failed reason=out_of_bounds\n0 " + tag + " FAILED\n");
         }
     }
 
     @Test
-    void whereTheSettingsNameNoTenantsRequestsNeedNone() {
-        machine.set("customers.count=0");
-        make(8192);
+    void requestsNeedNoTenantIfSettingsNameNone() {
+        server.set("customers.count=0");
+        createProcessor(8192);
         processor.welcomed(false, NanoDuration.ZERO);
         for (String tenant : List.of("", "anyone")) {
-            tell(
+            handle(
                     () ->
                             processor.arrived(
-                                    line,
+                                    currentConnection,
                                     ++tag,
                                     arrival(tenant, NanoDuration.ZERO, NanoDuration.ZERO, false)));
-            exit(tag, Completion.WELL, "x");
+            completeRun(tag, Completion.WELL, "x");
         }
-        assertThat(printed()).endsWith("0 run 1 \n0 1 SERVED x\n0 run 2 \n0 2 SERVED x\n");
+        assertThat(recorded()).endsWith("0 run 1 \n0 1 SERVED x\n0 run 2 \n0 2 SERVED x\n");
     }
 
     @Test
-    void theCallersOwnTimeBoundsTheAnswerAndAHintOrAMarkReachesTheDecisions() {
+    void clientTimeoutBoundsResponseAndHintsReachPolicy() {
         start();
         List<Request> reported = new ArrayList<>();
         processor =
                 new RequestProcessor(
-                        machine.settings,
+                        server.settings,
                         7,
-                        (server, seed, map) ->
+                        (actions, seed, map) ->
                                 new RuleCheckingPolicy(
-                                        new AdmissionController(server, seed, map),
+                                        new AdmissionController(actions, seed, map),
                                         reported::add,
                                         () -> {}),
                         new RequestProcessor.Ports(this, this, this, this::log),
-                        deadlines,
+                        timers,
                         new RequestProcessor.TableLimits(4, 40, 64, 8192),
                         now);
-        line = processor.connected();
+        currentConnection = processor.connected();
         processor.welcomed(false, NanoDuration.ZERO);
         trace.setLength(0);
         NanoDuration clientTimeout = NanoDuration.ofSeconds(1.5);
-        tell(
+        handle(
                 () ->
                         processor.arrived(
-                                line,
+                                currentConnection,
                                 ++tag,
                                 arrival("acme", clientTimeout, NanoDuration.ofSeconds(0.2), true)));
         now = now.plus(NanoDuration.ofSeconds(0.5));
         processor.advance(now);
-        tell(
+        handle(
                 () ->
                         processor.arrived(
-                                line,
+                                currentConnection,
                                 ++tag,
                                 arrival("acme", clientTimeout, NanoDuration.ZERO, false)
                                         .reachedAt(now.minus(NanoDuration.ofSeconds(0.4)))));
-        tell(
+        handle(
                 () ->
                         processor.arrived(
-                                line,
+                                currentConnection,
                                 ++tag,
                                 arrival("acme", clientTimeout, NanoDuration.ZERO, false)
                                         .reachedAt(now.minus(NanoDuration.ofSeconds(1.6)))));
-        pass(2000);
+        advanceMillis(2000);
         assertThat(reported)
                 .extracting(Request::clientTimeout, Request::work, Request::repeat)
                 .containsExactly(
                         tuple(clientTimeout, NanoDuration.ofSeconds(0.2), true),
                         tuple(NanoDuration.ofSeconds(1.1), NanoDuration.ZERO, false));
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1\s
                 500 run 2\s
-                500 log abandoned a ticket past its abandon time
+                500 log request failed reason=deadline_passed
                 500 3 FAILED
                 1498 1 FAILED
                 1598 2 FAILED
@@ -986,39 +1011,44 @@
     }
 
     @Test
-    void aTimeThatIsNoneCostsItsRequestAloneAndManyOfThemTheConnection() {
+    void invalidDurationFailsItsRequestAndManyCloseTheConnection() {
         start();
         long other = arrive("pure", null, "a");
-        line = processor.connected();
+        currentConnection = processor.connected();
         long before = tag;
         for (int i = 0; i < 16; i++) {
-            NanoDuration none = i % 2 == 0 ? IncomingRequest.NO_TIME : NanoDuration.ZERO;
-            NanoDuration hint = i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.NO_TIME;
-            assertThat(printed()).doesNotContain("close");
-            tell(() -> processor.arrived(line, ++tag, arrival("acme", none, hint, false)));
-            assertThat(printed()).contains(" " + tag + " FAILED\n");
+            NanoDuration clientTimeout = i % 2 == 0 ? IncomingRequest.NO_TIME : NanoDuration.ZERO;
+            NanoDuration costHint = i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.NO_TIME;
+            assertThat(recorded()).doesNotContain("close");
+            handle(
+                    () ->
+                            processor.arrived(
+                                    currentConnection,
+                                    ++tag,
+                                    arrival("acme", clientTimeout, costHint, false)));
+            assertThat(recorded()).contains(" " + tag + " FAILED\n");
         }
         assertThat(tag - before).isEqualTo(16);
-        assertThat(printed())
+        assertThat(recorded())
                 .endsWith("close 1 UNSOUND\n")
                 .doesNotContain("0 " + other + " FAILED");
     }
 
     @Test
-    void aRunIsStoppedWhereTheSettingsSaySoUntilTheExecutorWillNot() {
-        machine.set("domain.stop_mode=freeze");
+    void runsAreStoppedAsConfiguredUntilExecutorRefuses() {
+        server.set("domain.stop_mode=freeze");
         start();
-        long gone = arrive("pure", null, "a");
-        tell(() -> processor.aborted(line, gone));
-        exit(gone, Completion.STOPPED, "");
+        long aborted = arrive("pure", null, "a");
+        handle(() -> processor.aborted(currentConnection, aborted));
+        completeRun(aborted, Completion.STOPPED, "");
         long late = arrive("pure", null, "b");
-        pass(5000);
-        tell(() -> processor.notCarriedOut("KILL", id(late)));
-        exit(late, Completion.WELL, "unwanted");
+        advanceMillis(5000);
+        handle(() -> processor.notCarriedOut("KILL", id(late)));
+        completeRun(late, Completion.WELL, "unused");
         long third = arrive("pure", null, "c");
-        tell(() -> processor.aborted(line, third));
-        exit(third, Completion.WELL, "unwanted");
-        assertThat(printed())
+        handle(() -> processor.aborted(currentConnection, third));
+        completeRun(third, Completion.WELL, "unused");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -1026,44 +1056,44 @@
                 0 run 2 b
                 4998 2 FAILED
                 4998 stop 2
-                5000 log the executor did not carry out KILL 0000000000000002
+                5000 log executor refused command=KILL attempt=0000000000000002
                 5000 run 3 c
                 """);
-        assertThat(processor.figures()).contains("tickets 0");
+        assertThat(processor.figures()).contains(" requests=0 ");
     }
 
     @Test
-    void aCallMayBeLeftOutWhereThatIsPaidForUntilTheExecutorWillNot() {
-        machine.set("domain.class_skip_worth=0.5,0.5,0.5,0");
+    void callsAreSkippedAsConfiguredUntilExecutorRefuses() {
+        server.set("domain.class_skip_worth=0.5,0.5,0.5,0");
         start();
-        long one = arrive("pure", null, "a");
-        callOut(one);
-        tell(() -> processor.callEnded(id(one), Completion.TIMED_OUT_DOWNSTREAM, null));
-        linked = false;
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
-        exit(one, Completion.WELL, "poorer");
-        linked = true;
-        long two = arrive("pure", null, "b");
-        callOut(two);
-        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
-        tell(() -> processor.notCarriedOut("BYPASS", id(two)));
-        pass(300);
-        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
-        pass(300); // for as long as a call given up may stay in the dependency's hands
-        long three = arrive("pure", null, "c");
-        callOut(three);
-        tell(() -> processor.callEnded(id(three), Completion.TIMED_OUT_DOWNSTREAM, null));
-        assertThat(printed())
+        long request = arrive("pure", null, "a");
+        requestCall(request);
+        handle(() -> processor.callEnded(id(request), Completion.TIMED_OUT_DOWNSTREAM, null));
+        connected = false;
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        completeRun(request, Completion.WELL, "poorer");
+        connected = true;
+        long secondRequest = arrive("pure", null, "b");
+        requestCall(secondRequest);
+        handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
+        handle(() -> processor.notCarriedOut("BYPASS", id(secondRequest)));
+        advanceMillis(300);
+        handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
+        advanceMillis(300); // as long as a cancelled call may still occupy the dependency
+        long thirdRequest = arrive("pure", null, "c");
+        requestCall(thirdRequest);
+        handle(() -> processor.callEnded(id(thirdRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 0 call for 1 q
-                0 no call for 1
+                0 skip call for 1
                 0 1 SERVED poorer
                 0 run 2 b
                 0 call for 2 q
-                0 no call for 2
-                0 log the executor did not carry out BYPASS 0000000000000002
+                0 skip call for 2
+                0 log executor refused command=BYPASS attempt=0000000000000002
                 200 call for 2 q
                 300 2 FAILED
                 600 run 3 c
@@ -1073,58 +1103,60 @@
     }
 
     /**
-     * Seen on prairie-scans and sicilia-est: "BAD - -" to each call to be left out; its run stood
-     * there for good.
+     * Guards against an executor that refuses each command to skip a call by "BAD - -": without the
+     * call its run would wait forever.
      */
     @Test
-    void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorRequest() {
-        machine.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
+    void callIsMadeAfterRefusalToSkipThatNamesNoCommand() {
+        server.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
         start();
-        long one = arrive("pure", null, "a");
-        callOut(one);
-        tell(() -> processor.callEnded(id(one), Completion.TIMED_OUT_DOWNSTREAM, null));
-        long two = arrive("side_effect", null, "b");
-        callOut(two);
-        tell(() -> processor.callEnded(id(two), Completion.TIMED_OUT_DOWNSTREAM, null));
-        tell(() -> processor.notCarriedOut("-", new AttemptId("-")));
-        tell(
+        long request = arrive("pure", null, "a");
+        requestCall(request);
+        handle(() -> processor.callEnded(id(request), Completion.TIMED_OUT_DOWNSTREAM, null));
+        long secondRequest = arrive("side_effect", null, "b");
+        requestCall(secondRequest);
+        handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
+        handle(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        handle(
                 () ->
                         processor.callEnded(
-                                id(one), Completion.WELL, "r".getBytes(StandardCharsets.UTF_8)));
-        tell(() -> processor.notCarriedOut("-", new AttemptId("-")));
-        exit(one, Completion.WELL, "whole");
-        assertThat(printed())
+                                id(request),
+                                Completion.WELL,
+                                "r".getBytes(StandardCharsets.UTF_8)));
+        handle(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        completeRun(request, Completion.WELL, "whole");
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 0 call for 1 q
-                0 no call for 1
+                0 skip call for 1
                 0 run 2 b
                 0 call for 2 q
-                0 no call for 2
-                0 log the executor did not carry out - -
+                0 skip call for 2
+                0 log executor refused command=- attempt=-
                 0 2 FAILED
                 0 call for 1 q
                 0 reply for 1 r
-                0 log the executor did not carry out - -
+                0 log executor refused command=- attempt=-
                 0 1 SERVED whole
                 """);
     }
 
     @Test
-    void ofMoreThan32OpenOnOneConnectionTheRestIsRejected() {
-        machine.set("domain.cpus=40");
+    void requestsBeyond32OpenOnOneConnectionAreRejected() {
+        server.set("domain.cpus=40");
         start();
         for (int open = 1; open <= 33; open++) {
             arrive("pure", null, "a");
         }
-        exit(7, Completion.WELL, "x");
+        completeRun(7, Completion.WELL, "x");
         arrive("pure", null, "a");
-        assertThat(printed())
+        assertThat(recorded())
                 .endsWith(
                         """
                 0 run 32 a
-                0 log bounced a ticket that came beyond what may be open
+                0 log request rejected reason=too_many_open_requests
                 0 33 REJECTED
                 0 7 SERVED x
                 0 run 34 a
@@ -1132,7 +1164,7 @@
     }
 
     @Test
-    void allIsAnsweredBeforeTheTimeoutReckonedFromWhenItCame() {
+    void timeoutCountsFromArrivalTime() {
         start();
         IncomingRequest late =
                 new IncomingRequest(
@@ -1146,10 +1178,10 @@
                         0.5,
                         null,
                         "late".getBytes(StandardCharsets.UTF_8));
-        tell(() -> processor.arrived(line, ++tag, late));
+        handle(() -> processor.arrived(currentConnection, ++tag, late));
         arrive("side_effect", null, "a");
-        pass(6000);
-        assertThat(printed())
+        advanceMillis(6000);
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 late
@@ -1160,14 +1192,14 @@
     }
 
     @Test
-    void afterAPauseOfTheProcessAllThatIsDueIsAnsweredAtOnce() {
+    void overdueRequestsFailAtOnceAfterProcessPause() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
         now = now.plus(NanoDuration.ofSeconds(20));
-        tell(() -> processor.advance(now));
-        pass(0);
-        assertThat(printed())
+        handle(() -> processor.advance(now));
+        advanceMillis(0);
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -1178,20 +1210,20 @@
     }
 
     @Test
-    void runsOfAnExecutorThatStartedAnewAreFailedAndTheirCoresAreFree() {
+    void executorRestartFailsItsRunsAndFreesTheirCores() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
         arrive("pure", null, "c");
-        tell(processor::executorStartedAnew);
+        handle(processor::executorStartedAnew);
         arrive("token", "k", "b");
         arrive("pure", null, "d");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 0 run 2 b
-                0 log the executor was started anew, its runs are lost
+                0 log executor restarted, its runs are lost
                 0 1 FAILED
                 0 2 FAILED
                 0 run 3 c
@@ -1201,16 +1233,16 @@
     }
 
     @Test
-    void idleAndHalfClosedConnectionsGoOnceNothingIsOpenOnThem() {
+    void idleAndHalfClosedConnectionsCloseOnceNoRequestIsOpen() {
         start();
-        long one = arrive("pure", null, "a");
-        tell(() -> processor.halfClosed(line));
-        pass(4000);
-        exit(one, Completion.WELL, "result");
+        long request = arrive("pure", null, "a");
+        handle(() -> processor.halfClosed(currentConnection));
+        advanceMillis(4000);
+        completeRun(request, Completion.WELL, "result");
         ConnectionId idle = processor.connected();
-        tell(() -> processor.checked(idle, 5, false));
-        pass(9000);
-        assertThat(printed())
+        handle(() -> processor.checked(idle, 5, false));
+        advanceMillis(9000);
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
@@ -1218,134 +1250,134 @@
                 4000 close 0 CLOSED_BY_PEER
                 4000 5 HEALTHY
                 4500 close 0 SLOW_READER
-                7000 no more
+                7000 ask to close
                 12000 close 1 CLOSED_HERE
                 12500 close 1 SLOW_READER
                 """);
     }
 
     @Test
-    void whoReadsItsLastAnswersSlowlyHasAsLongForItAsAnyoneWaits() {
+    void slowReaderMayReadLastResponsesForLongestTimeout() {
         start();
-        takesAnswers = false;
-        arrive("no such track", null, "");
-        line = processor.connected();
-        arrive("no such track", null, "");
-        pass(1000);
-        processor.written(line);
-        pass(60_000);
-        assertThat(printed())
+        readsResponses = false;
+        arrive("no such class", null, "");
+        currentConnection = processor.connected();
+        arrive("no such class", null, "");
+        advanceMillis(1000);
+        processor.written(currentConnection);
+        advanceMillis(60_000);
+        assertThat(recorded())
                 .isEqualTo(
                         """
-                0 log abandoned a ticket of no known track
+                0 log request failed reason=unknown_request_class
                 0 1 FAILED
-                0 log abandoned a ticket of no known track
+                0 log request failed reason=unknown_request_class
                 0 2 FAILED
                 0 close 1 UNSOUND
                 1500 close 1 SLOW_READER
-                3000 no more
+                3000 ask to close
                 8000 close 0 CLOSED_HERE
                 13000 close 0 SLOW_READER
                 """);
     }
 
     @Test
-    void leavingAsksForNoMoreRunsNothingNewAndAnswersAll() {
+    void drainingNodeRejectsNewRequestsAndAnswersOpenOnes() {
         start();
         arrive("pure", null, "a");
-        tell(() -> processor.leave(NanoDuration.ofSeconds(3)));
-        pass(700);
+        handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
+        advanceMillis(700);
         arrive("pure", null, "b");
         assertThat(processor.sinceLastRequest()).isEqualTo(NanoDuration.ZERO);
         assertThat(processor.isAnswered()).isFalse();
-        pass(2200);
+        advanceMillis(2200);
         assertThat(processor.isAnswered()).isTrue();
-        tell(() -> processor.checked(line, 9, true));
+        handle(() -> processor.checked(currentConnection, 9, true));
         processor.closeConnections();
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 700 2 REJECTED
                 2850 1 FAILED
                 2900 9 UNHEALTHY
-                2900 no more
+                2900 ask to close
                 """);
     }
 
     @Test
-    void theLastAnswersOfANodeThatLeavesWaitForNoResourceUsageAndGoOutBeforeWhatIsDueAfterThem() {
+    void lastResponsesWhileDrainingPrecedeLaterTimersAfterStall() {
         start();
         arrive("pure", null, "a");
-        resourceUsageCome = false;
-        tell(() -> processor.leave(NanoDuration.ofSeconds(1)));
-        deadlines.schedule(
-                now.plus(NanoDuration.ofSeconds(0.96)), () -> processor.closeConnections());
+        repliesWithResourceUsage = false;
+        handle(() -> processor.leave(NanoDuration.ofSeconds(1)));
+        timers.schedule(now.plus(NanoDuration.ofSeconds(0.96)), () -> processor.closeConnections());
         now = now.plus(NanoDuration.ofSeconds(1)); // a stall, past both
-        tell(
+        handle(
                 () -> {
                     processor.advance(now);
-                    deadlines.runDue(now);
+                    timers.runDue(now);
                 });
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
                 0 run 1 a
                 1000 1 FAILED
-                1000 no more
+                1000 ask to close
                 """);
     }
 
     @Test
-    void aNodeThatLeavesBeforeItsExecutorIsUpBeginsNothing() {
-        make(8192);
-        tell(() -> processor.leave(NanoDuration.ofSeconds(3)));
-        tell(() -> processor.welcomed(false, NanoDuration.ZERO));
+    void nodeDrainingBeforeExecutorConnectsStartsNoPolicy() {
+        createProcessor(8192);
+        handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
+        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
         arrive("pure", null, "a");
-        assertThat(printed())
+        assertThat(recorded())
                 .isEqualTo(
                         """
-                0 log bounced a ticket that came before the executor was up
+                0 log request rejected reason=executor_not_connected
                 0 1 REJECTED
                 """);
     }
 
     @Test
-    void lateNewsNeverHitsASlotThatIsUsedAgain() {
+    void staleIdNeverMatchesReusedSlot() {
         SlotTable<String> slots = new SlotTable<>(2);
         long first = slots.put("a");
         slots.put("b");
         assertThat(slots.isFull()).isTrue();
         slots.remove(first);
-        long again = slots.put("c");
-        assertThat(again & 1).as("the same slot").isEqualTo(first & 1);
+        long reused = slots.put("c");
+        assertThat(reused & 1).as("the same slot").isEqualTo(first & 1);
         assertThat(slots.get(first)).isNull();
         assertThat(slots.remove(first)).isNull();
-        assertThat(slots.get(again)).isEqualTo("c");
+        assertThat(slots.get(reused)).isEqualTo("c");
     }
 
     @Test
-    void deadlinesRingInOrderAndWhatTheyAddWaits() {
-        deadlines.schedule(new MonotonicTime(2), () -> say("second"));
-        deadlines.schedule(
+    void timersFireInOrderAndThoseTheyAddWait() {
+        timers.schedule(new MonotonicTime(2), () -> record("second"));
+        timers.schedule(
                 new MonotonicTime(1),
                 () -> {
-                    say("first");
-                    deadlines.schedule(new MonotonicTime(1), () -> say("added"));
+                    record("first");
+                    timers.schedule(new MonotonicTime(1), () -> record("added"));
                 });
-        TimerService.Timer off = deadlines.schedule(new MonotonicTime(1), () -> say("called off"));
-        deadlines.cancel(off);
-        deadlines.runDue(new MonotonicTime(3));
-        say("--");
-        deadlines.runDue(new MonotonicTime(3));
-        assertThat(printed()).isEqualTo("0 first\n0 second\n0 --\n0 added\n");
+        TimerService.Timer cancelled =
+                timers.schedule(new MonotonicTime(1), () -> record("cancelled"));
+        timers.cancel(cancelled);
+        timers.runDue(new MonotonicTime(3));
+        record("--");
+        timers.runDue(new MonotonicTime(3));
+        assertThat(recorded()).isEqualTo("0 first\n0 second\n0 --\n0 added\n");
     }
 
     @Test
-    void onlyWhatWasNeverSentOrObservedProvesThatNothingRan() {
+    void onlyUnsentOrUnstartedCompletionsProveNothingRan() {
         assertThat(
                         Arrays.stream(Completion.values())
-                                .filter(ending -> ending.outcome().provesNeverRan()))
+                                .filter(completion -> completion.outcome().provesNeverRan()))
                 .containsExactly(
                         Completion.NOT_CARRIED_OUT,
                         Completion.NOTHING_STARTED,
