--- a/src/test/java/lupinwood/processing/RandomSettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -413,7 +413,7 @@
     }
 
     @Test
-    void eachRequestGetsOneResponseInTimeWhicheverSettingsAreMissing() {
+    void eachRequestGetsOneAnswerInItsTimeAndNoneIsLostToWhatTheSettingsLeaveOut() {
         for (int seed = 1; seed <= 400; seed++) {
             new RandomSettingsTest().runSeed(seed);
         }
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -277,7 +277,7 @@
     }
 
     @Test
-    void requestRunsWithCallAndReturnsResultUnchanged() {
+    void aRequestRunsCallsAndGetsItsResultUnchanged() {
         start();
         long request = arrive("pure", null, "a");
         requestCall(request);
@@ -301,7 +301,7 @@
     }
 
     @Test
-    void abortBeforeDuringAndAfterResponseLeavesNoState() {
+    void anAbortBeforeDuringAndAfterTheAnswerLeavesNothingBehind() {
         start();
         long running = arrive("pure", null, "a");
         long called = arrive("pure", null, "b");
@@ -332,7 +332,7 @@
     }
 
     @Test
-    void repeatsWithinWindowShareTheOriginalRun() {
+    void repeatsOfAnIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
@@ -360,7 +360,7 @@
     }
 
     @Test
-    void repeatsFailWithOriginalAndKeyThatNeverRanIsForgotten() {
+    void repeatsFailWithAnOriginalThatFailedAndOneThatNeverRanIsForgotten() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
@@ -387,7 +387,7 @@
     }
 
     @Test
-    void idempotencyRecordKeepsOldWindowAndOutlivesLongerTimeout() {
+    void anIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesATimeoutThatGrew() {
         server.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
@@ -436,7 +436,7 @@
     }
 
     @Test
-    void reloadedTimeoutAppliesToNewRequestsAndNeverWhileDraining() {
+    void requestsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
         start();
         arrive("pure", null, "a");
         Map<String, String> next = new HashMap<>(server.settings);
@@ -453,7 +453,7 @@
     }
 
     @Test
-    void evictedResultsKeepTheirIdempotencyRecords() {
+    void resultsBeyondTheirBoundAreDroppedButTheirIdempotencyRecordsStay() {
         createProcessor(10);
         processor.welcomed(false, NanoDuration.ZERO);
         trace.setLength(0);
@@ -474,7 +474,7 @@
     }
 
     @Test
-    void attemptReadAfterItsWindowIsRememberedForLaterRepeats() {
+    void aTryReadAfterItsOwnWindowIsRememberedForTheTriesInItThatAreReadLater() {
         server.set("services.1.window_ns=800000000");
         start();
         MonotonicTime stamped = now;
@@ -510,7 +510,7 @@
     }
 
     @Test
-    void waitingRepeatsGetOriginalResultAfterItsWindowEnds() {
+    void repeatsThatWaitForATryAreServedByItAlsoWhenItsWindowEndedAndAnotherRuns() {
         server.set("services.1.window_ns=800000000");
         start();
         long first = arrive("token", "k", "a");
@@ -534,7 +534,7 @@
     }
 
     @Test
-    void evictionDropsOldestResultsAndSparesRunningRequests() {
+    void whatIsDroppedForRoomIsTheOldestResultAndNeverThatOfWhatRuns() {
         createProcessor(20);
         processor.welcomed(false, NanoDuration.ZERO);
         long running = arrive("token", "a", "body");
@@ -561,7 +561,7 @@
     }
 
     @Test
-    void newKeyIsRejectedAndRepeatsServedWhileStoreIsFull() {
+    void aMarkThatThereIsNoRoomToRememberIsRejectedAndRepeatsOfOthersAreServed() {
         start();
         for (int i = 0; i < 64; i++) {
             completeRun(arrive("token", "m" + i, ""), Completion.WELL, "r");
@@ -585,7 +585,7 @@
     }
 
     @Test
-    void newConnectionResendsOnlyRunsThatAreSafeToRepeat() {
+    void aReplacedLinkRunsAgainOnlyWhatCannotRunTwice() {
         start();
         arrive("pure", null, "a");
         long idempotent = arrive("token", "k", "b");
@@ -610,7 +610,7 @@
     }
 
     @Test
-    void commandInDoubtIsResentOnlyOnceResourceUsageProvesItUnread() {
+    void aCommandInDoubtIsGivenAgainOnlyOnceTheResourceUsageShowsThatItWasNotRead() {
         start();
         wantingCore = 1;
         long idempotent = arrive("token", "k", "a");
@@ -649,7 +649,7 @@
     }
 
     @Test
-    void untrustedConnectionClosesForOneInvalidOrManyUnservedRequests() {
+    void whoHasNoStandingIsClosedForOneUnsoundRequestAndForManyThatAreTurnedAway() {
         start();
         currentConnection = processor.connected();
         arrive("no such class", null, "a");
@@ -687,7 +687,7 @@
     }
 
     @Test
-    void keyOfRefusedRunCanBeUsedAgain() {
+    void aMarkWhoseRequestTheExecutorWouldNotRunIsFreeAgain() {
         start();
         long refused = arrive("token", "k", "a");
         handle(() -> processor.notCarriedOut("EXEC", id(refused)));
@@ -703,7 +703,7 @@
     }
 
     @Test
-    void silentAndLongestIdleConnectionsAreEvictedAndSilentOnesClosed() {
+    void theSilentAndThoseIdleForLongestMakeRoomAndTheSilentSoonGo() {
         start();
         ConnectionId checked = processor.connected();
         advanceMillis(100);
@@ -746,7 +746,7 @@
      * not evicted before idle ones.
      */
     @Test
-    void onlyIdleConnectionsAreAskedToCloseNearCapacity() {
+    void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
         createProcessor(16, 8192);
         processor.welcomed(false, NanoDuration.ZERO);
         gainTrust();
@@ -791,7 +791,7 @@
     }
 
     @Test
-    void onlyTrustedConnectionMayFinishMessageUntilLongestTimeout() {
+    void anUpstreamMayBeSlowToWriteForTheLongestTimeoutAndOthersMayNot() {
         start();
         processor.closeIdleConnections(NanoDuration.ofSeconds(100));
         ConnectionId other = processor.connected();
@@ -819,7 +819,7 @@
     }
 
     @Test
-    void failedCallsAreRetriedOnlyIfProvedNotToHaveRun() {
+    void callsThatEndBadlyAreRepeatedOnlyAfterProofThatNoneRan() {
         start();
         long refused = arrive("side_effect", null, "a");
         requestCall(refused);
@@ -847,7 +847,7 @@
     }
 
     @Test
-    void requestFailsIfExecutorRefusesItsRun() {
+    void whatTheExecutorWillNotCarryOutIsFailed() {
         start();
         long request = arrive("pure", null, "a");
         handle(() -> processor.notCarriedOut("EXEC", id(request)));
@@ -863,7 +863,7 @@
     }
 
     @Test
-    void invalidRequestsAreAnsweredAtOnceButReusedTagsAreNot() {
+    void requestsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
         createProcessor(8192);
         arrive("pure", null, "early");
         processor.welcomed(false, NanoDuration.ZERO);
@@ -933,7 +933,7 @@
     }
 
     @Test
-    void requestsNeedNoTenantIfSettingsNameNone() {
+    void whereTheSettingsNameNoTenantsRequestsNeedNone() {
         server.set("customers.count=0");
         createProcessor(8192);
         processor.welcomed(false, NanoDuration.ZERO);
@@ -950,7 +950,7 @@
     }
 
     @Test
-    void clientTimeoutBoundsResponseAndHintsReachPolicy() {
+    void theCallersOwnTimeBoundsTheAnswerAndAHintOrAMarkReachesTheDecisions() {
         start();
         List<Request> reported = new ArrayList<>();
         processor =
@@ -1011,7 +1011,7 @@
     }
 
     @Test
-    void invalidDurationFailsItsRequestAndManyCloseTheConnection() {
+    void aTimeThatIsNoneCostsItsRequestAloneAndManyOfThemTheConnection() {
         start();
         long other = arrive("pure", null, "a");
         currentConnection = processor.connected();
@@ -1035,7 +1035,7 @@
     }
 
     @Test
-    void runsAreStoppedAsConfiguredUntilExecutorRefuses() {
+    void aRunIsStoppedWhereTheSettingsSaySoUntilTheExecutorWillNot() {
         server.set("domain.stop_mode=freeze");
         start();
         long aborted = arrive("pure", null, "a");
@@ -1063,7 +1063,7 @@
     }
 
     @Test
-    void callsAreSkippedAsConfiguredUntilExecutorRefuses() {
+    void aCallMayBeLeftOutWhereThatIsPaidForUntilTheExecutorWillNot() {
         server.set("domain.class_skip_worth=0.5,0.5,0.5,0");
         start();
         long request = arrive("pure", null, "a");
@@ -1107,7 +1107,7 @@
      * call its run would wait forever.
      */
     @Test
-    void callIsMadeAfterRefusalToSkipThatNamesNoCommand() {
+    void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorRequest() {
         server.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
         start();
         long request = arrive("pure", null, "a");
@@ -1144,7 +1144,7 @@
     }
 
     @Test
-    void requestsBeyond32OpenOnOneConnectionAreRejected() {
+    void ofMoreThan32OpenOnOneConnectionTheRestIsRejected() {
         server.set("domain.cpus=40");
         start();
         for (int open = 1; open <= 33; open++) {
@@ -1164,7 +1164,7 @@
     }
 
     @Test
-    void timeoutCountsFromArrivalTime() {
+    void allIsAnsweredBeforeTheTimeoutReckonedFromWhenItCame() {
         start();
         IncomingRequest late =
                 new IncomingRequest(
@@ -1192,7 +1192,7 @@
     }
 
     @Test
-    void overdueRequestsFailAtOnceAfterProcessPause() {
+    void afterAPauseOfTheProcessAllThatIsDueIsAnsweredAtOnce() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
@@ -1210,7 +1210,7 @@
     }
 
     @Test
-    void executorRestartFailsItsRunsAndFreesTheirCores() {
+    void runsOfAnExecutorThatStartedAnewAreFailedAndTheirCoresAreFree() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
@@ -1233,7 +1233,7 @@
     }
 
     @Test
-    void idleAndHalfClosedConnectionsCloseOnceNoRequestIsOpen() {
+    void idleAndHalfClosedConnectionsGoOnceNothingIsOpenOnThem() {
         start();
         long request = arrive("pure", null, "a");
         handle(() -> processor.halfClosed(currentConnection));
@@ -1257,7 +1257,7 @@
     }
 
     @Test
-    void slowReaderMayReadLastResponsesForLongestTimeout() {
+    void whoReadsItsLastAnswersSlowlyHasAsLongForItAsAnyoneWaits() {
         start();
         readsResponses = false;
         arrive("no such class", null, "");
@@ -1282,7 +1282,7 @@
     }
 
     @Test
-    void drainingNodeRejectsNewRequestsAndAnswersOpenOnes() {
+    void leavingAsksForNoMoreRunsNothingNewAndAnswersAll() {
         start();
         arrive("pure", null, "a");
         handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
@@ -1306,7 +1306,7 @@
     }
 
     @Test
-    void lastResponsesWhileDrainingPrecedeLaterTimersAfterStall() {
+    void theLastAnswersOfANodeThatLeavesWaitForNoResourceUsageAndGoOutBeforeWhatIsDueAfterThem() {
         start();
         arrive("pure", null, "a");
         repliesWithResourceUsage = false;
@@ -1328,7 +1328,7 @@
     }
 
     @Test
-    void nodeDrainingBeforeExecutorConnectsStartsNoPolicy() {
+    void aNodeThatLeavesBeforeItsExecutorIsUpBeginsNothing() {
         createProcessor(8192);
         handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
         handle(() -> processor.welcomed(false, NanoDuration.ZERO));
@@ -1342,7 +1342,7 @@
     }
 
     @Test
-    void staleIdNeverMatchesReusedSlot() {
+    void lateNewsNeverHitsASlotThatIsUsedAgain() {
         SlotTable<String> slots = new SlotTable<>(2);
         long first = slots.put("a");
         slots.put("b");
@@ -1356,7 +1356,7 @@
     }
 
     @Test
-    void timersFireInOrderAndThoseTheyAddWait() {
+    void deadlinesRingInOrderAndWhatTheyAddWaits() {
         timers.schedule(new MonotonicTime(2), () -> record("second"));
         timers.schedule(
                 new MonotonicTime(1),
@@ -1374,7 +1374,7 @@
     }
 
     @Test
-    void onlyUnsentOrUnstartedCompletionsProveNothingRan() {
+    void onlyWhatWasNeverSentOrObservedProvesThatNothingRan() {
         assertThat(
                         Arrays.stream(Completion.values())
                                 .filter(completion -> completion.outcome().provesNeverRan()))
