--- a/src/main/java/lupinwood/consensus/ClusterBootstrap.java
+++ b/src/main/java/lupinwood/consensus/ClusterBootstrap.java
@@ -15,71 +15,79 @@
 import lupinwood.cluster.NodeName;
 
 /**
- * How a voter becomes one. With an empty folder it can't know whether it never voted or has lost
- * what it promised. So a consensus group is founded only while all voters named are there: each
- * writes down that it founds once all others are empty or founding too, and takes part once all
- * have. Whoever then hears of a term from another, and has nothing itself, has lost its folder: it
- * never votes as who it was, and asks to be let in under a new id.
+ * Decides how a voter starts. A voter with an empty storage directory can't tell whether it never
+ * voted or has lost its votes. A consensus group is therefore founded only while all configured
+ * voters are reachable: each persists that it is a founder once all others are empty or founders
+ * too, and starts its replica once all of them are founders. A voter with empty storage that then
+ * learns of another voter with a term has lost its storage: it never votes under its old id again,
+ * and requests admission under a new one.
  */
 final class ClusterBootstrap {
-    /** What another voter is: nothing kept, founding, or with a term behind it. */
+    /**
+     * A voter's storage: empty, that of a founder that hasn't voted yet, or that of a voter that
+     * may have voted.
+     */
     enum State {
         EMPTY,
         FOUNDS,
         VOTES
     }
 
-    /** What this voter is to do. */
+    /** What this voter does next. */
     enum Step {
         WAIT,
         FOUND,
-        TAKE_PART,
-        COME_ANEW
+        START_REPLICA,
+        REJOIN
     }
 
-    private record Statement(State state, MonotonicTime at) {}
+    private record Report(State state, MonotonicTime at) {}
 
     private final List<NodeName> others = new ArrayList<>();
-    private final Map<NodeName, Statement> words = new HashMap<>();
-    private final NanoDuration fresh;
+    private final Map<NodeName, Report> reports = new HashMap<>();
+    private final NanoDuration maxReportAge;
     private State state;
 
-    ClusterBootstrap(NodeName self, List<NodeName> voters, State state, NanoDuration fresh) {
+    ClusterBootstrap(NodeName self, List<NodeName> voters, State state, NanoDuration maxReportAge) {
         voters.stream().filter(name -> !name.equals(self)).forEach(others::add);
         this.state = state;
-        this.fresh = fresh;
+        this.maxReportAge = maxReportAge;
     }
 
-    void heard(NodeName from, State reported, MonotonicTime now) {
+    void onReport(NodeName from, State reported, MonotonicTime now) {
         if (others.contains(from)) {
-            words.put(from, new Statement(reported, now));
+            reports.put(from, new Report(reported, now));
         }
     }
 
-    /** What is to be done now; FOUND is to be followed by {@link #founded} once it is durable. */
+    /**
+     * The next step. After FOUND, the caller persists the founders and then calls {@link
+     * #onFounded}.
+     */
     Step step(MonotonicTime now) {
-        if (words.values().stream().anyMatch(word -> word.state() == State.VOTES)) {
-            return state == State.EMPTY ? Step.COME_ANEW : Step.TAKE_PART;
+        if (reports.values().stream().anyMatch(report -> report.state() == State.VOTES)) {
+            return state == State.EMPTY ? Step.REJOIN : Step.START_REPLICA;
         }
-        boolean all =
+        boolean allFresh =
                 others.stream()
                         .allMatch(
                                 name ->
-                                        words.containsKey(name)
-                                                && now.since(words.get(name).at()).compareTo(fresh)
+                                        reports.containsKey(name)
+                                                && now.since(reports.get(name).at())
+                                                                .compareTo(maxReportAge)
                                                         <= 0);
-        if (!all) {
+        if (!allFresh) {
             return Step.WAIT;
         }
         if (state == State.EMPTY) {
             return Step.FOUND;
         }
-        return words.values().stream().allMatch(word -> word.state() == State.FOUNDS)
-                ? Step.TAKE_PART
+        return reports.values().stream().allMatch(report -> report.state() == State.FOUNDS)
+                ? Step.START_REPLICA
                 : Step.WAIT;
     }
 
-    void founded() {
+    void onFounded() {
         state = State.FOUNDS;
     }
 
@@ -87,16 +95,16 @@
         return state;
     }
 
-    /** What a folder says of its voter. */
-    static State of(RestoredRaftState restored) {
+    /** The state of the voter whose storage was restored. */
+    static State stateOf(RestoredRaftState restored) {
         if (restored == null) {
             return State.EMPTY;
         }
-        boolean never =
+        boolean hasNeverVoted =
                 restored.getTermPersistentState().getTerm() == 0
                         && restored.getLogEntries().isEmpty()
                         && restored.getSnapshotEntry() == null;
-        return never
+        return hasNeverVoted
                         && Voter.of(restored.getLocalEndpointPersistentState().getLocalEndpoint())
                                         .id()
                                         .indexOf('~')
@@ -105,11 +113,11 @@
                 : State.VOTES;
     }
 
-    /** Writes down that this voter is one of the founders. */
-    static void write(RaftStorage storage, NodeName self, List<NodeName> voters)
+    /** Persists that this voter is a founder. */
+    static void persistFounders(RaftStorage storage, NodeName self, List<NodeName> voters)
             throws IOException {
-        Set<RaftEndpoint> all = new LinkedHashSet<>();
-        voters.forEach(name -> all.add(new Voter(name.text())));
+        Set<RaftEndpoint> founders = new LinkedHashSet<>();
+        voters.forEach(name -> founders.add(new Voter(name.text())));
         storage.persistAndFlushLocalEndpoint(
                 RaftCodec.MODEL
                         .createRaftEndpointPersistentStateBuilder()
@@ -120,32 +128,32 @@
                 RaftCodec.MODEL
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
-                        .setMembers(all)
-                        .setVotingMembers(all)
+                        .setMembers(founders)
+                        .setVotingMembers(founders)
                         .build());
     }
 
     /**
-     * What another voter told by {@link #tell}.
+     * The state in a message made by {@link #report}.
      *
-     * @throws IllegalArgumentException where it is of a newer version
+     * @throws IllegalArgumentException if a newer version sent a state that this one doesn't know
      */
-    static State reported(JsonObject text) {
-        return ClusterJson.constantOf(State.class, text.get("state").getAsString());
+    static State reportedState(JsonObject message) {
+        return ClusterJson.constantOf(State.class, message.get("state").getAsString());
     }
 
-    static JsonObject ask(NodeName self) {
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "who");
-        text.addProperty("from", self.text());
-        return text;
+    static JsonObject query(NodeName self) {
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "who");
+        message.addProperty("from", self.text());
+        return message;
     }
 
-    static JsonObject tell(NodeName self, State state) {
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "am");
-        text.addProperty("from", self.text());
-        text.addProperty("state", ClusterJson.nameOf(state));
-        return text;
+    static JsonObject report(NodeName self, State state) {
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "am");
+        message.addProperty("from", self.text());
+        message.addProperty("state", ClusterJson.nameOf(state));
+        return message;
     }
 }
--- a/src/main/java/lupinwood/consensus/ClusterJson.java
+++ b/src/main/java/lupinwood/consensus/ClusterJson.java
@@ -32,79 +32,84 @@
 import lupinwood.cluster.Site;
 
 /**
- * The JSON that voters keep, and that nodes, voters and operators send each other. Each name in it
- * stands here as a literal, so that a type, a component or a constant may be called otherwise in
- * Java without a byte of what is stored or sent becoming another. These names never change: a
- * folder of an earlier version has to be read, and nodes of two versions have to understand each
- * other. A new component comes with a new name at the end of its record's table.
+ * The JSON that voters store, and that nodes, voters and operators send each other. Each outer name
+ * is a literal in this class, so that renaming a type, a component or a constant in Java changes no
+ * stored or sent byte. The outer names never change: the storage directory of an earlier version
+ * has to stay readable, and nodes of two versions have to understand each other. A new component
+ * gets a new name at the end of its record's table.
  *
- * <p>For any thread.
+ * <p>Thread-safe.
  */
 public final class ClusterJson {
-    private static final Map<Class<? extends ClusterCommand>, String> KINDS = new HashMap<>();
-    private static final Map<String, Class<? extends ClusterCommand>> COMMANDS = new HashMap<>();
-    private static final WireNames NAMES = names();
+    private static final Map<Class<? extends ClusterCommand>, String> NAMES_BY_COMMAND =
+            new HashMap<>();
+    private static final Map<String, Class<? extends ClusterCommand>> COMMANDS_BY_NAME =
+            new HashMap<>();
+    private static final WireNames WIRE_NAMES = wireNames();
     private static final Gson GSON =
             new GsonBuilder()
-                    .registerTypeAdapterFactory(NAMES)
+                    .registerTypeAdapterFactory(WIRE_NAMES)
                     .addReflectionAccessFilter(
                             type -> ReflectionAccessFilter.FilterResult.BLOCK_ALL)
                     .create();
 
     private ClusterJson() {}
 
-    /** Writes and reads all that has names here, and refuses other records, enums and classes. */
+    /**
+     * Converts the types that have outer names here, and rejects all other records, enums and
+     * classes.
+     */
     public static Gson gson() {
         return GSON;
     }
 
-    /** A value as a part of a message; JSON's null for null. */
-    static JsonElement tree(Object value) {
+    /** Encodes a value as a part of a message; null becomes JSON's null. */
+    static JsonElement toTree(Object value) {
         return GSON.toJsonTree(value);
     }
 
     /**
-     * A value out of a message or a folder; null for JSON's null.
+     * Decodes a value of a message or of the storage; JSON's null becomes null.
      *
-     * @throws com.google.gson.JsonParseException where it can't be one of that type
+     * @throws com.google.gson.JsonParseException if the JSON is no value of that type
      */
-    public static <T> T read(JsonElement text, Class<T> type) {
-        return GSON.fromJson(text, type);
+    public static <T> T read(JsonElement json, Class<T> type) {
+        return GSON.fromJson(json, type);
     }
 
-    /** The name of a command's kind, as the log has it. */
-    static String kindOf(ClusterCommand command) {
-        String kind = KINDS.get(command.getClass());
-        if (kind == null) {
-            throw new IllegalArgumentException(command.getClass() + " has no name in the log");
+    /** The outer name of a command's type. */
+    static String commandNameOf(ClusterCommand command) {
+        String name = NAMES_BY_COMMAND.get(command.getClass());
+        if (name == null) {
+            throw new IllegalArgumentException(command.getClass() + " has no outer name");
         }
-        return kind;
+        return name;
     }
 
-    /** The kind of command of that name; null for one of a newer version. */
-    static Class<? extends ClusterCommand> commandOf(String kind) {
-        return COMMANDS.get(kind);
+    /** The command type of that outer name; null for a command that only a newer version knows. */
+    static Class<? extends ClusterCommand> commandTypeOf(String name) {
+        return COMMANDS_BY_NAME.get(name);
     }
 
-    /** The name by which a constant is sent. */
+    /** The outer name of a constant. */
     static <E extends Enum<E>> String nameOf(E constant) {
-        return NAMES.nameOf(constant);
+        return WIRE_NAMES.nameOf(constant);
     }
 
     /**
-     * The constant that is sent by that name.
+     * The constant of that outer name.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there is none
      */
     static <E extends Enum<E>> E constantOf(Class<E> type, String name) {
-        E constant = NAMES.constantOf(type, name);
+        E constant = WIRE_NAMES.constantOf(type, name);
         if (constant == null) {
-            throw new IllegalArgumentException("no constant is sent as " + name);
+            throw new IllegalArgumentException("no constant has the outer name " + name);
         }
         return constant;
     }
 
-    private static WireNames names() {
+    private static WireNames wireNames() {
         WireNames names = new WireNames();
         addValues(names);
         addHeartbeats(names);
@@ -112,18 +117,18 @@
         addOrders(names);
         addMemberAndLeaseCommands(names);
         addOrderCommands(names);
-        addReleaseAndPlanCommands(names);
+        addRolloutAndPlanCommands(names);
         addConstants(names);
         return names;
     }
 
-    private static void command(
+    private static void addCommand(
             WireNames names,
             Class<? extends ClusterCommand> type,
-            String kind,
+            String name,
             String... components) {
-        KINDS.put(type, kind);
-        COMMANDS.put(kind, type);
+        NAMES_BY_COMMAND.put(type, name);
+        COMMANDS_BY_NAME.put(name, type);
         names.components(type.asSubclass(Record.class), components);
     }
 
@@ -267,17 +272,17 @@
     }
 
     private static void addMemberAndLeaseCommands(WireNames names) {
-        command(names, ClusterCommand.Bootstrap.class, "Found", "above");
-        command(names, ClusterCommand.Join.class, "Join", "name", "life", "site");
-        command(names, ClusterCommand.Leave.class, "Leave", "name", "life");
-        command(names, ClusterCommand.RemoveNode.class, "Forget", "name");
-        command(names, ClusterCommand.GrantLease.class, "Give", "duty", "heir", "life", "after");
-        command(names, ClusterCommand.ReleaseLease.class, "Free", "duty", "token", "why");
-        command(names, ClusterCommand.RecordStatus.class, "Keep", "token", "digest");
+        addCommand(names, ClusterCommand.Bootstrap.class, "Found", "above");
+        addCommand(names, ClusterCommand.Join.class, "Join", "name", "life", "site");
+        addCommand(names, ClusterCommand.Leave.class, "Leave", "name", "life");
+        addCommand(names, ClusterCommand.RemoveNode.class, "Forget", "name");
+        addCommand(names, ClusterCommand.GrantLease.class, "Give", "duty", "heir", "life", "after");
+        addCommand(names, ClusterCommand.ReleaseLease.class, "Free", "duty", "token", "why");
+        addCommand(names, ClusterCommand.RecordStatus.class, "Keep", "token", "digest");
     }
 
     private static void addOrderCommands(WireNames names) {
-        command(
+        addCommand(
                 names,
                 ClusterCommand.GrantPermit.class,
                 "Allow",
@@ -287,9 +292,10 @@
                 "atMillis",
                 "rules",
                 "seenOut");
-        command(names, ClusterCommand.ReturnPermit.class, "Back", "permit", "why", "atMillis");
-        command(names, ClusterCommand.SetHalt.class, "Halt", "order", "halted", "by", "atMillis");
-        command(
+        addCommand(names, ClusterCommand.ReturnPermit.class, "Back", "permit", "why", "atMillis");
+        addCommand(
+                names, ClusterCommand.SetHalt.class, "Halt", "order", "halted", "by", "atMillis");
+        addCommand(
                 names,
                 ClusterCommand.CordonServer.class,
                 "LetRest",
@@ -298,7 +304,7 @@
                 "by",
                 "most",
                 "atMillis");
-        command(
+        addCommand(
                 names,
                 ClusterCommand.UncordonServer.class,
                 "EndRest",
@@ -308,8 +314,8 @@
                 "atMillis");
     }
 
-    private static void addReleaseAndPlanCommands(WireNames names) {
-        command(
+    private static void addRolloutAndPlanCommands(WireNames names) {
+        addCommand(
                 names,
                 ClusterCommand.BeginRollout.class,
                 "Begin",
@@ -320,7 +326,7 @@
                 "text",
                 "backsOnHalt",
                 "atMillis");
-        command(
+        addCommand(
                 names,
                 ClusterCommand.AdvanceRollout.class,
                 "Step",
@@ -332,8 +338,9 @@
                 "why",
                 "past",
                 "atMillis");
-        command(names, ClusterCommand.RollBack.class, "Turn", "order", "release", "by", "atMillis");
-        command(
+        addCommand(
+                names, ClusterCommand.RollBack.class, "Turn", "order", "release", "by", "atMillis");
+        addCommand(
                 names,
                 ClusterCommand.FinishRollout.class,
                 "Finish",
@@ -342,7 +349,7 @@
                 "done",
                 "why",
                 "atMillis");
-        command(
+        addCommand(
                 names,
                 ClusterCommand.SetCapacityPlan.class,
                 "SetPlan",
@@ -353,7 +360,7 @@
                 "slots",
                 "why",
                 "atMillis");
-        command(names, ClusterCommand.RetireCapacityPlans.class, "Retire", "below");
+        addCommand(names, ClusterCommand.RetireCapacityPlans.class, "Retire", "below");
     }
 
     private static void addConstants(WireNames names) {
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -41,9 +41,9 @@
 import lupinwood.rollout.RolloutSnapshot;
 
 /**
- * One node's part in its fleet: its talk with the consensus group, the duties it holds, and where
- * it is a voter, its part in the consensus group itself. All on a thread of its own; the event loop
- * thread only reads {@link #view}. Whatever happens here, the node serves on.
+ * One node's membership in its cluster: heartbeats to the consensus group, the duties that the node
+ * holds and, on a voter, the replica of the consensus group. Runs on its own thread; the event loop
+ * thread only reads {@link #view}. No failure here stops the node from serving requests.
  */
 public final class ClusterNode {
     public static final List<DutyName> DUTIES =
@@ -52,28 +52,30 @@
                     DutyName.HEALTH_CHECK,
                     DutyName.ROLLOUT_CONTROLLER,
                     DutyName.PLANNER);
-    private static final String PROGRAM = FaultInjection.program();
-    private static final NanoDuration LOOK = NanoDuration.ofSeconds(0.02);
-    private static final double KEEP_EVERY = 5; // leases
-    private static final NanoDuration BOOTSTRAP_EVERY = NanoDuration.ofSeconds(0.3);
+    private static final String PROGRAM_VERSION = FaultInjection.program();
+    private static final NanoDuration MIN_HEARTBEAT_DELAY = NanoDuration.ofSeconds(0.02);
+    private static final double RECORD_INTERVAL_LEASES = 5;
+    private static final NanoDuration BOOTSTRAP_INTERVAL = NanoDuration.ofSeconds(0.3);
 
     /**
-     * What this node says of itself.
+     * What the rest of this node provides to its cluster membership.
      *
-     * @param drained servers that rest, and have nothing of this node
-     * @param uses what it does at places below
-     * @param requestCounts what it answered so far
-     * @param configApplier checks and takes the fleet's text
-     * @param leave has the node leave as by the notice; returns at once
+     * @param excludedServers servers to which this node sends no requests
+     * @param drainedServers cordoned servers that have no request of this node left
+     * @param locationUses what this node runs at each location
+     * @param requestCounts the requests that this node answered so far
+     * @param configApplier checks and applies the shared configuration
+     * @param startLeaving begins to drain the node as an operator's request to leave does; returns
+     *     immediately
      */
     public record Self(
             Supplier<NodeCondition> condition,
-            Supplier<List<String>> leftOut,
-            Supplier<List<String>> drained,
-            Supplier<List<NodeReport.LocationUse>> uses,
+            Supplier<List<String>> excludedServers,
+            Supplier<List<String>> drainedServers,
+            Supplier<List<NodeReport.LocationUse>> locationUses,
             Supplier<RequestCounts> requestCounts,
             Supplier<ConfigApplier> configApplier,
-            Runnable leave) {}
+            Runnable startLeaving) {}
 
     private final ClusterSettings settings;
     private final Self self;
@@ -83,40 +85,42 @@
     private final Random random = new Random();
     private final Incarnation incarnation = new Incarnation(random.nextLong());
     private final ClusterSession session;
-    private final Set<Lease> known = new HashSet<>();
+    private final Set<Lease> publishedLeases = new HashSet<>();
 
-    /** The reply whose findings are in the view. */
+    /** The reply whose health check results are in the view. */
     private HeartbeatReply publishedReply;
 
-    private List<ClusterView.ServerHealth> found = List.of();
+    private List<ClusterView.ServerHealth> serverHealth = List.of();
 
-    /** Where each voter is reached; it may move. */
-    private Map<NodeName, InetSocketAddress> voters;
+    /** The address of each voter; a reload may change it. */
+    private Map<NodeName, InetSocketAddress> voterAddresses;
 
     private volatile ClusterView view = ClusterView.NONE;
     private volatile boolean leaving;
     private RaftStorage storage;
 
-    /** Null before this voter takes part, and in a node that is none. */
+    /**
+     * Null on a node that isn't a voter, and before this voter takes part in the consensus group.
+     */
     private RaftReplica replica;
 
     private ClusterBootstrap bootstrap;
     private StatusReporter statusReporter;
-    private SharedConfigFollower texts;
+    private SharedConfigFollower configFollower;
     private RolloutController rolloutController;
     private boolean rolloutOpen;
     private CapacityPlanner planner;
-    private FencingToken plansUnder;
+    private FencingToken plannerToken;
     private List<String> cordonsAtStart = List.of();
-    private boolean over;
+    private boolean stopped;
 
     public ClusterNode(ClusterSettings settings, Self self, Log log) {
         this.settings = settings;
-        voters = settings.voters();
+        voterAddresses = settings.voters();
         this.self = self;
         this.log = log;
         loop = new ThreadTaskLoop(log);
-        transport = new RaftTransport(this::heard, log);
+        transport = new RaftTransport(this::onMessage, log);
         session =
                 new ClusterSession(
                         settings.timing(),
@@ -129,16 +133,16 @@
     }
 
     /**
-     * Whatever the fleet can't do here is told by the log: a node that serves alone is better than
-     * none.
+     * Starts the membership. A failure to start as a voter is only logged, since a node that serves
+     * without its cluster is better than none.
      */
     public void start() {
         if (settings.votes()) {
             try {
-                vote();
+                startVoter();
             } catch (IOException e) {
                 log.line(
-                        "fleet: this node can't be a voter until it is started anew: "
+                        "fleet: voter start failed, no votes until restart error="
                                 + e.getMessage());
                 bootstrap = null;
             }
@@ -146,100 +150,96 @@
         statusReporter =
                 settings.report() == null ? null : new StatusReporter(settings.report(), log);
         cordonsAtStart = self.configApplier().get().cordonsAtStart();
-        publish();
-        texts =
+        publishView();
+        configFollower =
                 new SharedConfigFollower(
-                        self.configApplier().get(), loop::execute, this::fetch, log);
+                        self.configApplier().get(), loop::execute, this::requestConfig, log);
         rolloutController = new RolloutController(settings.name(), settings.limits());
-        loop.execute(this::talk);
-        loop.execute(this::look);
+        loop.execute(this::sendDueHeartbeat);
+        loop.execute(this::performDuties);
         log.line(
-                "fleet: "
+                "fleet: membership started name="
                         + settings.name()
-                        + " in "
+                        + " site="
                         + settings.site()
-                        + ", life "
+                        + " incarnation="
                         + incarnation
-                        + ", voters "
+                        + " voters="
                         + settings.names());
     }
 
-    private void vote() throws IOException {
+    private void startVoter() throws IOException {
         transport.listen(settings.listen());
         storage =
                 RaftStorage.open(
-                        settings.directory(), text -> loop.execute(() -> storageFailed(text)));
+                        settings.directory(), error -> loop.execute(() -> onStorageFailure(error)));
         RestoredRaftState restored = storage.restore();
-        ClusterBootstrap.State state = ClusterBootstrap.of(restored);
+        ClusterBootstrap.State state = ClusterBootstrap.stateOf(restored);
         bootstrap =
                 new ClusterBootstrap(
-                        settings.name(), settings.names(), state, BOOTSTRAP_EVERY.times(4));
+                        settings.name(), settings.names(), state, BOOTSTRAP_INTERVAL.times(4));
         log.line(
-                "fleet: a voter, "
+                "fleet: voter started "
                         + switch (state) {
-                            case EMPTY ->
-                                    "with nothing kept: founds the council, or comes anew to one that is";
-                            case FOUNDS -> "founding the council";
-                            case VOTES -> "with what it kept";
+                            case EMPTY -> "storage=EMPTY next=bootstrap-or-rejoin";
+                            case FOUNDS -> "storage=FOUNDS next=bootstrap";
+                            case VOTES -> "storage=VOTES next=resume";
                         });
         loop.execute(
                 state == ClusterBootstrap.State.VOTES
-                        ? () -> takePart(restored, null)
-                        : this::found);
+                        ? () -> startReplica(restored, null)
+                        : this::bootstrapStep);
     }
 
     // ---- becoming a voter ----
 
-    private void found() {
-        if (over || replica != null) {
+    private void bootstrapStep() {
+        if (stopped || replica != null) {
             return;
         }
         try {
             switch (bootstrap.step(loop.now())) {
                 case FOUND -> {
-                    ClusterBootstrap.write(storage, settings.name(), settings.names());
-                    bootstrap.founded();
-                    log.line("fleet: founds the council with " + settings.names());
+                    ClusterBootstrap.persistFounders(storage, settings.name(), settings.names());
+                    bootstrap.onFounded();
+                    log.line("fleet: bootstrapping consensus group voters=" + settings.names());
                 }
-                case TAKE_PART -> {
-                    takePart(storage.restore(), null);
+                case START_REPLICA -> {
+                    startReplica(storage.restore(), null);
                     return;
                 }
-                case COME_ANEW -> {
+                case REJOIN -> {
                     String id =
                             settings.name().text() + "~" + Integer.toHexString(random.nextInt());
-                    log.line(
-                            "fleet: the council has this voter's votes, its folder hasn't: comes anew as "
-                                    + id);
-                    takePart(null, id);
+                    log.line("fleet: voter storage lost, rejoining under a new id id=" + id);
+                    startReplica(null, id);
                     return;
                 }
                 default -> {}
             }
         } catch (IOException e) {
-            storageFailed(e.getMessage());
+            onStorageFailure(e.getMessage());
             return;
         }
-        askOthers(ClusterBootstrap.ask(settings.name()));
-        loop.after(BOOTSTRAP_EVERY, this::found);
+        sendToOtherVoters(ClusterBootstrap.query(settings.name()));
+        loop.after(BOOTSTRAP_INTERVAL, this::bootstrapStep);
     }
 
-    private void askOthers(JsonObject text) {
-        voters.forEach(
+    private void sendToOtherVoters(JsonObject message) {
+        voterAddresses.forEach(
                 (name, address) -> {
                     if (!name.equals(settings.name())) {
-                        transport.say(address, text);
+                        transport.send(address, message);
                     }
                 });
     }
 
-    private void takePart(RestoredRaftState restored, String newId) {
+    private void startReplica(RestoredRaftState restored, String newId) {
         String id = newId != null ? newId : settings.name().text();
         List<String> founders = settings.names().stream().map(NodeName::text).toList();
-        // The seconds of the wall clock matter once in a consensus group's life: tokens of a lost
-        // one stay
-        // lower.
-        long above = WallClock.now().getEpochSecond() * 1000;
+        // The wall clock matters only at the consensus group's first start: fencing tokens of a
+        // lost earlier group stay lower.
+        long tokensAbove = WallClock.now().getEpochSecond() * 1000;
         replica =
                 new RaftReplica(
                         settings.name(),
@@ -247,34 +247,32 @@
                         founders,
                         settings.timing(),
                         DUTIES,
-                        above,
+                        tokensAbove,
                         new RaftReplica.ReplicaContext(
                                 loop,
-                                this::post,
+                                this::sendRaftMessage,
                                 storage,
                                 restored,
                                 random,
-                                text -> log.line("fleet: " + text)));
+                                event -> log.line("fleet: " + event)));
         replica.start();
-        askIn();
+        requestAdmission();
     }
 
-    /** Until the consensus group counts it among its voters. */
-    private void askIn() {
-        if (over || replica == null || replica.voters().contains(replica.endpoint())) {
+    /** Repeats the request until the consensus group counts this replica among its voters. */
+    private void requestAdmission() {
+        if (stopped || replica == null || replica.voters().contains(replica.endpoint())) {
             return;
         }
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "admit");
-        text.addProperty("id", replica.endpoint());
-        askOthers(text);
-        loop.after(BOOTSTRAP_EVERY, this::askIn);
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "admit");
+        message.addProperty("id", replica.endpoint());
+        sendToOtherVoters(message);
+        loop.after(BOOTSTRAP_INTERVAL, this::requestAdmission);
     }
 
-    private void storageFailed(String why) {
-        log.line(
-                "fleet: the folder failed, this voter votes no more until it is started anew: "
-                        + why);
+    private void onStorageFailure(String error) {
+        log.line("fleet: voter storage failed, no votes until restart error=" + error);
         if (replica != null) {
             replica.stop();
             replica = null;
@@ -282,297 +280,307 @@
         bootstrap = null;
     }
 
-    private void post(String to, RaftMessage message) {
-        int mark = to.indexOf('~');
-        InetSocketAddress address = voters.get(new NodeName(mark < 0 ? to : to.substring(0, mark)));
+    private void sendRaftMessage(String recipientId, RaftMessage message) {
+        int suffixStart = recipientId.indexOf('~');
+        InetSocketAddress address =
+                voterAddresses.get(
+                        new NodeName(
+                                suffixStart < 0
+                                        ? recipientId
+                                        : recipientId.substring(0, suffixStart)));
         if (address != null) {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "raft");
-            text.addProperty("to", to);
-            text.add("m", RaftCodec.of(message));
-            transport.say(address, text);
+            JsonObject envelope = new JsonObject();
+            envelope.addProperty("k", "raft");
+            envelope.addProperty("to", recipientId);
+            envelope.add("m", RaftCodec.encode(message));
+            transport.send(address, envelope);
         }
     }
 
-    // ---- what others say ----
+    // ---- incoming messages ----
 
-    /** On the carriage's thread. */
-    private void heard(RaftTransport.Peer from, JsonObject text) {
-        String kind = text.get("k").getAsString();
+    /** Called on the transport's thread. */
+    private void onMessage(RaftTransport.Peer peer, JsonObject message) {
+        String kind = message.get("k").getAsString();
         switch (kind) {
             case "raft" -> {
-                RaftMessage message =
-                        RaftCodec.message(text.getAsJsonObject("m"), RaftReplica.GROUP);
-                String to = text.get("to").getAsString();
+                RaftMessage raftMessage =
+                        RaftCodec.decodeMessage(message.getAsJsonObject("m"), RaftReplica.GROUP_ID);
+                String recipientId = message.get("to").getAsString();
                 loop.offer(
                         () -> {
-                            if (replica != null && replica.endpoint().equals(to)) {
-                                replica.heard(message);
+                            if (replica != null && replica.endpoint().equals(recipientId)) {
+                                replica.heard(raftMessage);
                             }
                         });
             }
             case "beat" -> {
-                Heartbeat heartbeat = ClusterJson.read(text.get("b"), Heartbeat.class);
-                loop.offer(() -> onHeartbeat(heartbeat, from));
+                Heartbeat heartbeat = ClusterJson.read(message.get("b"), Heartbeat.class);
+                loop.offer(() -> onHeartbeat(heartbeat, peer));
             }
             case "reply" -> {
-                HeartbeatReply reply = ClusterJson.read(text.get("r"), HeartbeatReply.class);
-                loop.offer(() -> replied(reply));
+                HeartbeatReply reply = ClusterJson.read(message.get("r"), HeartbeatReply.class);
+                loop.offer(() -> onHeartbeatReply(reply));
             }
             case "who" -> {
-                NodeName name = new NodeName(text.get("from").getAsString());
+                NodeName name = new NodeName(message.get("from").getAsString());
                 loop.offer(
                         () -> {
-                            if (bootstrap != null && voters.containsKey(name)) {
+                            if (bootstrap != null && voterAddresses.containsKey(name)) {
                                 ClusterBootstrap.State state =
                                         replica != null
                                                 ? ClusterBootstrap.State.VOTES
                                                 : bootstrap.state();
-                                transport.say(
-                                        voters.get(name),
-                                        ClusterBootstrap.tell(settings.name(), state));
+                                transport.send(
+                                        voterAddresses.get(name),
+                                        ClusterBootstrap.report(settings.name(), state));
                             }
                         });
             }
             case "am" -> {
-                NodeName name = new NodeName(text.get("from").getAsString());
-                ClusterBootstrap.State state = ClusterBootstrap.reported(text);
+                NodeName name = new NodeName(message.get("from").getAsString());
+                ClusterBootstrap.State state = ClusterBootstrap.reportedState(message);
                 loop.offer(
                         () -> {
                             if (bootstrap != null) {
-                                bootstrap.heard(name, state, loop.now());
+                                bootstrap.onReport(name, state, loop.now());
                             }
                         });
             }
             case "admit" -> {
-                String id = text.get("id").getAsString();
+                String id = message.get("id").getAsString();
                 loop.offer(
                         () -> {
-                            if (replica != null && voters.containsKey(new Voter(id).name())) {
-                                replica.admit(id);
+                            if (replica != null
+                                    && voterAddresses.containsKey(new Voter(id).name())) {
+                                replica.admitVoter(id);
                             }
                         });
             }
             case "keep" -> {
-                ClusterCommand.RecordStatus keep =
-                        ClusterJson.read(text.get("d"), ClusterCommand.RecordStatus.class);
+                ClusterCommand.RecordStatus command =
+                        ClusterJson.read(message.get("d"), ClusterCommand.RecordStatus.class);
                 loop.offer(
                         () -> {
-                            if (replica != null && keep.digest().length() < 4096) {
-                                replica.write(keep, done -> {});
+                            if (replica != null && command.digest().length() < 4096) {
+                                replica.submit(command, result -> {});
                             }
                         });
             }
             case "order" -> {
                 RaftReplica.OperatorOrder order =
-                        ClusterJson.read(text.get("o"), RaftReplica.OperatorOrder.class);
-                loop.offer(() -> order(order, from));
+                        ClusterJson.read(message.get("o"), RaftReplica.OperatorOrder.class);
+                loop.offer(() -> onOrder(order, peer));
             }
             case "deed" -> {
-                ClusterCommand command = CommandCodec.command(text.get("d").getAsString());
+                ClusterCommand command = CommandCodec.decode(message.get("d").getAsString());
                 loop.offer(
                         () -> {
-                            // Whoever says it, the cluster state takes these under the rollout
-                            // controller's token
-                            // only; a halt harms nothing.
-                            boolean conductors =
+                            // Any sender is accepted: the cluster state applies these only under
+                            // the duty's fencing token, and a halt is harmless.
+                            boolean isAccepted =
                                     command instanceof ClusterCommand.AdvanceRollout
                                             || command instanceof ClusterCommand.FinishRollout
                                             || command instanceof ClusterCommand.SetHalt
                                             || command instanceof ClusterCommand.RollBack
                                             || command instanceof ClusterCommand.SetCapacityPlan;
-                            if (replica != null && conductors) {
-                                replica.write(command, done -> {});
+                            if (replica != null && isAccepted) {
+                                replica.submit(command, result -> {});
                             }
                         });
             }
             case "text?" -> {
-                String digest = text.get("digest").getAsString();
-                loop.offer(() -> tellText(digest, from));
+                String digest = message.get("digest").getAsString();
+                loop.offer(() -> sendConfigText(digest, peer));
             }
             case "wanted?" -> {
-                NodeName name = new NodeName(text.get("name").getAsString());
-                loop.offer(() -> tellWanted(name, from));
+                NodeName name = new NodeName(message.get("name").getAsString());
+                loop.offer(() -> sendWanted(name, peer));
             }
             case "text" ->
                     loop.offer(
                             () ->
-                                    texts.fetched(
-                                            text.get("digest").getAsString(),
-                                            text.get("text").getAsString()));
-            case "ask" -> loop.offer(() -> from.say(status(text)));
+                                    configFollower.onFetched(
+                                            message.get("digest").getAsString(),
+                                            message.get("text").getAsString()));
+            case "ask" -> loop.offer(() -> peer.send(statusReply(message)));
             case "told" -> {
-                JsonElement state = text.get("state");
-                boolean leads = text.get("leads").getAsBoolean();
+                JsonElement state = message.get("state");
+                boolean leads = message.get("leads").getAsBoolean();
                 loop.offer(
                         () -> {
-                            keep(state);
+                            reportStatus(state);
                             if (leads) {
-                                conduct(state);
-                                plan(state);
+                                controlRollout(state);
+                                planCapacity(state);
                             }
                         });
             }
-            default -> {} // of a newer version
+            default -> {} // sent by a newer version
         }
     }
 
-    private void onHeartbeat(Heartbeat heartbeat, RaftTransport.Peer from) {
-        Consumer<HeartbeatReply> to =
+    private void onHeartbeat(Heartbeat heartbeat, RaftTransport.Peer peer) {
+        Consumer<HeartbeatReply> replyTo =
                 reply -> {
-                    JsonObject text = new JsonObject();
-                    text.addProperty("k", "reply");
-                    text.add("r", ClusterJson.tree(reply));
-                    from.say(text);
+                    JsonObject message = new JsonObject();
+                    message.addProperty("k", "reply");
+                    message.add("r", ClusterJson.toTree(reply));
+                    peer.send(message);
                 };
         if (replica == null) {
-            to.accept(LeaseManager.elsewhere(heartbeat, null));
+            replyTo.accept(LeaseManager.elsewhere(heartbeat, null));
         } else {
-            replica.heard(heartbeat, to);
+            replica.heard(heartbeat, replyTo);
         }
     }
 
-    private void order(RaftReplica.OperatorOrder order, RaftTransport.Peer from) {
-        Consumer<RaftReplica.OrderResult> to =
+    private void onOrder(RaftReplica.OperatorOrder order, RaftTransport.Peer peer) {
+        Consumer<RaftReplica.OrderResult> replyTo =
                 answer -> {
-                    JsonObject text = new JsonObject();
-                    text.addProperty("k", "done");
-                    text.addProperty("leads", answer != null);
-                    text.add("a", ClusterJson.tree(answer));
-                    from.say(text);
+                    JsonObject message = new JsonObject();
+                    message.addProperty("k", "done");
+                    message.addProperty("leads", answer != null);
+                    message.add("a", ClusterJson.toTree(answer));
+                    peer.send(message);
                 };
         if (replica == null) {
-            to.accept(null);
+            replyTo.accept(null);
         } else {
-            String against =
+            String refusal =
                     order.what().equals("rest")
-                            ? settings.against(order.server(), replica.resting())
+                            ? settings.reasonAgainstCordon(
+                                    order.server(), replica.cordonedServers())
                             : "";
-            if (!against.isEmpty()) {
-                to.accept(replica.isLeading() ? new RaftReplica.OrderResult(false, against) : null);
+            if (!refusal.isEmpty()) {
+                replyTo.accept(
+                        replica.isLeading() ? new RaftReplica.OrderResult(false, refusal) : null);
                 return;
             }
-            replica.order(order, settings.disruptionLimits(), settings.mostResting(), to);
+            replica.execute(order, settings.disruptionLimits(), settings.maxCordons(), replyTo);
         }
     }
 
-    private void fetch(String digest) {
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "text?");
-        text.addProperty("digest", digest);
-        transport.say(voters.get(session.talksTo()), text);
+    private void requestConfig(String digest) {
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "text?");
+        message.addProperty("digest", digest);
+        transport.send(voterAddresses.get(session.talksTo()), message);
     }
 
-    private void tellText(String digest, RaftTransport.Peer to) {
-        String known = replica == null ? null : replica.text(digest);
-        if (known != null) {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "text");
-            text.addProperty("digest", digest);
-            text.addProperty("text", known);
-            to.say(text);
+    private void sendConfigText(String digest, RaftTransport.Peer peer) {
+        String configText = replica == null ? null : replica.configText(digest);
+        if (configText != null) {
+            JsonObject message = new JsonObject();
+            message.addProperty("k", "text");
+            message.addProperty("digest", digest);
+            message.addProperty("text", configText);
+            peer.send(message);
         }
     }
 
     /**
-     * For a node that is about to start: which text it is to go by, with the text; by whoever
-     * leads.
+     * Tells a starting node which shared configuration to run, with its text. Only the leader
+     * knows.
      */
-    private void tellWanted(NodeName name, RaftTransport.Peer to) {
-        String digest = replica == null ? null : replica.wanted(name);
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "wanted");
-        text.addProperty("leads", digest != null);
+    private void sendWanted(NodeName name, RaftTransport.Peer peer) {
+        String digest = replica == null ? null : replica.wantedConfig(name);
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "wanted");
+        message.addProperty("leads", digest != null);
         if (digest != null) {
-            text.addProperty("digest", digest);
-            text.addProperty("text", replica.text(digest));
-            text.addProperty("program", replica.wantedProgram(name));
-            text.add("rests", ClusterJson.tree(replica.resting()));
+            message.addProperty("digest", digest);
+            message.addProperty("text", replica.configText(digest));
+            message.addProperty("program", replica.wantedProgram(name));
+            message.add("rests", ClusterJson.toTree(replica.cordonedServers()));
         }
-        to.say(text);
+        peer.send(message);
     }
 
-    /** What this voter knows, for who asks. */
-    private JsonObject status(JsonObject question) {
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "told");
-        text.addProperty("leads", replica != null && replica.isLeading());
-        text.addProperty(
+    /** The answer to a status query: what this voter knows. */
+    private JsonObject statusReply(JsonObject query) {
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "told");
+        message.addProperty("leads", replica != null && replica.isLeading());
+        message.addProperty(
                 "leader",
                 replica == null || replica.leader() == null ? "" : replica.leader().text());
-        text.add("number", question.get("number"));
-        text.add(
+        message.add("number", query.get("number"));
+        message.add(
                 "state",
                 replica == null
                         ? new JsonObject()
-                        : ClusterJson.tree(
+                        : ClusterJson.toTree(
                                 replica.state(
-                                        question.has("tallies"),
-                                        question.has("past"),
-                                        question.has("plans"))));
-        return text;
+                                        query.has("tallies"),
+                                        query.has("past"),
+                                        query.has("plans"))));
+        return message;
     }
 
-    // ---- this node's own talk ----
+    // ---- heartbeats and duties ----
 
-    private void talk() {
-        if (over) {
+    private void sendDueHeartbeat() {
+        if (stopped) {
             return;
         }
         MonotonicTime now = loop.now();
-        session.leavesOut(self.leftOut().get());
+        session.leavesOut(self.excludedServers().get());
         session.reports(
                 new NodeReport(
-                        PROGRAM,
-                        texts.runs(),
-                        texts.checked(),
-                        self.drained().get(),
+                        PROGRAM_VERSION,
+                        configFollower.runningDigest(),
+                        configFollower.lastCheck(),
+                        self.drainedServers().get(),
                         session.allotment().plan(),
-                        self.uses().get(),
+                        self.locationUses().get(),
                         self.requestCounts().get()));
         ClusterSession.Sent sent =
                 session.heartbeat(leaving ? NodeCondition.LEAVING : self.condition().get(), now);
         if (sent != null) {
-            say(sent);
+            sendHeartbeat(sent);
         }
         loop.after(
-                session.due().since(now).max(LOOK).min(settings.timing().heartbeatInterval()),
-                this::talk);
+                session.due()
+                        .since(now)
+                        .max(MIN_HEARTBEAT_DELAY)
+                        .min(settings.timing().heartbeatInterval()),
+                this::sendDueHeartbeat);
     }
 
-    private void say(ClusterSession.Sent sent) {
-        JsonObject text = new JsonObject();
-        text.addProperty("k", "beat");
-        text.add("b", ClusterJson.tree(sent.heartbeat()));
-        transport.say(voters.get(sent.to()), text);
+    private void sendHeartbeat(ClusterSession.Sent sent) {
+        JsonObject message = new JsonObject();
+        message.addProperty("k", "beat");
+        message.add("b", ClusterJson.toTree(sent.heartbeat()));
+        transport.send(voterAddresses.get(sent.to()), message);
     }
 
-    private void replied(HeartbeatReply reply) {
-        String before = session.latest() == null ? "" : session.latest().trouble();
+    private void onHeartbeatReply(HeartbeatReply reply) {
+        String previousTrouble = session.latest() == null ? "" : session.latest().trouble();
         if (FaultInjection.isWithoutEarlyStop()) {
             session.holding().asks(reply.number(), loop.now());
         }
         session.heard(reply, loop.now());
-        if (reply.taken() && !reply.trouble().equals(before)) {
+        if (reply.taken() && !reply.trouble().equals(previousTrouble)) {
             log.line(
                     reply.trouble().isEmpty()
-                            ? "fleet: no longer outside"
-                            : "fleet: outside, since " + reply.trouble());
+                            ? "fleet: node admitted to the cluster"
+                            : "fleet: node not admitted to the cluster reason=" + reply.trouble());
         }
         if (reply.taken()) {
-            texts.follow(reply.wanted());
+            configFollower.follow(reply.wanted());
             rolloutOpen = reply.wanted() != null && reply.wanted().busy();
         }
         if (reply.taken() && reply.leave() > 0 && !leaving) {
             log.line("fleet: leaves under permit " + reply.leave());
             leaving = true;
-            self.leave().run();
+            self.startLeaving().run();
         }
-        publish();
+        publishView();
     }
 
-    @SuppressWarnings("ReferenceEquality") // the reply's object stands for this one reply
-    private void publish() {
+    @SuppressWarnings("ReferenceEquality") // each reply object is published once
+    private void publishView() {
         MonotonicTime now = loop.now();
         List<ClusterView.LeaseView> leases = new ArrayList<>();
         session.holding()
@@ -589,17 +597,17 @@
         HeartbeatReply latest = session.latest();
         if (latest != publishedReply && latest != null) {
             publishedReply = latest;
-            found =
+            serverHealth =
                     latest.found().stream()
                             .map(
-                                    one ->
+                                    result ->
                                             new ClusterView.ServerHealth(
-                                                    one.server(),
-                                                    one.well(),
-                                                    session.latestWord().minus(one.age())))
+                                                    result.server(),
+                                                    result.well(),
+                                                    session.latestWord().minus(result.age())))
                             .toList();
         }
-        MonotonicTime touch =
+        MonotonicTime connectedUntil =
                 session.isInTouch(now)
                         ? session.latestWord().plus(settings.timing().lease())
                         : new MonotonicTime(Long.MIN_VALUE);
@@ -607,109 +615,122 @@
                 latest == null || latest.wanted() == null || latest.wanted().cordons() == null
                         ? cordonsAtStart
                         : latest.wanted().cordons();
-        CapacityLease may = session.allotment();
+        CapacityLease capacityLease = session.allotment();
         view =
                 new ClusterView(
-                        touch,
+                        connectedUntil,
                         leases,
-                        found,
-                        new ClusterView.CapacityShare(may.plan(), may.slots(), may.until()),
+                        serverHealth,
+                        new ClusterView.CapacityShare(
+                                capacityLease.plan(), capacityLease.slots(), capacityLease.until()),
                         cordons,
                         latest == null ? null : latest.leader());
-        Set<Lease> holds = new HashSet<>(session.holding().holds(now));
-        List<Lease> news = new ArrayList<>(holds);
-        news.removeAll(known);
-        news.sort(Comparator.comparing(Lease::token));
-        news.forEach(lease -> log.line("fleet: holds " + lease.duty() + " under " + lease.token()));
-        known.stream()
-                .filter(lease -> !holds.contains(lease))
+        Set<Lease> heldLeases = new HashSet<>(session.holding().holds(now));
+        List<Lease> newLeases = new ArrayList<>(heldLeases);
+        newLeases.removeAll(publishedLeases);
+        newLeases.sort(Comparator.comparing(Lease::token));
+        newLeases.forEach(
+                lease ->
+                        log.line(
+                                "fleet: lease acquired duty="
+                                        + lease.duty()
+                                        + " token="
+                                        + lease.token()));
+        publishedLeases.stream()
+                .filter(lease -> !heldLeases.contains(lease))
                 .forEach(
                         lease ->
                                 log.line(
-                                        "fleet: holds "
+                                        "fleet: lease ended duty="
                                                 + lease.duty()
-                                                + " no more, under "
+                                                + " token="
                                                 + lease.token()));
-        known.clear();
-        known.addAll(holds);
+        publishedLeases.clear();
+        publishedLeases.addAll(heldLeases);
     }
 
-    /** What this node does by its duties, again and again. */
-    private void look() {
-        if (over) {
+    /** Periodic task: publishes the view and requests the status that the held duties need. */
+    private void performDuties() {
+        if (stopped) {
             return;
         }
-        publish();
-        FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
-        FencingToken leads = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        publishView();
+        FencingToken reporterToken = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken controllerToken =
+                session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
         if (session.latest() != null && session.isInTouch(loop.now())) {
-            texts.follow(session.latest().wanted());
+            configFollower.follow(session.latest().wanted());
         }
-        boolean plans =
+        boolean holdsPlanner =
                 !settings.locations().isEmpty()
                         && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
-        if (token != null || (leads != null && rolloutOpen) || plans) {
-            JsonObject ask = new JsonObject();
-            ask.addProperty("k", "ask");
-            ask.addProperty("number", 0);
-            if (leads != null && rolloutOpen) {
-                ask.addProperty("tallies", true);
+        if (reporterToken != null || (controllerToken != null && rolloutOpen) || holdsPlanner) {
+            JsonObject query = new JsonObject();
+            query.addProperty("k", "ask");
+            query.addProperty("number", 0);
+            if (controllerToken != null && rolloutOpen) {
+                query.addProperty("tallies", true);
             }
-            if (leads != null && rolloutController.wantsPast()) {
-                ask.addProperty("past", true);
+            if (controllerToken != null && rolloutController.wantsPast()) {
+                query.addProperty("past", true);
             }
-            if (plans) {
-                ask.addProperty("plans", true);
+            if (holdsPlanner) {
+                query.addProperty("plans", true);
             }
-            transport.say(voters.get(session.talksTo()), ask);
+            transport.send(voterAddresses.get(session.talksTo()), query);
         }
-        loop.after(settings.timing().holderHeartbeatInterval().times(0.5), this::look);
+        loop.after(settings.timing().holderHeartbeatInterval().times(0.5), this::performDuties);
     }
 
-    private MonotonicTime recordedAt = new MonotonicTime(Long.MIN_VALUE / 2);
+    private MonotonicTime statusRecordedAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
     /**
-     * The status reporter has the picture: it is told outside, and from time to time written down.
+     * As the status reporter, sends the cluster status to the external report address and records
+     * it in the cluster state every few leases.
      */
-    private void keep(JsonElement state) {
+    private void reportStatus(JsonElement state) {
         FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
         if (token == null || !state.isJsonObject() || !state.getAsJsonObject().has("seen")) {
             return;
         }
         if (statusReporter != null
-                && !statusReporter.tell(
+                && !statusReporter.report(
                         token,
                         ClusterJson.gson().toJson(state),
                         () -> token.equals(view.mayAct(DutyName.STATUS_REPORTER, loop.now())),
-                        bad -> loop.execute(() -> statusReporterFails(bad)))) {
+                        error -> loop.execute(() -> onStatusReporterFailure(error)))) {
             return;
         }
         MonotonicTime now = loop.now();
-        if (now.since(recordedAt).compareTo(settings.timing().lease().times(KEEP_EVERY)) > 0) {
-            recordedAt = now;
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "keep");
-            text.add(
+        if (now.since(statusRecordedAt)
+                        .compareTo(settings.timing().lease().times(RECORD_INTERVAL_LEASES))
+                > 0) {
+            statusRecordedAt = now;
+            JsonObject message = new JsonObject();
+            message.addProperty("k", "keep");
+            message.add(
                     "d",
-                    ClusterJson.tree(
+                    ClusterJson.toTree(
                             new ClusterCommand.RecordStatus(
                                     token,
                                     state.getAsJsonObject().getAsJsonArray("seen").size()
                                             + " nodes known")));
-            transport.say(voters.get(session.talksTo()), text);
+            transport.send(voterAddresses.get(session.talksTo()), message);
         }
     }
 
     /**
-     * The rollout controller has the picture: it says what is next, under its token, to whoever
-     * leads.
+     * As the rollout controller, decides the next rollout actions and sends them to the voter that
+     * this node talks to, under the duty's fencing token.
      */
-    private void conduct(JsonElement reported) {
+    private void controlRollout(JsonElement stateJson) {
         FencingToken token = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
-        if (token == null || !reported.isJsonObject() || !reported.getAsJsonObject().has("seen")) {
+        if (token == null
+                || !stateJson.isJsonObject()
+                || !stateJson.getAsJsonObject().has("seen")) {
             return;
         }
-        RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
+        RaftReplica.ReplicaView state = ClusterJson.read(stateJson, RaftReplica.ReplicaView.class);
         RolloutSnapshot snapshot =
                 new RolloutSnapshot(
                         state.rollout(),
@@ -719,48 +740,49 @@
                         state.permits(),
                         settings.disruptionLimits().mostOf(state.nodeViews().size()),
                         state.past());
-        String before = rolloutController.says();
+        String previousStatus = rolloutController.says();
         List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
-        if (!rolloutController.says().equals(before) && !rolloutController.says().isEmpty()) {
+        if (!rolloutController.says().equals(previousStatus)
+                && !rolloutController.says().isEmpty()) {
             log.line(
                     "fleet: "
                             + (state.rollout() == null ? "" : state.rollout() + ": ")
                             + rolloutController.says());
         }
         for (RolloutAction action : actions) {
-            JsonObject text = new JsonObject();
-            if (action instanceof RolloutAction.Propose write) {
-                text.addProperty("k", "deed");
-                text.addProperty("d", CommandCodec.of(write.command()));
-            } else if (action instanceof RolloutAction.PermitRestart let) {
-                text.addProperty("k", "order");
-                text.add(
+            JsonObject message = new JsonObject();
+            if (action instanceof RolloutAction.Propose proposal) {
+                message.addProperty("k", "deed");
+                message.addProperty("d", CommandCodec.encode(proposal.command()));
+            } else if (action instanceof RolloutAction.PermitRestart permit) {
+                message.addProperty("k", "order");
+                message.add(
                         "o",
-                        ClusterJson.tree(
+                        ClusterJson.toTree(
                                 new RaftReplica.OperatorOrder(
-                                        let.order(),
+                                        permit.order(),
                                         "leave",
-                                        let.node(),
+                                        permit.node(),
                                         state.rollout() == null
                                                 ? "the conductor"
                                                 : state.rollout().toString())));
             }
-            transport.say(voters.get(session.talksTo()), text);
+            transport.send(voterAddresses.get(session.talksTo()), message);
         }
     }
 
     /**
-     * The planner has the picture: the next plan, if there is to be one, under its token, to
-     * whoever leads.
+     * As the capacity planner, sends the next plan, if there is one, to the voter that this node
+     * talks to, under the duty's fencing token.
      */
-    private void plan(JsonElement reported) {
+    private void planCapacity(JsonElement stateJson) {
         FencingToken token = session.holding().mayAct(DutyName.PLANNER, loop.now());
-        if (token == null || !reported.getAsJsonObject().has("plans")) {
+        if (token == null || !stateJson.getAsJsonObject().has("plans")) {
             return;
         }
-        RaftReplica.ReplicaView state = ClusterJson.read(reported, RaftReplica.ReplicaView.class);
-        if (!token.equals(plansUnder)) {
-            plansUnder = token;
+        RaftReplica.ReplicaView state = ClusterJson.read(stateJson, RaftReplica.ReplicaView.class);
+        if (!token.equals(plannerToken)) {
+            plannerToken = token;
             planner = new CapacityPlanner(settings.timing().lease());
         }
         ClusterCommand.SetCapacityPlan plan =
@@ -774,102 +796,111 @@
                         token,
                         loop.now());
         if (plan != null) {
-            log.line("fleet: plans: " + planner.why());
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "deed");
-            text.addProperty("d", CommandCodec.of(plan));
-            transport.say(voters.get(session.talksTo()), text);
+            log.line("fleet: capacity plan proposed reason=" + planner.why());
+            JsonObject message = new JsonObject();
+            message.addProperty("k", "deed");
+            message.addProperty("d", CommandCodec.encode(plan));
+            transport.send(voterAddresses.get(session.talksTo()), message);
         }
     }
 
-    private void statusReporterFails(String why) {
-        log.line("fleet: can't keep the picture, hands the duty on: " + why);
+    private void onStatusReporterFailure(String error) {
+        log.line("fleet: status report failed, giving up the duty error=" + error);
         session.failAt(DutyName.STATUS_REPORTER, loop.now());
-        publish();
+        publishView();
     }
 
-    // ---- for the rest of the node ----
+    // ---- called by other parts of the node ----
 
-    /** The voters have moved: the names stay as they are, links are made anew. */
-    public void reach(Map<NodeName, InetSocketAddress> moved) {
+    /**
+     * Takes new addresses of the voters; connections to the old ones are closed. Ignored where the
+     * set of voter names differs.
+     */
+    public void reach(Map<NodeName, InetSocketAddress> newAddresses) {
         loop.execute(
                 () -> {
-                    if (moved.keySet().equals(voters.keySet()) && !moved.equals(voters)) {
-                        voters = Map.copyOf(moved);
-                        transport.keepOnly(voters.values());
-                        log.line("fleet: reaches the voters at " + voters);
+                    if (newAddresses.keySet().equals(voterAddresses.keySet())
+                            && !newAddresses.equals(voterAddresses)) {
+                        voterAddresses = Map.copyOf(newAddresses);
+                        transport.retainOnly(voterAddresses.values());
+                        log.line("fleet: voter addresses changed voters=" + voterAddresses);
                     }
                 });
     }
 
-    /** Read by any thread; never waits. */
+    /** Callable from any thread; never blocks. */
     public ClusterView view() {
         return view;
     }
 
-    /** What a try under the duty trial came to. */
+    /** Reports a health check that this node made under the health check duty. */
     public void found(String server, boolean well, FencingToken token) {
         loop.offer(() -> session.found(server, well, token, loop.now()));
     }
 
-    /** The node leaves: its duties go to heirs while it drains. Returns at once. */
+    /**
+     * Begins to leave the cluster: hands on this node's duties and, on a leading voter, the
+     * leadership while the node drains. Returns immediately.
+     */
     public void leave() {
         leaving = true;
         loop.execute(
                 () -> {
                     session.handOnAll(loop.now());
-                    publish();
-                    talkNow(NodeCondition.LEAVING);
+                    publishView();
+                    sendHeartbeatNow(NodeCondition.LEAVING);
                     if (replica != null) {
-                        replica.handOver();
+                        replica.transferLeadership();
                     }
                 });
     }
 
-    private void talkNow(NodeCondition condition) {
+    private void sendHeartbeatNow(NodeCondition condition) {
         ClusterSession.Sent sent = session.heartbeat(condition, loop.now());
         if (sent != null) {
-            say(sent);
+            sendHeartbeat(sent);
         }
     }
 
-    /** The last word, and the end; takes as long at the most. */
-    public void end(NanoDuration most) {
-        CountDownLatch said = new CountDownLatch(1);
+    /** Sends the last heartbeat and stops; blocks for about the timeout at most. */
+    public void end(NanoDuration timeout) {
+        CountDownLatch lastHeartbeatSent = new CountDownLatch(1);
         loop.execute(
                 () -> {
                     session.handOnAll(loop.now());
-                    say(session.last(loop.now()));
-                    loop.after(most.times(0.5), said::countDown);
+                    sendHeartbeat(session.last(loop.now()));
+                    loop.after(timeout.times(0.5), lastHeartbeatSent::countDown);
                 });
         try {
-            said.await(most.nanos(), TimeUnit.NANOSECONDS);
+            lastHeartbeatSent.await(timeout.nanos(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         loop.execute(
                 () -> {
-                    over = true;
+                    stopped = true;
                     if (replica != null) {
                         replica.stop();
                     }
                 });
-        loop.end();
-        transport.end();
+        loop.close();
+        transport.close();
         if (storage != null) {
             storage.close();
         }
     }
 
-    /** For the log: what is known here now. */
+    /** A summary of the membership for the log. */
     public String figures() {
-        ClusterView now = view;
-        return "fleet: "
-                + (now.isInTouch(loop.now()) ? "in touch with " + now.leader() : "alone")
-                + ", holds "
-                + known.size()
-                + ", bytes "
-                + transport.bytes()
-                + (storage == null ? "" : ", syncs " + storage.flushes());
+        ClusterView current = view;
+        return "fleet: membership status "
+                + (current.isInTouch(loop.now())
+                        ? "connected=true leader=" + current.leader()
+                        : "connected=false")
+                + " leases="
+                + publishedLeases.size()
+                + " bytes="
+                + transport.transferredBytes()
+                + (storage == null ? "" : " syncs=" + storage.flushCount());
     }
 }
--- a/src/main/java/lupinwood/consensus/ClusterQuery.java
+++ b/src/main/java/lupinwood/consensus/ClusterQuery.java
@@ -15,105 +15,115 @@
 import lupinwood.cluster.NodeName;
 import lupinwood.log.Log;
 
-/** Asks the voters what they know, for a command. */
+/** Queries the voters, and sends them operator orders, on behalf of a command-line command. */
 public final class ClusterQuery {
-    private static final long AGAIN_MILLIS = 500;
+    private static final long RESEND_INTERVAL_MILLIS = 500;
 
-    /** Which text, and which program, a node is to be started with, and which servers rest. */
+    /**
+     * What a node should start with.
+     *
+     * @param digest the digest of the shared configuration
+     * @param text the text of the shared configuration
+     * @param program the program version
+     * @param cordons the cordoned servers
+     */
     public record Wanted(String digest, String text, String program, List<String> cordons) {}
 
     private ClusterQuery() {}
 
-    private static List<String> cordons(JsonObject text) {
+    private static List<String> cordons(JsonObject message) {
         List<String> cordons = new ArrayList<>();
-        text.getAsJsonArray("rests").forEach(one -> cordons.add(one.getAsString()));
+        message.getAsJsonArray("rests").forEach(server -> cordons.add(server.getAsString()));
         return cordons;
     }
 
-    /** What the one who leads knows; null where nobody who does answered in time. */
+    /** The leader's state; null if no leader answered in time. */
     public static RaftReplica.ReplicaView state(
-            Collection<InetSocketAddress> voters, NanoDuration within, Log log)
+            Collection<InetSocketAddress> voters, NanoDuration timeout, Log log)
             throws InterruptedException {
-        return state(voters, within, log, false);
+        return state(voters, timeout, log, false);
     }
 
     /**
-     * Asks the voters for the state as their leader has it.
+     * The leader's state; null if no leader answered in time.
      *
-     * @param plans with all plans that some node may go by
+     * @param withPlans whether to include all capacity plans that some node may still use
      */
     public static RaftReplica.ReplicaView state(
-            Collection<InetSocketAddress> voters, NanoDuration within, Log log, boolean plans)
+            Collection<InetSocketAddress> voters, NanoDuration timeout, Log log, boolean withPlans)
             throws InterruptedException {
-        return ask(voters, within, log, plans).values().stream()
-                .filter(one -> one.get("leads").getAsBoolean())
-                .map(one -> ClusterJson.read(one.get("state"), RaftReplica.ReplicaView.class))
+        return ask(voters, timeout, log, withPlans).values().stream()
+                .filter(message -> message.get("leads").getAsBoolean())
+                .map(
+                        message ->
+                                ClusterJson.read(
+                                        message.get("state"), RaftReplica.ReplicaView.class))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Null where nobody who leads answered in time, or nobody can be reached. */
+    /** What the node should start with; null if no leader answered in time. */
     public static Wanted wanted(
-            Collection<InetSocketAddress> voters, NodeName node, NanoDuration within, Log log)
+            Collection<InetSocketAddress> voters, NodeName node, NanoDuration timeout, Log log)
             throws InterruptedException {
         BlockingQueue<Wanted> answers = new ArrayBlockingQueue<>(64);
         RaftTransport transport =
                 new RaftTransport(
-                        (from, text) -> {
-                            if (text.get("k").getAsString().equals("wanted")
-                                    && text.get("leads").getAsBoolean()) {
+                        (from, message) -> {
+                            if (message.get("k").getAsString().equals("wanted")
+                                    && message.get("leads").getAsBoolean()) {
                                 answers.offer(
                                         new Wanted(
-                                                text.get("digest").getAsString(),
-                                                text.get("text").getAsString(),
-                                                text.get("program").getAsString(),
-                                                cordons(text)));
+                                                message.get("digest").getAsString(),
+                                                message.get("text").getAsString(),
+                                                message.get("program").getAsString(),
+                                                cordons(message)));
                             }
                         },
                         log);
         try {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "wanted?");
-            text.addProperty("name", node.text());
-            long end = System.nanoTime() + within.nanos();
+            JsonObject message = new JsonObject();
+            message.addProperty("k", "wanted?");
+            message.addProperty("name", node.text());
+            long deadlineNanos = System.nanoTime() + timeout.nanos();
             Wanted wanted = null;
-            while (wanted == null && System.nanoTime() < end) {
-                voters.forEach(voter -> transport.say(voter, text));
+            while (wanted == null && System.nanoTime() < deadlineNanos) {
+                voters.forEach(voter -> transport.send(voter, message));
                 wanted =
                         answers.poll(
-                                Math.min(AGAIN_MILLIS, within.nanos() / 3_000_000),
+                                Math.min(RESEND_INTERVAL_MILLIS, timeout.nanos() / 3_000_000),
                                 TimeUnit.MILLISECONDS);
             }
             return wanted;
         } finally {
-            transport.end();
+            transport.close();
         }
     }
 
     /**
-     * What each voter that answered in time says, in the order of the answers; ends early once the
-     * one who leads has answered.
+     * The answers of the voters that answered in time, by the voter's position in the collection
+     * and in the order of arrival. Returns early once the leader has answered.
      */
     public static Map<Integer, JsonObject> ask(
-            Collection<InetSocketAddress> voters, NanoDuration within, Log log)
+            Collection<InetSocketAddress> voters, NanoDuration timeout, Log log)
             throws InterruptedException {
-        return ask(voters, within, log, false);
+        return ask(voters, timeout, log, false);
     }
 
     private static Map<Integer, JsonObject> ask(
-            Collection<InetSocketAddress> voters, NanoDuration within, Log log, boolean plans)
+            Collection<InetSocketAddress> voters, NanoDuration timeout, Log log, boolean withPlans)
             throws InterruptedException {
         Map<Integer, JsonObject> answers = new LinkedHashMap<>();
-        CountDownLatch enough = new CountDownLatch(1);
+        CountDownLatch answered = new CountDownLatch(1);
         RaftTransport transport =
                 new RaftTransport(
-                        (from, text) -> {
+                        (from, message) -> {
                             synchronized (answers) {
-                                if (text.get("k").getAsString().equals("told")) {
-                                    answers.put(text.get("number").getAsInt(), text);
-                                    if (text.get("leads").getAsBoolean()
+                                if (message.get("k").getAsString().equals("told")) {
+                                    answers.put(message.get("number").getAsInt(), message);
+                                    if (message.get("leads").getAsBoolean()
                                             || answers.size() == voters.size()) {
-                                        enough.countDown();
+                                        answered.countDown();
                                     }
                                 }
                             }
@@ -122,17 +132,17 @@
         try {
             int number = 0;
             for (InetSocketAddress voter : voters) {
-                JsonObject ask = new JsonObject();
-                ask.addProperty("k", "ask");
-                ask.addProperty("number", number++);
-                if (plans) {
-                    ask.addProperty("plans", true);
+                JsonObject query = new JsonObject();
+                query.addProperty("k", "ask");
+                query.addProperty("number", number++);
+                if (withPlans) {
+                    query.addProperty("plans", true);
                 }
-                transport.say(voter, ask);
+                transport.send(voter, query);
             }
-            enough.await(within.nanos(), TimeUnit.NANOSECONDS);
+            answered.await(timeout.nanos(), TimeUnit.NANOSECONDS);
         } finally {
-            transport.end();
+            transport.close();
         }
         synchronized (answers) {
             return new LinkedHashMap<>(answers);
@@ -140,42 +150,42 @@
     }
 
     /**
-     * Has an operator's order carried out by whoever leads; asked again until somebody does, which
-     * does no harm.
+     * Has the leader execute an operator order. The order is sent repeatedly until a leader
+     * answers; the leader executes an order once by its id.
      *
-     * @return null where nobody led in time
+     * @return null if no leader answered in time
      */
     public static RaftReplica.OrderResult order(
             Collection<InetSocketAddress> voters,
             RaftReplica.OperatorOrder order,
-            NanoDuration within,
+            NanoDuration timeout,
             Log log)
             throws InterruptedException {
         BlockingQueue<RaftReplica.OrderResult> answers = new ArrayBlockingQueue<>(64);
         RaftTransport transport =
                 new RaftTransport(
-                        (from, text) -> {
-                            if (text.get("k").getAsString().equals("done")
-                                    && text.get("leads").getAsBoolean()) {
+                        (from, message) -> {
+                            if (message.get("k").getAsString().equals("done")
+                                    && message.get("leads").getAsBoolean()) {
                                 answers.offer(
                                         ClusterJson.read(
-                                                text.get("a"), RaftReplica.OrderResult.class));
+                                                message.get("a"), RaftReplica.OrderResult.class));
                             }
                         },
                         log);
         try {
-            JsonObject text = new JsonObject();
-            text.addProperty("k", "order");
-            text.add("o", ClusterJson.tree(order));
-            long end = System.nanoTime() + within.nanos();
+            JsonObject message = new JsonObject();
+            message.addProperty("k", "order");
+            message.add("o", ClusterJson.toTree(order));
+            long deadlineNanos = System.nanoTime() + timeout.nanos();
             RaftReplica.OrderResult answer = null;
-            while (answer == null && System.nanoTime() < end) {
-                voters.forEach(voter -> transport.say(voter, text));
-                answer = answers.poll(AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            while (answer == null && System.nanoTime() < deadlineNanos) {
+                voters.forEach(voter -> transport.send(voter, message));
+                answer = answers.poll(RESEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
             return answer;
         } finally {
-            transport.end();
+            transport.close();
         }
     }
 }
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -19,15 +19,16 @@
 import lupinwood.settings.Schema;
 
 /**
- * What the operator's file says of the fleet.
+ * The settings of the cluster and of this node's membership in it.
  *
- * @param voters where each voter is reached, in the file's order
- * @param listen where this node listens for others; null unless it is a voter
- * @param directory where a voter keeps what it must not forget; null unless it is one
- * @param servers what servers below carry out, by their names
- * @param locations servers that are planned in common
- * @param mostResting so many of them may rest at once
- * @param report where the status reporter tells the fleet's picture; null for nowhere
+ * @param voters the address of each voter, in the order of the file
+ * @param listen the address on which a voter accepts connections; null unless the node is a voter
+ * @param directory where a voter stores the state that must survive a restart; null unless the node
+ *     is a voter
+ * @param report the address to which the status reporter sends the cluster status; null for none
+ * @param servers the request classes that each downstream server runs, by the server's name
+ * @param maxCordons how many servers may be cordoned at once
+ * @param locations the servers that the capacity plan covers
  */
 public record ClusterSettings(
         NodeName name,
@@ -40,15 +41,15 @@
         DisruptionLimits disruptionLimits,
         CanaryLimits limits,
         Map<String, Set<String>> servers,
-        int mostResting,
+        int maxCordons,
         List<Location> locations) {
-    private static final BigDecimal LEASE = new BigDecimal(3_000_000_000L);
-    private static final BigDecimal WATCH = new BigDecimal(60_000_000_000L);
-    private static final BigDecimal WATCH_MOST = new BigDecimal(900_000_000_000L);
-    private static final BigDecimal HARM = new BigDecimal("0.03");
-    private static final BigDecimal DRIFT = new BigDecimal("0.01");
+    private static final BigDecimal DEFAULT_LEASE_NANOS = new BigDecimal(3_000_000_000L);
+    private static final BigDecimal DEFAULT_WATCH_NANOS = new BigDecimal(60_000_000_000L);
+    private static final BigDecimal DEFAULT_MAX_WATCH_NANOS = new BigDecimal(900_000_000_000L);
+    private static final BigDecimal DEFAULT_HARM_RATIO = new BigDecimal("0.03");
+    private static final BigDecimal DEFAULT_DRIFT_RATIO = new BigDecimal("0.01");
 
-    /** Null where the file says nothing of a fleet. */
+    /** The settings of the file; null if it names no voters. */
     public static ClusterSettings of(ParsedSettings parsedSettings) {
         List<String> names = parsedSettings.items(Schema.VOTER);
         if (names.isEmpty()) {
@@ -63,13 +64,16 @@
         String name =
                 parsedSettings
                         .values()
-                        .getOrDefault("name", ""); // an operator's file by itself has none
+                        .getOrDefault("name", ""); // an operator's own file has no name
         boolean votes = names.contains(name);
         String listen = parsedSettings.value("fleet listen");
         NanoDuration lease =
-                new NanoDuration(parsedSettings.number("fleet lease", LEASE).longValue());
+                new NanoDuration(
+                        parsedSettings.number("fleet lease", DEFAULT_LEASE_NANOS).longValue());
         LeaseTiming timing =
-                LeaseTiming.of(lease, parsedSettings.number("fleet drift", DRIFT).doubleValue());
+                LeaseTiming.of(
+                        lease,
+                        parsedSettings.number("fleet drift", DEFAULT_DRIFT_RATIO).doubleValue());
         return new ClusterSettings(
                 new NodeName(name),
                 new Site(
@@ -103,51 +107,55 @@
         return servers;
     }
 
-    /** Servers of which the file says what they bear; only those are planned. */
+    /** The servers whose capacity the file gives; only those are part of the capacity plan. */
     public static List<Location> places(ParsedSettings parsedSettings) {
         List<Location> locations = new ArrayList<>();
         for (String name : parsedSettings.items(Schema.SERVER)) {
-            String at = "server " + name + " ";
-            if (parsedSettings.value(at + "bears") != null) {
-                int bears = parsedSettings.number(at + "bears", null).intValue();
+            String prefix = "server " + name + " ";
+            if (parsedSettings.value(prefix + "bears") != null) {
+                int capacity = parsedSettings.number(prefix + "bears", null).intValue();
                 locations.add(
                         new Location(
                                 name,
                                 new Site(
                                         parsedSettings
                                                 .values()
-                                                .getOrDefault(at + "region", "region"),
-                                        parsedSettings.values().getOrDefault(at + "zone", "zone")),
-                                bears,
-                                parsedSettings.number(at + "near", BigDecimal.ONE).intValue(),
-                                parsedSettings.number(at + "far", BigDecimal.ZERO).intValue(),
+                                                .getOrDefault(prefix + "region", "region"),
+                                        parsedSettings
+                                                .values()
+                                                .getOrDefault(prefix + "zone", "zone")),
+                                capacity,
+                                parsedSettings.number(prefix + "near", BigDecimal.ONE).intValue(),
+                                parsedSettings.number(prefix + "far", BigDecimal.ZERO).intValue(),
                                 Boolean.parseBoolean(
                                         parsedSettings
                                                 .values()
-                                                .getOrDefault(at + "stays-in-region", "false"))));
+                                                .getOrDefault(
+                                                        prefix + "stays-in-region", "false"))));
             }
         }
         return locations;
     }
 
     /**
-     * Why a server may not rest beside those that do: by this node's file, nobody would carry out
-     * some request class.
+     * The reason against cordoning a server beside those that are cordoned already: by this node's
+     * settings, no other server would run one of its request classes, or there is no such server.
+     * Empty if there is none.
      */
-    String against(String server, Set<String> resting) {
+    String reasonAgainstCordon(String server, Set<String> cordoned) {
         if (!servers.containsKey(server)) {
-            return "the file of " + name + ", which leads, names no server " + server;
+            return "the settings of the leader " + name + " have no server " + server;
         }
-        for (String className : servers.get(server)) {
-            boolean other =
+        for (String requestClass : servers.get(server)) {
+            boolean isServedElsewhere =
                     servers.entrySet().stream()
                             .anyMatch(
-                                    one ->
-                                            !one.getKey().equals(server)
-                                                    && !resting.contains(one.getKey())
-                                                    && one.getValue().contains(className));
-            if (!other) {
-                return "nobody else would carry out tickets of " + className;
+                                    entry ->
+                                            !entry.getKey().equals(server)
+                                                    && !cordoned.contains(entry.getKey())
+                                                    && entry.getValue().contains(requestClass));
+            if (!isServedElsewhere) {
+                return "no other server would run requests of class " + requestClass;
             }
         }
         return "";
@@ -155,27 +163,32 @@
 
     private static CanaryLimits limits(ParsedSettings parsedSettings, NanoDuration lease) {
         return CanaryLimits.of(
-                new NanoDuration(parsedSettings.number("release watch", WATCH).longValue()),
                 new NanoDuration(
-                        parsedSettings.number("release watch-most", WATCH_MOST).longValue()),
-                parsedSettings.number("release harm", HARM).doubleValue(),
+                        parsedSettings.number("release watch", DEFAULT_WATCH_NANOS).longValue()),
+                new NanoDuration(
+                        parsedSettings
+                                .number("release watch-most", DEFAULT_MAX_WATCH_NANOS)
+                                .longValue()),
+                parsedSettings.number("release harm", DEFAULT_HARM_RATIO).doubleValue(),
                 lease);
     }
 
     private static DisruptionLimits disruptionLimits(
             ParsedSettings parsedSettings, List<NodeName> voters) {
-        DisruptionLimits usual = DisruptionLimits.USUAL;
+        DisruptionLimits defaults = DisruptionLimits.USUAL;
         return new DisruptionLimits(
-                parsedSettings.number("out most", BigDecimal.valueOf(usual.most())).intValue(),
-                parsedSettings.number("out share", BigDecimal.valueOf(usual.share())).doubleValue(),
+                parsedSettings.number("out most", BigDecimal.valueOf(defaults.most())).intValue(),
+                parsedSettings
+                        .number("out share", BigDecimal.valueOf(defaults.share()))
+                        .doubleValue(),
                 parsedSettings
-                        .number("out zone-most", BigDecimal.valueOf(usual.zoneMost()))
+                        .number("out zone-most", BigDecimal.valueOf(defaults.zoneMost()))
                         .intValue(),
                 parsedSettings
-                        .number("out zone-share", BigDecimal.valueOf(usual.zoneShare()))
+                        .number("out zone-share", BigDecimal.valueOf(defaults.zoneShare()))
                         .doubleValue(),
                 parsedSettings
-                        .number("out least-in", BigDecimal.valueOf(usual.leastIn()))
+                        .number("out least-in", BigDecimal.valueOf(defaults.leastIn()))
                         .intValue(),
                 voters);
     }
--- a/src/main/java/lupinwood/consensus/ClusterView.java
+++ b/src/main/java/lupinwood/consensus/ClusterView.java
@@ -8,20 +8,21 @@
 import lupinwood.cluster.NodeName;
 
 /**
- * What other threads of a node may know of the fleet: a ready picture, replaced as a whole, on the
- * monotonic clock of {@link System#nanoTime}.
+ * An immutable view of the cluster for the other threads of a node, replaced as a whole. Times are
+ * on the monotonic clock of {@link System#nanoTime}.
  *
- * @param touchUntil after it the consensus group's word is stale, and this node does as it would
- *     alone
- * @param leases what this node holds, each with its end
- * @param found what the holder of the duty trial found, in no order
- * @param share what it may have at places below by the plan, and until when
- * @param cordons servers to which nothing new is to be sent, by the consensus group's last word,
- *     however old that is
- * @param leader who leads the consensus group; null where nobody is known to
+ * @param connectedUntil after this time the consensus group's last reply is stale, and this node
+ *     acts as it would without a cluster
+ * @param leases the leases that this node holds, each with its end
+ * @param found the results of the health check duty's holder, in no particular order
+ * @param share the slots that this node may use at each location by the capacity plan, and until
+ *     when
+ * @param cordons the servers that get no new requests, by the consensus group's last reply, however
+ *     old that is
+ * @param leader the consensus group's leader; null if none is known
  */
 public record ClusterView(
-        MonotonicTime touchUntil,
+        MonotonicTime connectedUntil,
         List<LeaseView> leases,
         List<ServerHealth> found,
         CapacityShare share,
@@ -39,33 +40,36 @@
     /**
      * One lease that this node holds.
      *
-     * @param until when it may be done no more
+     * @param until the time from which the holder must not act on the duty
      */
     public record LeaseView(DutyName duty, FencingToken token, MonotonicTime until) {}
 
     /**
-     * This node's share of the slots by plan.
+     * This node's share of the slots by the capacity plan.
      *
-     * @param plan zero before the first
+     * @param plan the plan's number; zero before the first
      */
     public record CapacityShare(long plan, Map<String, Integer> slots, MonotonicTime until) {}
 
     /**
      * The result of one health check.
      *
-     * @param at when it was tried, by this node's clock
+     * @param at the time of the check by this node's clock
      */
     public record ServerHealth(String server, boolean well, MonotonicTime at) {}
 
     public boolean isInTouch(MonotonicTime now) {
-        return now.isBefore(touchUntil);
+        return now.isBefore(connectedUntil);
     }
 
-    /** The token to act under, or null. To be asked before every act. */
+    /**
+     * The fencing token under which this node may act on the duty; null if it may not. Has to be
+     * called before each action.
+     */
     public FencingToken mayAct(DutyName duty, MonotonicTime now) {
-        for (LeaseView one : leases) {
-            if (one.duty().equals(duty) && now.isBefore(one.until())) {
-                return one.token();
+        for (LeaseView lease : leases) {
+            if (lease.duty().equals(duty) && now.isBefore(lease.until())) {
+                return lease.token();
             }
         }
         return null;
--- a/src/main/java/lupinwood/consensus/ConfigApplier.java
+++ b/src/main/java/lupinwood/consensus/ConfigApplier.java
@@ -4,9 +4,11 @@
 import java.util.function.Consumer;
 import lupinwood.cluster.NodeReport;
 
-/** What a node does with the fleet's text. The outcomes may come by any thread. */
+/**
+ * Checks and applies the shared configuration of the cluster. The callbacks may come on any thread.
+ */
 public interface ConfigApplier {
-    /** A node that can't. */
+    /** For a node that accepts no shared configuration. */
     ConfigApplier NONE =
             new ConfigApplier() {
                 @Override
@@ -33,19 +35,19 @@
                 }
             };
 
-    /** The digest of the text that it was started with; empty for none. */
+    /** The digest of the shared configuration with which the node started; empty for none. */
     String runs();
 
-    /** The servers that rested when this node asked before its start. */
+    /** The servers that were cordoned when this node asked before its start. */
     List<String> cordonsAtStart();
 
-    /** Says whether it could go by the text, and changes nothing. */
+    /** Checks whether the node could run the configuration, and changes nothing. */
     void check(String digest, String text, Consumer<NodeReport.ConfigCheck> done);
 
     /**
-     * Goes by the text from now on, wholly or not at all.
+     * Applies the configuration, completely or not at all.
      *
-     * @param done hears why not; empty where it does
+     * @param done gets the reason against it; empty if it was applied
      */
     void take(String digest, String text, Consumer<String> done);
 }
--- a/src/main/java/lupinwood/consensus/DrainTracker.java
+++ b/src/main/java/lupinwood/consensus/DrainTracker.java
@@ -6,30 +6,33 @@
 import lupinwood.cluster.NodeView;
 
 /**
- * Whether a server that rests is empty: each node that is in has said, in this life and lately,
- * that it sends nothing new there and has nothing there. A node that can't be heard is never taken
- * to have stopped: it may be at work beyond a cut.
+ * Tells whether a cordoned server is drained: each member that isn't out has reported, in its
+ * current incarnation and recently, that it sends no new requests to the server and has none in
+ * flight there. A node whose heartbeats are missing never counts as drained: it may still send
+ * requests from behind a network partition.
  */
 public final class DrainTracker {
-    private static final int MOST_NAMED = 5;
+    private static final int MAX_NAMED_NODES = 5;
 
     private DrainTracker() {}
 
-    /** Which nodes haven't said so, and why, in one line; empty where all have. */
+    /**
+     * Which nodes haven't reported the server as drained, and why, in one line; empty if all have.
+     */
     public static String left(RaftReplica.ReplicaView state, String server) {
-        List<String> left = new ArrayList<>();
+        List<String> undrained = new ArrayList<>();
         for (NodeView nodeView : state.nodeViews()) {
             if (nodeView.status() == NodeStatus.OUT) {
                 continue;
             }
             if (nodeView.status() == NodeStatus.UNKNOWN) {
-                left.add(nodeView.name() + " isn't heard");
+                undrained.add(nodeView.name() + " sends no heartbeats");
             } else if (nodeView.report() == null || !nodeView.report().drained().contains(server)) {
-                left.add(nodeView.name() + " has not said so");
+                undrained.add(nodeView.name() + " has not reported the server as drained");
             }
         }
-        int more = left.size() - MOST_NAMED;
-        return String.join(", ", left.subList(0, Math.min(left.size(), MOST_NAMED)))
-                + (more > 0 ? " and " + more + " more" : "");
+        int unnamedCount = undrained.size() - MAX_NAMED_NODES;
+        return String.join(", ", undrained.subList(0, Math.min(undrained.size(), MAX_NAMED_NODES)))
+                + (unnamedCount > 0 ? " and " + unnamedCount + " more" : "");
     }
 }
--- a/src/main/java/lupinwood/consensus/FaultInjection.java
+++ b/src/main/java/lupinwood/consensus/FaultInjection.java
@@ -3,8 +3,9 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * What the laboratory's launcher spoils in a process of its own, to see that the consensus group
- * bears it, or that the audit finds a safeguard that is missing. Nothing in 'serve' sets any of it.
+ * Faults that the experiments' launcher injects into its own process, to show that the consensus
+ * group tolerates them, or that the audit detects a missing safeguard. The command 'serve' sets
+ * none of them.
  */
 public final class FaultInjection {
     private static volatile NanoDuration syncTakes = NanoDuration.ZERO;
@@ -13,17 +14,23 @@
 
     private FaultInjection() {}
 
-    /** Each write to the folder takes so much longer, as on a disk that others keep busy. */
+    /** Makes each sync of the storage this much slower, as on a disk that others keep busy. */
     public static void syncTakes(NanoDuration duration) {
         syncTakes = duration;
     }
 
-    /** A holder counts its lease from when the grant came, not from before it asked. */
+    /**
+     * Makes a lease holder count its lease from the arrival of the grant rather than from before
+     * its request.
+     */
     public static void leaveOutEarlyStop() {
         withoutEarlyStop = true;
     }
 
-    /** What the program says that it is, so that two builds can be played with one. */
+    /**
+     * Overrides the program version that the node reports, so that one build can stand for two
+     * versions.
+     */
     public static void program(String name) {
         program = name;
     }
--- a/src/main/java/lupinwood/consensus/RaftCodec.java
+++ b/src/main/java/lupinwood/consensus/RaftCodec.java
@@ -31,9 +31,9 @@
 import java.util.Set;
 
 /**
- * The library's messages and log entries as JSON, and back. Operations are our own texts, but for
- * the library's change of voters. What can't be read is told by an {@link
- * IllegalArgumentException}.
+ * Encodes MicroRaft's messages and log entries as JSON, and decodes them. Operations are texts of
+ * {@link CommandCodec}, except for MicroRaft's own membership changes. A message that can't be
+ * decoded gives an {@link IllegalArgumentException}.
  */
 final class RaftCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
@@ -42,320 +42,332 @@
 
     // ---- messages ----
 
-    static JsonObject of(RaftMessage message) {
-        JsonObject text = new JsonObject();
-        text.addProperty("from", id(message.getSender()));
-        text.addProperty("term", message.getTerm());
-        if (message instanceof AppendEntriesRequest one) {
-            kind(
-                    text,
+    static JsonObject encode(RaftMessage message) {
+        JsonObject json = new JsonObject();
+        json.addProperty("from", id(message.getSender()));
+        json.addProperty("term", message.getTerm());
+        if (message instanceof AppendEntriesRequest request) {
+            addKind(
+                    json,
                     "append",
                     "prevTerm",
-                    one.getPreviousLogTerm(),
+                    request.getPreviousLogTerm(),
                     "prev",
-                    one.getPreviousLogIndex(),
+                    request.getPreviousLogIndex(),
                     "commit",
-                    one.getCommitIndex(),
+                    request.getCommitIndex(),
                     "query",
-                    one.getQuerySequenceNumber(),
+                    request.getQuerySequenceNumber(),
                     "flow",
-                    one.getFlowControlSequenceNumber());
+                    request.getFlowControlSequenceNumber());
             JsonArray entries = new JsonArray();
-            one.getLogEntries().forEach(entry -> entries.add(of(entry)));
-            text.add("entries", entries);
-        } else if (message instanceof AppendEntriesSuccessResponse one) {
-            kind(
-                    text,
+            request.getLogEntries().forEach(entry -> entries.add(encode(entry)));
+            json.add("entries", entries);
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            addKind(
+                    json,
                     "appended",
                     "last",
-                    one.getLastLogIndex(),
+                    response.getLastLogIndex(),
                     "query",
-                    one.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "flow",
-                    one.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesFailureResponse one) {
-            kind(
-                    text,
+                    response.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            addKind(
+                    json,
                     "unfit",
                     "next",
-                    one.getExpectedNextIndex(),
+                    response.getExpectedNextIndex(),
                     "query",
-                    one.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "flow",
-                    one.getFlowControlSequenceNumber());
-        } else if (message instanceof PreVoteRequest one) {
-            kind(text, "prevote", "lastTerm", one.getLastLogTerm(), "last", one.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse one) {
-            kind(text, "prevoted", "yes", one.isGranted() ? 1 : 0);
-        } else if (message instanceof VoteRequest one) {
-            kind(
-                    text,
+                    response.getFlowControlSequenceNumber());
+        } else if (message instanceof PreVoteRequest request) {
+            addKind(
+                    json,
+                    "prevote",
+                    "lastTerm",
+                    request.getLastLogTerm(),
+                    "last",
+                    request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            addKind(json, "prevoted", "yes", response.isGranted() ? 1 : 0);
+        } else if (message instanceof VoteRequest request) {
+            addKind(
+                    json,
                     "vote",
                     "lastTerm",
-                    one.getLastLogTerm(),
+                    request.getLastLogTerm(),
                     "last",
-                    one.getLastLogIndex(),
+                    request.getLastLogIndex(),
                     "sticky",
-                    one.isSticky() ? 1 : 0);
-        } else if (message instanceof VoteResponse one) {
-            kind(text, "voted", "yes", one.isGranted() ? 1 : 0);
-        } else if (message instanceof TriggerLeaderElectionRequest one) {
-            kind(text, "elect", "lastTerm", one.getLastLogTerm(), "last", one.getLastLogIndex());
-        } else if (message instanceof InstallSnapshotRequest one) {
-            kind(
-                    text,
+                    request.isSticky() ? 1 : 0);
+        } else if (message instanceof VoteResponse response) {
+            addKind(json, "voted", "yes", response.isGranted() ? 1 : 0);
+        } else if (message instanceof TriggerLeaderElectionRequest request) {
+            addKind(
+                    json,
+                    "elect",
+                    "lastTerm",
+                    request.getLastLogTerm(),
+                    "last",
+                    request.getLastLogIndex());
+        } else if (message instanceof InstallSnapshotRequest request) {
+            addKind(
+                    json,
                     "install",
                     "leader",
-                    one.isSenderLeader() ? 1 : 0,
+                    request.isSenderLeader() ? 1 : 0,
                     "snapTerm",
-                    one.getSnapshotTerm(),
+                    request.getSnapshotTerm(),
                     "snap",
-                    one.getSnapshotIndex(),
+                    request.getSnapshotIndex(),
                     "chunks",
-                    one.getTotalSnapshotChunkCount(),
+                    request.getTotalSnapshotChunkCount(),
                     "query",
-                    one.getQuerySequenceNumber(),
+                    request.getQuerySequenceNumber(),
                     "flow",
-                    one.getFlowControlSequenceNumber());
-            text.add(
+                    request.getFlowControlSequenceNumber());
+            json.add(
                     "chunk",
-                    one.getSnapshotChunk() == null
+                    request.getSnapshotChunk() == null
                             ? JsonNull.INSTANCE
-                            : of(one.getSnapshotChunk()));
-            text.add("members", ids(one.getSnapshottedMembers()));
-            text.add("view", of(one.getGroupMembersView()));
-        } else if (message instanceof InstallSnapshotResponse one) {
-            kind(
-                    text,
+                            : encode(request.getSnapshotChunk()));
+            json.add("members", ids(request.getSnapshottedMembers()));
+            json.add("view", encode(request.getGroupMembersView()));
+        } else if (message instanceof InstallSnapshotResponse response) {
+            addKind(
+                    json,
                     "installed",
                     "snap",
-                    one.getSnapshotIndex(),
+                    response.getSnapshotIndex(),
                     "chunk",
-                    one.getRequestedSnapshotChunkIndex(),
+                    response.getRequestedSnapshotChunkIndex(),
                     "query",
-                    one.getQuerySequenceNumber(),
+                    response.getQuerySequenceNumber(),
                     "flow",
-                    one.getFlowControlSequenceNumber());
+                    response.getFlowControlSequenceNumber());
         } else {
             throw new IllegalArgumentException(
-                    "no such message: " + message.getClass().getSimpleName());
+                    "unknown message type: " + message.getClass().getSimpleName());
         }
-        return text;
+        return json;
     }
 
-    private static void kind(JsonObject text, String kind, Object... pairs) {
-        text.addProperty("kind", kind);
+    private static void addKind(JsonObject json, String kind, Object... pairs) {
+        json.addProperty("kind", kind);
         for (int i = 0; i < pairs.length; i += 2) {
-            text.addProperty((String) pairs[i], (Number) pairs[i + 1]);
+            json.addProperty((String) pairs[i], (Number) pairs[i + 1]);
         }
     }
 
-    static RaftMessage message(JsonObject text, Object group) {
+    static RaftMessage decodeMessage(JsonObject json, Object group) {
         try {
-            return read(text, group);
+            return decode(json, group);
         } catch (RuntimeException e) {
-            throw new IllegalArgumentException("a message of the council that can't be read: " + e);
+            throw new IllegalArgumentException("consensus message cannot be read: " + e);
         }
     }
 
-    private static RaftMessage read(JsonObject text, Object group) {
-        Voter from = new Voter(text.get("from").getAsString());
-        int term = integer(text, "term");
-        return switch (text.get("kind").getAsString()) {
+    private static RaftMessage decode(JsonObject json, Object group) {
+        Voter from = new Voter(json.get("from").getAsString());
+        int term = intValue(json, "term");
+        return switch (json.get("kind").getAsString()) {
             case "append" ->
                     MODEL.createAppendEntriesRequestBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setPreviousLogTerm(integer(text, "prevTerm"))
-                            .setPreviousLogIndex(number(text, "prev"))
-                            .setCommitIndex(number(text, "commit"))
-                            .setLogEntries(entries(text.getAsJsonArray("entries")))
-                            .setQuerySequenceNumber(number(text, "query"))
-                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .setPreviousLogTerm(intValue(json, "prevTerm"))
+                            .setPreviousLogIndex(longValue(json, "prev"))
+                            .setCommitIndex(longValue(json, "commit"))
+                            .setLogEntries(decodeEntries(json.getAsJsonArray("entries")))
+                            .setQuerySequenceNumber(longValue(json, "query"))
+                            .setFlowControlSequenceNumber(longValue(json, "flow"))
                             .build();
             case "appended" ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogIndex(number(text, "last"))
-                            .setQuerySequenceNumber(number(text, "query"))
-                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .setLastLogIndex(longValue(json, "last"))
+                            .setQuerySequenceNumber(longValue(json, "query"))
+                            .setFlowControlSequenceNumber(longValue(json, "flow"))
                             .build();
             case "unfit" ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setExpectedNextIndex(number(text, "next"))
-                            .setQuerySequenceNumber(number(text, "query"))
-                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .setExpectedNextIndex(longValue(json, "next"))
+                            .setQuerySequenceNumber(longValue(json, "query"))
+                            .setFlowControlSequenceNumber(longValue(json, "flow"))
                             .build();
             case "prevote" ->
                     MODEL.createPreVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(integer(text, "lastTerm"))
-                            .setLastLogIndex(number(text, "last"))
+                            .setLastLogTerm(intValue(json, "lastTerm"))
+                            .setLastLogIndex(longValue(json, "last"))
                             .build();
             case "prevoted" ->
                     MODEL.createPreVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setGranted(integer(text, "yes") == 1)
+                            .setGranted(intValue(json, "yes") == 1)
                             .build();
             case "vote" ->
                     MODEL.createVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(integer(text, "lastTerm"))
-                            .setLastLogIndex(number(text, "last"))
-                            .setSticky(integer(text, "sticky") == 1)
+                            .setLastLogTerm(intValue(json, "lastTerm"))
+                            .setLastLogIndex(longValue(json, "last"))
+                            .setSticky(intValue(json, "sticky") == 1)
                             .build();
             case "voted" ->
                     MODEL.createVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setGranted(integer(text, "yes") == 1)
+                            .setGranted(intValue(json, "yes") == 1)
                             .build();
             case "elect" ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(integer(text, "lastTerm"))
-                            .setLastLogIndex(number(text, "last"))
+                            .setLastLogTerm(intValue(json, "lastTerm"))
+                            .setLastLogIndex(longValue(json, "last"))
                             .build();
             case "install" ->
                     MODEL.createInstallSnapshotRequestBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setSenderLeader(integer(text, "leader") == 1)
-                            .setSnapshotTerm(integer(text, "snapTerm"))
-                            .setSnapshotIndex(number(text, "snap"))
-                            .setTotalSnapshotChunkCount(integer(text, "chunks"))
+                            .setSenderLeader(intValue(json, "leader") == 1)
+                            .setSnapshotTerm(intValue(json, "snapTerm"))
+                            .setSnapshotIndex(longValue(json, "snap"))
+                            .setTotalSnapshotChunkCount(intValue(json, "chunks"))
                             .setSnapshotChunk(
-                                    text.get("chunk").isJsonNull()
+                                    json.get("chunk").isJsonNull()
                                             ? null
-                                            : chunk(text.getAsJsonObject("chunk")))
-                            .setSnapshottedMembers(voters(text.getAsJsonArray("members")))
-                            .setGroupMembersView(view(text.get("view")))
-                            .setQuerySequenceNumber(number(text, "query"))
-                            .setFlowControlSequenceNumber(number(text, "flow"))
+                                            : decodeChunk(json.getAsJsonObject("chunk")))
+                            .setSnapshottedMembers(decodeVoters(json.getAsJsonArray("members")))
+                            .setGroupMembersView(decodeView(json.get("view")))
+                            .setQuerySequenceNumber(longValue(json, "query"))
+                            .setFlowControlSequenceNumber(longValue(json, "flow"))
                             .build();
             case "installed" ->
                     MODEL.createInstallSnapshotResponseBuilder()
                             .setGroupId(group)
                             .setSender(from)
                             .setTerm(term)
-                            .setSnapshotIndex(number(text, "snap"))
-                            .setRequestedSnapshotChunkIndex(integer(text, "chunk"))
-                            .setQuerySequenceNumber(number(text, "query"))
-                            .setFlowControlSequenceNumber(number(text, "flow"))
+                            .setSnapshotIndex(longValue(json, "snap"))
+                            .setRequestedSnapshotChunkIndex(intValue(json, "chunk"))
+                            .setQuerySequenceNumber(longValue(json, "query"))
+                            .setFlowControlSequenceNumber(longValue(json, "flow"))
                             .build();
-            default -> throw new IllegalArgumentException("no such kind");
+            default -> throw new IllegalArgumentException("unknown message kind");
         };
     }
 
     // ---- entries ----
 
-    static JsonObject of(LogEntry entry) {
-        return base(entry);
+    static JsonObject encode(LogEntry entry) {
+        return encodeEntry(entry);
     }
 
-    private static JsonObject base(BaseLogEntry entry) {
-        JsonObject text = new JsonObject();
-        text.addProperty("i", entry.getIndex());
-        text.addProperty("t", entry.getTerm());
-        if (entry.getOperation() instanceof UpdateRaftGroupMembersOp change) {
+    private static JsonObject encodeEntry(BaseLogEntry entry) {
+        JsonObject json = new JsonObject();
+        json.addProperty("i", entry.getIndex());
+        json.addProperty("t", entry.getTerm());
+        if (entry.getOperation() instanceof UpdateRaftGroupMembersOp membershipChange) {
             JsonObject voters = new JsonObject();
-            voters.add("members", ids(change.getMembers()));
-            voters.add("voting", ids(change.getVotingMembers()));
-            voters.addProperty("one", id(change.getEndpoint()));
-            voters.addProperty("mode", change.getMode().name());
-            text.add("voters", voters);
+            voters.add("members", ids(membershipChange.getMembers()));
+            voters.add("voting", ids(membershipChange.getVotingMembers()));
+            voters.addProperty("one", id(membershipChange.getEndpoint()));
+            voters.addProperty("mode", membershipChange.getMode().name());
+            json.add("voters", voters);
         } else {
-            text.addProperty("op", (String) entry.getOperation());
+            json.addProperty("op", (String) entry.getOperation());
         }
-        return text;
+        return json;
     }
 
-    static LogEntry entry(JsonObject text) {
+    static LogEntry decodeEntry(JsonObject json) {
         return MODEL.createLogEntryBuilder()
-                .setIndex(number(text, "i"))
-                .setTerm(integer(text, "t"))
-                .setOperation(operation(text))
+                .setIndex(longValue(json, "i"))
+                .setTerm(intValue(json, "t"))
+                .setOperation(decodeOperation(json))
                 .build();
     }
 
-    private static Object operation(JsonObject text) {
-        if (!text.has("voters")) {
-            return text.get("op").getAsString();
+    private static Object decodeOperation(JsonObject json) {
+        if (!json.has("voters")) {
+            return json.get("op").getAsString();
         }
-        JsonObject voters = text.getAsJsonObject("voters");
+        JsonObject voters = json.getAsJsonObject("voters");
         return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                .setMembers(voters(voters.getAsJsonArray("members")))
-                .setVotingMembers(voters(voters.getAsJsonArray("voting")))
+                .setMembers(decodeVoters(voters.getAsJsonArray("members")))
+                .setVotingMembers(decodeVoters(voters.getAsJsonArray("voting")))
                 .setEndpoint(new Voter(voters.get("one").getAsString()))
                 .setMode(MembershipChangeMode.valueOf(voters.get("mode").getAsString()))
                 .build();
     }
 
-    private static List<LogEntry> entries(JsonArray texts) {
+    private static List<LogEntry> decodeEntries(JsonArray array) {
         List<LogEntry> entries = new ArrayList<>();
-        texts.forEach(text -> entries.add(entry(text.getAsJsonObject())));
+        array.forEach(json -> entries.add(decodeEntry(json.getAsJsonObject())));
         return entries;
     }
 
-    static JsonObject of(SnapshotChunk chunk) {
-        JsonObject text = base(chunk);
-        text.addProperty("n", chunk.getSnapshotChunkIndex());
-        text.addProperty("of", chunk.getSnapshotChunkCount());
-        text.add("view", of(chunk.getGroupMembersView()));
-        return text;
+    static JsonObject encode(SnapshotChunk chunk) {
+        JsonObject json = encodeEntry(chunk);
+        json.addProperty("n", chunk.getSnapshotChunkIndex());
+        json.addProperty("of", chunk.getSnapshotChunkCount());
+        json.add("view", encode(chunk.getGroupMembersView()));
+        return json;
     }
 
-    static SnapshotChunk chunk(JsonObject text) {
+    static SnapshotChunk decodeChunk(JsonObject json) {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(number(text, "i"))
-                .setTerm(integer(text, "t"))
-                .setOperation(operation(text))
-                .setSnapshotChunkIndex(integer(text, "n"))
-                .setSnapshotChunkCount(integer(text, "of"))
-                .setGroupMembersView(view(text.get("view")))
+                .setIndex(longValue(json, "i"))
+                .setTerm(intValue(json, "t"))
+                .setOperation(decodeOperation(json))
+                .setSnapshotChunkIndex(intValue(json, "n"))
+                .setSnapshotChunkCount(intValue(json, "of"))
+                .setGroupMembersView(decodeView(json.get("view")))
                 .build();
     }
 
-    static JsonElement of(RaftGroupMembersView view) {
+    static JsonElement encode(RaftGroupMembersView view) {
         if (view == null) {
             return JsonNull.INSTANCE;
         }
-        JsonObject text = new JsonObject();
-        text.addProperty("at", view.getLogIndex());
-        text.add("members", ids(view.getMembers()));
-        text.add("voting", ids(view.getVotingMembers()));
-        return text;
+        JsonObject json = new JsonObject();
+        json.addProperty("at", view.getLogIndex());
+        json.add("members", ids(view.getMembers()));
+        json.add("voting", ids(view.getVotingMembers()));
+        return json;
     }
 
-    static RaftGroupMembersView view(JsonElement element) {
+    static RaftGroupMembersView decodeView(JsonElement element) {
         if (element.isJsonNull()) {
             return null;
         }
-        JsonObject text = element.getAsJsonObject();
+        JsonObject json = element.getAsJsonObject();
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(number(text, "at"))
-                .setMembers(voters(text.getAsJsonArray("members")))
-                .setVotingMembers(voters(text.getAsJsonArray("voting")))
+                .setLogIndex(longValue(json, "at"))
+                .setMembers(decodeVoters(json.getAsJsonArray("members")))
+                .setVotingMembers(decodeVoters(json.getAsJsonArray("voting")))
                 .build();
     }
 
-    // ---- small things ----
+    // ---- helpers ----
 
     static String id(RaftEndpoint endpoint) {
         return endpoint == null ? null : Voter.of(endpoint).id();
@@ -367,17 +379,17 @@
         return ids;
     }
 
-    private static Set<RaftEndpoint> voters(JsonArray ids) {
+    private static Set<RaftEndpoint> decodeVoters(JsonArray ids) {
         Set<RaftEndpoint> voters = new LinkedHashSet<>();
         ids.forEach(id -> voters.add(new Voter(id.getAsString())));
         return voters;
     }
 
-    private static int integer(JsonObject text, String name) {
-        return text.get(name).getAsInt();
+    private static int intValue(JsonObject json, String name) {
+        return json.get(name).getAsInt();
     }
 
-    private static long number(JsonObject text, String name) {
-        return text.get(name).getAsLong();
+    private static long longValue(JsonObject json, String name) {
+        return json.get(name).getAsLong();
     }
 }
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -50,29 +50,30 @@
 import lupinwood.log.WallClock;
 
 /**
- * One voter's part in the consensus group: the library's engine, the cluster state that it agrees
- * on, and the lease manager who decides while this voter leads. All happens on one loop, whose
- * clock may be made up.
+ * One voter's replica of the consensus group: the MicroRaft node, the cluster state that it
+ * replicates, and the lease manager, which decides while this voter leads. Everything runs on one
+ * task loop, whose clock may be simulated.
  *
  * <p>A heartbeat is answered only after a majority confirmed that this voter still led after the
- * heartbeat came: so whoever leads later began after every word that a holder may count from.
+ * heartbeat arrived. A later leader's term therefore began after every heartbeat from which a lease
+ * holder may count its lease.
  */
 public final class RaftReplica {
     /**
-     * What it works with.
+     * What a replica works with.
      *
-     * @param post takes a message to the voter of an id
-     * @param restored what the folder held; null for one that never voted
+     * @param sender sends a message to the voter with that id
+     * @param restored the state read from the storage directory; null for a voter that never voted
      */
     public record ReplicaContext(
             TaskLoop loop,
-            BiConsumer<String, RaftMessage> post,
+            BiConsumer<String, RaftMessage> sender,
             RaftStore store,
             RestoredRaftState restored,
             Random random,
             Consumer<String> log) {}
 
-    /** What one voter says of the consensus group. */
+    /** The consensus group's state as one voter knows it. */
     public record ReplicaView(
             NodeName self,
             NodeName leader,
@@ -93,13 +94,14 @@
             long lastPlan) {}
 
     /**
-     * What an operator asks for.
+     * An operator order.
      *
-     * @param id names it, so that one asked again after a lost answer is done once
+     * @param id identifies the order, so that one sent again after a lost answer is executed once
      * @param what leave, halt, resume, forget, release, back, rest or unrest
-     * @param node whom it is about, where it is about one
-     * @param wish what is to be released; else null
-     * @param server which one is to rest, or to be back; else null
+     * @param node the node that the order is about; null where it is about none
+     * @param by who gave the order, for the history
+     * @param wish the requested rollout; null for other orders
+     * @param server the server to cordon or to uncordon; null for other orders
      */
     public record OperatorOrder(
             String id, String what, NodeName node, String by, RolloutRequest wish, String server) {
@@ -114,75 +116,77 @@
     }
 
     /**
-     * What an operator wants released.
+     * The rollout that an operator requests.
      *
-     * @param to a text's digest, or a version of the program
-     * @param text of a configuration; else empty
+     * @param to the digest of a configuration, or a version of the program
+     * @param text the configuration's text; empty for a program
+     * @param backsOnHalt whether the rollout rolls back when it is halted
      */
     public record RolloutRequest(Rollout.Kind kind, String to, String text, boolean backsOnHalt) {}
 
     /**
-     * The answer to an operator's order.
+     * The answer to an operator order.
      *
-     * @param done whether it was carried out; else the text says why not now
+     * @param done whether the order was executed; if not, the text says why
      */
     public record OrderResult(boolean done, String text) {}
 
-    static final String GROUP = "fleet";
-    private static final String NEW_TERM = "term";
+    static final String GROUP_ID = "fleet";
+    private static final String NEW_TERM_OPERATION = "term";
 
     /**
-     * The engine counts heartbeats in whole seconds of its own; its clock runs so much faster that
-     * a lease holds so many.
+     * MicroRaft configures heartbeats in whole seconds. Its clock is sped up so that one lease
+     * lasts this many of its seconds.
      */
-    private static final double ENGINE_SECONDS_A_LEASE = 24;
+    private static final double ENGINE_SECONDS_PER_LEASE = 24;
 
-    private static final int HEARTBEAT_SECONDS = 1;
-    private static final int SILENCE_SECONDS = 8;
-    private static final int ELECTION_MILLIS = 2000;
-    private static final int SNAPSHOT_EVERY = 1000;
-    private static final int REPORT_SECONDS = 3600;
+    private static final int ENGINE_HEARTBEAT_SECONDS = 1;
+    private static final int ENGINE_LEADER_TIMEOUT_SECONDS = 8;
+    private static final int ENGINE_ELECTION_TIMEOUT_MILLIS = 2000;
+    private static final int SNAPSHOT_INTERVAL_COMMITS = 1000;
+    private static final int ENGINE_REPORT_INTERVAL_SECONDS = 3600;
 
     /**
-     * Heartbeats that wait for one confirmation; past that the newest is passed over, and told
-     * again by its node.
+     * Bound on the heartbeats that wait for confirmation; further ones are dropped, and their nodes
+     * send them again.
      */
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_UNCONFIRMED_HEARTBEATS = 4096;
 
-    private static final int MOST_COMMANDS_AT_ONCE = 64;
+    private static final int MAX_PENDING_COMMANDS = 64;
 
     /**
-     * A batch of the longest commands, a text or the past of all nodes, has to fit into one
-     * message.
+     * A batch of the longest commands (a configuration text, or the request counts of all nodes
+     * before a rollout) has to fit into one message.
      */
-    private static final int MOST_IN_A_BATCH = 4;
+    private static final int MAX_BATCH_ENTRIES = 4;
 
     /**
-     * @param again whether it was answered before, and hears of something new since
+     * @param repeated whether it was answered before and is answered once more for a new lease
      */
     private record PendingHeartbeat(
-            Heartbeat heartbeat, Consumer<HeartbeatReply> to, boolean again) {}
+            Heartbeat heartbeat, Consumer<HeartbeatReply> replyTo, boolean repeated) {}
 
     private final NodeName self;
-    private final ReplicaContext means;
+    private final ReplicaContext context;
     private final ClusterState clusterState;
     private final LeaseManager leaseManager;
     private final long tokensAbove;
     private final RaftNode raft;
-    private final double speed;
-    private final Set<ClusterCommand> underWay = new HashSet<>();
+    private final double clockSpeedup;
+    private final Set<ClusterCommand> pendingCommands = new HashSet<>();
 
-    /** The latest heartbeat of each node, which may be answered once more. */
-    private final Map<NodeName, PendingHeartbeat> latest = new HashMap<>();
+    /** The latest heartbeat of each node; it may be answered a second time. */
+    private final Map<NodeName, PendingHeartbeat> latestHeartbeats = new HashMap<>();
 
-    private List<PendingHeartbeat> waiting = new ArrayList<>();
-    private boolean confirming;
+    private List<PendingHeartbeat> unconfirmedHeartbeats = new ArrayList<>();
+    private boolean confirmationInProgress;
     private int ledTerm = -1;
-    private boolean changing;
-    private boolean over;
+    private boolean membershipChangeInProgress;
+    private boolean stopped;
 
     /**
-     * @param tokensAbove where tokens begin should this be the consensus group's first leader ever
+     * @param tokensAbove fencing tokens start above this value if this voter is the first leader
+     *     ever of the consensus group
      */
     public RaftReplica(
             NodeName self,
@@ -191,134 +195,141 @@
             LeaseTiming timing,
             List<DutyName> duties,
             long tokensAbove,
-            ReplicaContext means) {
+            ReplicaContext context) {
         this.self = self;
-        this.means = means;
+        this.context = context;
         this.tokensAbove = tokensAbove;
         clusterState = new ClusterState(timing.mostMembers());
         leaseManager = new LeaseManager(timing, duties);
-        speed = ENGINE_SECONDS_A_LEASE / timing.lease().seconds();
+        clockSpeedup = ENGINE_SECONDS_PER_LEASE / timing.lease().seconds();
         RaftConfig config =
                 RaftConfig.newBuilder()
-                        .setLeaderElectionTimeoutMillis(ELECTION_MILLIS)
-                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
-                        .setLeaderHeartbeatTimeoutSecs(SILENCE_SECONDS)
-                        .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                        .setRaftNodeReportPublishPeriodSecs(REPORT_SECONDS)
-                        .setAppendEntriesRequestBatchSize(MOST_IN_A_BATCH)
+                        .setLeaderElectionTimeoutMillis(ENGINE_ELECTION_TIMEOUT_MILLIS)
+                        .setLeaderHeartbeatPeriodSecs(ENGINE_HEARTBEAT_SECONDS)
+                        .setLeaderHeartbeatTimeoutSecs(ENGINE_LEADER_TIMEOUT_SECONDS)
+                        .setCommitCountToTakeSnapshot(SNAPSHOT_INTERVAL_COMMITS)
+                        .setRaftNodeReportPublishPeriodSecs(ENGINE_REPORT_INTERVAL_SECONDS)
+                        .setAppendEntriesRequestBatchSize(MAX_BATCH_ENTRIES)
                         .setTransferSnapshotsFromFollowersEnabled(false)
                         .build();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(GROUP)
+                        .setGroupId(GROUP_ID)
                         .setConfig(config)
                         .setExecutor(new LoopExecutor())
-                        .setTransport(new Post())
+                        .setTransport(new ReplicaTransport())
                         .setStateMachine(new ReplicatedStateMachine())
-                        .setStore(means.store())
+                        .setStore(context.store())
                         .setModelFactory(RaftCodec.MODEL)
-                        .setRandom(means.random())
+                        .setRandom(context.random())
                         .setClock(new EngineClock());
-        if (means.restored() == null) {
-            List<RaftEndpoint> all = new ArrayList<>();
-            founders.forEach(id -> all.add(new Voter(id)));
-            builder.setLocalEndpoint(new Voter(endpoint)).setInitialGroupMembers(all);
+        if (context.restored() == null) {
+            List<RaftEndpoint> initialMembers = new ArrayList<>();
+            founders.forEach(id -> initialMembers.add(new Voter(id)));
+            builder.setLocalEndpoint(new Voter(endpoint)).setInitialGroupMembers(initialMembers);
         } else {
-            builder.setRestoredState(means.restored());
+            builder.setRestoredState(context.restored());
         }
         raft = builder.build();
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // the engine logs its own start
+    @SuppressWarnings("FutureReturnValueIgnored") // MicroRaft logs the outcome of its start
     public void start() {
         raft.start();
-        look();
+        tick();
     }
 
-    /** It takes part no more; the folder may be closed after this. */
-    @SuppressWarnings("FutureReturnValueIgnored") // nothing follows the end
+    /** Stops the replica; the storage may be closed after this. */
+    @SuppressWarnings("FutureReturnValueIgnored") // nothing depends on the termination
     public void stop() {
-        over = true;
+        stopped = true;
         raft.terminate();
     }
 
-    /** What another voter's engine says. */
+    /** Handles a message from another voter's replica. */
     public void heard(RaftMessage message) {
-        if (!over) {
+        if (!stopped) {
             raft.handle(message);
         }
     }
 
-    /** A node's heartbeat; the answer comes once it is confirmed, or never. */
-    public void heard(Heartbeat reported, Consumer<HeartbeatReply> to) {
+    /** Handles a node's heartbeat. It is answered once leadership is confirmed, or never. */
+    public void heard(Heartbeat reported, Consumer<HeartbeatReply> replyTo) {
         Heartbeat heartbeat = reported.cut();
         if (!leads()) {
-            to.accept(LeaseManager.elsewhere(heartbeat, leader()));
+            replyTo.accept(LeaseManager.elsewhere(heartbeat, leader()));
             return;
         }
-        if (waiting.size() < MOST_WAITING) {
-            PendingHeartbeat one = new PendingHeartbeat(heartbeat, to, false);
-            waiting.add(one);
-            latest.put(heartbeat.name(), one);
+        if (unconfirmedHeartbeats.size() < MAX_UNCONFIRMED_HEARTBEATS) {
+            PendingHeartbeat pending = new PendingHeartbeat(heartbeat, replyTo, false);
+            unconfirmedHeartbeats.add(pending);
+            latestHeartbeats.put(heartbeat.name(), pending);
             confirm();
         }
     }
 
     /**
-     * One question to the majority at a time: a heartbeat that comes while one is under way waits
-     * for the next, since votes for that one may be older than the heartbeat.
+     * Asks the majority to confirm this voter's leadership, one query at a time. A heartbeat that
+     * arrives during a query waits for the next one, since the confirmations of the running query
+     * may be older than the heartbeat.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
     private void confirm() {
-        if (confirming || waiting.isEmpty() || over) {
+        if (confirmationInProgress || unconfirmedHeartbeats.isEmpty() || stopped) {
             return;
         }
-        confirming = true;
-        List<PendingHeartbeat> batch = waiting;
-        waiting = new ArrayList<>();
+        confirmationInProgress = true;
+        List<PendingHeartbeat> batch = unconfirmedHeartbeats;
+        unconfirmedHeartbeats = new ArrayList<>();
         int term = ledTerm;
         raft.<Object>query("", QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete(
-                        (done, failed) -> {
-                            confirming = false;
-                            if (failed == null && leads() && term == ledTerm) {
+                        (result, failure) -> {
+                            confirmationInProgress = false;
+                            if (failure == null && leads() && term == ledTerm) {
                                 batch.forEach(this::answer);
-                                act();
+                                proposeDecisions();
                             } else {
                                 batch.forEach(
-                                        one ->
-                                                one.to()
+                                        pending ->
+                                                pending.replyTo()
                                                         .accept(
                                                                 LeaseManager.elsewhere(
-                                                                        one.heartbeat(),
+                                                                        pending.heartbeat(),
                                                                         leader())));
                             }
                             confirm();
                         });
     }
 
-    private void answer(PendingHeartbeat one) {
-        MonotonicTime now = means.loop().now();
-        String trouble = one.again() ? "" : leaseManager.heard(one.heartbeat(), clusterState, now);
-        one.to().accept(leaseManager.replyTo(one.heartbeat(), trouble, clusterState, self, now));
+    private void answer(PendingHeartbeat pending) {
+        MonotonicTime now = context.loop().now();
+        String trouble =
+                pending.repeated()
+                        ? ""
+                        : leaseManager.heard(pending.heartbeat(), clusterState, now);
+        pending.replyTo()
+                .accept(
+                        leaseManager.replyTo(
+                                pending.heartbeat(), trouble, clusterState, self, now));
     }
 
-    /** Whether this voter leads; notices when it begins to, or ends. */
+    /** Whether this voter leads. Also detects the start and the end of its leadership. */
     private boolean leads() {
         RaftTerm term = raft.getTerm();
         boolean leads =
-                !over
+                !stopped
                         && term.getLeaderEndpoint() != null
                         && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (leads && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
-            leaseManager.leads(clusterState, means.loop().now());
-            means.log().accept("leads the council in term " + ledTerm);
+            leaseManager.leads(clusterState, context.loop().now());
+            context.log().accept("consensus leadership acquired term=" + ledTerm);
         } else if (!leads && ledTerm >= 0) {
             ledTerm = -1;
             leaseManager.leadsNoMore();
-            latest.clear();
-            means.log().accept("leads the council no more");
+            latestHeartbeats.clear();
+            context.log().accept("consensus leadership lost");
         }
         return leads;
     }
@@ -328,127 +339,136 @@
         return leader == null ? null : leader.name();
     }
 
-    private void look() {
-        if (!over) {
+    private void tick() {
+        if (!stopped) {
             if (leads()) {
-                act();
+                proposeDecisions();
             }
-            means.loop().after(leaseManager.looksEvery(), this::look);
+            context.loop().after(leaseManager.looksEvery(), this::tick);
         }
     }
 
-    private void act() {
+    private void proposeDecisions() {
         for (ClusterCommand command :
-                leaseManager.decide(clusterState, tokensAbove, means.loop().now())) {
+                leaseManager.decide(clusterState, tokensAbove, context.loop().now())) {
             propose(command, null);
         }
     }
 
-    /** Has a command written, unless the same is under way. */
+    /**
+     * Replicates a command unless an equal one is pending. At the limit of pending commands, or for
+     * a duplicate, drops it without calling back.
+     */
     @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
-    private void propose(ClusterCommand command, Consumer<Boolean> done) {
-        if (underWay.size() >= MOST_COMMANDS_AT_ONCE || !underWay.add(command)) {
+    private void propose(ClusterCommand command, Consumer<Boolean> onResult) {
+        if (pendingCommands.size() >= MAX_PENDING_COMMANDS || !pendingCommands.add(command)) {
             return;
         }
-        // The lease manager knows no wall clock; the line of history has one all the same.
-        ClusterCommand written = timed(command);
-        raft.<Boolean>replicate(CommandCodec.of(written))
+        // The lease manager has no wall clock, but entries of the history need a wall-clock time.
+        ClusterCommand timestamped = withWallClock(command);
+        raft.<Boolean>replicate(CommandCodec.encode(timestamped))
                 .whenComplete(
-                        (Ordered<Boolean> result, Throwable failed) -> {
-                            underWay.remove(command);
-                            if (done != null) {
-                                done.accept(failed == null && result.getResult());
+                        (Ordered<Boolean> result, Throwable failure) -> {
+                            pendingCommands.remove(command);
+                            if (onResult != null) {
+                                onResult.accept(failure == null && result.getResult());
                             }
-                            if (failed == null && result.getResult()) {
-                                means.log().accept("written: " + command);
-                                if (command instanceof ClusterCommand.GrantLease give) {
-                                    tellAgain(give.heir());
+                            if (failure == null && result.getResult()) {
+                                context.log().accept("command written command=" + command);
+                                if (command instanceof ClusterCommand.GrantLease grant) {
+                                    answerAgain(grant.heir());
                                 }
                             }
                         });
     }
 
-    private static ClusterCommand timed(ClusterCommand command) {
-        return command instanceof ClusterCommand.ReturnPermit back
-                ? new ClusterCommand.ReturnPermit(back.permit(), back.why(), millis())
-                : command instanceof ClusterCommand.AdvanceRollout one
+    private static ClusterCommand withWallClock(ClusterCommand command) {
+        return command instanceof ClusterCommand.ReturnPermit permit
+                ? new ClusterCommand.ReturnPermit(permit.permit(), permit.why(), millis())
+                : command instanceof ClusterCommand.AdvanceRollout advance
                         ? new ClusterCommand.AdvanceRollout(
-                                one.token(),
-                                one.rollout(),
-                                one.step(),
-                                one.back(),
-                                one.nodes(),
-                                one.why(),
-                                one.past(),
+                                advance.token(),
+                                advance.rollout(),
+                                advance.step(),
+                                advance.back(),
+                                advance.nodes(),
+                                advance.why(),
+                                advance.past(),
                                 millis())
-                        : command instanceof ClusterCommand.RollBack one
+                        : command instanceof ClusterCommand.RollBack rollBack
                                 ? new ClusterCommand.RollBack(
-                                        one.order(), one.rollout(), one.by(), millis())
-                                : command instanceof ClusterCommand.FinishRollout one
+                                        rollBack.order(),
+                                        rollBack.rollout(),
+                                        rollBack.by(),
+                                        millis())
+                                : command instanceof ClusterCommand.FinishRollout finish
                                         ? new ClusterCommand.FinishRollout(
-                                                one.token(),
-                                                one.rollout(),
-                                                one.done(),
-                                                one.why(),
+                                                finish.token(),
+                                                finish.rollout(),
+                                                finish.done(),
+                                                finish.why(),
                                                 millis())
-                                        : command instanceof ClusterCommand.SetCapacityPlan one
+                                        : command instanceof ClusterCommand.SetCapacityPlan plan
                                                 ? new ClusterCommand.SetCapacityPlan(
-                                                        one.token(),
-                                                        one.after(),
-                                                        one.bears(),
-                                                        one.alone(),
-                                                        one.slots(),
-                                                        one.why(),
+                                                        plan.token(),
+                                                        plan.after(),
+                                                        plan.bears(),
+                                                        plan.alone(),
+                                                        plan.slots(),
+                                                        plan.why(),
                                                         millis())
-                                                : command instanceof ClusterCommand.SetHalt one
+                                                : command instanceof ClusterCommand.SetHalt halt
                                                         ? new ClusterCommand.SetHalt(
-                                                                one.order(),
-                                                                one.halted(),
-                                                                one.by(),
+                                                                halt.order(),
+                                                                halt.halted(),
+                                                                halt.by(),
                                                                 millis())
                                                         : command;
     }
 
-    /** An heir needn't wait for its next heartbeat to hear of it. */
-    private void tellAgain(NodeName heir) {
-        PendingHeartbeat one = latest.get(heir);
-        if (one != null && leads()) {
-            waiting.add(new PendingHeartbeat(one.heartbeat(), one.to(), true));
+    /**
+     * Answers the heir's latest heartbeat again, so that it learns of its lease before its next
+     * heartbeat.
+     */
+    private void answerAgain(NodeName heir) {
+        PendingHeartbeat pending = latestHeartbeats.get(heir);
+        if (pending != null && leads()) {
+            unconfirmedHeartbeats.add(
+                    new PendingHeartbeat(pending.heartbeat(), pending.replyTo(), true));
             confirm();
         }
     }
 
     /**
-     * A command that another part of the node wants written; false where it did not fit, or may not
-     * have been written.
+     * Replicates a command for another part of the node. The callback gets false where the cluster
+     * state rejected the command, or it may not have been committed.
      */
-    public void write(ClusterCommand command, Consumer<Boolean> done) {
+    public void submit(ClusterCommand command, Consumer<Boolean> onResult) {
         if (leads()) {
-            propose(command, done);
+            propose(command, onResult);
         } else {
-            done.accept(false);
+            onResult.accept(false);
         }
     }
 
-    /** The servers that rest. */
-    Set<String> resting() {
+    /** The names of the cordoned servers. */
+    Set<String> cordonedServers() {
         Set<String> names = new HashSet<>();
         clusterState.cordons().forEach(cordon -> names.add(cordon.server()));
         return names;
     }
 
-    /**
-     * The fleet's text of that digest, and which text a node is to go by; each null where it isn't
-     * known here.
-     */
-    String text(String digest) {
+    /** The configuration text of that digest; null where this voter doesn't know it. */
+    String configText(String digest) {
         return clusterState.text(digest);
     }
 
-    String wanted(NodeName node) {
+    /** The digest of the configuration that the node should run; null unless this voter leads. */
+    String wantedConfig(NodeName node) {
         return leads() ? clusterState.wanted(node).runs() : null;
     }
 
+    /** The program version that the node should run; null unless this voter leads. */
     String wantedProgram(NodeName node) {
         return leads() ? clusterState.wantedProgram(node) : null;
     }
@@ -458,29 +478,29 @@
     }
 
     /**
-     * Some of it is long, and told where asked for only.
+     * The state as this voter knows it. Its long parts are included only on request.
      *
-     * @param withTallies what nodes answered
-     * @param withPast how nodes did before the release
-     * @param withPlans how much goes where, and what nodes do at places
+     * @param withRequestCounts the nodes' request counts
+     * @param withPast the nodes' request counts before the rollout
+     * @param withPlans the capacity plans, and what nodes run at each location
      */
-    public ReplicaView state(boolean withTallies, boolean withPast, boolean withPlans) {
+    public ReplicaView state(boolean withRequestCounts, boolean withPast, boolean withPlans) {
         List<NodeView> nodeViews =
                 leads()
-                        ? leaseManager.snapshot(clusterState, means.loop().now()).stream()
+                        ? leaseManager.snapshot(clusterState, context.loop().now()).stream()
                                 .map(
-                                        one ->
-                                                one.report() == null
-                                                        ? one
+                                        nodeView ->
+                                                nodeView.report() == null
+                                                        ? nodeView
                                                         : new NodeView(
-                                                                one.name(),
-                                                                one.incarnation(),
-                                                                one.site(),
-                                                                one.status(),
-                                                                one.heard(),
-                                                                one.report()
+                                                                nodeView.name(),
+                                                                nodeView.incarnation(),
+                                                                nodeView.site(),
+                                                                nodeView.status(),
+                                                                nodeView.heard(),
+                                                                nodeView.report()
                                                                         .with(
-                                                                                withTallies,
+                                                                                withRequestCounts,
                                                                                 withPlans)))
                                 .toList()
                         : List.of();
@@ -505,41 +525,44 @@
     }
 
     /**
-     * Carries out an operator's order, once; null to the answer where another leads, or nobody
-     * does.
+     * Executes an operator order, at most once by its id. The answer is null unless this voter
+     * leads.
      */
-    public void order(
+    public void execute(
             OperatorOrder order,
             DisruptionLimits disruptionLimits,
-            int mostResting,
-            Consumer<OrderResult> to) {
+            int maxCordons,
+            Consumer<OrderResult> replyTo) {
         if (!leads()) {
-            to.accept(null);
+            replyTo.accept(null);
             return;
         }
-        String before = clusterState.answer(order.id());
-        long at = millis();
-        List<NodeName> out = leaseManager.unavailableNodes(clusterState, means.loop().now());
+        String earlierAnswer = clusterState.answer(order.id());
+        long nowMillis = millis();
+        List<NodeName> unavailable =
+                leaseManager.unavailableNodes(clusterState, context.loop().now());
         RolloutRequest wish = order.wish();
-        String against =
+        String refusal =
                 switch (order.what()) {
-                    case "leave" -> clusterState.against(order.node(), disruptionLimits, out);
+                    case "leave" ->
+                            clusterState.against(order.node(), disruptionLimits, unavailable);
                     case "release" ->
                             clusterState.reasonAgainstRollout(wish.kind(), wish.to(), wish.text());
                     case "back" ->
                             clusterState.rollout() == null
-                                    ? "no release is open"
+                                    ? "no rollout is in progress"
                                     : clusterState.rollout().back()
-                                            ? clusterState.rollout() + " is on its way back already"
+                                            ? clusterState.rollout()
+                                                    + " is already being rolled back"
                                             : "";
-                    case "rest" -> clusterState.reasonAgainstCordon(order.server(), mostResting);
+                    case "rest" -> clusterState.reasonAgainstCordon(order.server(), maxCordons);
                     case "unrest" ->
                             clusterState.cordons().stream()
                                             .anyMatch(
                                                     cordon ->
                                                             cordon.server().equals(order.server()))
                                     ? ""
-                                    : order.server() + " doesn't rest";
+                                    : order.server() + " is not cordoned";
                     default -> "";
                 };
         ClusterCommand command =
@@ -549,19 +572,19 @@
                                     order.id(),
                                     order.node(),
                                     order.by(),
-                                    at,
+                                    nowMillis,
                                     disruptionLimits,
-                                    out);
+                                    unavailable);
                     case "halt", "resume" ->
                             new ClusterCommand.SetHalt(
-                                    order.id(), order.what().equals("halt"), order.by(), at);
+                                    order.id(), order.what().equals("halt"), order.by(), nowMillis);
                     case "forget" -> new ClusterCommand.RemoveNode(order.node());
                     case "rest" ->
                             new ClusterCommand.CordonServer(
-                                    order.id(), order.server(), order.by(), mostResting, at);
+                                    order.id(), order.server(), order.by(), maxCordons, nowMillis);
                     case "unrest" ->
                             new ClusterCommand.UncordonServer(
-                                    order.id(), order.server(), order.by(), at);
+                                    order.id(), order.server(), order.by(), nowMillis);
                     case "release" ->
                             new ClusterCommand.BeginRollout(
                                     order.id(),
@@ -570,7 +593,7 @@
                                     wish.to(),
                                     wish.text(),
                                     wish.backsOnHalt(),
-                                    at);
+                                    nowMillis);
                     case "back" ->
                             new ClusterCommand.RollBack(
                                     order.id(),
@@ -578,92 +601,98 @@
                                             ? 0
                                             : clusterState.rollout().number(),
                                     order.by(),
-                                    at);
+                                    nowMillis);
                     default -> null;
                 };
-        if (before != null || command == null || !against.isEmpty()) {
-            to.accept(
+        if (earlierAnswer != null || command == null || !refusal.isEmpty()) {
+            replyTo.accept(
                     new OrderResult(
-                            before != null,
-                            before != null
-                                    ? before
+                            earlierAnswer != null,
+                            earlierAnswer != null
+                                    ? earlierAnswer
                                     : command == null
-                                            ? "there is no order " + order.what()
-                                            : against));
+                                            ? "unknown order: " + order.what()
+                                            : refusal));
             return;
         }
         propose(
                 command,
-                fitted ->
-                        to.accept(
+                isApplied ->
+                        replyTo.accept(
                                 new OrderResult(
-                                        fitted,
+                                        isApplied,
                                         clusterState.answer(order.id()) != null
                                                 ? clusterState.answer(order.id())
-                                                : fitted
+                                                : isApplied
                                                         ? order.what() + " " + order.node()
-                                                        : "it did not fit any more, or may be written yet; ask again")));
+                                                        : "rejected, or may still be committed; send the order again")));
     }
 
-    /** Who votes, as far as this voter knows. */
+    /** The ids of the committed voting members that this voter knows of. */
     public Set<String> voters() {
         Set<String> ids = new HashSet<>();
-        raft.getCommittedMembers().getVotingMembers().forEach(one -> ids.add(RaftCodec.id(one)));
+        raft.getCommittedMembers()
+                .getVotingMembers()
+                .forEach(voter -> ids.add(RaftCodec.id(voter)));
         return ids;
     }
 
-    /** The id by which this voter votes. */
+    /** The id under which this replica votes. */
     public String endpoint() {
         return RaftCodec.id(raft.getLocalEndpoint());
     }
 
     /**
-     * Lets a voter in that lost its folder, under its new id, one step at a time and at each
-     * asking: the id that it had goes first, so that what it may have promised under it binds
-     * nobody to a vote it no longer knows of.
+     * Admits a voter that lost its storage under its new id, by one membership change per request.
+     * Its old id is removed first: the votes that it may have given under that id are lost, so that
+     * id must not vote again.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the callback takes success and failure
-    void admit(String id) {
+    void admitVoter(String id) {
         RaftGroupMembers members = raft.getCommittedMembers();
-        Voter one = new Voter(id);
-        if (!leads() || changing || members.getVotingMembers().contains(one)) {
+        Voter voter = new Voter(id);
+        if (!leads() || membershipChangeInProgress || members.getVotingMembers().contains(voter)) {
             return;
         }
-        Optional<RaftEndpoint> old =
+        Optional<RaftEndpoint> previous =
                 members.getMembers().stream()
                         .filter(
                                 other ->
-                                        !other.equals(one)
-                                                && Voter.of(other).name().equals(one.name()))
+                                        !other.equals(voter)
+                                                && Voter.of(other).name().equals(voter.name()))
                         .findFirst();
         MembershipChangeMode mode =
-                old.isPresent()
+                previous.isPresent()
                         ? MembershipChangeMode.REMOVE_MEMBER
-                        : members.getMembers().contains(one)
+                        : members.getMembers().contains(voter)
                                 ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
                                 : MembershipChangeMode.ADD_LEARNER;
-        changing = true;
-        raft.changeMembership(old.orElse(one), mode, members.getLogIndex())
+        membershipChangeInProgress = true;
+        raft.changeMembership(previous.orElse(voter), mode, members.getLogIndex())
                 .whenComplete(
-                        (done, failed) -> {
-                            changing = false;
-                            if (failed == null) {
-                                means.log()
+                        (result, failure) -> {
+                            membershipChangeInProgress = false;
+                            if (failure == null) {
+                                context.log()
                                         .accept(
-                                                "written: "
+                                                "membership change committed mode="
                                                         + mode
-                                                        + " "
-                                                        + RaftCodec.id(old.orElse(one)));
+                                                        + " id="
+                                                        + RaftCodec.id(previous.orElse(voter)));
                             }
                         });
     }
 
-    /** Has another voter lead, where there is one: a leader that goes by itself leaves no gap. */
-    @SuppressWarnings("FutureReturnValueIgnored") // best effort: the lease runs out otherwise
-    void handOver() {
+    /**
+     * Transfers the leadership to another voter, if there is one. A leader that hands over before
+     * it stops leaves no time without a leader.
+     */
+    @SuppressWarnings(
+            "FutureReturnValueIgnored") // best effort: without a transfer the leadership times out
+    void transferLeadership() {
         if (leads()) {
             raft.getCommittedMembers().getVotingMembers().stream()
-                    .filter(one -> !one.equals(raft.getLocalEndpoint()))
+                    .filter(voter -> !voter.equals(raft.getLocalEndpoint()))
                     .findFirst()
                     .ifPresent(raft::transferLeadership);
         }
@@ -673,38 +702,39 @@
         return leads();
     }
 
-    /** What the library agrees on for us. */
+    /** Applies the operations that MicroRaft committed to the cluster state. */
     private final class ReplicatedStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             String text = (String) operation;
             if (text.isEmpty()) {
-                return null; // a question
+                return null; // a linearizable query
             }
-            ClusterCommand command = text.equals(NEW_TERM) ? null : CommandCodec.command(text);
+            ClusterCommand command =
+                    text.equals(NEW_TERM_OPERATION) ? null : CommandCodec.decode(text);
             return command != null && clusterState.apply(command);
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> pieces) {
-            CommandCodec.pieces(clusterState.snapshot()).forEach(pieces);
+            CommandCodec.encodeSnapshot(clusterState.snapshot()).forEach(pieces);
         }
 
         @Override
         public void installSnapshot(long index, List<Object> pieces) {
-            clusterState.open(CommandCodec.page(pieces));
+            clusterState.open(CommandCodec.decodeSnapshot(pieces));
         }
 
         @Override
         public Object getNewTermOperation() {
-            return NEW_TERM;
+            return NEW_TERM_OPERATION;
         }
     }
 
-    private final class Post implements Transport {
+    private final class ReplicaTransport implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            means.post().accept(RaftCodec.id(target), message);
+            context.sender().accept(RaftCodec.id(target), message);
         }
 
         @Override
@@ -716,21 +746,22 @@
     private final class LoopExecutor implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
-            means.loop().execute(task);
+            context.loop().execute(task);
         }
 
         @Override
         public void submit(Runnable task) {
-            means.loop().execute(task);
+            context.loop().execute(task);
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            means.loop().after(new NanoDuration(Math.round(unit.toNanos(delay) / speed)), task);
+            context.loop()
+                    .after(new NanoDuration(Math.round(unit.toNanos(delay) / clockSpeedup)), task);
         }
     }
 
-    /** The engine's own time. */
+    /** The sped-up clock of MicroRaft. */
     private final class EngineClock extends Clock {
         @Override
         public ZoneId getZone() {
@@ -744,7 +775,7 @@
 
         @Override
         public long millis() {
-            return Math.round(means.loop().now().nanos() * speed / 1e6);
+            return Math.round(context.loop().now().nanos() * clockSpeedup / 1e6);
         }
 
         @Override
--- a/src/main/java/lupinwood/consensus/RaftStorage.java
+++ b/src/main/java/lupinwood/consensus/RaftStorage.java
@@ -23,47 +23,48 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * A voter's folder: one file of MVStore, which checks what it reads and takes up its last whole
- * version. What is to be durable is synced before the library goes on. After the first failure
- * nothing is written any more: what a disk that failed once says it has kept can't be trusted, so
- * the voter stops voting until it is started anew.
+ * A voter's storage directory: one MVStore file. MVStore verifies what it reads and opens the last
+ * complete version. Whatever MicroRaft needs durable is synced before its call returns. After the
+ * first failure nothing more is written: a disk that failed once may confirm writes that it didn't
+ * keep, so the voter stops voting until it is restarted.
  */
 final class RaftStorage implements RaftStore, Closeable {
-    private static final String FILE = "council.mv";
-    private static final String FORM = "1";
+    private static final String FILE_NAME = "council.mv";
+    private static final String FORMAT = "1";
     private static final int CACHE_MB = 1;
-    private static final int COMPACT_EVERY = 512;
-    private static final int COMPACT_MILLIS = 20;
+    private static final int COMPACTION_INTERVAL_SYNCS = 512;
+    private static final int COMPACTION_MILLIS = 20;
 
     private final MVStore store;
-    private final MVMap<String, String> facts;
+    private final MVMap<String, String> properties;
     private final MVMap<Long, String> log;
     private final MVMap<String, String> chunks;
-    private final Consumer<String> failed;
-    private boolean broken;
-    private long flushes;
+    private final Consumer<String> onFailure;
+    private boolean failed;
+    private long flushCount;
 
-    private RaftStorage(MVStore store, Consumer<String> failed) {
+    private RaftStorage(MVStore store, Consumer<String> onFailure) {
         this.store = store;
-        this.failed = failed;
-        facts = store.openMap("facts");
+        this.onFailure = onFailure;
+        properties = store.openMap("facts");
         log = store.openMap("log");
         chunks = store.openMap("chunks");
     }
 
     /**
-     * Opens or makes it; a second process on one folder, a damaged file and a newer form are told
-     * by the exception.
+     * Opens or creates the storage.
      *
-     * @param failed told once, when a write failed
+     * @param onFailure called once, with the error, when a write fails
+     * @throws IOException if another process uses the directory, the file is damaged, or its format
+     *     is newer
      */
-    static RaftStorage open(Path at, Consumer<String> failed) throws IOException {
-        Files.createDirectories(at);
+    static RaftStorage open(Path directory, Consumer<String> onFailure) throws IOException {
+        Files.createDirectories(directory);
         MVStore store;
         try {
             store =
                     new MVStore.Builder()
-                            .fileName(at.resolve(FILE).toString())
+                            .fileName(directory.resolve(FILE_NAME).toString())
                             .autoCommitDisabled()
                             .cacheSize(CACHE_MB)
                             .open();
@@ -71,39 +72,48 @@
             String message = e.getMessage() == null ? "" : e.getMessage();
             throw new IOException(
                     message.contains("lock")
-                            ? "another process uses the folder " + at
-                            : "the folder "
-                                    + at
-                                    + " can't be read: "
+                            ? "storage directory is in use by another process: " + directory
+                            : "storage directory "
+                                    + directory
+                                    + " cannot be read: "
                                     + message.replaceAll("\\[.*", "").strip());
         }
-        RaftStorage storage = new RaftStorage(store, failed);
-        String form = storage.facts.putIfAbsent("form", FORM);
-        if (form != null && !form.equals(FORM)) {
+        RaftStorage storage = new RaftStorage(store, onFailure);
+        String format = storage.properties.putIfAbsent("form", FORMAT);
+        if (format != null && !format.equals(FORMAT)) {
             store.closeImmediately();
             throw new IOException(
-                    "the folder " + at + " has form " + form + "; this build reads form " + FORM);
+                    "storage directory "
+                            + directory
+                            + " has format "
+                            + format
+                            + "; this version reads format "
+                            + FORMAT);
         }
         return storage;
     }
 
-    /** Null where nothing is kept that makes it a voter. */
+    /** The stored state; null if it has no voter identity or no members. */
     RestoredRaftState restore() throws IOException {
         try {
-            List<SnapshotChunk> pieces = new ArrayList<>();
+            List<SnapshotChunk> snapshotChunks = new ArrayList<>();
             chunks.keyIterator(null)
-                    .forEachRemaining(key -> pieces.add(RaftCodec.chunk(json(chunks.get(key)))));
+                    .forEachRemaining(
+                            key ->
+                                    snapshotChunks.add(
+                                            RaftCodec.decodeChunk(json(chunks.get(key)))));
             List<LogEntry> entries = new ArrayList<>();
             log.keyIterator(null)
-                    .forEachRemaining(key -> entries.add(RaftCodec.entry(json(log.get(key)))));
-            return RestoredState.restore(self(), members(), term(), pieces, entries);
+                    .forEachRemaining(
+                            key -> entries.add(RaftCodec.decodeEntry(json(log.get(key)))));
+            return RestoredState.restore(self(), members(), term(), snapshotChunks, entries);
         } catch (RuntimeException e) {
-            throw new IOException("the folder holds what can't be read: " + e);
+            throw new IOException("stored consensus state cannot be read: " + e);
         }
     }
 
     private RaftEndpointPersistentState self() {
-        String stored = facts.get("self");
+        String stored = properties.get("self");
         return stored == null
                 ? null
                 : RaftCodec.MODEL
@@ -114,12 +124,12 @@
     }
 
     private RaftGroupMembersView members() {
-        String stored = facts.get("members");
-        return stored == null ? null : RaftCodec.view(JsonParser.parseString(stored));
+        String stored = properties.get("members");
+        return stored == null ? null : RaftCodec.decodeView(JsonParser.parseString(stored));
     }
 
     private RaftTermPersistentState term() {
-        String stored = facts.get("term");
+        String stored = properties.get("term");
         if (stored == null) {
             return null;
         }
@@ -138,14 +148,14 @@
         return JsonParser.parseString(text).getAsJsonObject();
     }
 
-    /** What was put in is durable once this returns. */
-    private void durable() throws IOException {
+    /** Makes all earlier writes durable before it returns. */
+    private void commitAndSync() throws IOException {
         try {
             store.commit();
             store.sync();
             FaultInjection.onSync();
-            if (++flushes % COMPACT_EVERY == 0) {
-                store.compactFile(COMPACT_MILLIS);
+            if (++flushCount % COMPACTION_INTERVAL_SYNCS == 0) {
+                store.compactFile(COMPACTION_MILLIS);
             }
         } catch (MVStoreException e) {
             throw failure(e);
@@ -153,23 +163,23 @@
     }
 
     private IOException failure(Exception e) {
-        if (!broken) {
-            broken = true;
-            failed.accept(String.valueOf(e.getMessage()));
+        if (!failed) {
+            failed = true;
+            onFailure.accept(String.valueOf(e.getMessage()));
         }
-        return new IOException("the folder failed: " + e.getMessage());
+        return new IOException("write to the storage directory failed: " + e.getMessage());
     }
 
-    private void whole() throws IOException {
-        if (broken) {
-            throw new IOException("the folder failed before");
+    private void requireHealthy() throws IOException {
+        if (failed) {
+            throw new IOException("an earlier write to the storage directory failed");
         }
     }
 
-    private void put(String name, JsonElement text) throws IOException {
-        whole();
+    private void put(String key, JsonElement value) throws IOException {
+        requireHealthy();
         try {
-            facts.put(name, text.toString());
+            properties.put(key, value.toString());
         } catch (MVStoreException e) {
             throw failure(e);
         }
@@ -181,14 +191,14 @@
         text.addProperty("id", RaftCodec.id(self.getLocalEndpoint()));
         text.addProperty("voting", self.isVoting());
         put("self", text);
-        durable();
+        commitAndSync();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
             throws IOException {
-        put("members", RaftCodec.of(members));
-        durable();
+        put("members", RaftCodec.encode(members));
+        commitAndSync();
     }
 
     @Override
@@ -200,14 +210,14 @@
             text.addProperty("votedFor", RaftCodec.id(term.getVotedFor()));
         }
         put("term", text);
-        durable();
+        commitAndSync();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        whole();
+        requireHealthy();
         try {
-            entries.forEach(entry -> log.put(entry.getIndex(), RaftCodec.of(entry).toString()));
+            entries.forEach(entry -> log.put(entry.getIndex(), RaftCodec.encode(entry).toString()));
         } catch (MVStoreException e) {
             throw failure(e);
         }
@@ -215,11 +225,11 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        whole();
+        requireHealthy();
         try {
             chunks.put(
                     key(chunk.getIndex(), chunk.getSnapshotChunkIndex()),
-                    RaftCodec.of(chunk).toString());
+                    RaftCodec.encode(chunk).toString());
         } catch (MVStoreException e) {
             throw failure(e);
         }
@@ -231,7 +241,7 @@
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        whole();
+        requireHealthy();
         for (Long last = log.lastKey(); last != null && last >= index; last = log.lastKey()) {
             log.remove(last);
         }
@@ -239,7 +249,7 @@
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        whole();
+        requireHealthy();
         for (Long first = log.firstKey(); first != null && first <= index; first = log.firstKey()) {
             log.remove(first);
         }
@@ -247,7 +257,7 @@
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        whole();
+        requireHealthy();
         for (int chunk = 0; chunk < count; chunk++) {
             chunks.remove(key(index, chunk));
         }
@@ -255,21 +265,21 @@
 
     @Override
     public void flush() throws IOException {
-        whole();
-        durable();
+        requireHealthy();
+        commitAndSync();
     }
 
-    /** How often something was made durable. */
-    long flushes() {
-        return flushes;
+    /** The number of syncs so far. */
+    long flushCount() {
+        return flushCount;
     }
 
     @Override
     public void close() {
-        if (broken) {
+        if (failed) {
             store.closeImmediately();
         } else {
-            store.close(0); // compacting is for quiet hours
+            store.close(0); // without compaction, which is left to quiet periods
         }
     }
 }
