--- a/src/main/java/lupinwood/consensus/RaftTransport.java
+++ b/src/main/java/lupinwood/consensus/RaftTransport.java
@@ -25,23 +25,23 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * How nodes talk: JSON in MINA's length-prefixed strings, on threads of its own. A message may be
- * lost, as when a link breaks or a peer doesn't read; nothing waits for one. Whoever doesn't read
- * costs itself only.
+ * The transport between nodes: JSON messages in MINA's length-prefixed strings, on its own threads.
+ * A message may be lost, for example when a connection breaks or a peer doesn't read; nothing waits
+ * for a message. A peer that doesn't read delays no other peer.
  */
 final class RaftTransport {
-    /** A message is no longer, in bytes. */
-    static final int MOST_BYTES = 512 * 1024;
+    /** The bound on one message. */
+    static final int MAX_MESSAGE_BYTES = 512 * 1024;
 
-    private static final int MOST_UNREAD = 1024 * 1024;
-    private static final int MOST_SESSIONS = 2048;
-    private static final int IDLE_SECONDS = 30;
-    private static final long CONNECT_MS = 2000;
+    private static final int MAX_UNSENT_BYTES = 1024 * 1024;
+    private static final int MAX_SESSIONS = 2048;
+    private static final int IDLE_TIMEOUT_SECONDS = 30;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2000;
     private static final int BACKLOG = 256;
 
-    /** One peer's connection, as the one who listens sees it. */
+    /** The connection on which a message arrived. */
     record Peer(IoSession session) {
-        void say(JsonObject message) {
+        void send(JsonObject message) {
             write(session, message);
         }
     }
@@ -50,97 +50,99 @@
     private final IoProcessor<NioSession> processor =
             new SimpleIoProcessorPool<>(NioProcessor.class, 1);
     private final NioSocketConnector connector = new NioSocketConnector(processor);
-    private final BiConsumer<Peer, JsonObject> heard;
+    private final BiConsumer<Peer, JsonObject> onMessage;
     private NioSocketAcceptor acceptor;
-    private final Map<InetSocketAddress, ConnectFuture> links = new HashMap<>();
-    private final java.util.concurrent.atomic.AtomicLong bytes =
+    private final Map<InetSocketAddress, ConnectFuture> connections = new HashMap<>();
+    private final java.util.concurrent.atomic.AtomicLong transferredChars =
             new java.util.concurrent.atomic.AtomicLong();
 
     /**
-     * @param heard on a thread of the carriage's own
+     * @param onMessage called on one of the transport's threads
      */
-    RaftTransport(BiConsumer<Peer, JsonObject> heard, Log log) {
-        this.heard = heard;
+    RaftTransport(BiConsumer<Peer, JsonObject> onMessage, Log log) {
+        this.onMessage = onMessage;
         this.log = log;
-        connector.setConnectTimeoutMillis(CONNECT_MS);
-        prepare(connector.getSessionConfig());
+        connector.setConnectTimeoutMillis(CONNECT_TIMEOUT_MILLIS);
+        configure(connector.getSessionConfig());
         connector.getFilterChain().addLast("frames", frames());
         connector.setHandler(new Handler());
     }
 
     private static ProtocolCodecFilter frames() {
         PrefixedStringCodecFactory frames = new PrefixedStringCodecFactory(StandardCharsets.UTF_8);
-        frames.setDecoderMaxDataLength(MOST_BYTES);
-        frames.setEncoderMaxDataLength(MOST_BYTES);
+        frames.setDecoderMaxDataLength(MAX_MESSAGE_BYTES);
+        frames.setEncoderMaxDataLength(MAX_MESSAGE_BYTES);
         return new ProtocolCodecFilter(frames);
     }
 
-    private static void prepare(SocketSessionConfig config) {
+    private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
-        config.setIdleTime(IdleStatus.READER_IDLE, IDLE_SECONDS);
+        config.setIdleTime(IdleStatus.READER_IDLE, IDLE_TIMEOUT_SECONDS);
     }
 
-    void listen(InetSocketAddress at) throws IOException {
+    void listen(InetSocketAddress address) throws IOException {
         acceptor = new NioSocketAcceptor(processor);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(BACKLOG);
-        prepare(acceptor.getSessionConfig());
+        configure(acceptor.getSessionConfig());
         acceptor.getFilterChain().addLast("frames", frames());
         acceptor.setHandler(new Handler());
-        acceptor.bind(at);
+        acceptor.bind(address);
     }
 
     /**
-     * Says it over the standing link to there, or one that is made now; lost where there is none.
+     * Sends a message over the existing connection to the address, or over a new one. The message
+     * is lost if the connection fails.
      */
-    synchronized void say(InetSocketAddress to, JsonObject message) {
-        ConnectFuture link = links.get(to);
-        boolean gone =
-                link != null
-                        && link.isDone()
-                        && (!link.isConnected() || !link.getSession().isConnected());
-        if (link == null || gone) {
-            link = connector.connect(to);
-            links.put(to, link);
+    synchronized void send(InetSocketAddress address, JsonObject message) {
+        ConnectFuture connection = connections.get(address);
+        boolean closed =
+                connection != null
+                        && connection.isDone()
+                        && (!connection.isConnected() || !connection.getSession().isConnected());
+        if (connection == null || closed) {
+            connection = connector.connect(address);
+            connections.put(address, connection);
         }
-        if (link.isConnected()) {
-            write(link.getSession(), message);
+        if (connection.isConnected()) {
+            write(connection.getSession(), message);
         } else {
-            ConnectFuture made = link;
-            made.addListener(
+            ConnectFuture pending = connection;
+            pending.addListener(
                     done -> {
-                        if (made.isConnected()) {
-                            write(made.getSession(), message);
+                        if (pending.isConnected()) {
+                            write(pending.getSession(), message);
                         }
                     });
         }
     }
 
-    /** The links to addresses that nobody asks for any more are closed. */
-    synchronized void keepOnly(Collection<InetSocketAddress> requested) {
-        links.entrySet()
+    /** Closes the connections to all addresses other than these. */
+    synchronized void retainOnly(Collection<InetSocketAddress> addresses) {
+        connections
+                .entrySet()
                 .removeIf(
-                        link -> {
-                            boolean close = !requested.contains(link.getKey());
-                            if (close && link.getValue().isConnected()) {
-                                link.getValue().getSession().closeNow();
+                        connection -> {
+                            boolean obsolete = !addresses.contains(connection.getKey());
+                            if (obsolete && connection.getValue().isConnected()) {
+                                connection.getValue().getSession().closeNow();
                             }
-                            return close;
+                            return obsolete;
                         });
     }
 
     private static void write(IoSession session, JsonObject message) {
-        if (session.isConnected() && session.getScheduledWriteBytes() < MOST_UNREAD) {
+        if (session.isConnected() && session.getScheduledWriteBytes() < MAX_UNSENT_BYTES) {
             session.write(message.toString());
         }
     }
 
-    /** What went out and came in so far. */
-    long bytes() {
-        return bytes.get();
+    /** The characters sent and received so far, without the length prefixes. */
+    long transferredBytes() {
+        return transferredChars.get();
     }
 
-    void end() {
+    void close() {
         if (acceptor != null) {
             acceptor.dispose(false);
         }
@@ -151,24 +153,24 @@
     private final class Handler extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            if (acceptor != null && acceptor.getManagedSessionCount() > MOST_SESSIONS) {
-                log.line("fleet: no room for one more connection");
+            if (acceptor != null && acceptor.getManagedSessionCount() > MAX_SESSIONS) {
+                log.line("fleet: peer connection rejected reason=session-limit");
                 session.closeNow();
             }
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            bytes.addAndGet(((String) message).length());
-            JsonObject read;
+            transferredChars.addAndGet(((String) message).length());
+            JsonObject json;
             try {
-                read = JsonParser.parseString((String) message).getAsJsonObject();
-                heard.accept(new Peer(session), read);
+                json = JsonParser.parseString((String) message).getAsJsonObject();
+                onMessage.accept(new Peer(session), json);
             } catch (RuntimeException e) {
                 log.line(
-                        "fleet: closing the connection with "
+                        "fleet: closing connection remote="
                                 + session.getRemoteAddress()
-                                + ", which says what can't be read: "
+                                + " reason=\"message cannot be read\" error="
                                 + e.getClass().getSimpleName());
                 session.closeNow();
             }
@@ -176,7 +178,7 @@
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            bytes.addAndGet(((String) message).length());
+            transferredChars.addAndGet(((String) message).length());
         }
 
         @Override
@@ -188,9 +190,9 @@
         public void exceptionCaught(IoSession session, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 log.line(
-                        "fleet: closing the connection with "
+                        "fleet: closing connection remote="
                                 + session.getRemoteAddress()
-                                + ": "
+                                + " error="
                                 + cause);
             }
             session.closeNow();
--- a/src/main/java/lupinwood/consensus/RecordAdapter.java
+++ b/src/main/java/lupinwood/consensus/RecordAdapter.java
@@ -21,26 +21,26 @@
 import java.util.stream.Stream;
 
 /**
- * A record as a JSON object whose fields have the names of a table. A component that is null isn't
- * written; one that is missing is read as null, zero or false; a field that isn't in the table is
- * passed over.
+ * Converts a record to a JSON object whose fields have the names of a table. A null component isn't
+ * written; a missing field is read as null, zero or false; a field that isn't in the table is
+ * ignored.
  */
 final class RecordAdapter<T> extends TypeAdapter<T> {
-    /** One component, under the name by which it is stored and sent. */
+    /** One component with its outer name. */
     private record Field(
             String name, Class<?> type, Method accessor, TypeAdapter<Object> adapter) {}
 
     private final List<Field> fields = new ArrayList<>();
-    private final Map<String, Integer> places = new HashMap<>();
+    private final Map<String, Integer> indexes = new HashMap<>();
     private final Constructor<T> constructor;
 
     /**
-     * @param names of the components, in their order
+     * @param names the outer names of the components, in their order
      */
     RecordAdapter(Gson gson, Class<T> type, List<String> names) {
         RecordComponent[] components = type.getRecordComponents();
         for (int i = 0; i < components.length; i++) {
-            places.put(names.get(i), i);
+            indexes.put(names.get(i), i);
             fields.add(field(gson, names.get(i), components[i]));
         }
         try {
@@ -50,11 +50,11 @@
                                     .map(RecordComponent::getType)
                                     .toArray(Class<?>[]::new));
         } catch (NoSuchMethodException e) {
-            throw new IllegalStateException("a record without its own constructor", e);
+            throw new IllegalStateException("the record has no canonical constructor", e);
         }
     }
 
-    @SuppressWarnings("unchecked") // an adapter is only given what its own component holds
+    @SuppressWarnings("unchecked") // the adapter is only used for values of its own component
     private static Field field(Gson gson, String name, RecordComponent component) {
         return new Field(
                 name,
@@ -81,7 +81,7 @@
         try {
             return field.accessor().invoke(value);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("can't read " + field.accessor(), e);
+            throw new IllegalStateException("cannot read " + field.accessor(), e);
         }
     }
 
@@ -92,22 +92,22 @@
             return null;
         }
         Object[] values =
-                fields.stream().map(field -> missing(field.type())).toArray(Object[]::new);
+                fields.stream().map(field -> defaultValue(field.type())).toArray(Object[]::new);
         try {
             in.beginObject();
             while (in.hasNext()) {
-                Integer place = places.get(in.nextName());
-                if (place == null) {
+                Integer index = indexes.get(in.nextName());
+                if (index == null) {
                     in.skipValue();
                 } else {
-                    values[place] = read(in, fields.get(place));
+                    values[index] = read(in, fields.get(index));
                 }
             }
             in.endObject();
-        } catch (IllegalStateException e) { // another kind of value stands there
+        } catch (IllegalStateException e) { // the JSON has another kind of value here
             throw new JsonSyntaxException(e);
         }
-        return made(values);
+        return newRecord(values);
     }
 
     private static Object read(JsonReader in, Field field) throws IOException {
@@ -119,17 +119,17 @@
         return value;
     }
 
-    private T made(Object[] values) {
+    private T newRecord(Object[] values) {
         try {
             return constructor.newInstance(values);
         } catch (InvocationTargetException e) {
-            throw new IllegalArgumentException("refused by " + constructor, e.getCause());
+            throw new IllegalArgumentException("rejected by " + constructor, e.getCause());
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("can't make " + constructor, e);
+            throw new IllegalStateException("cannot call " + constructor, e);
         }
     }
 
-    private static Object missing(Class<?> type) {
+    private static Object defaultValue(Class<?> type) {
         return type.isPrimitive() ? Array.get(Array.newInstance(type, 1), 0) : null;
     }
 }
--- a/src/main/java/lupinwood/consensus/RestoredState.java
+++ b/src/main/java/lupinwood/consensus/RestoredState.java
@@ -12,15 +12,17 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What a voter had kept, put together again for the library. */
+/** Assembles a voter's stored state for MicroRaft. */
 public final class RestoredState {
     private RestoredState() {}
 
     /**
-     * Null where it had kept nothing that makes it a voter.
+     * The restored state; null if the voter's identity or its members aren't stored. Uses the
+     * latest complete snapshot and the log entries after it.
      *
-     * @param chunks of all snapshots that are there, whole or not
-     * @param log in the order of their numbers, those that a snapshot holds included
+     * @param chunks the stored chunks of all snapshots, complete or not
+     * @param log the stored entries in the order of their indexes; may include entries that a
+     *     snapshot covers
      */
     public static RestoredRaftState restore(
             RaftEndpointPersistentState self,
@@ -35,25 +37,26 @@
         chunks.forEach(
                 chunk ->
                         snapshots
-                                .computeIfAbsent(chunk.getIndex(), none -> new ArrayList<>())
+                                .computeIfAbsent(chunk.getIndex(), index -> new ArrayList<>())
                                 .add(chunk));
         SnapshotEntry snapshot = null;
-        for (List<SnapshotChunk> one : snapshots.descendingMap().values()) {
-            SnapshotChunk first = one.get(0);
-            if (snapshot == null && one.size() == first.getSnapshotChunkCount()) {
+        for (List<SnapshotChunk> candidate : snapshots.descendingMap().values()) {
+            SnapshotChunk first = candidate.get(0);
+            if (snapshot == null && candidate.size() == first.getSnapshotChunkCount()) {
                 snapshot =
                         RaftCodec.MODEL
                                 .createSnapshotEntryBuilder()
                                 .setIndex(first.getIndex())
                                 .setTerm(first.getTerm())
-                                .setSnapshotChunks(one)
+                                .setSnapshotChunks(candidate)
                                 .setGroupMembersView(first.getGroupMembersView())
                                 .build();
             }
         }
-        long from = snapshot == null ? 0 : snapshot.getIndex();
-        List<LogEntry> entries = log.stream().filter(entry -> entry.getIndex() > from).toList();
-        RaftTermPersistentState known =
+        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+        List<LogEntry> entries =
+                log.stream().filter(entry -> entry.getIndex() > snapshotIndex).toList();
+        RaftTermPersistentState restoredTerm =
                 term != null
                         ? term
                         : RaftCodec.MODEL
@@ -61,6 +64,6 @@
                                 .setTerm(0)
                                 .setVotedFor(null)
                                 .build();
-        return new RestoredRaftState(self, members, known, snapshot, entries);
+        return new RestoredRaftState(self, members, restoredTerm, snapshot, entries);
     }
 }
--- a/src/main/java/lupinwood/consensus/SharedConfigFollower.java
+++ b/src/main/java/lupinwood/consensus/SharedConfigFollower.java
@@ -8,26 +8,27 @@
 import lupinwood.log.Log;
 
 /**
- * Follows the consensus group's word on the text that this node is to go by: has it fetched by its
- * digest, checked when asked, and taken; one thing at a time. A text that wasn't taken isn't tried
- * again until the consensus group wants another. Belongs to the fleet's loop.
+ * Follows the shared configuration that the consensus group wants this node to run: fetches it by
+ * its digest, checks it on request, and applies it, one operation at a time. A rejected
+ * configuration isn't tried again until the consensus group wants another one. Confined to the
+ * cluster's task loop.
  */
 final class SharedConfigFollower {
-    private static final int MAX_RETAINED = 3;
+    private static final int MAX_RETAINED_TEXTS = 3;
 
     private final ConfigApplier configApplier;
     private final Consumer<Runnable> loop;
     private final Consumer<String> fetch;
     private final Log log;
     private final Map<String, String> texts = new HashMap<>();
-    private String runs;
-    private NodeReport.ConfigCheck checked;
-    private String notTaken;
+    private String runningDigest;
+    private NodeReport.ConfigCheck lastCheck;
+    private String rejectedDigest;
     private boolean busy;
 
     /**
-     * @param loop does a job on the fleet's loop
-     * @param fetch asks a voter for the text of a digest
+     * @param loop runs a task on the cluster's task loop
+     * @param fetch requests the text of a digest from a voter
      */
     SharedConfigFollower(
             ConfigApplier configApplier, Consumer<Runnable> loop, Consumer<String> fetch, Log log) {
@@ -35,41 +36,44 @@
         this.loop = loop;
         this.fetch = fetch;
         this.log = log;
-        runs = configApplier.runs();
+        runningDigest = configApplier.runs();
     }
 
-    /** What the consensus group last said; asked again and again. */
+    /**
+     * Starts the next operation towards what the consensus group last wanted. Called repeatedly.
+     */
     void follow(HeartbeatReply.Wanted wanted) {
         if (wanted == null || busy) {
             return;
         }
-        boolean takes = !wanted.runs().equals(runs) && !wanted.runs().equals(notTaken);
-        boolean checks =
+        boolean mustApply =
+                !wanted.runs().equals(runningDigest) && !wanted.runs().equals(rejectedDigest);
+        boolean mustCheck =
                 !wanted.checks().isEmpty()
-                        && (checked == null || !checked.digest().equals(wanted.checks()));
-        if (wanted.runs().equals(runs)) {
-            notTaken = null;
+                        && (lastCheck == null || !lastCheck.digest().equals(wanted.checks()));
+        if (wanted.runs().equals(runningDigest)) {
+            rejectedDigest = null;
         }
-        if (takes) {
-            with(
+        if (mustApply) {
+            withText(
                     wanted.runs(),
                     text ->
                             configApplier.take(
                                     wanted.runs(),
                                     text,
-                                    why -> loop.accept(() -> taken(wanted.runs(), text, why))));
-        } else if (checks) {
-            with(wanted.checks(), text -> check(wanted.checks(), text));
+                                    why -> loop.accept(() -> onApplied(wanted.runs(), text, why))));
+        } else if (mustCheck) {
+            withText(wanted.checks(), text -> check(wanted.checks(), text));
         }
     }
 
-    private void with(String digest, Consumer<String> job) {
+    private void withText(String digest, Consumer<String> action) {
         String text = digest.isEmpty() ? "" : texts.get(digest);
         if (text == null) {
             fetch.accept(digest);
         } else {
             busy = true;
-            job.accept(text);
+            action.accept(text);
         }
     }
 
@@ -77,31 +81,32 @@
         configApplier.check(
                 digest,
                 text,
-                reported ->
+                check ->
                         loop.accept(
                                 () -> {
                                     busy = false;
-                                    checked = reported;
+                                    lastCheck = check;
                                     log.line(
-                                            "fleet: the text "
-                                                    + reported.digest()
-                                                    + (reported.fits()
-                                                            ? reported.restarts()
-                                                                    ? " fits, and needs a restart"
-                                                                    : " fits"
-                                                            : " does not fit: " + reported.why()));
+                                            "fleet: shared configuration checked digest="
+                                                    + check.digest()
+                                                    + (check.fits()
+                                                            ? check.restarts()
+                                                                    ? " result=valid-after-restart"
+                                                                    : " result=valid"
+                                                            : " result=invalid reason="
+                                                                    + check.why()));
                                 }));
     }
 
-    private void taken(String digest, String text, String why) {
+    private void onApplied(String digest, String text, String why) {
         busy = false;
         if (why.isEmpty()) {
-            runs = digest;
-            notTaken = null;
+            runningDigest = digest;
+            rejectedDigest = null;
         } else {
-            notTaken = digest;
+            rejectedDigest = digest;
             busy = true;
-            check(digest, text); // so that the fleet hears whether a restart would do
+            check(digest, text); // tells the consensus group whether a restart would help
         }
         log.line(
                 "fleet: "
@@ -110,20 +115,20 @@
                         + (why.isEmpty() ? "" : ": " + why));
     }
 
-    /** A voter sent it. */
-    void fetched(String digest, String text) {
-        if (texts.size() >= MAX_RETAINED) {
+    /** Stores a text that a voter sent. */
+    void onFetched(String digest, String text) {
+        if (texts.size() >= MAX_RETAINED_TEXTS) {
             texts.clear();
         }
         texts.put(digest, text);
     }
 
-    String runs() {
-        return runs;
+    String runningDigest() {
+        return runningDigest;
     }
 
-    /** Null before any. */
-    NodeReport.ConfigCheck checked() {
-        return checked;
+    /** The result of the latest check; null before the first. */
+    NodeReport.ConfigCheck lastCheck() {
+        return lastCheck;
     }
 }
--- a/src/main/java/lupinwood/consensus/StatusReporter.java
+++ b/src/main/java/lupinwood/consensus/StatusReporter.java
@@ -16,46 +16,54 @@
 import lupinwood.log.Log;
 
 /**
- * The status reporter's act outside: the fleet's picture, put by HTTP with the token. Whoever takes
- * it refuses a lower token than it has seen by 409 or 412; then, or when it fails a few times in a
- * row, this node can't do the duty.
+ * Sends the cluster status to an external HTTP server by PUT, with the fencing token of the status
+ * reporter duty. The server rejects a lower token than it has seen with 409 or 412. After that, or
+ * after several failures in a row, this node gives up the duty. One request runs at a time, on a
+ * thread of its own.
  */
 final class StatusReporter {
     private static final int TIMEOUT_MILLIS = 1000;
-    private static final int FAILURES = 3;
-    private static final int CONFLICT = 409;
-    private static final int PRECONDITION = 412;
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
+    private static final int HTTP_CONFLICT = 409;
+    private static final int HTTP_PRECONDITION_FAILED = 412;
 
-    private final InetSocketAddress to;
+    private final InetSocketAddress address;
     private final Log log;
-    private final ThreadPoolExecutor thread =
+    private final ThreadPoolExecutor threadPool =
             new ThreadPoolExecutor(
                     1,
                     1,
                     10,
                     TimeUnit.SECONDS,
                     new ArrayBlockingQueue<>(1),
-                    job -> {
-                        Thread one = new Thread(job, "keeper");
-                        one.setDaemon(true);
-                        return one;
+                    task -> {
+                        Thread worker = new Thread(task, "keeper");
+                        worker.setDaemon(true);
+                        return worker;
                     });
-    private int failures;
+    private int consecutiveFailures;
 
-    StatusReporter(InetSocketAddress to, Log log) {
-        this.to = to;
+    StatusReporter(InetSocketAddress address, Log log) {
+        this.address = address;
         this.log = log;
-        thread.allowCoreThreadTimeOut(true);
+        threadPool.allowCoreThreadTimeOut(true);
     }
 
     /**
-     * Tells it by and by; false where the one before is still on its way.
+     * Sends the status asynchronously.
      *
-     * @param may asked once more right before the act, on another thread than the fleet's
+     * @param mayAct checked once more right before the request, on another thread than the
+     *     cluster's
+     * @param onFailure called with the error when this node should give up the duty
+     * @return false if the earlier status is still waiting to be sent
      */
-    boolean tell(FencingToken token, String picture, BooleanSupplier may, Consumer<String> fails) {
+    boolean report(
+            FencingToken token,
+            String statusJson,
+            BooleanSupplier mayAct,
+            Consumer<String> onFailure) {
         try {
-            thread.execute(() -> put(token, picture, may, fails));
+            threadPool.execute(() -> put(token, statusJson, mayAct, onFailure));
             return true;
         } catch (RejectedExecutionException e) {
             return false;
@@ -63,38 +71,49 @@
     }
 
     private void put(
-            FencingToken token, String picture, BooleanSupplier may, Consumer<String> fails) {
-        if (!may.getAsBoolean()) {
+            FencingToken token,
+            String statusJson,
+            BooleanSupplier mayAct,
+            Consumer<String> onFailure) {
+        if (!mayAct.getAsBoolean()) {
             return;
         }
         try {
-            int status = status(token, picture.getBytes(StandardCharsets.UTF_8));
-            if (status == CONFLICT || status == PRECONDITION) {
-                failures = 0;
-                fails.accept("the token " + token + " is lower than one seen there");
-            } else if (status / 100 == 2) {
-                failures = 0;
+            int httpStatus = send(token, statusJson.getBytes(StandardCharsets.UTF_8));
+            if (httpStatus == HTTP_CONFLICT || httpStatus == HTTP_PRECONDITION_FAILED) {
+                consecutiveFailures = 0;
+                onFailure.accept(
+                        "the server rejected the token "
+                                + token
+                                + " as lower than one it has seen");
+            } else if (httpStatus / 100 == 2) {
+                consecutiveFailures = 0;
             } else {
-                failed("status " + status, fails);
+                onError("status " + httpStatus, onFailure);
             }
         } catch (IOException e) {
-            failed(e.getClass().getSimpleName(), fails);
+            onError(e.getClass().getSimpleName(), onFailure);
         }
     }
 
-    private void failed(String why, Consumer<String> fails) {
-        if (++failures >= FAILURES) {
-            failures = 0;
-            fails.accept(why);
+    private void onError(String error, Consumer<String> onFailure) {
+        if (++consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+            consecutiveFailures = 0;
+            onFailure.accept(error);
         } else {
-            log.line("fleet: the picture was not taken: " + why);
+            log.line("fleet: status report rejected error=" + error);
         }
     }
 
-    private int status(FencingToken token, byte[] picture) throws IOException {
+    private int send(FencingToken token, byte[] statusJson) throws IOException {
         HttpURLConnection put =
                 (HttpURLConnection)
-                        URI.create("http://" + to.getHostString() + ":" + to.getPort() + "/fleet")
+                        URI.create(
+                                        "http://"
+                                                + address.getHostString()
+                                                + ":"
+                                                + address.getPort()
+                                                + "/fleet")
                                 .toURL()
                                 .openConnection();
         try {
@@ -104,9 +123,9 @@
             put.setDoOutput(true);
             put.setRequestProperty("Duty-Token", token.toString());
             put.setRequestProperty("Content-Type", "application/json");
-            put.setFixedLengthStreamingMode(picture.length);
-            try (OutputStream out = put.getOutputStream()) {
-                out.write(picture);
+            put.setFixedLengthStreamingMode(statusJson.length);
+            try (OutputStream body = put.getOutputStream()) {
+                body.write(statusJson);
             }
             return put.getResponseCode();
         } finally {
--- a/src/main/java/lupinwood/consensus/TaskLoop.java
+++ b/src/main/java/lupinwood/consensus/TaskLoop.java
@@ -3,11 +3,11 @@
 import lupinwood.admission.MonotonicTime;
 import lupinwood.admission.NanoDuration;
 
-/** The one thread on which a node's part in the fleet happens, and its monotonic clock. */
+/** The single thread on which a node's cluster membership runs, and its monotonic clock. */
 public interface TaskLoop {
-    void execute(Runnable job);
+    void execute(Runnable task);
 
-    void after(NanoDuration duration, Runnable job);
+    void after(NanoDuration delay, Runnable task);
 
     MonotonicTime now();
 }
--- a/src/main/java/lupinwood/consensus/ThreadTaskLoop.java
+++ b/src/main/java/lupinwood/consensus/ThreadTaskLoop.java
@@ -7,55 +7,55 @@
 import lupinwood.admission.NanoDuration;
 import lupinwood.log.Log;
 
-/** A thread of its own, on the machine's monotonic clock. */
+/** A task loop on its own thread, with the machine's monotonic clock. */
 final class ThreadTaskLoop implements TaskLoop {
     /**
-     * What others may have waiting for it; what the consensus group hears past that is passed over,
-     * and comes again.
+     * Bound on the queued tasks for messages from other threads. Further messages are dropped;
+     * their senders repeat them.
      */
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_QUEUED_TASKS = 4096;
 
-    private static final long LONGEST_END = 200;
+    private static final long CLOSE_TIMEOUT_MILLIS = 200;
 
     private final Log log;
-    private final ScheduledThreadPoolExecutor thread =
+    private final ScheduledThreadPoolExecutor scheduler =
             new ScheduledThreadPoolExecutor(
                     1,
-                    job -> {
-                        Thread one = new Thread(job, "fleet");
-                        one.setDaemon(true);
-                        return one;
+                    task -> {
+                        Thread worker = new Thread(task, "fleet");
+                        worker.setDaemon(true);
+                        return worker;
                     });
 
     ThreadTaskLoop(Log log) {
         this.log = log;
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.setRemoveOnCancelPolicy(true);
+        scheduler.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        scheduler.setRemoveOnCancelPolicy(true);
     }
 
     @Override
-    public void execute(Runnable job) {
+    public void execute(Runnable task) {
         try {
-            thread.execute(guarded(job));
+            scheduler.execute(guarded(task));
         } catch (RejectedExecutionException e) {
-            // It was ended: nothing more is to be done.
+            // The loop was closed; the task is dropped.
         }
     }
 
-    /** News from another thread, which may be too much. */
-    void offer(Runnable job) {
-        if (thread.getQueue().size() < MOST_WAITING) {
-            execute(job);
+    /** Runs a task for a message from another thread, unless the queue is full. */
+    void offer(Runnable task) {
+        if (scheduler.getQueue().size() < MAX_QUEUED_TASKS) {
+            execute(task);
         }
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // a guarded job logs its own failure
-    public void after(NanoDuration duration, Runnable job) {
+    @SuppressWarnings("FutureReturnValueIgnored") // a guarded task logs its own failure
+    public void after(NanoDuration delay, Runnable task) {
         try {
-            thread.schedule(guarded(job), Math.max(0, duration.nanos()), TimeUnit.NANOSECONDS);
+            scheduler.schedule(guarded(task), Math.max(0, delay.nanos()), TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            // It was ended.
+            // The loop was closed; the task is dropped.
         }
     }
 
@@ -64,20 +64,20 @@
         return new MonotonicTime(System.nanoTime());
     }
 
-    private Runnable guarded(Runnable job) {
+    private Runnable guarded(Runnable task) {
         return () -> {
             try {
-                job.run();
+                task.run();
             } catch (RuntimeException e) {
-                log.problem("fleet: a step failed", e);
+                log.problem("fleet: task failed", e);
             }
         };
     }
 
-    void end() {
-        thread.shutdown();
+    void close() {
+        scheduler.shutdown();
         try {
-            thread.awaitTermination(LONGEST_END, TimeUnit.MILLISECONDS);
+            scheduler.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/lupinwood/consensus/Voter.java
+++ b/src/main/java/lupinwood/consensus/Voter.java
@@ -4,8 +4,8 @@
 import lupinwood.cluster.NodeName;
 
 /**
- * A voter as the library names it. Its id is the node's name, and a mark behind {@code ~} where its
- * folder was lost.
+ * A voter as a MicroRaft endpoint. Its id is the node's name, followed by {@code ~} and a random
+ * suffix if the voter once lost its storage.
  */
 record Voter(String id) implements RaftEndpoint {
     @Override
@@ -14,8 +14,8 @@
     }
 
     NodeName name() {
-        int mark = id.indexOf('~');
-        return new NodeName(mark < 0 ? id : id.substring(0, mark));
+        int suffixStart = id.indexOf('~');
+        return new NodeName(suffixStart < 0 ? id : id.substring(0, suffixStart));
     }
 
     static Voter of(RaftEndpoint endpoint) {
--- a/src/main/java/lupinwood/consensus/WireNames.java
+++ b/src/main/java/lupinwood/consensus/WireNames.java
@@ -9,62 +9,62 @@
 import java.util.Map;
 
 /**
- * The names by which records and enum constants are stored and sent, apart from what they are
- * called in Java. A record or an enum without a table is refused, so that no Java name gets out
- * unnoticed. Filled by one thread, and only read after that.
+ * The outer names by which records and enum constants are stored and sent, independent of their
+ * Java names. A record or an enum without a table is rejected, so that no Java name leaves the
+ * process by accident. Filled by one thread, and read-only after that.
  */
 final class WireNames implements TypeAdapterFactory {
     private final Map<Class<?>, List<String>> components = new HashMap<>();
     private final Map<Class<?>, Map<?, String>> constants = new HashMap<>();
 
     /**
-     * Names a record's components.
+     * Sets the outer names of a record's components.
      *
-     * @param names of all components, in the order in which the record has them
-     * @throws IllegalArgumentException where these aren't as many as the record has
+     * @param names the names of all components, in the record's order
+     * @throws IllegalArgumentException if the record has another number of components
      */
     WireNames components(Class<? extends Record> type, String... names) {
         int count = type.getRecordComponents().length;
         if (count != names.length) {
             throw new IllegalArgumentException(
-                    type + " has " + count + " components, and " + names.length + " names");
+                    type + " has " + count + " components, but " + names.length + " outer names");
         }
         components.put(type, List.of(names));
         return this;
     }
 
     /**
-     * Names an enum's constants.
+     * Sets the outer names of an enum's constants.
      *
-     * @throws IllegalArgumentException where one has no name
+     * @throws IllegalArgumentException if a constant has no name
      */
     <E extends Enum<E>> WireNames constants(Class<E> type, Map<E, String> names) {
         if (names.size() != type.getEnumConstants().length) {
-            throw new IllegalArgumentException("not each constant of " + type + " has a name");
+            throw new IllegalArgumentException("a constant of " + type + " has no outer name");
         }
         constants.put(type, Map.copyOf(names));
         return this;
     }
 
     /**
-     * The name of a constant.
+     * The outer name of a constant.
      *
-     * @throws IllegalArgumentException where its type has no table
+     * @throws IllegalArgumentException if its type has no table
      */
     <E extends Enum<E>> String nameOf(E constant) {
         return namesOf(constant.getDeclaringClass()).get(constant);
     }
 
-    /** The constant of that name; null where a newer version has one that this one hasn't. */
+    /** The constant of that outer name; null for a name that only a newer version knows. */
     <E extends Enum<E>> E constantOf(Class<E> type, String name) {
         return namesOf(type).entrySet().stream()
-                .filter(one -> one.getValue().equals(name))
+                .filter(entry -> entry.getValue().equals(name))
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(null);
     }
 
-    @SuppressWarnings("unchecked") // put in with keys of that type only
+    @SuppressWarnings("unchecked") // constants() stores keys of that type only
     private <E extends Enum<E>> Map<E, String> namesOf(Class<E> type) {
         return (Map<E, String>) table(constants, type);
     }
@@ -72,13 +72,14 @@
     private static <V> V table(Map<Class<?>, V> tables, Class<?> type) {
         V names = tables.get(type);
         if (names == null) {
-            throw new IllegalArgumentException(type + " has no names to be stored and sent by");
+            throw new IllegalArgumentException(
+                    type + " has no table of outer names for storage and messages");
         }
         return names;
     }
 
     @Override
-    @SuppressWarnings("unchecked") // the raw type decides
+    @SuppressWarnings("unchecked") // checked by the raw type
     public <T> TypeAdapter<T> create(Gson gson, TypeToken<T> type) {
         Class<? super T> raw = type.getRawType();
         if (raw.isRecord()) {
--- a/src/main/java/lupinwood/consensus/package-info.java
+++ b/src/main/java/lupinwood/consensus/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The consensus group: a few voters that agree on the fleet's book through MicroRaft, what they
- * keep in a folder, how nodes reach them, and the node's side of it all. Nothing here runs on the
- * event loop thread, and nothing is loaded without a fleet.
+ * The consensus group: a few voters that replicate the cluster state through MicroRaft, their
+ * storage, the transport between nodes, and each node's membership in the cluster. Nothing in this
+ * package runs on the event loop thread, and a node without a cluster loads none of it.
  */
 package lupinwood.consensus;
--- a/src/test/java/lupinwood/consensus/ClusterJsonTest.java
+++ b/src/test/java/lupinwood/consensus/ClusterJsonTest.java
@@ -14,7 +14,9 @@
 import lupinwood.cluster.ClusterCommand;
 import org.junit.jupiter.api.Test;
 
-/** Nothing is written under a Java name: what has no table is refused. */
+/**
+ * Types without a table of outer names are rejected, so that nothing is written under a Java name.
+ */
 final class ClusterJsonTest {
     private record Unnamed(int number) {}
 
@@ -29,26 +31,26 @@
         int number = 1;
     }
 
-    private static void refuses(Object value, String text, Class<?> type) {
-        assertThatThrownBy(() -> ClusterJson.tree(value))
+    private static void assertRejected(Object value, String text, Class<?> type) {
+        assertThatThrownBy(() -> ClusterJson.toTree(value))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessageContaining("has no names to be stored and sent by");
+                .hasMessageContaining("has no table of outer names for storage and messages");
         assertThatThrownBy(() -> ClusterJson.gson().fromJson(text, type))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessageContaining("has no names to be stored and sent by");
+                .hasMessageContaining("has no table of outer names for storage and messages");
     }
 
     @Test
-    void aRecordOrAnEnumWithoutATableIsRefused() {
-        refuses(new Unnamed(1), "{\"number\":1}", Unnamed.class);
-        refuses(Choice.FIRST, "\"FIRST\"", Choice.class);
-        refuses(new WithUnnamed(List.of()), "{\"list\":[]}", WithUnnamed.class);
+    void rejectsARecordOrAnEnumWithoutATable() {
+        assertRejected(new Unnamed(1), "{\"number\":1}", Unnamed.class);
+        assertRejected(Choice.FIRST, "\"FIRST\"", Choice.class);
+        assertRejected(new WithUnnamed(List.of()), "{\"list\":[]}", WithUnnamed.class);
         assertThatThrownBy(() -> ClusterJson.nameOf(Choice.SECOND))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void aRecordWithoutATableInsideOfOneWithATableIsRefused() {
+    void rejectsANestedRecordWithoutATable() {
         Gson gson =
                 new GsonBuilder()
                         .registerTypeAdapterFactory(
@@ -59,14 +61,14 @@
     }
 
     @Test
-    void anOrdinaryClassIsRefused() {
+    void rejectsAnOrdinaryClass() {
         Ordinary value = new Ordinary();
         assertThat(value.number).isOne();
-        assertThatThrownBy(() -> ClusterJson.tree(value)).isInstanceOf(JsonIOException.class);
+        assertThatThrownBy(() -> ClusterJson.toTree(value)).isInstanceOf(JsonIOException.class);
     }
 
     @Test
-    void aTableNamesEachComponentAndEachConstant() {
+    void rejectsATableThatMissesComponentsOrConstants() {
         WireNames names = new WireNames();
         assertThatThrownBy(() -> names.components(Unnamed.class, "number", "more"))
                 .isInstanceOf(IllegalArgumentException.class);
@@ -77,25 +79,25 @@
     }
 
     @Test
-    void eachKindOfCommandHasANameOfItsOwn() {
-        Set<Class<?>> leased = new HashSet<>();
+    void eachCommandTypeHasItsOwnName() {
+        Set<Class<?>> covered = new HashSet<>();
         for (GoldenForm<?> form : GoldenCommands.forms()) {
             if (form.value() instanceof ClusterCommand command) {
-                leased.add(command.getClass());
-                assertThat(ClusterJson.commandOf(ClusterJson.kindOf(command)))
+                covered.add(command.getClass());
+                assertThat(ClusterJson.commandTypeOf(ClusterJson.commandNameOf(command)))
                         .isEqualTo(command.getClass());
             }
         }
-        assertThat(leased)
-                .as("each kind is held by a golden file")
+        assertThat(covered)
+                .as("each command type has a golden file")
                 .hasSize(18)
                 .isEqualTo(Set.of(ClusterCommand.class.getPermittedSubclasses()));
     }
 
     @Test
-    void aConstantOfANewerVersionIsRefusedWhereItIsNeeded() {
+    void rejectsAnUnknownStateInABootstrapReport() {
         JsonObject text = GoldenForm.object("{\"k\":\"am\",\"from\":\"n0\",\"state\":\"NEWER\"}");
-        assertThatThrownBy(() -> ClusterBootstrap.reported(text))
+        assertThatThrownBy(() -> ClusterBootstrap.reportedState(text))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/lupinwood/consensus/GoldenCommands.java
+++ b/src/test/java/lupinwood/consensus/GoldenCommands.java
@@ -16,7 +16,7 @@
 import lupinwood.cluster.Rollout;
 import lupinwood.cluster.Site;
 
-/** The commands in the log and the snapshots of the state that they make. */
+/** Golden values: the commands of the log, and snapshots of the cluster state after them. */
 final class GoldenCommands {
     static final NodeName N0 = new NodeName("n0");
     static final NodeName N1 = new NodeName("n1");
@@ -26,38 +26,43 @@
     static final Site SITE = new Site("eu", "eu-1");
     static final Site OTHER_SITE = new Site("us", "us-2");
     static final Incarnation INCARNATION = new Incarnation(-6172840429334713771L);
-    static final RequestCounts TALLY =
+    static final RequestCounts REQUEST_COUNTS =
             new RequestCounts(
                     List.of(
                             new RequestCounts.ClassCounts("quick", 120, 3, 2, 1, 12.0625),
                             new RequestCounts.ClassCounts("others", 1L << 40, 0, 0, 0, 1.0E-5)));
-    private static final long AT = 1_790_000_000_000L;
+
+    /** In milliseconds since the epoch. */
+    private static final long NOW = 1_790_000_000_000L;
+
     private static final long FIRST_TOKEN = 1_790_000_000_001L;
     private static final FencingToken STATUS_REPORTER = new FencingToken(FIRST_TOKEN);
     private static final FencingToken ROLLOUT_CONTROLLER = new FencingToken(FIRST_TOKEN + 1);
     private static final FencingToken PLANNER = new FencingToken(FIRST_TOKEN + 2);
     private static final FencingToken HEALTH_CHECK = new FencingToken(FIRST_TOKEN + 3);
     private static final FencingToken NONE = new FencingToken(0);
-    private static final String TEXT = "class \"a\" { limit <10 } // 'é' & =\n";
+    private static final String CONFIG_TEXT = "class \"a\" { limit <10 } // 'é' & =\n";
 
     private GoldenCommands() {}
 
-    private static Map<String, Integer> places(int first, int second) {
-        Map<String, Integer> places = new TreeMap<>();
-        places.put("place-a", first);
-        places.put("place-b", second);
-        return places;
+    private static Map<String, Integer> slots(int first, int second) {
+        Map<String, Integer> slots = new TreeMap<>();
+        slots.put("place-a", first);
+        slots.put("place-b", second);
+        return slots;
     }
 
     private static Map<String, RequestCounts> past() {
         Map<String, RequestCounts> past = new TreeMap<>();
-        past.put("n0", TALLY);
+        past.put("n0", REQUEST_COUNTS);
         past.put("n1", RequestCounts.NOTHING);
         return past;
     }
 
-    /** Brings members, leases, a permit, a release that is done, and two plans. */
-    static List<ClusterCommand> story() {
+    /**
+     * Commands that create members, leases, a permit, a finished rollout and two capacity plans.
+     */
+    static List<ClusterCommand> beforeSnapshot() {
         return new ArrayList<>(
                 List.of(
                         new ClusterCommand.Bootstrap(FIRST_TOKEN - 1),
@@ -78,15 +83,15 @@
                                 ClusterCommand.LeaseEnd.HANDED_ON),
                         new ClusterCommand.RecordStatus(STATUS_REPORTER, "4 nodes known"),
                         new ClusterCommand.GrantPermit(
-                                "order-1", N3, "ann", AT, DisruptionLimits.USUAL, List.of()),
+                                "order-1", N3, "ann", NOW, DisruptionLimits.USUAL, List.of()),
                         new ClusterCommand.BeginRollout(
                                 "order-2",
                                 "ann",
                                 Rollout.Kind.CONFIGURATION,
                                 "d1",
-                                TEXT,
+                                CONFIG_TEXT,
                                 true,
-                                AT + 1),
+                                NOW + 1),
                         new ClusterCommand.AdvanceRollout(
                                 ROLLOUT_CONTROLLER,
                                 1,
@@ -95,74 +100,78 @@
                                 List.of(N0, N1),
                                 "all have checked it",
                                 past(),
-                                AT + 2),
-                        new ClusterCommand.FinishRollout(ROLLOUT_CONTROLLER, 1, true, "", AT + 3),
+                                NOW + 2),
+                        new ClusterCommand.FinishRollout(ROLLOUT_CONTROLLER, 1, true, "", NOW + 3),
                         new ClusterCommand.SetCapacityPlan(
                                 PLANNER,
                                 0,
-                                places(20, 10),
+                                slots(20, 10),
                                 Map.of("eu/eu-1", Map.of("place-a", 1)),
-                                Map.of("eu/eu-1", places(7, 2)),
+                                Map.of("eu/eu-1", slots(7, 2)),
                                 "first",
-                                AT + 4),
+                                NOW + 4),
                         new ClusterCommand.SetCapacityPlan(
                                 PLANNER,
                                 1,
-                                places(20, 10),
+                                slots(20, 10),
                                 Map.of("eu/eu-1", Map.of("place-a", 1)),
-                                Map.of("us/us-2", places(3, 2)),
+                                Map.of("us/us-2", slots(3, 2)),
                                 "",
-                                AT + 5),
+                                NOW + 5),
                         new ClusterCommand.Join(N4, new Incarnation(4), SITE),
                         new ClusterCommand.Leave(N4, new Incarnation(4))));
     }
 
-    /** A program released, the duty trial with the next holder, and a server that rests. */
-    static List<ClusterCommand> afterTheSnapshot() {
+    /**
+     * A finished rollout of a program, the health check duty with its next holder, and a cordoned
+     * server.
+     */
+    static List<ClusterCommand> afterSnapshot() {
         return List.of(
                 new ClusterCommand.BeginRollout(
-                        "order-3", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, AT + 10),
+                        "order-3", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, NOW + 10),
                 new ClusterCommand.AdvanceRollout(
-                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2), "", null, AT + 11),
-                new ClusterCommand.FinishRollout(ROLLOUT_CONTROLLER, 2, true, "went well", AT + 12),
+                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2), "", null, NOW + 11),
+                new ClusterCommand.FinishRollout(
+                        ROLLOUT_CONTROLLER, 2, true, "went well", NOW + 12),
                 new ClusterCommand.GrantLease(
                         DutyName.HEALTH_CHECK, N1, new Incarnation(1), HEALTH_CHECK),
-                new ClusterCommand.CordonServer("order-4", "server-1", "ann", 2, AT + 13),
+                new ClusterCommand.CordonServer("order-4", "server-1", "ann", 2, NOW + 13),
                 new ClusterCommand.RetireCapacityPlans(2));
     }
 
-    /** A second configuration halfway out, turned back once, and a halt. */
-    private static List<ClusterCommand> halfwayOut() {
+    /** A second rollout of a configuration that is half done and rolling back, and a halt. */
+    private static List<ClusterCommand> unfinishedRollout() {
         return List.of(
                 new ClusterCommand.BeginRollout(
                         "order-5",
                         "bob",
                         Rollout.Kind.CONFIGURATION,
                         "d2",
-                        TEXT + TEXT,
+                        CONFIG_TEXT + CONFIG_TEXT,
                         false,
-                        AT + 20),
+                        NOW + 20),
                 new ClusterCommand.AdvanceRollout(
-                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2, N0), "", past(), AT + 21),
-                new ClusterCommand.RollBack("order-6", 2, "bob", AT + 22),
+                        ROLLOUT_CONTROLLER, 2, 1, false, List.of(N2, N0), "", past(), NOW + 21),
+                new ClusterCommand.RollBack("order-6", 2, "bob", NOW + 22),
                 new ClusterCommand.AdvanceRollout(
-                        ROLLOUT_CONTROLLER, 2, 2, true, List.of(N2), "", null, AT + 23),
-                new ClusterCommand.SetHalt("order-7", true, "ann", AT + 24));
+                        ROLLOUT_CONTROLLER, 2, 2, true, List.of(N2), "", null, NOW + 23),
+                new ClusterCommand.SetHalt("order-7", true, "ann", NOW + 24));
     }
 
     static ClusterState clusterState(List<ClusterCommand> commands) {
         ClusterState clusterState = new ClusterState(16);
         for (ClusterCommand command : commands) {
             if (!clusterState.apply(command)) {
-                throw new IllegalStateException(command + " doesn't fit");
+                throw new IllegalStateException(command + " was rejected");
             }
         }
         return clusterState;
     }
 
-    static ClusterState.Snapshot pageWithAll() {
-        List<ClusterCommand> commands = story();
-        commands.addAll(halfwayOut());
+    static ClusterState.Snapshot fullSnapshot() {
+        List<ClusterCommand> commands = beforeSnapshot();
+        commands.addAll(unfinishedRollout());
         ClusterState.Snapshot snapshot = clusterState(commands).snapshot();
         return new ClusterState.Snapshot(
                 snapshot.members(),
@@ -180,8 +189,8 @@
                 snapshot.plans());
     }
 
-    private static ClusterState.Snapshot pageOfAnOlderVersion() {
-        ClusterState.Snapshot snapshot = clusterState(story()).snapshot();
+    private static ClusterState.Snapshot snapshotOfAnOlderVersion() {
+        ClusterState.Snapshot snapshot = clusterState(beforeSnapshot()).snapshot();
         return new ClusterState.Snapshot(
                 snapshot.members(),
                 snapshot.duties(),
@@ -200,7 +209,7 @@
 
     private static GoldenForm<ClusterCommand> command(String file, ClusterCommand command) {
         return new GoldenForm<>(
-                "command-" + file + ".json", command, CommandCodec::of, CommandCodec::command);
+                "command-" + file + ".json", command, CommandCodec::encode, CommandCodec::decode);
     }
 
     private static GoldenForm<ClusterState.Snapshot> snapshot(
@@ -208,23 +217,23 @@
         return new GoldenForm<>(
                 "snapshot-" + file + ".json",
                 snapshot,
-                one -> String.join("", CommandCodec.pieces(one).toArray(String[]::new)),
-                text -> CommandCodec.page(List.of(text)));
+                one -> String.join("", CommandCodec.encodeSnapshot(one).toArray(String[]::new)),
+                text -> CommandCodec.decodeSnapshot(List.of(text)));
     }
 
     static List<GoldenForm<?>> forms() {
         List<GoldenForm<?>> forms = new ArrayList<>();
         addSnapshots(forms);
         addMembersAndLeases(forms);
-        addOperatorsOrders(forms);
-        addReleasesAndPlans(forms);
+        addOperatorOrders(forms);
+        addRolloutsAndPlans(forms);
         return forms;
     }
 
     private static void addSnapshots(List<GoldenForm<?>> forms) {
-        forms.add(snapshot("full", pageWithAll()));
+        forms.add(snapshot("full", fullSnapshot()));
         forms.add(snapshot("empty", new ClusterState(16).snapshot()));
-        forms.add(snapshot("older-version", pageOfAnOlderVersion()));
+        forms.add(snapshot("older-version", snapshotOfAnOlderVersion()));
     }
 
     private static void addMembersAndLeases(List<GoldenForm<?>> forms) {
@@ -249,7 +258,7 @@
                 command("keep", new ClusterCommand.RecordStatus(STATUS_REPORTER, "3 nodes known")));
     }
 
-    private static void addOperatorsOrders(List<GoldenForm<?>> forms) {
+    private static void addOperatorOrders(List<GoldenForm<?>> forms) {
         forms.add(
                 command(
                         "allow",
@@ -257,7 +266,7 @@
                                 "order-1",
                                 N3,
                                 "ann <ann@example.org>",
-                                AT,
+                                NOW,
                                 new DisruptionLimits(3, 0.25, 2, 0.5, 1, List.of(N0, N1)),
                                 List.of(N2, N4))));
         forms.add(
@@ -270,10 +279,10 @@
                                 0,
                                 new DisruptionLimits(Integer.MAX_VALUE, 0.1, 0, 1.0E-7, 0, null),
                                 List.of())));
-        forms.add(command("back", new ClusterCommand.ReturnPermit(7, "seen well again", AT)));
+        forms.add(command("back", new ClusterCommand.ReturnPermit(7, "seen well again", NOW)));
         forms.add(command("back-minimal", new ClusterCommand.ReturnPermit(7, null, 0)));
-        forms.add(command("halt", new ClusterCommand.SetHalt("order-1", true, "ann", AT)));
-        forms.add(command("resume", new ClusterCommand.SetHalt("order-2", false, "ann", AT)));
+        forms.add(command("halt", new ClusterCommand.SetHalt("order-1", true, "ann", NOW)));
+        forms.add(command("resume", new ClusterCommand.SetHalt("order-2", false, "ann", NOW)));
         forms.add(
                 command(
                         "begin-configuration",
@@ -282,17 +291,17 @@
                                 "bob",
                                 Rollout.Kind.CONFIGURATION,
                                 "0123456789abcdef",
-                                TEXT,
+                                CONFIG_TEXT,
                                 true,
-                                AT)));
+                                NOW)));
         forms.add(
                 command(
                         "begin-program",
                         new ClusterCommand.BeginRollout(
-                                "order-4", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, AT)));
+                                "order-4", "bob", Rollout.Kind.PROGRAM, "0.6", "", false, NOW)));
     }
 
-    private static void addReleasesAndPlans(List<GoldenForm<?>> forms) {
+    private static void addRolloutsAndPlans(List<GoldenForm<?>> forms) {
         forms.add(
                 command(
                         "step",
@@ -304,37 +313,37 @@
                                 List.of(N0, N1),
                                 "halted",
                                 past(),
-                                AT)));
+                                NOW)));
         forms.add(
                 command(
                         "step-minimal",
                         new ClusterCommand.AdvanceRollout(
                                 ROLLOUT_CONTROLLER, 3, 1, false, List.of(), "", null, 0)));
-        forms.add(command("turn", new ClusterCommand.RollBack("order-5", 3, "ann", AT)));
+        forms.add(command("turn", new ClusterCommand.RollBack("order-5", 3, "ann", NOW)));
         forms.add(
                 command(
                         "finish",
                         new ClusterCommand.FinishRollout(
-                                ROLLOUT_CONTROLLER, 3, true, "went well", AT)));
+                                ROLLOUT_CONTROLLER, 3, true, "went well", NOW)));
         forms.add(
                 command(
                         "let-rest",
-                        new ClusterCommand.CordonServer("order-6", "server-1", "ann", 2, AT)));
+                        new ClusterCommand.CordonServer("order-6", "server-1", "ann", 2, NOW)));
         forms.add(
                 command(
                         "end-rest",
-                        new ClusterCommand.UncordonServer("order-7", "server-1", "ann", AT)));
+                        new ClusterCommand.UncordonServer("order-7", "server-1", "ann", NOW)));
         forms.add(
                 command(
                         "set-plan",
                         new ClusterCommand.SetCapacityPlan(
                                 PLANNER,
                                 4,
-                                places(20, 10),
-                                Map.of("eu/eu-1", places(1, 0)),
-                                Map.of("us/us-2", places(3, 2)),
+                                slots(20, 10),
+                                Map.of("eu/eu-1", slots(1, 0)),
+                                Map.of("us/us-2", slots(3, 2)),
                                 "place-b is full",
-                                AT)));
+                                NOW)));
         forms.add(
                 command(
                         "set-plan-minimal",
--- a/src/test/java/lupinwood/consensus/GoldenForm.java
+++ b/src/test/java/lupinwood/consensus/GoldenForm.java
@@ -10,21 +10,21 @@
 import java.util.function.Function;
 
 /**
- * One form that leaves the process: the golden file that holds its bytes, the value that they stand
- * for, and the code that writes and reads it.
+ * One encoding that leaves the process: the golden file with its bytes, the value that they encode,
+ * and the functions that write and read it.
  */
 record GoldenForm<T>(String file, T value, Function<T, String> write, Function<String, T> read) {
     static final Path DIRECTORY = Path.of("src/test/resources/golden/replicated");
 
-    /** Writes and reads what voters, nodes and operators send each other. */
+    /** Converts the messages between voters, nodes and operators. */
     static final Gson JSON = ClusterJson.gson();
 
-    /** A value as it stands inside of a message. */
+    /** A value that is encoded as a part of a message. */
     static <T> GoldenForm<T> inMessage(String file, T value, Class<T> type) {
         return new GoldenForm<>(
                 file,
                 value,
-                one -> JSON.toJsonTree(one).toString(),
+                object -> JSON.toJsonTree(object).toString(),
                 text -> JSON.fromJson(JsonParser.parseString(text), type));
     }
 
--- a/src/test/java/lupinwood/consensus/GoldenFormsTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenFormsTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * What is stored and sent stays as it is, byte for byte, whatever the types are called in Java. The
- * files were written by the version before the first that renamed a type; they are never written
- * anew.
+ * Stored and sent encodings stay the same byte for byte, whatever the Java types are named. The
+ * golden files were written by the last version before any type was renamed, and are never
+ * regenerated.
  */
 final class GoldenFormsTest {
     static List<GoldenForm<?>> forms() {
@@ -35,7 +35,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachValueIsWrittenAsItsFileSays() {
+    Stream<DynamicTest> writesEachValueAsItsGoldenFile() {
         return forms().stream()
                 .map(
                         form ->
@@ -45,7 +45,7 @@
     }
 
     @TestFactory
-    Stream<DynamicTest> eachFileIsReadAsItsValue() {
+    Stream<DynamicTest> readsEachGoldenFileAsItsValue() {
         return forms().stream()
                 .map(form -> DynamicTest.dynamicTest(form.file(), () -> assertReadBack(form)));
     }
@@ -56,7 +56,7 @@
         assertThat(form.write().apply(read)).isEqualTo(form.golden());
     }
 
-    /** The engine's messages have no equality of their own. */
+    /** MicroRaft's messages don't implement equals(). */
     private static void assertIsValue(GoldenForm<?> form, Object read) {
         assertThat(read).as(form.file()).hasSameClassAs(form.value());
         if (read instanceof Record || read instanceof Enum) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void eachFileHasAFormAndEachFormAFileOfItsOwn() throws IOException {
+    void goldenFilesAndFormsMatchOneToOne() throws IOException {
         try (Stream<Path> files = Files.list(GoldenForm.DIRECTORY)) {
             assertThat(files.map(file -> file.getFileName().toString()).toList())
                     .containsExactlyInAnyOrderElementsOf(
@@ -76,30 +76,30 @@
     }
 
     @Test
-    void aCommandOfANewerVersionIsPassedOver() {
-        assertThat(CommandCodec.command("{\"what\":1,\"deed\":\"Unheard\"}")).isNull();
+    void ignoresACommandOfANewerVersion() {
+        assertThat(CommandCodec.decode("{\"what\":1,\"deed\":\"Unheard\"}")).isNull();
     }
 
-    /** A newer version may say more, at the top and further in. */
+    /** A newer version may add fields at the top level and in nested objects. */
     @Test
-    void fieldsOfANewerVersionArePassedOver() throws IOException {
+    void ignoresFieldsOfANewerVersion() throws IOException {
         for (GoldenForm<?> form : forms()) {
-            JsonObject more = new JsonObject();
-            more.add("newer", GoldenForm.object("{\"list\":[1,{\"a\":null}],\"text\":\"x\"}"));
-            GoldenForm.object(form.golden()).entrySet().forEach(one -> add(more, one));
-            assertIsValue(form, form.readBack(more.toString()));
+            JsonObject extended = new JsonObject();
+            extended.add("newer", GoldenForm.object("{\"list\":[1,{\"a\":null}],\"text\":\"x\"}"));
+            GoldenForm.object(form.golden()).entrySet().forEach(field -> add(extended, field));
+            assertIsValue(form, form.readBack(extended.toString()));
         }
     }
 
-    private static void add(JsonObject to, Map.Entry<String, JsonElement> one) {
-        if (one.getValue().isJsonObject() && one.getValue().getAsJsonObject().has("number")) {
-            one.getValue().getAsJsonObject().addProperty("newer", 1);
+    private static void add(JsonObject to, Map.Entry<String, JsonElement> field) {
+        if (field.getValue().isJsonObject() && field.getValue().getAsJsonObject().has("number")) {
+            field.getValue().getAsJsonObject().addProperty("newer", 1);
         }
-        to.add(one.getKey(), one.getValue());
+        to.add(field.getKey(), field.getValue());
     }
 
     @Test
-    void missingFieldsAreNullZeroOrFalseAndUnknownConstantsNull() {
+    void readsMissingFieldsAsDefaultsAndUnknownConstantsAsNull() {
         Heartbeat heartbeat =
                 GoldenForm.JSON.fromJson("{\"condition\":\"NEWER\"}", Heartbeat.class);
         assertThat(heartbeat)
@@ -111,12 +111,12 @@
                 .isEqualTo(
                         new HeartbeatReply(
                                 0, false, null, null, null, null, null, 0, null, null, 0));
-        assertThat(CommandCodec.command("{\"deed\":\"Free\",\"why\":\"NEWER\"}"))
+        assertThat(CommandCodec.decode("{\"deed\":\"Free\",\"why\":\"NEWER\"}"))
                 .isEqualTo(new ClusterCommand.ReleaseLease(null, null, null));
     }
 
     @Test
-    void theLastOfTwoEqualFieldsCountsAndExplicitNullsAreNull() {
+    void usesTheLastOfDuplicateFieldsAndReadsExplicitNulls() {
         assertThat(
                         GoldenForm.JSON
                                 .fromJson("{\"number\":1,\"number\":2}", HeartbeatReply.class)
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void whatDoesNotFitItsFieldIsRefused() {
+    void rejectsAValueOfTheWrongType() {
         for (String text :
                 List.of(
                         "{\"number\":null}",
--- a/src/test/java/lupinwood/consensus/GoldenMessages.java
+++ b/src/test/java/lupinwood/consensus/GoldenMessages.java
@@ -22,7 +22,9 @@
 import lupinwood.cluster.RequestCounts;
 import lupinwood.cluster.Rollout;
 
-/** What nodes and voters, operators and voters say to each other, and what is told outside. */
+/**
+ * Golden values: the messages between nodes, voters and operators, and the external status report.
+ */
 final class GoldenMessages {
     private static final Lease GRANT = new Lease(DutyName.STATUS_REPORTER, new FencingToken(5));
 
@@ -37,7 +39,7 @@
                 List.of("server-1"),
                 12,
                 List.of(new NodeReport.LocationUse("place-a", 3, 100, 90, 2, 1.5E-4, true)),
-                GoldenCommands.TALLY);
+                GoldenCommands.REQUEST_COUNTS);
     }
 
     private static NodeReport reportMinimal() {
@@ -203,7 +205,7 @@
                                     : NanoDuration.ofSeconds(0.123456789),
                             status == NodeStatus.WARM ? report() : null));
         }
-        ClusterState.Snapshot snapshot = GoldenCommands.pageWithAll();
+        ClusterState.Snapshot snapshot = GoldenCommands.fullSnapshot();
         ClusterState clusterState = new ClusterState(16);
         clusterState.open(snapshot);
         return new RaftReplica.ReplicaView(
@@ -319,7 +321,7 @@
                 new GoldenForm<>(
                         "bootstrap-question.json",
                         GoldenCommands.N0,
-                        self -> ClusterBootstrap.ask(self).toString(),
+                        self -> ClusterBootstrap.query(self).toString(),
                         text -> new NodeName(GoldenForm.object(text).get("from").getAsString())));
         int stateNumber = 0;
         for (ClusterBootstrap.State state : ClusterBootstrap.State.values()) {
@@ -327,8 +329,8 @@
                     new GoldenForm<>(
                             "bootstrap-answer-" + stateNumber++ + ".json",
                             state,
-                            one -> ClusterBootstrap.tell(GoldenCommands.N0, one).toString(),
-                            text -> ClusterBootstrap.reported(GoldenForm.object(text))));
+                            one -> ClusterBootstrap.report(GoldenCommands.N0, one).toString(),
+                            text -> ClusterBootstrap.reportedState(GoldenForm.object(text))));
         }
         return forms;
     }
--- a/src/test/java/lupinwood/consensus/GoldenRaft.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaft.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The messages of the consensus engine, its log entries and its pieces of a snapshot. */
+/** Golden values: MicroRaft's messages, log entries and snapshot chunks. */
 final class GoldenRaft {
     private static final RaftModelFactory MODEL = RaftCodec.MODEL;
     private static final Voter SENDER = new Voter("n0");
@@ -70,16 +70,16 @@
         return new GoldenForm<>(
                 "raft-" + file + ".json",
                 message,
-                one -> RaftCodec.of(one).toString(),
-                text -> RaftCodec.message(GoldenForm.object(text), RaftReplica.GROUP));
+                value -> RaftCodec.encode(value).toString(),
+                text -> RaftCodec.decodeMessage(GoldenForm.object(text), RaftReplica.GROUP_ID));
     }
 
     private static GoldenForm<LogEntry> stored(String file, LogEntry entry) {
         return new GoldenForm<>(
                 "log-entry-" + file + ".json",
                 entry,
-                one -> RaftCodec.of(one).toString(),
-                text -> RaftCodec.entry(GoldenForm.object(text)));
+                value -> RaftCodec.encode(value).toString(),
+                text -> RaftCodec.decodeEntry(GoldenForm.object(text)));
     }
 
     private static Collection<GoldenForm<RaftMessage>> installs() {
@@ -90,7 +90,7 @@
 
     private static RaftMessage install(SnapshotChunk chunk) {
         return MODEL.createInstallSnapshotRequestBuilder()
-                .setGroupId(RaftReplica.GROUP)
+                .setGroupId(RaftReplica.GROUP_ID)
                 .setSender(SENDER)
                 .setTerm(TERM)
                 .setSenderLeader(true)
@@ -106,7 +106,7 @@
     }
 
     private static Collection<GoldenForm<RaftMessage>> appends() {
-        String command = CommandCodec.of(GoldenCommands.story().get(1));
+        String command = CommandCodec.encode(GoldenCommands.beforeSnapshot().get(1));
         List<LogEntry> entries =
                 List.of(
                         entry(41, "term"),
@@ -119,7 +119,7 @@
                 message(
                         "append-success",
                         MODEL.createAppendEntriesSuccessResponseBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setLastLogIndex(44)
@@ -129,7 +129,7 @@
                 message(
                         "append-failure",
                         MODEL.createAppendEntriesFailureResponseBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setExpectedNextIndex(30)
@@ -140,7 +140,7 @@
 
     private static RaftMessage append(List<LogEntry> entries) {
         return MODEL.createAppendEntriesRequestBuilder()
-                .setGroupId(RaftReplica.GROUP)
+                .setGroupId(RaftReplica.GROUP_ID)
                 .setSender(SENDER)
                 .setTerm(TERM)
                 .setPreviousLogTerm(6)
@@ -157,7 +157,7 @@
                 message(
                         "pre-vote",
                         MODEL.createPreVoteRequestBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setLastLogTerm(6)
@@ -166,7 +166,7 @@
                 message(
                         "pre-vote-response",
                         MODEL.createPreVoteResponseBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setGranted(true)
@@ -174,7 +174,7 @@
                 message(
                         "vote",
                         MODEL.createVoteRequestBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setLastLogTerm(6)
@@ -184,7 +184,7 @@
                 message(
                         "vote-response",
                         MODEL.createVoteResponseBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setGranted(false)
@@ -192,7 +192,7 @@
                 message(
                         "trigger-election",
                         MODEL.createTriggerLeaderElectionRequestBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setLastLogTerm(6)
@@ -201,7 +201,7 @@
                 message(
                         "install-snapshot-response",
                         MODEL.createInstallSnapshotResponseBuilder()
-                                .setGroupId(RaftReplica.GROUP)
+                                .setGroupId(RaftReplica.GROUP_ID)
                                 .setSender(SENDER)
                                 .setTerm(TERM)
                                 .setSnapshotIndex(40)
@@ -216,7 +216,10 @@
         forms.addAll(appends());
         forms.addAll(votes());
         forms.addAll(installs());
-        forms.add(stored("command", entry(42, CommandCodec.of(GoldenCommands.story().get(1)))));
+        forms.add(
+                stored(
+                        "command",
+                        entry(42, CommandCodec.encode(GoldenCommands.beforeSnapshot().get(1)))));
         int modeNumber = 0;
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             forms.add(stored("membership-" + modeNumber++, entry(43, change(mode))));
@@ -225,14 +228,14 @@
                 new GoldenForm<>(
                         "snapshot-chunk.json",
                         chunk(0, 1, "{\"members\":[]}"),
-                        one -> RaftCodec.of(one).toString(),
-                        text -> RaftCodec.chunk(GoldenForm.object(text))));
+                        value -> RaftCodec.encode(value).toString(),
+                        text -> RaftCodec.decodeChunk(GoldenForm.object(text))));
         forms.add(
                 new GoldenForm<>(
                         "group-members.json",
                         view(),
-                        one -> RaftCodec.of(one).toString(),
-                        text -> RaftCodec.view(JsonParser.parseString(text))));
+                        value -> RaftCodec.encode(value).toString(),
+                        text -> RaftCodec.decodeView(JsonParser.parseString(text))));
         return forms;
     }
 }
--- a/src/test/java/lupinwood/consensus/GoldenRaftStorage.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorage.java
@@ -12,7 +12,7 @@
 import lupinwood.cluster.ClusterCommand;
 import lupinwood.cluster.ClusterState;
 
-/** What the golden folder of a voter holds: a vote, a snapshot, and a log past it. */
+/** The content of a voter's golden storage directory: a vote, a snapshot, and the log after it. */
 final class GoldenRaftStorage {
     static final int TERM = 7;
     static final String VOTED_FOR = "n1";
@@ -30,33 +30,33 @@
                 .build();
     }
 
-    /** The term's first entry, the commands, a question, and a command of a newer version. */
+    /** The first operation of a term, the commands, a query, and a command of a newer version. */
     static List<String> operations() {
         List<String> operations = new ArrayList<>();
         operations.add("term");
-        GoldenCommands.afterTheSnapshot()
-                .forEach(command -> operations.add(CommandCodec.of(command)));
+        GoldenCommands.afterSnapshot()
+                .forEach(command -> operations.add(CommandCodec.encode(command)));
         operations.add("");
         operations.add("{\"deed\":\"Newer\",\"number\":1}");
         return operations;
     }
 
-    /** The state that the snapshot holds, whose last entry has the number of the story's length. */
+    /** The state in the snapshot; its index is the number of commands before it. */
     static ClusterState.Snapshot snapshot() {
-        return GoldenCommands.clusterState(GoldenCommands.story()).snapshot();
+        return GoldenCommands.clusterState(GoldenCommands.beforeSnapshot()).snapshot();
     }
 
     static ClusterState.Snapshot latest() {
-        List<ClusterCommand> commands = GoldenCommands.story();
-        commands.addAll(GoldenCommands.afterTheSnapshot());
+        List<ClusterCommand> commands = GoldenCommands.beforeSnapshot();
+        commands.addAll(GoldenCommands.afterSnapshot());
         return GoldenCommands.clusterState(commands).snapshot();
     }
 
-    /** Was run once, with the code of the version before the first that renamed a type. */
-    static void write(Path at) throws IOException {
-        long index = GoldenCommands.story().size();
-        try (RaftStorage storage = RaftStorage.open(at, failure -> {})) {
-            ClusterBootstrap.write(
+    /** Wrote the golden directory once, by the last version before any type was renamed. */
+    static void write(Path directory) throws IOException {
+        long index = GoldenCommands.beforeSnapshot().size();
+        try (RaftStorage storage = RaftStorage.open(directory, failure -> {})) {
+            ClusterBootstrap.persistFounders(
                     storage,
                     GoldenCommands.N0,
                     List.of(GoldenCommands.N0, GoldenCommands.N1, GoldenCommands.N2));
@@ -66,7 +66,7 @@
                             .setTerm(TERM)
                             .setVotedFor(new Voter(VOTED_FOR))
                             .build());
-            List<Object> pieces = CommandCodec.pieces(snapshot());
+            List<Object> pieces = CommandCodec.encodeSnapshot(snapshot());
             for (int i = 0; i < pieces.size(); i++) {
                 storage.persistSnapshotChunk(
                         RaftCodec.MODEL
--- a/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
@@ -21,45 +21,45 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A folder that an earlier version wrote gives the same voter and the same state. */
+/** The storage directory of an earlier version restores the same voter and the same state. */
 final class GoldenRaftStorageTest {
     private static final Path GOLDEN = Path.of("src/test/resources/golden/voter-folder");
-    @TempDir private Path at;
-    private RestoredRaftState stored;
+    @TempDir private Path directory;
+    private RestoredRaftState restored;
 
     @BeforeEach
     void restore() throws IOException {
         try (Stream<Path> files = Files.list(GOLDEN)) {
             for (Path file : files.toList()) {
-                Files.copy(file, at.resolve(file.getFileName().toString()));
+                Files.copy(file, directory.resolve(file.getFileName().toString()));
             }
         }
-        try (RaftStorage storage = RaftStorage.open(at, failure -> {})) {
-            stored = storage.restore();
+        try (RaftStorage storage = RaftStorage.open(directory, failure -> {})) {
+            restored = storage.restore();
         }
     }
 
     @Test
-    void theVoterItsTermAndItsVoteAreThere() {
-        assertThat(ClusterBootstrap.of(stored)).isEqualTo(ClusterBootstrap.State.VOTES);
-        assertThat(stored.getLocalEndpointPersistentState().getLocalEndpoint())
+    void restoresVoterTermAndVote() {
+        assertThat(ClusterBootstrap.stateOf(restored)).isEqualTo(ClusterBootstrap.State.VOTES);
+        assertThat(restored.getLocalEndpointPersistentState().getLocalEndpoint())
                 .isEqualTo(new Voter("n0"));
-        assertThat(stored.getLocalEndpointPersistentState().isVoting()).isTrue();
-        assertThat(stored.getInitialGroupMembers().getVotingMembers())
+        assertThat(restored.getLocalEndpointPersistentState().isVoting()).isTrue();
+        assertThat(restored.getInitialGroupMembers().getVotingMembers())
                 .containsExactly(new Voter("n0"), new Voter("n1"), new Voter("n2"));
-        assertThat(stored.getTermPersistentState().getTerm()).isEqualTo(7);
-        assertThat(stored.getTermPersistentState().getVotedFor()).isEqualTo(new Voter("n1"));
+        assertThat(restored.getTermPersistentState().getTerm()).isEqualTo(7);
+        assertThat(restored.getTermPersistentState().getVotedFor()).isEqualTo(new Voter("n1"));
     }
 
     @Test
-    void theSnapshotAndTheLogPastItAreThere() {
-        long index = GoldenCommands.story().size();
-        assertThat(stored.getSnapshotEntry().getIndex()).isEqualTo(index);
-        assertThat(stored.getSnapshotEntry().getTerm()).isEqualTo(6);
-        assertThat(stored.getSnapshotEntry().getGroupMembersView().getMembers())
+    void restoresTheSnapshotAndTheLogAfterIt() {
+        long index = GoldenCommands.beforeSnapshot().size();
+        assertThat(restored.getSnapshotEntry().getIndex()).isEqualTo(index);
+        assertThat(restored.getSnapshotEntry().getTerm()).isEqualTo(6);
+        assertThat(restored.getSnapshotEntry().getGroupMembersView().getMembers())
                 .containsExactly(new Voter("n0"), new Voter("n1"), new Voter("n2"));
         assertThat(snapshot()).isEqualTo(GoldenRaftStorage.snapshot());
-        List<LogEntry> entries = stored.getLogEntries();
+        List<LogEntry> entries = restored.getLogEntries();
         assertThat(entries)
                 .extracting(LogEntry::getOperation)
                 .containsExactlyElementsOf(new ArrayList<Object>(GoldenRaftStorage.operations()));
@@ -69,22 +69,22 @@
     }
 
     @Test
-    void theStateIsTheSame() {
+    void replayingTheLogGivesTheSameState() {
         ClusterState clusterState = new ClusterState(16);
         clusterState.open(snapshot());
-        int unknown = 0;
-        for (LogEntry entry : stored.getLogEntries()) {
+        int unknownCommands = 0;
+        for (LogEntry entry : restored.getLogEntries()) {
             String text = (String) entry.getOperation();
             if (!text.isEmpty() && !text.equals("term")) {
-                ClusterCommand command = CommandCodec.command(text);
+                ClusterCommand command = CommandCodec.decode(text);
                 if (command == null) {
-                    unknown++;
+                    unknownCommands++;
                 } else {
                     assertThat(clusterState.apply(command)).as(text).isTrue();
                 }
             }
         }
-        assertThat(unknown).isEqualTo(1);
+        assertThat(unknownCommands).isEqualTo(1);
         assertThat(clusterState.snapshot()).isEqualTo(GoldenRaftStorage.latest());
         assertThat(clusterState.members()).hasSize(5);
         assertThat(clusterState.member(GoldenCommands.N0).incarnation())
@@ -116,11 +116,11 @@
         assertThat(clusterState.answer("order-4")).isEqualTo("server-1 rests");
     }
 
-    @SuppressWarnings("unchecked") // the engine keeps the pieces as an object
+    @SuppressWarnings("unchecked") // MicroRaft types the chunks as Object
     private ClusterState.Snapshot snapshot() {
         List<Object> pieces = new ArrayList<>();
-        ((List<SnapshotChunk>) stored.getSnapshotEntry().getOperation())
+        ((List<SnapshotChunk>) restored.getSnapshotEntry().getOperation())
                 .forEach(chunk -> pieces.add(chunk.getOperation()));
-        return CommandCodec.page(pieces);
+        return CommandCodec.decodeSnapshot(pieces);
     }
 }
--- a/src/test/java/lupinwood/consensus/MessageSizeTest.java
+++ b/src/test/java/lupinwood/consensus/MessageSizeTest.java
@@ -22,13 +22,13 @@
 import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
-/** The longest messages of a fleet of three hundred fit into one. */
+/** The longest messages of a cluster of 300 nodes fit into the bound of one message. */
 final class MessageSizeTest {
     private static final int NODES = 300;
     private static final int REQUEST_CLASSES = 3;
-    private static final int PLACES = 6;
+    private static final int LOCATIONS = 6;
 
-    private static RequestCounts tally() {
+    private static RequestCounts requestCounts() {
         List<RequestCounts.ClassCounts> counts = new ArrayList<>();
         for (int i = 0; i < REQUEST_CLASSES; i++) {
             counts.add(
@@ -44,9 +44,9 @@
     }
 
     @Test
-    void thePictureForThePlannerAndTheRolloutControllerFits() {
+    void statusForPlannerAndRolloutControllerFits() {
         List<NodeReport.LocationUse> uses = new ArrayList<>();
-        for (int i = 0; i < PLACES; i++) {
+        for (int i = 0; i < LOCATIONS; i++) {
             uses.add(
                     new NodeReport.LocationUse(
                             "place-" + i,
@@ -67,7 +67,7 @@
                             List.of(),
                             12_345,
                             uses,
-                            tally());
+                            requestCounts());
             nodeViews.add(
                     new NodeView(
                             new NodeName("node-" + i),
@@ -78,11 +78,11 @@
                             report));
         }
         assertThat(ClusterJson.gson().toJson(nodeViews).length())
-                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
+                .isLessThan(RaftTransport.MAX_MESSAGE_BYTES * 9 / 10);
     }
 
     @Test
-    void aNodeMayNameAThousandServersOfEachKindInOneHeartbeat() {
+    void heartbeatNamingAThousandServersOfEachKindFits() {
         List<String> servers = new ArrayList<>();
         List<NodeReport.LocationUse> uses = new ArrayList<>();
         List<HealthCheckResult> found = new ArrayList<>();
@@ -106,7 +106,7 @@
                         servers,
                         12_345,
                         uses,
-                        tally());
+                        requestCounts());
         Heartbeat heartbeat =
                 new Heartbeat(
                         Heartbeat.VERSION,
@@ -125,21 +125,21 @@
         assertThat(heartbeat.cut().report().drained()).hasSize(1024);
         assertThat(heartbeat.cut().report().uses()).hasSize(1024);
         assertThat(ClusterJson.gson().toJson(heartbeat).length())
-                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
+                .isLessThan(RaftTransport.MAX_MESSAGE_BYTES * 9 / 10);
     }
 
     @Test
-    void aBatchOfTheLongestCommandsFits() {
+    void batchOfTheLongestCommandsFits() {
         Map<String, RequestCounts> past = new TreeMap<>();
         for (int i = 0; i < NODES; i++) {
-            past.put("node-" + i, new RequestCounts(List.of(tally().all())));
+            past.put("node-" + i, new RequestCounts(List.of(requestCounts().all())));
         }
         List<NodeName> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             nodes.add(new NodeName("node-" + i));
         }
         String command =
-                CommandCodec.of(
+                CommandCodec.encode(
                         new ClusterCommand.AdvanceRollout(
                                 new FencingToken(1L << 40),
                                 1,
@@ -152,7 +152,7 @@
         JsonObject entry = new JsonObject();
         entry.addProperty("o", command);
         assertThat(entry.toString().length() * 4)
-                .as("quoted, and four of them")
-                .isLessThan(RaftTransport.MOST_BYTES * 9 / 10);
+                .as("a batch of four quoted commands")
+                .isLessThan(RaftTransport.MAX_MESSAGE_BYTES * 9 / 10);
     }
 }
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -40,18 +40,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three voters of an earlier version are replaced one by one by this one, on the same folders: what
- * was agreed on stays, and both versions agree on more meanwhile. Runs where the system property
- * {@code lupinwood.previousJar} names the earlier version's jar.
+ * Replaces three voters of an earlier version by this version one by one, on the same storage
+ * directories: the replicated state is kept, and mixed versions replicate further commands. Runs
+ * only if the system property {@code lupinwood.previousJar} names the earlier version's jar.
  */
 @Timeout(value = 240, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 final class MixedVersionIT {
     private static final String PREVIOUS_JAR = System.getProperty("lupinwood.previousJar");
     private static final int VOTERS = 3;
-    private static final NanoDuration ANSWERS_WITHIN = NanoDuration.ofSeconds(2);
-    private static final int MOST_LINKS = 100;
+    private static final NanoDuration QUERY_TIMEOUT = NanoDuration.ofSeconds(2);
+    private static final int BACKLOG = 100;
     private static final long WAIT_SECONDS = 30;
-    private static final String NODE =
+    private static final String NODE_CONFIG =
             """
             name n%d
             listen "127.0.0.1:%d"
@@ -70,7 +70,7 @@
             fleet { lease 1s; region r; zone z%d; listen "127.0.0.1:%d"; folder council }
             """;
 
-    @TempDir private Path at;
+    @TempDir private Path workDirectory;
     private final Log quiet = new Log(new PrintStream(new ByteArrayOutputStream()), Instant::now);
     private final List<InetSocketAddress> addresses = new ArrayList<>();
 
@@ -79,10 +79,10 @@
     private final Process[] processes = new Process[VOTERS];
 
     @BeforeEach
-    void startThePreviousVersion() throws IOException {
+    void startPreviousVersion() throws IOException {
         assumeTrue(PREVIOUS_JAR != null, "lupinwood.previousJar isn't set");
-        executor = new ServerSocket(0, MOST_LINKS, InetAddress.getLoopbackAddress());
-        daemon(this::executor);
+        executor = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        startDaemon(this::executor);
         for (int i = 0; i < VOTERS; i++) {
             addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort()));
         }
@@ -90,7 +90,7 @@
             Files.createDirectories(directory(i));
             StringBuilder text = new StringBuilder();
             text.append(
-                    NODE.formatted(
+                    NODE_CONFIG.formatted(
                             i,
                             freePort(),
                             executor.getLocalPort(),
@@ -108,7 +108,7 @@
     }
 
     @AfterEach
-    void endAll() throws InterruptedException, IOException {
+    void stopAll() throws InterruptedException, IOException {
         if (executor != null) {
             executor.close();
         }
@@ -119,39 +119,42 @@
         }
     }
 
-    /** Takes links and is warm, and has nothing to run: without one a node gets no duty. */
+    /**
+     * A stand-in for the executor: accepts connections, is warm, and runs nothing. A node without
+     * an executor gets no duty.
+     */
     private void executor() {
         while (!executor.isClosed()) {
             try {
-                Socket link = executor.accept();
-                daemon(() -> talk(link));
+                Socket connection = executor.accept();
+                startDaemon(() -> answerCommands(connection));
             } catch (IOException e) {
-                return; // it is over
+                return; // the test has ended
             }
         }
     }
 
-    private static void daemon(Runnable job) {
+    private static void startDaemon(Runnable job) {
         Thread thread = new Thread(job, "executor");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void talk(Socket link) {
-        try (link;
+    private static void answerCommands(Socket connection) {
+        try (connection;
                 BufferedReader in =
                         new BufferedReader(
-                                new InputStreamReader(link.getInputStream(), US_ASCII))) {
+                                new InputStreamReader(connection.getInputStream(), US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                List<String> words = List.of(line.split(" ", 0));
+                List<String> fields = List.of(line.split(" ", 0));
                 String answer =
-                        words.get(0).equals("JOIN")
+                        fields.get(0).equals("JOIN")
                                 ? "WELCOME WARM 60000\r\n"
-                                : "METERS " + words.get(1) + " 0.5 0 0.1 1\r\n";
-                link.getOutputStream().write(answer.getBytes(US_ASCII));
+                                : "METERS " + fields.get(1) + " 0.5 0 0.1 1\r\n";
+                connection.getOutputStream().write(answer.getBytes(US_ASCII));
             }
         } catch (IOException e) {
-            // the node went
+            // the node closed the connection
         }
     }
 
@@ -162,7 +165,7 @@
     }
 
     private Path directory(int number) {
-        return at.resolve("n" + number);
+        return workDirectory.resolve("n" + number);
     }
 
     private Path log(int number) {
@@ -190,17 +193,17 @@
 
     private void replace(int number) throws IOException, InterruptedException {
         processes[number].destroyForcibly().waitFor(5, TimeUnit.SECONDS);
-        Files.writeString(log(number), ""); // from here on it tells of this version
+        Files.writeString(log(number), ""); // the log now has only this version's lines
         start(number, System.getProperty("java.class.path"));
     }
 
-    private RaftReplica.ReplicaView await(String what, Predicate<RaftReplica.ReplicaView> holds)
+    private RaftReplica.ReplicaView await(String what, Predicate<RaftReplica.ReplicaView> isReached)
             throws InterruptedException, IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
         RaftReplica.ReplicaView state = null;
         while (System.nanoTime() < end && Stream.of(processes).allMatch(Process::isAlive)) {
-            state = ClusterQuery.state(addresses, ANSWERS_WITHIN, quiet, true);
-            if (state != null && holds.test(state)) {
+            state = ClusterQuery.state(addresses, QUERY_TIMEOUT, quiet, true);
+            if (state != null && isReached.test(state)) {
                 return state;
             }
             Thread.sleep(100);
@@ -209,7 +212,7 @@
         for (int i = 0; i < VOTERS; i++) {
             logs.append("\n--- n").append(i).append('\n').append(Files.readString(log(i)));
         }
-        return fail("not in time, or a process went: " + what + "; last " + state + logs);
+        return fail("not in time, or a process ended: " + what + "; last " + state + logs);
     }
 
     private String order(String id, String what, RaftReplica.RolloutRequest wish, String server)
@@ -222,24 +225,24 @@
             if (answer != null && answer.done()) {
                 return answer.text();
             }
-            Thread.sleep(500); // nobody leads yet, or what came before it isn't over yet
+            Thread.sleep(500); // no leader yet, or the earlier order isn't finished yet
         }
-        return fail("was not done: " + order);
+        return fail("order was not executed: " + order);
     }
 
     private static Map<DutyName, FencingToken> tokens(RaftReplica.ReplicaView state) {
         Map<DutyName, FencingToken> tokens = new HashMap<>();
-        state.duties().forEach(leased -> tokens.put(leased.duty(), leased.token()));
+        state.duties().forEach(lease -> tokens.put(lease.duty(), lease.token()));
         return tokens;
     }
 
-    private static Map<NodeName, Incarnation> lives(RaftReplica.ReplicaView state) {
+    private static Map<NodeName, Incarnation> incarnations(RaftReplica.ReplicaView state) {
         Map<NodeName, Incarnation> incarnations = new HashMap<>();
         state.members().forEach(member -> incarnations.put(member.name(), member.incarnation()));
         return incarnations;
     }
 
-    private static boolean isWhole(RaftReplica.ReplicaView state) {
+    private static boolean isComplete(RaftReplica.ReplicaView state) {
         return state.leader() != null
                 && state.members().size() == VOTERS
                 && state.members().stream().allMatch(ClusterState.Member::in)
@@ -248,19 +251,24 @@
                 && !state.plans().isEmpty();
     }
 
-    /** Replaces one voter; what was agreed on before is there after, and nothing goes back. */
+    /**
+     * Replaces one voter and checks that the replicated state is kept and that nothing in it goes
+     * backwards.
+     */
     private RaftReplica.ReplicaView replaceAndCompare(int number, RaftReplica.ReplicaView before)
             throws IOException, InterruptedException {
         NodeName name = new NodeName("n" + number);
-        Incarnation old = lives(before).get(name);
+        Incarnation previous = incarnations(before).get(name);
         replace(number);
         RaftReplica.ReplicaView after =
                 await(
-                        name + " is back",
-                        state -> isWhole(state) && !lives(state).get(name).equals(old));
-        Map<NodeName, Incarnation> others = lives(before);
+                        name + " is a member again",
+                        state ->
+                                isComplete(state)
+                                        && !incarnations(state).get(name).equals(previous));
+        Map<NodeName, Incarnation> others = incarnations(before);
         others.remove(name);
-        assertThat(lives(after)).containsAllEntriesOf(others);
+        assertThat(incarnations(after)).containsAllEntriesOf(others);
         tokens(before)
                 .forEach(
                         (duty, token) ->
@@ -268,8 +276,8 @@
                                         .as("the token of " + duty)
                                         .isGreaterThanOrEqualTo(token));
         before.duties().stream()
-                .filter(leased -> tokens(after).get(leased.duty()).equals(leased.token()))
-                .forEach(leased -> assertThat(after.duties()).contains(leased));
+                .filter(lease -> tokens(after).get(lease.duty()).equals(lease.token()))
+                .forEach(lease -> assertThat(after.duties()).contains(lease));
         assertThat(after.history().subList(0, before.history().size())).isEqualTo(before.history());
         assertThat(after.cordons()).isEqualTo(before.cordons());
         assertThat(after.permits()).isEqualTo(before.permits());
@@ -277,12 +285,12 @@
         assertThat(after.good()).isEqualTo(before.good());
         assertThat(after.rollout()).isEqualTo(before.rollout());
         assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
-        assertThat(after.plans().stream().filter(one -> one.number() <= before.lastPlan()))
+        assertThat(after.plans().stream().filter(plan -> plan.number() <= before.lastPlan()))
                 .isSubsetOf(before.plans());
         assertThat(after.commands()).isGreaterThan(before.commands());
         assertThat(Files.readString(log(number)))
-                .contains("a voter, with what it kept")
-                .doesNotContain("can't be read");
+                .contains("voter started storage=VOTES next=resume")
+                .doesNotContain("can't be read", "cannot be read");
         return after;
     }
 
@@ -292,33 +300,40 @@
     }
 
     @Test
-    void whatWasLatencyObjectiveOnStaysWhileVotersAreReplacedOneByOne() throws Exception {
-        await("the fleet is whole", MixedVersionIT::isWhole);
+    void replicatedStateSurvivesReplacingVotersOneByOne() throws Exception {
+        await("the cluster is complete", MixedVersionIT::isComplete);
         RaftReplica.RolloutRequest program =
                 new RaftReplica.RolloutRequest(Rollout.Kind.PROGRAM, "0.6", "", false);
-        String began = order("order-1", "release", program, null);
+        String rolloutAnswer = order("order-1", "release", program, null);
         order("order-2", "back", null, null);
-        await("the release is over", state -> state.rollout() == null);
-        String rested = order("order-3", "rest", null, "s0");
-        RaftReplica.ReplicaView old =
-                await("s0 rests", state -> !state.cordons().isEmpty() && isWhole(state));
-        assertThat(old.cordons()).containsExactly(new Cordon("s0", "ann"));
+        await("the rollout has ended", state -> state.rollout() == null);
+        String cordonAnswer = order("order-3", "rest", null, "s0");
+        RaftReplica.ReplicaView before =
+                await("s0 is cordoned", state -> !state.cordons().isEmpty() && isComplete(state));
+        assertThat(before.cordons()).containsExactly(new Cordon("s0", "ann"));
 
-        RaftReplica.ReplicaView mixed = replaceAndCompare(0, old);
-        assertThat(order("order-3", "rest", null, "s0")).as("done once").isEqualTo(rested);
+        RaftReplica.ReplicaView mixed = replaceAndCompare(0, before);
+        assertThat(order("order-3", "rest", null, "s0"))
+                .as("executed once")
+                .isEqualTo(cordonAnswer);
         assertThat(wanted()).isEqualTo(new ClusterQuery.Wanted("", "", "", List.of("s0")));
         replaceAndCompare(1, mixed);
 
         order("order-4", "unrest", null, "s0");
         order("order-5", "release", program, null);
-        mixed = await("a release is open", state -> state.rollout() != null && isWhole(state));
+        mixed =
+                await(
+                        "a rollout is in progress",
+                        state -> state.rollout() != null && isComplete(state));
         assertThat(mixed.cordons()).isEmpty();
         RaftReplica.ReplicaView all = replaceAndCompare(2, mixed);
 
         assertThat(all.rollout().number()).isEqualTo(2);
         assertThat(all.rollout().to()).isEqualTo("0.6");
-        assertThat(order("order-1", "release", program, null)).as("done once").isEqualTo(began);
+        assertThat(order("order-1", "release", program, null))
+                .as("executed once")
+                .isEqualTo(rolloutAnswer);
         order("order-6", "back", null, null);
-        await("the release is over", state -> state.rollout() == null && isWhole(state));
+        await("the rollout has ended", state -> state.rollout() == null && isComplete(state));
     }
 }
--- a/src/test/java/lupinwood/consensus/RaftStorageTest.java
+++ b/src/test/java/lupinwood/consensus/RaftStorageTest.java
@@ -23,11 +23,11 @@
 final class RaftStorageTest {
     private static final NodeName SELF = new NodeName("a");
     private static final List<NodeName> ALL = List.of(SELF, new NodeName("b"), new NodeName("c"));
-    @TempDir private Path at;
+    @TempDir private Path directory;
     private final List<String> failures = new ArrayList<>();
 
     private RaftStorage open() throws IOException {
-        return RaftStorage.open(at, failures::add);
+        return RaftStorage.open(directory, failures::add);
     }
 
     private static LogEntry entry(long index) {
@@ -49,13 +49,13 @@
     }
 
     @Test
-    void whatWasMadeDurableIsThereAgainAndTheStateIsReported() throws Exception {
+    void restoresDurableWritesAndReportsTheVoterState() throws Exception {
         try (RaftStorage storage = open()) {
             assertThat(storage.restore()).isNull();
-            assertThat(ClusterBootstrap.of(storage.restore()))
+            assertThat(ClusterBootstrap.stateOf(storage.restore()))
                     .isEqualTo(ClusterBootstrap.State.EMPTY);
-            ClusterBootstrap.write(storage, SELF, ALL);
-            assertThat(ClusterBootstrap.of(storage.restore()))
+            ClusterBootstrap.persistFounders(storage, SELF, ALL);
+            assertThat(ClusterBootstrap.stateOf(storage.restore()))
                     .isEqualTo(ClusterBootstrap.State.FOUNDS);
             vote(storage, 3, "b");
             for (int i = 1; i <= 9; i++) {
@@ -86,7 +86,7 @@
         }
         try (RaftStorage storage = open()) {
             RestoredRaftState restored = storage.restore();
-            assertThat(ClusterBootstrap.of(restored)).isEqualTo(ClusterBootstrap.State.VOTES);
+            assertThat(ClusterBootstrap.stateOf(restored)).isEqualTo(ClusterBootstrap.State.VOTES);
             assertThat(restored.getTermPersistentState().getTerm()).isEqualTo(3);
             assertThat(restored.getTermPersistentState().getVotedFor()).isEqualTo(new Voter("b"));
             assertThat(restored.getSnapshotEntry().getIndex()).isEqualTo(4);
@@ -98,36 +98,36 @@
     }
 
     @Test
-    void aSecondProcessAForeignFileAndANewerFormAreReportedInOneLine() throws Exception {
+    void rejectsASecondProcessAndAForeignFile() throws Exception {
         try (RaftStorage storage = open()) {
             assertThatThrownBy(this::open)
                     .isInstanceOf(IOException.class)
-                    .hasMessageContaining("another process uses");
+                    .hasMessageContaining("is in use by another process");
             vote(storage, 1, null);
         }
-        Files.write(at.resolve("council.mv"), new byte[9000]);
+        Files.write(directory.resolve("council.mv"), new byte[9000]);
         assertThatThrownBy(this::open)
                 .isInstanceOf(IOException.class)
-                .hasMessageContaining("can't be read");
+                .hasMessageContaining("cannot be read");
     }
 
     @Test
-    void aFileTornAtItsEndGivesAnEarlierWholeStateOrIsRefusedAndNeverAMixture() throws Exception {
+    void truncatedFileGivesAConsistentEarlierStateOrIsRejected() throws Exception {
         try (RaftStorage storage = open()) {
-            ClusterBootstrap.write(storage, SELF, ALL);
+            ClusterBootstrap.persistFounders(storage, SELF, ALL);
             for (int i = 1; i <= 40; i++) {
                 vote(storage, i, "b");
                 storage.persistLogEntries(List.of(entry(i)));
                 storage.flush();
             }
         }
-        byte[] whole = Files.readAllBytes(at.resolve("council.mv"));
-        int read = 0;
-        for (int cut = 1; cut < whole.length; cut += 509) {
+        byte[] complete = Files.readAllBytes(directory.resolve("council.mv"));
+        int restoredCount = 0;
+        for (int missingBytes = 1; missingBytes < complete.length; missingBytes += 509) {
             try (RandomAccessFile file =
-                    new RandomAccessFile(at.resolve("council.mv").toFile(), "rw")) {
+                    new RandomAccessFile(directory.resolve("council.mv").toFile(), "rw")) {
                 file.setLength(0);
-                file.write(whole, 0, whole.length - cut);
+                file.write(complete, 0, complete.length - missingBytes);
             }
             try (RaftStorage storage = open()) {
                 RestoredRaftState restored = storage.restore();
@@ -138,39 +138,39 @@
                                     .getIndex();
                     assertThat(restored.getTermPersistentState().getTerm())
                             .isBetween((int) last, (int) last + 1);
-                    read++;
+                    restoredCount++;
                 }
             } catch (IOException e) {
-                assertThat(e.getMessage()).contains("can't be read");
+                assertThat(e.getMessage()).contains("cannot be read");
             }
         }
-        assertThat(read).isPositive();
+        assertThat(restoredCount).isPositive();
     }
 
     @Test
-    void nobodyFoundsBeforeAllAreThereAndWhoLostItsDirectoryComesAnew() {
+    void foundsOnlyWithAllVotersAndRejoinsAfterLostStorage() {
         NanoDuration fresh = NanoDuration.ofSeconds(1);
         MonotonicTime now = new MonotonicTime(0);
-        ClusterBootstrap first =
+        ClusterBootstrap founder =
                 new ClusterBootstrap(SELF, ALL, ClusterBootstrap.State.EMPTY, fresh);
-        assertThat(first.step(now)).isEqualTo(ClusterBootstrap.Step.WAIT);
-        first.heard(new NodeName("b"), ClusterBootstrap.State.EMPTY, now);
-        first.heard(new NodeName("x"), ClusterBootstrap.State.EMPTY, now);
-        assertThat(first.step(now)).isEqualTo(ClusterBootstrap.Step.WAIT);
-        first.heard(new NodeName("c"), ClusterBootstrap.State.FOUNDS, now);
-        assertThat(first.step(now)).isEqualTo(ClusterBootstrap.Step.FOUND);
-        assertThat(first.step(now.plus(NanoDuration.ofSeconds(2))))
-                .as("what was said long ago")
+        assertThat(founder.step(now)).isEqualTo(ClusterBootstrap.Step.WAIT);
+        founder.onReport(new NodeName("b"), ClusterBootstrap.State.EMPTY, now);
+        founder.onReport(new NodeName("x"), ClusterBootstrap.State.EMPTY, now);
+        assertThat(founder.step(now)).isEqualTo(ClusterBootstrap.Step.WAIT);
+        founder.onReport(new NodeName("c"), ClusterBootstrap.State.FOUNDS, now);
+        assertThat(founder.step(now)).isEqualTo(ClusterBootstrap.Step.FOUND);
+        assertThat(founder.step(now.plus(NanoDuration.ofSeconds(2))))
+                .as("the reports are too old")
                 .isEqualTo(ClusterBootstrap.Step.WAIT);
-        first.founded();
-        assertThat(first.step(now))
-                .as("b hasn't written it down yet")
+        founder.onFounded();
+        assertThat(founder.step(now))
+                .as("b hasn't persisted the founders yet")
                 .isEqualTo(ClusterBootstrap.Step.WAIT);
-        first.heard(new NodeName("b"), ClusterBootstrap.State.FOUNDS, now);
-        assertThat(first.step(now)).isEqualTo(ClusterBootstrap.Step.TAKE_PART);
+        founder.onReport(new NodeName("b"), ClusterBootstrap.State.FOUNDS, now);
+        assertThat(founder.step(now)).isEqualTo(ClusterBootstrap.Step.START_REPLICA);
         ClusterBootstrap lost =
                 new ClusterBootstrap(SELF, ALL, ClusterBootstrap.State.EMPTY, fresh);
-        lost.heard(new NodeName("b"), ClusterBootstrap.State.VOTES, now);
-        assertThat(lost.step(now)).isEqualTo(ClusterBootstrap.Step.COME_ANEW);
+        lost.onReport(new NodeName("b"), ClusterBootstrap.State.VOTES, now);
+        assertThat(lost.step(now)).isEqualTo(ClusterBootstrap.Step.REJOIN);
     }
 }
