--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -376,8 +376,9 @@
                 ClusterCommand command = CommandCodec.decode(message.get("d").getAsString());
                 loop.offer(
                         () -> {
-                            // Any sender is accepted: the cluster state applies these only under
-                            // the duty's fencing token, and a halt is harmless.
+                            // Any sender is accepted: the cluster state applies rollout
+                            // steps and capacity plans only under the duty's fencing token, and
+                            // a halt is harmless.
                             boolean isAccepted =
                                     command instanceof ClusterCommand.AdvanceRollout
                                             || command instanceof ClusterCommand.FinishRollout
--- a/src/test/java/lupinwood/consensus/GoldenMessages.java
+++ b/src/test/java/lupinwood/consensus/GoldenMessages.java
@@ -257,10 +257,10 @@
                 new GoldenForm<>(
                         "status-report.json",
                         state(),
-                        one ->
+                        value ->
                                 GoldenForm.JSON.toJson(
                                         JsonParser.parseString(
-                                                GoldenForm.JSON.toJsonTree(one).toString())),
+                                                GoldenForm.JSON.toJsonTree(value).toString())),
                         text -> GoldenForm.JSON.fromJson(text, RaftReplica.ReplicaView.class)),
                 GoldenForm.inMessage(
                         "report-digest.json",
@@ -329,7 +329,7 @@
                     new GoldenForm<>(
                             "bootstrap-answer-" + stateNumber++ + ".json",
                             state,
-                            one -> ClusterBootstrap.report(GoldenCommands.N0, one).toString(),
+                            value -> ClusterBootstrap.report(GoldenCommands.N0, value).toString(),
                             text -> ClusterBootstrap.reportedState(GoldenForm.object(text))));
         }
         return forms;
