--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -4,11 +4,12 @@
 import lupinwood.admission.MonotonicTime;
 
 /**
- * How many concurrent requests this node may send to each location: by the newest capacity plan
- * that it received, while the lease on it lasts, and otherwise only its base slots. The lease is
- * counted as {@link HeldLeases} counts duties: from before the heartbeat was sent, on a clock that
- * may run slow. Plan numbers never decrease within one incarnation, so a delayed reply with an
- * older plan changes nothing.
+ * How many concurrent requests this node may send to each location. While the lease on the newest
+ * capacity plan that it received lasts, this is the larger of the node's slots in that plan and its
+ * base slots; afterwards only the base slots. The lease starts when the heartbeat is sent and is
+ * shortened by the clock drift, as in {@link HeldLeases}, because the node's clock may run slow.
+ * Plan numbers never decrease within one incarnation, so a delayed reply with an older plan changes
+ * nothing.
  */
 public final class CapacityLease {
     private final Map<String, Integer> baseSlots;
@@ -17,7 +18,7 @@
     private MonotonicTime expiresAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
-     * @param baseSlots concurrent requests that it may send to each location without a plan
+     * @param baseSlots concurrent requests that the node may send to each location without a plan
      */
     public CapacityLease(Map<String, Integer> baseSlots) {
         this.baseSlots = Map.copyOf(baseSlots);
@@ -28,7 +29,8 @@
      *
      * @param plan the number of the plan; zero for none
      * @param newSlots the node's concurrent requests for each location
-     * @param newExpiresAt when the lease given by this reply ends on this node's clock
+     * @param newExpiresAt when the lease given by the reply that carries the plan ends on this
+     *     node's clock
      */
     public void update(long plan, Map<String, Integer> newSlots, MonotonicTime newExpiresAt) {
         if (plan < planNumber || plan == 0) {
--- a/src/main/java/lupinwood/cluster/CapacityPlan.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlan.java
@@ -8,9 +8,9 @@
 
 /**
  * How many concurrent requests each node may send to each location. A site's slots at a location
- * are divided evenly among its nodes; the remainder goes one slot each to some of them, chosen
- * differently for each location. A node that isn't in the roster has no slots, even in a site that
- * has some: it joined after the plan was made and wasn't counted.
+ * are divided evenly among its nodes; each of some nodes gets one slot of the remainder, chosen by
+ * the location's hash. A node that isn't in the roster has no slots, even in a site that has some:
+ * it joined after the plan was made and wasn't counted.
  *
  * @param number increases with each plan; a node follows the highest that it received
  * @param roster all nodes that the plan counts, with their sites at that time, ordered by name
@@ -29,11 +29,12 @@
         String site = roster.get(node.text());
         Map<String, Integer> nodeSlots = new TreeMap<>();
         if (site != null) {
-            int[] rank = ranks().get(node.text());
+            int[] indexAndCount = indexesAndCounts().get(node.text());
             slots.getOrDefault(site, Map.of())
                     .forEach(
                             (location, siteSlots) ->
-                                    nodeSlots.put(location, divide(siteSlots, rank, location)));
+                                    nodeSlots.put(
+                                            location, divide(siteSlots, indexAndCount, location)));
         }
         return nodeSlots;
     }
@@ -42,37 +43,39 @@
      * A node's part of its site's slots. The location's hash rotates which nodes get one slot of
      * the remainder.
      *
-     * @param rank the node's index within its site, and the number of nodes there
+     * @param indexAndCount the node's index within its site, and the number of nodes there
      */
-    private static int divide(int siteSlots, int[] rank, String location) {
-        int rotated = Math.floorMod(rank[0] + location.hashCode(), rank[1]);
-        return siteSlots / rank[1] + (rotated < siteSlots % rank[1] ? 1 : 0);
+    private static int divide(int siteSlots, int[] indexAndCount, String location) {
+        int rotated = Math.floorMod(indexAndCount[0] + location.hashCode(), indexAndCount[1]);
+        return siteSlots / indexAndCount[1] + (rotated < siteSlots % indexAndCount[1] ? 1 : 0);
     }
 
     /** Each node's index among the nodes of its site, and how many nodes the site has. */
-    private Map<String, int[]> ranks() {
+    private Map<String, int[]> indexesAndCounts() {
         Map<String, Integer> nodesBySite = new TreeMap<>();
         roster.values().forEach(site -> nodesBySite.merge(site, 1, Integer::sum));
-        Map<String, Integer> rankedBySite = new TreeMap<>();
-        Map<String, int[]> ranks = new TreeMap<>();
+        Map<String, Integer> indexedBySite = new TreeMap<>();
+        Map<String, int[]> indexesAndCounts = new TreeMap<>();
         roster.forEach(
                 (node, site) ->
-                        ranks.put(
+                        indexesAndCounts.put(
                                 node,
                                 new int[] {
-                                    rankedBySite.merge(site, 1, Integer::sum) - 1,
+                                    indexedBySite.merge(site, 1, Integer::sum) - 1,
                                     nodesBySite.get(site)
                                 }));
-        return ranks;
+        return indexesAndCounts;
     }
 
     /**
-     * A location that could get more concurrent requests than its capacity, or null. Must be called
-     * with all plans that any node may still follow.
+     * Returns a location that could get more concurrent requests than its capacity, or whose
+     * capacity is unknown; null if there is none. Must be called with all plans that any node may
+     * still follow.
      *
      * @param capacities the concurrent requests that each location can take; one without a capacity
      *     counts as overfull
-     * @param baseSlots by site and location, what a node may send without any plan
+     * @param baseSlots by site and location, how many concurrent requests a node may send without
+     *     any plan
      */
     public static String overfull(
             List<CapacityPlan> plans,
@@ -81,37 +84,38 @@
         Set<String> nodes = new HashSet<>();
         Map<String, Map<String, Integer>> maxSlotsByNode = new TreeMap<>();
         for (CapacityPlan plan : plans) {
-            for (Map<String, Integer> siteSlots : plan.slots().values()) {
-                for (String location : siteSlots.keySet()) {
+            for (Map<String, Integer> slotsByLocation : plan.slots().values()) {
+                for (String location : slotsByLocation.keySet()) {
                     if (!capacities.containsKey(location)) {
                         return location; // its capacity is unknown
                     }
                 }
             }
-            Map<String, int[]> ranks = plan.ranks();
+            Map<String, int[]> indexesAndCounts = plan.indexesAndCounts();
             plan.roster()
                     .forEach(
                             (node, site) -> {
                                 nodes.add(node);
-                                Map<String, Integer> maxSlots =
+                                Map<String, Integer> maxSlotsByLocation =
                                         maxSlotsByNode.computeIfAbsent(
                                                 node, key -> new TreeMap<>());
                                 plan.slots()
                                         .getOrDefault(site, Map.of())
                                         .forEach(
                                                 (location, siteSlots) ->
-                                                        maxSlots.merge(
+                                                        maxSlotsByLocation.merge(
                                                                 location,
                                                                 divide(
                                                                         siteSlots,
-                                                                        ranks.get(node),
+                                                                        indexesAndCounts.get(node),
                                                                         location),
                                                                 Math::max));
                                 baseSlots
                                         .getOrDefault(site, Map.of())
                                         .forEach(
                                                 (location, base) ->
-                                                        maxSlots.merge(location, base, Math::max));
+                                                        maxSlotsByLocation.merge(
+                                                                location, base, Math::max));
                             });
         }
         Map<String, Integer> totals = new TreeMap<>();
--- a/src/main/java/lupinwood/cluster/CapacityPlans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -9,10 +9,11 @@
 /**
  * The capacity plans in the cluster state. Several may be live: a node that hasn't received the
  * newest follows an older one while its lease lasts. Whichever plan each node follows, no location
- * may get more concurrent requests than its capacity. So a plan is accepted only if, for each
- * location, the capacity covers the sum over all nodes of the most that the node gets from any live
- * plan, the new one included, or from its base slots. A node gets more slots only after the nodes
- * that lose them have stopped using them and the older plan is retired.
+ * may get more concurrent requests than its capacity. A node's highest number of slots is the
+ * maximum of its base slots and its slots in any live plan, the new one included. So a plan is
+ * accepted only if, for each location, the sum of these maxima over all nodes doesn't exceed the
+ * capacity. Slots that move from one node to another are usable by the second only after the first
+ * has stopped using them and the older plan, which gave them to the first, is retired.
  *
  * <p>Part of {@link ClusterState}, and owned by the same thread.
  */
@@ -22,8 +23,8 @@
      *
      * @param livePlans ordered by number
      * @param capacities concurrent requests that each location can take, as of the newest plan
-     * @param baseSlots by site and location, what a node may send without a plan, as of the newest
-     *     plan
+     * @param baseSlots by site and location, how many concurrent requests a node may send without a
+     *     plan, as of the newest plan
      * @param lastNumber the number of the newest plan
      */
     public record Snapshot(
@@ -52,8 +53,8 @@
     }
 
     /**
-     * Adds a plan for the current members; false where the command was decided on another plan than
-     * the newest, or a location could get more than its capacity.
+     * Adds a plan for the current members; false if the command was decided before the newest plan
+     * was set, or if a location could get more than its capacity.
      */
     boolean add(ClusterCommand.SetCapacityPlan command, Collection<ClusterState.Member> members) {
         if (command.after() != lastNumber) {
@@ -74,7 +75,10 @@
         return true;
     }
 
-    /** Drops all plans under this number, which no node follows any more. */
+    /**
+     * Drops the plans whose number is less than {@code beforePlan}, which no node follows any more;
+     * true if at least one plan was dropped.
+     */
     boolean retireBefore(long beforePlan) {
         return beforePlan <= lastNumber && livePlans.removeIf(plan -> plan.number() < beforePlan);
     }
--- a/src/main/java/lupinwood/cluster/ClusterCommand.java
+++ b/src/main/java/lupinwood/cluster/ClusterCommand.java
@@ -6,7 +6,7 @@
 /**
  * A change to the cluster state, replicated through the consensus group's log. {@link
  * ClusterState#apply} applies the commands in log order; it rejects one whose conditions don't hold
- * at that point, and then changes nothing.
+ * at that point, and then changes nothing but the count of commands.
  */
 public sealed interface ClusterCommand {
     /** Applies each kind of command; true where it was accepted. */
@@ -70,7 +70,7 @@
     boolean applyTo(Handler handler);
 
     /**
-     * Initializes the cluster state; the first of all commands.
+     * Initializes the cluster state; the lease manager decides it before all its other commands.
      *
      * @param above fencing tokens start above it, so that those of an older cluster state, should
      *     that be lost, stay lower
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A node leaves, as it reported itself. */
+    /** A node has reported that it leaves. */
     record Leave(NodeName name, Incarnation incarnation) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Removes a node from the cluster state; an operator declared it gone for good. */
+    /**
+     * Removes a node from the cluster state, because an operator declared it gone for good;
+     * rejected while the node holds a duty.
+     */
     record RemoveNode(NodeName name) implements ClusterCommand {
         @Override
         public boolean applyTo(Handler handler) {
@@ -109,7 +112,7 @@
     /**
      * Grants the lease of a duty to a node.
      *
-     * @param after the duty's previous token, so that a decision made twice is applied once
+     * @param after the duty's previous token, so that a command sent twice is applied once
      */
     record GrantLease(DutyName duty, NodeName heir, Incarnation incarnation, FencingToken after)
             implements ClusterCommand {
@@ -166,7 +169,10 @@
         }
     }
 
-    /** Halts or resumes permits, cordons and the progress of rollouts. */
+    /**
+     * Begins or ends a halt. While halted, no permit is granted, no server is cordoned, and no
+     * rollout begins or advances.
+     */
     record SetHalt(String order, boolean halted, String by, long atMillis)
             implements ClusterCommand {
         @Override
@@ -181,7 +187,8 @@
      *
      * @param to a configuration's digest, or a version of the program
      * @param text the configuration; empty for a program
-     * @param backsOnHalt whether the rollout controller may roll it back without an order
+     * @param backsOnHalt whether the rollout controller may roll it back without an order, instead
+     *     of halting it
      */
     record BeginRollout(
             String order,
@@ -205,8 +212,8 @@
      * @param back whether the wave is part of a rollback
      * @param nodes that get the change, or lose it in a rollback
      * @param why the reason, such as the canary verdict on the previous wave; empty for none
-     * @param past what each node answered during an observation period before the first wave, by
-     *     its name; with the first wave only
+     * @param past the request counts of each node during an observation period before the first
+     *     wave, by node name; null with all other waves
      */
     record AdvanceRollout(
             FencingToken token,
@@ -225,8 +232,8 @@
     }
 
     /**
-     * Starts rolling back a rollout, which ends a halt. Ordered by an operator, or by the rollout
-     * controller where the rollout allows that.
+     * Starts rolling back a rollout, and ends a halt if there is one. Ordered by an operator, or by
+     * the rollout controller where the rollout allows that.
      */
     record RollBack(String order, long rollout, String by, long atMillis)
             implements ClusterCommand {
@@ -272,10 +279,12 @@
      * Sets a new capacity plan. Accepted only under the planner's token, and if no location could
      * get more than its capacity under any combination of plans that nodes may still follow.
      *
-     * @param after the number of the previous plan, so that a plan made twice is applied once
+     * @param after the number of the previous plan, so that a plan sent twice is applied once
      * @param bears the concurrent requests that each location can take
-     * @param alone by site and location, what one node may send without a plan
-     * @param slots by site and location, what all nodes of the site together may send
+     * @param alone by site and location, how many concurrent requests one node may send without a
+     *     plan
+     * @param slots by site and location, how many concurrent requests all nodes of the site
+     *     together may send
      */
     record SetCapacityPlan(
             FencingToken token,
@@ -293,8 +302,8 @@
     }
 
     /**
-     * Drops the plans under this number, which no node follows any more. The leader of the
-     * consensus group decides it, because it knows of all capacity leases.
+     * Drops the plans whose number is less than {@code beforePlan}, which no node follows any more.
+     * The leader of the consensus group decides it, because it knows of all capacity leases.
      */
     record RetireCapacityPlans(long beforePlan) implements ClusterCommand {
         @Override
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -11,15 +11,16 @@
 
 /**
  * A node's session with the consensus group: which voter gets the next heartbeat and when, and what
- * the replies said. It follows replies that name the leader. While no voter replies it tries them
- * in turn, with a jittered exponential backoff, so that hundreds of nodes that were cut off don't
- * reconnect at the same time.
+ * the replies said. If a reply names the leader, the next heartbeat goes there. While no voter
+ * replies, the session tries the voters in turn, with a jittered exponential backoff, so that
+ * hundreds of nodes that were cut off don't reconnect at the same time.
  */
 public final class ClusterSession {
     /** A heartbeat to be sent, and the voter that gets it. */
     public record Sent(NodeName to, Heartbeat heartbeat) {}
 
-    private static final double MAX_BACKOFF_FACTOR = 4; // of the heartbeat interval
+    /** In units of the heartbeat interval that applies, the holder's or the usual one. */
+    private static final double MAX_BACKOFF_INTERVALS = 4;
 
     private final LeaseTiming timing;
     private final NodeName name;
@@ -35,13 +36,16 @@
     /** When the last heartbeat was sent; null once its reply came. */
     private MonotonicTime awaitingReplySince;
 
-    /** Heartbeats without effect in a row: unanswered, or answered by a voter that doesn't lead. */
+    /**
+     * The number of consecutive heartbeats without effect: unanswered, or answered by a voter that
+     * doesn't lead.
+     */
     private int failedAttempts;
 
     private MonotonicTime latestReplyAt;
     private HeartbeatReply latestReply;
     private final Map<DutyName, Lease> releasing = new TreeMap<>();
-    private final Map<DutyName, Lease> failsAt = new TreeMap<>();
+    private final Map<DutyName, Lease> failedLeases = new TreeMap<>();
     private List<String> ejectedServers = List.of();
     private NodeReport report;
     private final CapacityLease capacityLease = new CapacityLease(Map.of());
@@ -78,7 +82,10 @@
         return nextHeartbeatAt;
     }
 
-    /** The heartbeat that is due now; null where none is. */
+    /**
+     * Returns the heartbeat that is due now, or null if none is due. The caller must send it: it
+     * counts as sent.
+     */
     public Sent heartbeat(NodeCondition condition, MonotonicTime now) {
         if (now.isBefore(nextHeartbeatAt)) {
             return null;
@@ -106,7 +113,7 @@
                                 heartbeatNumber,
                                 heldLeases.holds(now),
                                 List.copyOf(releasing.values()),
-                                List.copyOf(failsAt.values()),
+                                List.copyOf(failedLeases.values()),
                                 ejectedServers,
                                 agedChecks,
                                 report)
@@ -125,18 +132,20 @@
                         || !releasing.isEmpty()
                         || condition == NodeCondition.LEAVING;
         NanoDuration base = urgent ? timing.holderHeartbeatInterval() : timing.heartbeatInterval();
-        // The first round through the voters keeps the interval; then it doubles with each failure.
+        // The first round through the voters keeps the interval; then it doubles with each failed
+        // attempt, up to MAX_BACKOFF_INTERVALS.
         double factor =
                 failedAttempts <= voters.size()
                         ? 1
                         : Math.pow(2, Math.min(10, failedAttempts - voters.size()));
-        return base.times(Math.min(factor, MAX_BACKOFF_FACTOR) * (0.8 + 0.4 * random.nextDouble()));
+        return base.times(
+                Math.min(factor, MAX_BACKOFF_INTERVALS) * (0.8 + 0.4 * random.nextDouble()));
     }
 
     /** Handles a reply to a heartbeat. */
     public void heard(HeartbeatReply reply, MonotonicTime now) {
         if (reply.number() > heartbeatNumber) {
-            return; // to another incarnation
+            return; // the heartbeat was sent by another incarnation
         }
         if (reply.number() == heartbeatNumber) {
             awaitingReplySince = null;
@@ -155,7 +164,7 @@
                     reply.share().slots(),
                     sentAt.plus(
                             timing.holderLease()
-                                    .min(reply.lease().times(1 - timing.driftRatio()))));
+                                    .min(reply.leaseDuration().times(1 - timing.driftRatio()))));
         }
         heldLeases.onReply(reply, now);
         releasing
@@ -164,7 +173,8 @@
                         lease ->
                                 reply.number() == heartbeatNumber
                                         && !reply.leases().contains(lease));
-        failsAt.values()
+        failedLeases
+                .values()
                 .removeIf(
                         lease ->
                                 reply.number() == heartbeatNumber
@@ -203,7 +213,7 @@
         nextHeartbeatAt = retryAt.isBefore(nextHeartbeatAt) ? retryAt : nextHeartbeatAt;
     }
 
-    /** What this node may send to each location by the capacity plan, without base slots. */
+    /** The lease on this node's slots in the capacity plan, created without base slots. */
     public CapacityLease allotment() {
         return capacityLease;
     }
@@ -225,11 +235,14 @@
         }
     }
 
-    /** Like {@link #release}, because this node can't perform the duty. */
+    /**
+     * Releases a duty that this node can't perform, and reports the failure, so that the node isn't
+     * given the duty again for some time.
+     */
     public void failAt(DutyName duty, MonotonicTime now) {
         Lease lease = heldLeases.release(duty);
         if (lease != null) {
-            failsAt.put(duty, lease);
+            failedLeases.put(duty, lease);
             nextHeartbeatAt = now;
         }
     }
@@ -256,8 +269,8 @@
     }
 
     /**
-     * Whether a recent reply accepts this node as a member; otherwise the node decides as it would
-     * without a cluster.
+     * Whether the latest reply of a leader is at most one lease old and accepts this node as a
+     * member; otherwise the node decides as it would without a cluster.
      */
     public boolean isInTouch(MonotonicTime now) {
         return latestReplyAt != null
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -12,13 +12,14 @@
  * the same state on every replica, so it uses neither a clock nor random numbers: the {@link
  * LeaseManager} of the leader decides whether a lease has expired.
  *
- * <p>Each concern has a class of its own; this one passes each command to its concern, and checks
- * the conditions that span several.
+ * <p>Members, leases, permits, rollouts, capacity plans and the operator log have classes of their
+ * own. This class passes each command to the one concerned, keeps the cordons, the halt and the
+ * status, and checks the conditions that span several.
  *
  * <p>Not thread-safe: owned by the task loop of the replica.
  */
 public final class ClusterState {
-    /** A node that joined; {@code in} tells whether it has not left since. */
+    /** A node that joined; {@code in} is true until it leaves. */
     public record Member(NodeName name, Incarnation incarnation, Site site, boolean in) {}
 
     /**
@@ -44,7 +45,7 @@
     /** A completed operator order and its result. */
     public record CompletedOrder(String order, String result) {}
 
-    /** A text on what an operator did or what followed; the time is the leader's wall clock. */
+    /** An operator's action or its consequence; {@code atMillis} is Unix time at the leader. */
     public record HistoryEntry(long atMillis, String text) {}
 
     /** The whole state as it is stored and sent. */
@@ -78,12 +79,12 @@
     private String digest = "";
     private long commands;
 
-    /** Creates an empty state; beyond {@code maxMembers} members no further node can join. */
+    /** Creates an empty state of {@code maxMembers} nodes at most; see {@link #isFull}. */
     public ClusterState(int maxMembers) {
         members = new MemberRegistry(maxMembers);
     }
 
-    /** Replaces the whole state by a snapshot. */
+    /** Replaces the state; rollouts and capacities that an older version's snapshot lacks stay. */
     public void open(Snapshot snapshot) {
         members.restore(snapshot.members());
         dutyLeases.restore(snapshot.duties(), snapshot.lastToken());
@@ -118,15 +119,13 @@
                 capacityPlans.snapshot());
     }
 
-    /** Applies a command; false, with no change made, where its conditions no longer hold. */
+    /** Applies a command; if its conditions don't hold, only counts it and returns false. */
     public boolean apply(ClusterCommand command) {
         commands++;
         return command.applyTo(handler);
     }
 
-    /**
-     * Applies commands; an operator order that was completed before is accepted without a change.
-     */
+    /** Applies commands; an operator order recorded as completed is accepted without a change. */
     private final class CommandHandler implements ClusterCommand.Handler {
         @Override
         public boolean bootstrap(ClusterCommand.Bootstrap command) {
@@ -145,7 +144,7 @@
 
         @Override
         public boolean removeNode(ClusterCommand.RemoveNode command) {
-            if (dutyLeases.isHolder(command.name()) || !members.remove(command.name())) {
+            if (dutyLeases.holdsAnyDuty(command.name()) || !members.remove(command.name())) {
                 return false;
             }
             permits.removeAllOf(command.name());
@@ -255,7 +254,10 @@
             return direction + nodes + first + OperatorLog.reasonSuffix(command.why());
         }
 
-        /** Ends a halt, whoever ordered it: nothing may delay a rollback. */
+        /**
+         * Starts the rollback and ends the present halt, whoever ordered the halt, because it must
+         * not delay the rollback. A later halt stops the rollback's waves as well.
+         */
         @Override
         public boolean rollBack(ClusterCommand.RollBack command) {
             if (operatorLog.isCompleted(command.order())) {
@@ -369,7 +371,7 @@
                 : "";
     }
 
-    /** Why a node must not get a permit now; empty where it may. */
+    /** Why a node must not get a permit now, apart from the bound on permits; empty if it may. */
     public String against(
             NodeName node, DisruptionLimits limits, Collection<NodeName> unavailable) {
         if (!haltedBy.isEmpty()) {
@@ -410,12 +412,12 @@
         return rollouts.goodDigest();
     }
 
-    /** What each node answered while it was observed before the present rollout, by its name. */
+    /** Each node's request counts while observed before the present rollout, by node name. */
     public Map<String, RequestCounts> past() {
         return rollouts.baselineCounts();
     }
 
-    /** What a node is to run. */
+    /** What a node is to run, and which servers are cordoned. */
     public HeartbeatReply.Wanted wanted(NodeName node) {
         return new HeartbeatReply.Wanted(
                 rollouts.wantedDigest(node),
@@ -454,22 +456,22 @@
         return operatorLog.history();
     }
 
-    /** Whether the state was initialized; before that, no lease is granted. */
+    /** Whether Bootstrap was applied; before that, the lease manager proposes nothing else. */
     public boolean isBootstrapped() {
         return dutyLeases.isBootstrapped();
     }
 
-    /** Whether no further node can join. */
+    /** Whether no further node can join: the number is at its bound, and no node has left. */
     public boolean isFull() {
         return members.isFull();
     }
 
-    /** Null where no node of this name joined. */
+    /** Null if there is no such node, or it was removed. */
     public Member member(NodeName name) {
         return members.member(name);
     }
 
-    /** All nodes that joined, including those that left, ordered by name. */
+    /** The members, and the nodes that left and were not removed since, ordered by name. */
     public Collection<Member> members() {
         return members.all();
     }
@@ -489,7 +491,7 @@
         return digest;
     }
 
-    /** How many commands were read, including rejected ones. */
+    /** How many commands were passed to {@link #apply}, including rejected ones. */
     public long commands() {
         return commands;
     }
--- a/src/main/java/lupinwood/cluster/DisruptionBudget.java
+++ b/src/main/java/lupinwood/cluster/DisruptionBudget.java
@@ -4,7 +4,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Counts the unavailable nodes, for whatever reason, and decides whether one more may be. */
+/**
+ * Counts the nodes that are unavailable for any reason, and decides whether one more node may
+ * become unavailable.
+ */
 final class DisruptionBudget {
     private final DisruptionLimits limits;
     private final Collection<ClusterState.Member> members;
@@ -31,9 +34,9 @@
     }
 
     /**
-     * Why this node must not stop now; empty where it may. A node that isn't known to be healthy
-     * must not: a new leader has heard no node yet, so by its view all would already be
-     * unavailable.
+     * Why this node must not stop now; empty if it may stop. A node that isn't known to be healthy
+     * is refused. So a new leader, which has received no heartbeat yet, refuses all nodes, because
+     * by its view all are already unavailable.
      */
     String reasonAgainst(NodeName node) {
         ClusterState.Member member =
@@ -58,7 +61,7 @@
         if (total - unavailableAfter < limits.leastIn()) {
             return "fewer than " + limits.leastIn() + " nodes would remain available";
         }
-        // Null in a command of an older version.
+        // voters is null in a command of an older version.
         if (limits.voters() != null && limits.voters().contains(node)) {
             int votersAfter =
                     1 + (int) limits.voters().stream().filter(unavailable::contains).count();
@@ -82,7 +85,7 @@
                                                                 && unavailable.contains(
                                                                         peer.name()))
                                         .count();
-        if (zoneAfter > limits.mostOfZone(zoneTotal)) {
+        if (zoneAfter > limits.maxUnavailableInZone(zoneTotal)) {
             return "of "
                     + zoneTotal
                     + " nodes in "
@@ -90,7 +93,7 @@
                     + " "
                     + (zoneAfter - 1)
                     + " are unavailable, and at most "
-                    + limits.mostOfZone(zoneTotal)
+                    + limits.maxUnavailableInZone(zoneTotal)
                     + " may be";
         }
         return "";
--- a/src/main/java/lupinwood/cluster/DisruptionLimits.java
+++ b/src/main/java/lupinwood/cluster/DisruptionLimits.java
@@ -5,14 +5,14 @@
 /**
  * How many nodes of a fleet may be unavailable at once.
  *
- * @param most nodes of the whole fleet
- * @param share of the whole fleet, from 0 to 1
- * @param zoneMost nodes of one zone
- * @param zoneShare of one zone, from 0 to 1; both shares always leave room for one node, if the
- *     other limits allow it
+ * @param most the highest number of unavailable nodes in the whole fleet
+ * @param share the highest unavailable share of the whole fleet, from 0 to 1
+ * @param zoneMost the highest number of unavailable nodes in one zone
+ * @param zoneShare the highest unavailable share of one zone, from 0 to 1; each share permits at
+ *     least one unavailable node, if the other limits allow it
  * @param leastIn nodes of the whole fleet that must remain available
- * @param voters a majority of these must remain available, or the consensus group could decide
- *     nothing
+ * @param voters the voters; a majority of them must remain available, or the consensus group could
+ *     decide nothing
  */
 public record DisruptionLimits(
         int most,
@@ -37,7 +37,7 @@
         return Math.min(most, Math.max(1, (int) Math.floor(share * total + 1e-9)));
     }
 
-    int mostOfZone(int total) {
+    int maxUnavailableInZone(int total) {
         return Math.min(zoneMost, Math.max(1, (int) Math.floor(zoneShare * total + 1e-9)));
     }
 }
--- a/src/main/java/lupinwood/cluster/DutyLeases.java
+++ b/src/main/java/lupinwood/cluster/DutyLeases.java
@@ -7,8 +7,8 @@
 import lupinwood.cluster.ClusterState.Member;
 
 /**
- * Which node holds which duty, under which fencing token. Tokens increase over all duties together,
- * and start above those of a lost older state. Part of {@link ClusterState}, and owned by the same
+ * Which node holds which duty, under which fencing token. Tokens increase across all duties, and
+ * start above those of a lost older state. Part of {@link ClusterState}, and owned by the same
  * thread.
  */
 final class DutyLeases {
@@ -32,7 +32,10 @@
         return true;
     }
 
-    /** Whether it is known where tokens start; before that, no lease is granted. */
+    /**
+     * Whether it is known where tokens start; before that, the lease manager proposes only {@link
+     * ClusterCommand.Bootstrap}.
+     */
     boolean isBootstrapped() {
         return lastToken > 0;
     }
@@ -40,7 +43,7 @@
     /**
      * Grants the lease of a free duty to a node that is in the cluster.
      *
-     * @param heir the member of the name in the command; null where there is none
+     * @param heir the member that the command names; null if there is none
      */
     boolean grant(ClusterCommand.GrantLease command, Member heir) {
         DutyLease lease = duties.get(command.duty());
@@ -80,7 +83,7 @@
         return lease != null && !lease.isFree() && lease.token().equals(token);
     }
 
-    boolean isHolder(NodeName node) {
+    boolean holdsAnyDuty(NodeName node) {
         return duties.values().stream().anyMatch(lease -> node.equals(lease.holder()));
     }
 
--- a/src/main/java/lupinwood/cluster/HealthCheckResult.java
+++ b/src/main/java/lupinwood/cluster/HealthCheckResult.java
@@ -8,7 +8,7 @@
  * @param server its name in the operator's configuration
  * @param well whether the check passed
  * @param token the one under which the check was made
- * @param age time from the check until this message was sent
+ * @param age time from the check until the heartbeat or reply that contains it was sent
  */
 public record HealthCheckResult(String server, boolean well, FencingToken token, NanoDuration age) {
     HealthCheckResult agedBy(NanoDuration elapsed) {
--- a/src/main/java/lupinwood/cluster/Heartbeat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -7,9 +7,9 @@
  *
  * @param version of this message format; the consensus group rejects a version that it can't read
  * @param number increases within one incarnation; the reply repeats it
- * @param holds leases that it certainly holds now
+ * @param heldLeases leases that it certainly holds now
  * @param releasing leases that it held and no longer acts under
- * @param failsAt leases of duties that it can't perform
+ * @param failedLeases leases of duties that it can't perform
  * @param leftOut servers that it has ejected
  * @param found health checks that it made as the holder of that duty
  * @param report null from a node of an older version
@@ -21,17 +21,17 @@
         Site site,
         NodeCondition condition,
         long number,
-        List<Lease> holds,
+        List<Lease> heldLeases,
         List<Lease> releasing,
-        List<Lease> failsAt,
+        List<Lease> failedLeases,
         List<String> leftOut,
         List<HealthCheckResult> found,
         NodeReport report) {
     public static final int VERSION = 1;
 
     /**
-     * The length up to which each list of a heartbeat is read, and so the most servers that one
-     * node can name. A longer list is truncated, at the cost of that node only.
+     * The most entries that are read from each list of a heartbeat, and so the most servers that
+     * one node can name. A longer list is truncated, which affects only what is known of that node.
      */
     public static final int MAX_LIST_LENGTH = 1024;
 
@@ -44,9 +44,9 @@
                 site,
                 condition,
                 number,
-                truncate(holds),
+                truncate(heldLeases),
                 truncate(releasing),
-                truncate(failsAt),
+                truncate(failedLeases),
                 truncate(leftOut),
                 truncate(found),
                 report == null ? null : report.truncated());
--- a/src/main/java/lupinwood/cluster/HeartbeatReply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -7,31 +7,33 @@
 /**
  * A voter's reply to a heartbeat.
  *
- * @param number of the heartbeat
+ * @param number the number of the heartbeat that this answers
  * @param taken whether the voter that replies leads; otherwise the heartbeat has no effect
  * @param leader the leader that this voter knows of; null where it knows none
  * @param trouble why the node is not accepted as a member; empty where it is
- * @param lease how long each lease lasts, from before the heartbeat was sent
- * @param leases what the node holds; it doesn't hold a duty that isn't named
+ * @param leaseDuration how long each lease lasts, counted from when the node sent the heartbeat
+ * @param leases what the node holds, and what it is releasing until the leader decides to end the
+ *     lease; the node doesn't hold a duty that isn't named
  * @param found recent results of the holder of the health check duty
  * @param leave the number of the permit under which the node is to shut down; zero for none
- * @param wanted what the node is to run; null from a voter of an older version
- * @param share the node's part of the newest capacity plan, for a lease from before its heartbeat;
- *     null without a plan
- * @param others how many nodes the leader heard recently
+ * @param wanted what the node is to run, and which servers are cordoned; null from a voter of an
+ *     older version
+ * @param share the node's part of the newest capacity plan, valid for one lease duration from when
+ *     the node sent the heartbeat; null without a plan, or if the node isn't accepted as a member
+ * @param freshNodes how many nodes the leader heard recently, including the node that it replies to
  */
 public record HeartbeatReply(
         long number,
         boolean taken,
         NodeName leader,
         String trouble,
-        NanoDuration lease,
+        NanoDuration leaseDuration,
         List<Lease> leases,
         List<HealthCheckResult> found,
         long leave,
         Wanted wanted,
         CapacityShare share,
-        int others) {
+        int freshNodes) {
     /**
      * A node's part of a capacity plan.
      *
@@ -41,15 +43,16 @@
     public record CapacityShare(long plan, Map<String, Integer> slots) {}
 
     /**
-     * What a node is to run.
+     * What a node is to run, and which servers are cordoned.
      *
      * @param runs the digest of the shared configuration that it is to use; empty for none
      * @param checks the digest of a shared configuration that it is to check; empty for none
-     * @param busy whether a rollout is in progress, or some node doesn't run yet what it is to run
+     * @param busy whether a rollout is in progress, or some node doesn't yet run the configuration
+     *     that it is to run
      * @param cordons downstream servers to which it is to send no new requests
      */
     public record Wanted(String runs, String checks, boolean busy, List<String> cordons) {
-        Wanted withBusy(boolean alsoBusy) {
+        Wanted busyIf(boolean alsoBusy) {
             return new Wanted(runs, checks, busy || alsoBusy, cordons);
         }
     }
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -9,11 +9,11 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Which duties this node holds, by its own monotonic clock. A lease counts from before the node
- * sent its heartbeat, and is shortened by how slow the node's clock may run: so it ends here before
- * the consensus group may grant the duty to another node, however long the reply took. Must be
- * checked before every action under a duty, because the process may have been paused since the last
- * check.
+ * Which duties this node holds, by its own monotonic clock. A lease is counted from when the node
+ * sent its heartbeat, and is shortened by the clock drift, so it ends on this node before the
+ * consensus group may grant the duty to another node, however long the reply took. {@link #mayAct}
+ * must be called before every action under a duty, because the process may have been paused since
+ * the last check.
  */
 public final class HeldLeases {
     /** Heartbeats for which a reply is still accepted. */
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Replaces the held leases by those that a reply names. One heartbeat may get two replies, the
+     * Replaces the held leases by those that a reply names, except leases that were released, are
+     * older than the held one or have already expired. One heartbeat may get two replies, the
      * second with more leases. A reply to a heartbeat older than the latest answered one, or to one
      * that is no longer remembered, is ignored.
      */
@@ -55,7 +56,9 @@
         heartbeatSentAt.keySet().removeIf(old -> old < latestAnswered);
         // The shorter lease counts: the node's and the voter's configuration may differ.
         MonotonicTime expiresAt =
-                sentAt.plus(timing.holderLease().min(reply.lease().times(1 - timing.driftRatio())));
+                sentAt.plus(
+                        timing.holderLease()
+                                .min(reply.leaseDuration().times(1 - timing.driftRatio())));
         TreeMap<DutyName, LeaseExpiry> next = new TreeMap<>();
         for (Lease lease : reply.leases()) {
             LeaseExpiry previous = leases.get(lease.duty());
@@ -103,8 +106,8 @@
     }
 
     /**
-     * Stops holding the duty, for good under its present token. Returns the released lease; null
-     * where the duty isn't held.
+     * Gives up the duty. No later reply gives it back under the same token. Returns the released
+     * lease; null where the duty isn't held.
      */
     public Lease release(DutyName duty) {
         LeaseExpiry lease = leases.remove(duty);
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -15,13 +15,15 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Decides for the consensus group while its voter leads: which nodes are healthy, and which node is
- * to hold which duty. What it learns from heartbeats is not replicated, and a new leader learns it
- * again; what must outlast the leader goes into the cluster state by commands.
+ * Decides for the consensus group while the voter to which it belongs leads: which nodes are
+ * healthy, and which node is to hold which duty. What it learns from heartbeats is not replicated.
+ * A new leader learns most of it from the next heartbeats; it doesn't know which nodes earlier
+ * leaders made ineligible, and waits until all capacity leases of earlier leaders have expired
+ * before it retires plans. What must outlast the leader goes into the cluster state by commands.
  *
- * <p>A duty goes to another node only when its holder has reported that it stopped, or must have
- * stopped: that is when its lease, lengthened by the clocks' drift, has passed since the last reply
- * to it. A new leader can't know when that reply was, so it counts from when it began to lead.
+ * <p>A duty is granted to another node only after its holder reported that it stopped, or has
+ * certainly stopped: after the last reply to the holder, the lease plus the clock drift has passed.
+ * A new leader can't know when that reply was, so it counts from when it began to lead.
  */
 public final class LeaseManager {
     /** What the leader knows of one node in addition to the cluster state. */
@@ -30,7 +32,7 @@
         MonotonicTime receivedAt;
 
         /** Since when it has been warm and heard without a break; null while it is not warm. */
-        MonotonicTime healthySince;
+        MonotonicTime warmSince;
 
         LatestHeartbeat(Heartbeat heartbeat, MonotonicTime receivedAt) {
             this.heartbeat = heartbeat;
@@ -38,21 +40,21 @@
         }
     }
 
-    /** One process lifetime of a node. */
-    private record NodeIncarnation(NodeName name, Incarnation incarnation) {}
+    /** A node's name and incarnation, as a key. */
+    private record IncarnationKey(NodeName name, Incarnation incarnation) {}
 
     /**
-     * After a failure at a duty.
+     * How long a node is ineligible for a duty after a failure at it.
      *
-     * @param repeats earlier failures of the node at this duty
+     * @param earlierFailures earlier failures of the node at this duty
      * @param until when the node may get the duty again
      */
-    private record Ineligibility(int repeats, MonotonicTime until) {}
+    private record Ineligibility(int earlierFailures, MonotonicTime until) {}
 
     private static final Comparator<MonotonicTime> EARLIEST_FIRST = Comparator.naturalOrder();
 
     /** How long a restarted node must be healthy until its permit ends, in lease durations. */
-    private static final double HEALTHY_LEASES = 2;
+    private static final double PERMIT_END_HEALTHY_LEASES = 2;
 
     /** How long a permit may stay unused, in lease durations. */
     private static final double UNUSED_PERMIT_LEASES = 20;
@@ -61,7 +63,7 @@
     private final List<DutyName> duties;
     private final Map<NodeName, LatestHeartbeat> latestHeartbeats = new HashMap<>();
 
-    /** When a duty's holder must have stopped, unless its lease is renewed before. */
+    /** When a duty's holder has certainly stopped, unless its lease is renewed before. */
     private final TreeMap<DutyName, MonotonicTime> leaseExpiries = new TreeMap<>();
 
     private final Map<DutyName, Map<NodeName, Ineligibility>> ineligibilities = new HashMap<>();
@@ -69,21 +71,24 @@
     private final Map<String, MonotonicTime> checkedAt = new HashMap<>();
 
     /**
-     * Leases that end: no reply renews them any more, however long it takes until the command that
-     * ends them is applied.
+     * Leases that this leader decided to end. No reply renews them, even before the command that
+     * ends them is applied, however long that takes.
      */
     private final Set<Lease> endingLeases = new HashSet<>();
 
-    /** Since when a node with a permit has been seen running on, by the permit's number. */
+    /**
+     * When the leader first saw a node with a permit healthy without a restart, by the permit's
+     * number.
+     */
     private final Map<Long, MonotonicTime> permitUnusedSince = new HashMap<>();
 
     /** Until when an incarnation may follow each plan that a reply has sent to it. */
-    private final Map<NodeIncarnation, TreeMap<Long, MonotonicTime>> plansInUse = new HashMap<>();
+    private final Map<IncarnationKey, TreeMap<Long, MonotonicTime>> plansInUse = new HashMap<>();
 
     /** Null while this voter doesn't lead. */
     private MonotonicTime leadingSince;
 
-    /** Whether some node runs another configuration than it is to run. */
+    /** Whether some node runs a configuration other than the wanted one. */
     private boolean isSomeNodeOutdated;
 
     public LeaseManager(LeaseTiming timing, List<DutyName> duties) {
@@ -147,7 +152,7 @@
             return "the name " + heartbeat.name() + " is in use by another process";
         }
         if (member == null && clusterState.isFull()) {
-            return "the cluster is full, it holds at most "
+            return "the cluster is full: it holds at most "
                     + clusterState.members().size()
                     + " nodes";
         }
@@ -155,17 +160,17 @@
             if (heartbeat.number() < previous.heartbeat.number()) {
                 return ""; // a newer heartbeat overtook it
             }
-            boolean wasHealthy =
+            boolean wasWarm =
                     previous.heartbeat.condition() == NodeCondition.WARM && isFresh(previous, now);
             previous.heartbeat = heartbeat;
             previous.receivedAt = now;
-            previous.healthySince =
+            previous.warmSince =
                     heartbeat.condition() != NodeCondition.WARM
                             ? null
-                            : wasHealthy ? previous.healthySince : now;
+                            : wasWarm ? previous.warmSince : now;
         } else {
             LatestHeartbeat first = new LatestHeartbeat(heartbeat, now);
-            first.healthySince = heartbeat.condition() == NodeCondition.WARM ? now : null;
+            first.warmSince = heartbeat.condition() == NodeCondition.WARM ? now : null;
             latestHeartbeats.put(heartbeat.name(), first);
         }
         recordHealthChecks(heartbeat, clusterState, now);
@@ -278,14 +283,15 @@
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
         for (DisruptionPermit permit : clusterState.permits()) {
             LatestHeartbeat latest = latestHeartbeats.get(permit.node());
-            MonotonicTime healthySince =
-                    latest == null || !isFresh(latest, now) ? null : latest.healthySince;
+            MonotonicTime warmSince =
+                    latest == null || !isFresh(latest, now) ? null : latest.warmSince;
             boolean isAnotherIncarnation =
                     latest != null && !latest.heartbeat.incarnation().equals(permit.incarnation());
-            if (healthySince == null) {
+            if (warmSince == null) {
                 permitUnusedSince.remove(permit.number());
             } else if (isAnotherIncarnation
-                    && now.since(healthySince).compareTo(timing.lease().times(HEALTHY_LEASES))
+                    && now.since(warmSince)
+                                    .compareTo(timing.lease().times(PERMIT_END_HEALTHY_LEASES))
                             >= 0) {
                 commands.add(new ClusterCommand.ReturnPermit(permit.number(), "well again", 0));
             } else if (!isAnotherIncarnation) {
@@ -310,18 +316,18 @@
                 .toList();
     }
 
-    /** Ends a lease if its holder failed at the duty, released it, or must have stopped. */
+    /** Ends a lease if its holder failed at the duty, released it, or has certainly stopped. */
     private void endLeaseIfDue(
             ClusterState.DutyLease dutyLease, MonotonicTime now, List<ClusterCommand> commands) {
-        // A lease granted since this voter leads has no expiry yet: it counts from when it is first
-        // seen here.
+        // A lease granted after this voter became leader has no expiry yet: it expires one lease
+        // plus the clock drift after this method first sees it, unless a reply renews it.
         MonotonicTime expiry =
                 leaseExpiries.computeIfAbsent(
                         dutyLease.duty(), duty -> now.plus(timing.expiresAfter()));
         LatestHeartbeat holder = latestHeartbeats.get(dutyLease.holder());
         if (holder != null && holder.heartbeat.incarnation().equals(dutyLease.incarnation())) {
             Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
-            if (holder.heartbeat.failsAt().contains(lease)) {
+            if (holder.heartbeat.failedLeases().contains(lease)) {
                 endingLeases.add(lease);
                 makeIneligible(dutyLease.duty(), dutyLease.holder(), now);
                 commands.add(
@@ -357,12 +363,12 @@
         if (previous != null && now.isBefore(previous.until())) {
             return; // the same failure, reported again before the lease's end was applied
         }
-        int repeats = previous == null ? 0 : previous.repeats() + 1;
+        int earlierFailures = previous == null ? 0 : previous.earlierFailures() + 1;
         NanoDuration duration =
                 timing.ineligibility()
-                        .times(Math.pow(2, Math.min(20, repeats)))
+                        .times(Math.pow(2, Math.min(20, earlierFailures)))
                         .min(timing.maxIneligibility());
-        byNode.put(name, new Ineligibility(repeats, now.plus(duration)));
+        byNode.put(name, new Ineligibility(earlierFailures, now.plus(duration)));
     }
 
     private boolean isIneligible(DutyName duty, NodeName name, MonotonicTime now) {
@@ -385,14 +391,14 @@
             if (member.in()) {
                 int[] zone = zones.computeIfAbsent(member.site(), site -> new int[2]);
                 zone[0]++;
-                zone[1] += isHealthy(member, now) ? 1 : 0;
+                zone[1] += isRecentlyWarm(member, now) ? 1 : 0;
             }
         }
         return clusterState.members().stream()
                 .filter(
                         member ->
                                 member.in()
-                                        && isHealthy(member, now)
+                                        && isRecentlyWarm(member, now)
                                         && !isIneligible(duty, member.name(), now))
                 .min(
                         Comparator.<ClusterState.Member>comparingInt(
@@ -411,13 +417,13 @@
                                                                                         .incarnation()))
                                                         .count())
                                 .thenComparing(
-                                        member -> latestHeartbeats.get(member.name()).healthySince,
+                                        member -> latestHeartbeats.get(member.name()).warmSince,
                                         EARLIEST_FIRST)
                                 .thenComparing(ClusterState.Member::name));
     }
 
-    /** Whether the member is warm and was heard within the last heartbeat intervals. */
-    private boolean isHealthy(ClusterState.Member member, MonotonicTime now) {
+    /** Whether the member is warm and was heard within the last 1.6 heartbeat intervals. */
+    private boolean isRecentlyWarm(ClusterState.Member member, MonotonicTime now) {
         LatestHeartbeat latest = latestHeartbeats.get(member.name());
         return latest != null
                 && latest.heartbeat.incarnation().equals(member.incarnation())
@@ -428,7 +434,7 @@
 
     /**
      * The reply to a heartbeat. To be called once the consensus group has confirmed that this voter
-     * still led after the heartbeat arrived; the leases in the reply count from now on.
+     * still led after the heartbeat arrived; the leader counts the leases in the reply from now.
      *
      * @param trouble what {@link #heard} returned
      */
@@ -444,11 +450,12 @@
                 Lease lease = new Lease(dutyLease.duty(), dutyLease.token());
                 boolean isStopping =
                         heartbeat.releasing().contains(lease)
-                                || heartbeat.failsAt().contains(lease);
+                                || heartbeat.failedLeases().contains(lease);
                 if (dutyLease.isHeldBy(heartbeat.name(), heartbeat.incarnation())
                         && !endingLeases.contains(lease)) {
-                    // Included while the cluster state has it, even if the node has stopped: the
-                    // node must know which release is still to be applied.
+                    // A lease that the node is releasing is still included, but not renewed, until
+                    // this leader decides to end it: the node must know which release it still has
+                    // to report.
                     leases.add(lease);
                     if (!isStopping) {
                         leaseExpiries.put(dutyLease.duty(), now.plus(timing.expiresAfter()));
@@ -491,17 +498,17 @@
                 leases,
                 agedChecks,
                 leavePermit,
-                clusterState.wanted(heartbeat.name()).withBusy(isSomeNodeOutdated),
-                trouble.isEmpty() ? capacityShare(heartbeat, clusterState, now) : null,
+                clusterState.wanted(heartbeat.name()).busyIf(isSomeNodeOutdated),
+                trouble.isEmpty() ? grantCapacityShare(heartbeat, clusterState, now) : null,
                 freshNodes);
     }
 
     /**
-     * A node's part of the newest plan. The node may follow it for one lease from before it sent
-     * its heartbeat; the leader counts from now and adds the clocks' drift, so it assumes a later
-     * end.
+     * A node's part of the newest plan. The node may follow it for one lease, counted from when it
+     * sent its heartbeat; the leader counts from now and adds the clock drift, so it assumes a
+     * later end.
      */
-    private HeartbeatReply.CapacityShare capacityShare(
+    private HeartbeatReply.CapacityShare grantCapacityShare(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         CapacityPlan plan = clusterState.plan();
         if (plan == null) {
@@ -509,7 +516,7 @@
         }
         plansInUse
                 .computeIfAbsent(
-                        new NodeIncarnation(heartbeat.name(), heartbeat.incarnation()),
+                        new IncarnationKey(heartbeat.name(), heartbeat.incarnation()),
                         key -> new TreeMap<>())
                 .put(plan.number(), now.plus(timing.expiresAfter()));
         return new HeartbeatReply.CapacityShare(plan.number(), plan.of(heartbeat.name()));
@@ -517,8 +524,8 @@
 
     /**
      * Retires older plans once no node can follow them any more: each incarnation that got such a
-     * plan has reported a newer one, or its lease has expired. A new leader can't know what earlier
-     * leaders sent, so it first waits for one lease.
+     * plan has reported a newer one, or its lease on the plan has expired. A new leader can't know
+     * what earlier leaders sent, so it first waits until every lease that they granted has expired.
      */
     private void retirePlans(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
@@ -528,11 +535,11 @@
                 || now.since(leadingSince).compareTo(timing.expiresAfter()) < 0) {
             return;
         }
-        long oldest = newest.number();
-        for (Iterator<Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>>> iterator =
+        long oldestInUse = newest.number();
+        for (Iterator<Map.Entry<IncarnationKey, TreeMap<Long, MonotonicTime>>> iterator =
                         plansInUse.entrySet().iterator();
                 iterator.hasNext(); ) {
-            Map.Entry<NodeIncarnation, TreeMap<Long, MonotonicTime>> inUse = iterator.next();
+            Map.Entry<IncarnationKey, TreeMap<Long, MonotonicTime>> inUse = iterator.next();
             LatestHeartbeat latest = latestHeartbeats.get(inUse.getKey().name());
             boolean hasReport =
                     latest != null
@@ -548,11 +555,11 @@
             if (inUse.getValue().isEmpty()) {
                 iterator.remove();
             } else {
-                oldest = Math.min(oldest, inUse.getValue().firstKey());
+                oldestInUse = Math.min(oldestInUse, inUse.getValue().firstKey());
             }
         }
-        if (oldest > clusterState.livePlans().get(0).number()) {
-            commands.add(new ClusterCommand.RetireCapacityPlans(oldest));
+        if (oldestInUse > clusterState.livePlans().get(0).number()) {
+            commands.add(new ClusterCommand.RetireCapacityPlans(oldestInUse));
         }
     }
 
--- a/src/main/java/lupinwood/cluster/LeaseTiming.java
+++ b/src/main/java/lupinwood/cluster/LeaseTiming.java
@@ -6,16 +6,16 @@
  * The timing of leases and heartbeats in a cluster.
  *
  * @param lease how long a duty is held without a reply from the consensus group
- * @param driftRatio how far the rates of two nodes' clocks may differ, as a ratio; both the holder
- *     and the consensus group allow for it
+ * @param driftRatio how far the rate of any node's clock may deviate from true time, as a ratio;
+ *     both the holder and the consensus group allow for it
  * @param heartbeatInterval time between two heartbeats of a node that holds no duty
  * @param holderHeartbeatInterval time between two heartbeats of a node that holds a duty
  * @param silenceTimeout a node without a heartbeat for longer is unknown
- * @param ineligibility how long a node that failed at a duty doesn't get it again, the first time;
- *     doubles each time
- * @param maxIneligibility the bound of that doubling
- * @param mostMembers the most that the cluster state holds; a further node serves requests but
- *     doesn't become a member
+ * @param ineligibility how long a node is ineligible for a duty after its first failure at it; each
+ *     further failure doubles this
+ * @param maxIneligibility the longest ineligibility
+ * @param mostMembers the highest number of members in the cluster state; any further node serves
+ *     requests but doesn't become a member
  */
 public record LeaseTiming(
         NanoDuration lease,
@@ -54,15 +54,15 @@
     }
 
     /**
-     * How long a holder may act, from before it sent its heartbeat, on a clock that may run slow.
+     * How long a holder may act after it sent its heartbeat, by its own clock, which may run slow.
      */
     public NanoDuration holderLease() {
         return lease.times(1 - driftRatio);
     }
 
     /**
-     * How long after its last reply the consensus group can be certain that the holder has stopped,
-     * on a clock that may run fast.
+     * The time after the leader's last reply to the holder when the holder has certainly stopped,
+     * by the leader's clock, which may run fast.
      */
     public NanoDuration expiresAfter() {
         return lease.times(1 + driftRatio);
--- a/src/main/java/lupinwood/cluster/MemberRegistry.java
+++ b/src/main/java/lupinwood/cluster/MemberRegistry.java
@@ -6,8 +6,8 @@
 import lupinwood.cluster.ClusterState.Member;
 
 /**
- * The nodes that joined, including those that left. Part of {@link ClusterState}, and owned by the
- * same thread.
+ * The members, and the nodes that left and were not removed since. Part of {@link ClusterState},
+ * and owned by the same thread.
  */
 final class MemberRegistry {
     private final int maxMembers;
@@ -24,8 +24,8 @@
 
     boolean join(ClusterCommand.Join command) {
         if (!members.containsKey(command.name()) && members.size() >= maxMembers) {
-            // Guards against names that are used only once, as of nodes that get a new name at each
-            // start: a member that left makes room.
+            // Nodes may get a new name at each start, so a member that left is removed to make
+            // room.
             members.values().stream()
                     .filter(member -> !member.in())
                     .findFirst()
@@ -57,7 +57,7 @@
         return members.remove(name) != null;
     }
 
-    /** Null where no node of this name joined. */
+    /** Null if there is no such node, or it was removed. */
     Member member(NodeName name) {
         return members.get(name);
     }
--- a/src/main/java/lupinwood/cluster/NodeReport.java
+++ b/src/main/java/lupinwood/cluster/NodeReport.java
@@ -13,7 +13,7 @@
  * @param drained cordoned servers at which it has no request left
  * @param plan the number of the newest capacity plan that it received; it follows no older one
  * @param uses its requests to each location
- * @param requestCounts what it answered in this incarnation
+ * @param requestCounts its request counts in this incarnation
  */
 public record NodeReport(
         String program,
@@ -26,16 +26,16 @@
     /**
      * A node's requests to one location. Counts never decrease within one incarnation.
      *
-     * @param out requests in flight there
-     * @param offered requests so far that could have been sent there, wherever they were sent
-     * @param ended requests completed there so far
-     * @param failed those of them that failed
-     * @param seconds the total duration of those that succeeded
+     * @param inFlight requests to it in flight
+     * @param offered requests so far that could have been sent to it, wherever they were sent
+     * @param ended requests to it completed so far
+     * @param failed requests that failed, of the completed ones
+     * @param seconds the total duration of the completed requests that succeeded
      * @param leftOut whether this node has ejected the location by its own observations
      */
     public record LocationUse(
             String place,
-            int out,
+            int inFlight,
             long offered,
             long ended,
             long failed,
@@ -65,7 +65,7 @@
                 withRequestCounts ? requestCounts : RequestCounts.NOTHING);
     }
 
-    /** A copy without what exceeds the bounds, and with empty parts for missing ones. */
+    /** A copy without what exceeds the bounds, and with empty lists and counts for missing ones. */
     NodeReport truncated() {
         ConfigCheck truncatedCheck =
                 checked == null
--- a/src/main/java/lupinwood/cluster/OperatorLog.java
+++ b/src/main/java/lupinwood/cluster/OperatorLog.java
@@ -36,7 +36,7 @@
     /**
      * Adds an entry to the history.
      *
-     * @param atMillis by the wall clock of the leader at that time
+     * @param atMillis milliseconds since 1970 (UTC), by the wall clock of the voter that led then
      */
     void addHistory(long atMillis, String text) {
         history.add(new HistoryEntry(atMillis, text));
--- a/src/main/java/lupinwood/cluster/RequestCounts.java
+++ b/src/main/java/lupinwood/cluster/RequestCounts.java
@@ -6,11 +6,14 @@
 import java.util.TreeMap;
 
 /**
- * What a node answered since it started, by request class. Counts never decrease within one
- * incarnation, so a lost heartbeat does no harm.
+ * How many requests a node served, rejected and failed since it started, by request class. Counts
+ * never decrease within one incarnation, so a lost heartbeat does no harm.
  */
 public record RequestCounts(List<ClassCounts> counts) {
-    /** Further request classes are counted together, under {@link #OTHERS}. */
+    /**
+     * The most request classes that are counted separately; the node counts all further ones
+     * together as {@link #OTHERS}.
+     */
     public static final int MOST_REQUEST_CLASSES = 16;
 
     public static final String OTHERS = "others";
@@ -19,9 +22,9 @@
     /**
      * The counts of one request class.
      *
-     * @param served in time and late
-     * @param late those of the served that missed the latency objective
-     * @param seconds the total time from arrival to response over all served
+     * @param served requests that were served, whether in time or late
+     * @param late the served requests that missed the latency objective
+     * @param seconds the total time from arrival to response over all served requests
      */
     public record ClassCounts(
             String className, long served, long late, long rejected, long failed, double seconds) {
@@ -45,7 +48,7 @@
         }
     }
 
-    /** A copy without the request classes past the bound; empty for none. */
+    /** These counts without the request classes past the bound; empty if there are none. */
     RequestCounts truncated() {
         return counts == null
                 ? NOTHING
--- a/src/main/java/lupinwood/cluster/Rollout.java
+++ b/src/main/java/lupinwood/cluster/Rollout.java
@@ -12,9 +12,9 @@
  * @param by who ordered it
  * @param backsOnHalt whether the rollout controller may roll it back without an order when the
  *     canary analysis fails
- * @param turnedAt the number of steps after which it was rolled back; negative while it wasn't
+ * @param turnedAt the number of steps decided when the rollback began; negative if none began
  * @param steps how many waves were decided, forward and back
- * @param given the nodes that are to run the change now, in the order in which they got it
+ * @param given the nodes that are to run {@code to} now, in the order in which they got it
  */
 public record Rollout(
         long number,
--- a/src/main/java/lupinwood/cluster/Rollouts.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -8,13 +8,16 @@
 
 /**
  * The rollouts in the cluster state: which shared configuration and which program version the fleet
- * runs, and which rollout is in progress. At most two versions are in use, because the next rollout
- * begins only when the present one has ended.
+ * runs, and which rollout is in progress. At most two versions of each are wanted at a time,
+ * because the next rollout begins only when the present one has ended.
  *
  * <p>Part of {@link ClusterState}, and owned by the same thread.
  */
 public final class Rollouts {
-    /** Bounds a configuration: it is sent in one message and stored by each voter. */
+    /**
+     * The longest configuration that is accepted, because it is sent in one message and stored by
+     * each voter.
+     */
     static final int MAX_TEXT_CHARS = 32 * 1024;
 
     /**
@@ -34,8 +37,8 @@
      * @param nextConfig the configuration that the present rollout introduces
      * @param rollout the one in progress; null while there is none
      * @param lastNumber the number of the newest rollout
-     * @param baselineCounts what each node answered while it was observed before the rollout, by
-     *     its name
+     * @param baselineCounts the request counts of each node during the observation before the
+     *     rollout, by node name
      */
     public record Snapshot(
             ConfigText goodConfig,
@@ -58,7 +61,10 @@
 
     private long lastNumber;
 
-    /** What each node answered before the rollout; a later rollout controller reads it here. */
+    /**
+     * The request counts of each node during the observation before the rollout, by node name; the
+     * next holder of the rollout controller duty reads them here.
+     */
     private Map<String, RequestCounts> baselineCounts = Map.of();
 
     void restore(Snapshot snapshot) {
@@ -119,7 +125,7 @@
         return true;
     }
 
-    /** Decides a wave: its nodes get the change, or during a rollback lose it. */
+    /** Applies a decided wave: its nodes get the change, or during a rollback lose it. */
     boolean advance(ClusterCommand.AdvanceRollout command) {
         if (rollout == null
                 || command.rollout() != rollout.number()
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void slotsGrowOnlyOnceNoNodeFollowsTheOlderPlan() {
+    void slotsGrowOnlyWhenNoNodeFollowsTheOlderPlan() {
         bootstrap(4);
         assertThat(setPlan(10, 1, Map.of())).as("11 slots, capacity 10").isFalse();
         assertThat(setPlan(8, 2, Map.of())).isTrue();
@@ -110,8 +110,9 @@
         assertThat(setPlan(2, 8, Map.of())).isTrue();
     }
 
+    /** The lease of a silent node, and under a new leader all leases of earlier leaders. */
     @Test
-    void retirementWaitsForASilentNodesLeaseAndANewLeaderForAllLeases() {
+    void plansAreRetiredOnlyAfterAllLeasesOnThemHaveCertainlyExpired() {
         bootstrap(4);
         setPlan(8, 2, Map.of());
         sendHeartbeat(0, 0, 4);
@@ -132,10 +133,12 @@
     }
 
     @Test
-    void baseSlotsCountAndNewMembersGetNothingFromAnOldPlan() {
+    void baseSlotsCountAndNewMembersGetNothingFromEarlierPlans() {
         bootstrap(4);
         Map<String, Map<String, Integer>> baseSlots = Map.of("r/z0", Map.of("p", 3));
-        assertThat(setPlan(2, 6, baseSlots)).as("two nodes of z0 have 6 base slots").isFalse();
+        assertThat(setPlan(2, 6, baseSlots))
+                .as("two nodes of z0 have 6 base slots together")
+                .isFalse();
         assertThat(setPlan(2, 4, baseSlots)).isTrue();
         clusterState.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
         assertThat(clusterState.plan().of(node(4))).isEmpty();
--- a/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
+++ b/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When a node gets a permit to be unavailable, and that permits never exceed the limits. */
+/** When a node gets a permit to be unavailable, and whether permits stay within the limits. */
 final class DisruptionPermitTest {
-    private static final Site[] ZONES = {
+    private static final Site[] SITES = {
         new Site("r", "a"), new Site("r", "b"), new Site("r", "c")
     };
     private static final DisruptionLimits LIMITS = new DisruptionLimits(3, 0.5, 2, 1, 4);
@@ -23,7 +23,7 @@
 
     private void join(int nodes) {
         for (int i = 0; i < nodes; i++) {
-            clusterState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
+            clusterState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), SITES[i % 3]));
         }
     }
 
@@ -58,7 +58,7 @@
                 .contains("ann let n0 go under permit 1", "permit 1 of n0 ended: well again");
         ClusterState smallState = new ClusterState(100);
         for (int i = 0; i < 5; i++) {
-            smallState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
+            smallState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), SITES[i % 3]));
         }
         smallState.apply(new ClusterCommand.GrantPermit("x", node(0), "ann", 1, LIMITS, List.of()));
         assertThat(smallState.against(node(1), LIMITS, List.of()))
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void permitsStayWithinTheLimitsInAnyOrderOfCommands() {
+    void permitsStayWithinTheFleetLimitsForRandomCommands() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             ClusterState state = new ClusterState(100);
@@ -126,7 +126,7 @@
                             random.nextInt(5));
             Set<NodeName> unseenNodes = new HashSet<>();
             for (int i = 0; i < nodes; i++) {
-                state.apply(new ClusterCommand.Join(node(i), new Incarnation(i), ZONES[i % 3]));
+                state.apply(new ClusterCommand.Join(node(i), new Incarnation(i), SITES[i % 3]));
             }
             for (int step = 0; step < 200; step++) {
                 NodeName node = node(random.nextInt(nodes));
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -26,7 +26,7 @@
             int incarnation,
             NodeCondition condition,
             List<Lease> releasing,
-            List<Lease> failsAt) {
+            List<Lease> failedLeases) {
         return new Heartbeat(
                 Heartbeat.VERSION,
                 new NodeName(name),
@@ -36,7 +36,7 @@
                 ++heartbeatNumber,
                 List.of(),
                 releasing,
-                failsAt,
+                failedLeases,
                 List.of(),
                 List.of(),
                 null);
@@ -58,7 +58,7 @@
     }
 
     @BeforeEach
-    void startWithTwoNodesOfWhichAHoldsTheDuty() {
+    void startWithNodesAAndBAndDutyAtA() {
         leaseManager.leads(clusterState, at(0));
         sendWarmHeartbeat("a", 0.1);
         applyDecisions(0.1);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void dutyMovesOnlyOnceItsLeaseHasCertainlyExpired() {
+    void dutyMovesOnlyAfterItsLeaseHasCertainlyExpired() {
         assertThat(sendWarmHeartbeat("a", 2).leases()).hasSize(1);
         for (double now = 2.5; now < 5; now += 0.5) {
             sendWarmHeartbeat("b", now);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void releasedDutyMovesAtOnceAndAFailedHolderIsIneligible() {
+    void failedOrReleasedLeaseEndsAtOnceAndAFailedNodeIsIneligible() {
         Lease lease = sendWarmHeartbeat("a", 2).leases().get(0);
         sendWarmHeartbeat("b", 2.1);
         sendHeartbeat(heartbeat("a", 1, NodeCondition.WARM, List.of(), List.of(lease)), 2.2);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void secondProcessUnderOneNameJoinsOnlyOnceTheFirstIsSilent() {
+    void secondProcessUnderANameIsAcceptedOnlyAfterTheFirstIsSilent() {
         assertThat(
                         sendHeartbeat(
                                         heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()),
@@ -156,8 +156,9 @@
                 .isEmpty();
     }
 
+    /** A silent node is unknown, and a node that left is out. */
     @Test
-    void silentNodesAreUnknownLeftOnesOutAndExcessOrNewerOnesRejected() {
+    void nodeStatusFollowsHeartbeatsAndExcessNodesOrNewerVersionsAreRejected() {
         sendWarmHeartbeat("b", 5);
         assertThat(leaseManager.snapshot(clusterState, at(5)))
                 .extracting(NodeView::status)
@@ -171,7 +172,7 @@
             applyDecisions(5.3);
         }
         assertThat(sendWarmHeartbeat("e", 5.4).trouble()).contains("at most 3 nodes");
-        Heartbeat newer =
+        Heartbeat newerVersionHeartbeat =
                 new Heartbeat(
                         9,
                         new NodeName("f"),
@@ -185,7 +186,7 @@
                         List.of(),
                         List.of(),
                         null);
-        assertThat(leaseManager.heard(newer, clusterState, at(5.5)))
+        assertThat(leaseManager.heard(newerVersionHeartbeat, clusterState, at(5.5)))
                 .contains("heartbeat version 9 is not supported");
     }
 
@@ -210,7 +211,7 @@
         assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.93)))
                 .isEqualTo(new FencingToken(7));
         assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
-                .as("lease of 3 s less the drift, from 10 s on")
+                .as("3 s less 2 % drift after 10 s have passed")
                 .isNull();
         heldLeases.asks(2, at(13));
         assertThat(heldLeases.release(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
--- a/src/test/java/lupinwood/cluster/RolloutsTest.java
+++ b/src/test/java/lupinwood/cluster/RolloutsTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void equivalentOrTooLongConfigurationDoesNotBegin() {
+    void rolloutOfAnEquivalentOrTooLongConfigurationIsRefused() {
         bootstrap();
         assertThat(
                         clusterState.reasonAgainstRollout(
