--- a/src/main/java/lupinwood/balancing/HealthChecker.java
+++ b/src/main/java/lupinwood/balancing/HealthChecker.java
@@ -22,6 +22,10 @@
     /** Whether this node may probe the server now. */
     boolean mayTry(String server);
 
-    /** Reports the result of a probe. */
+    /**
+     * Reports the result of an attempt on probation: a probe, or an attempt after an uncordon.
+     * {@link #mayTry} isn't asked before an attempt after an uncordon, nor before a probe of a
+     * server that another node found healthy.
+     */
     void tried(String server, boolean healthy);
 }
--- a/src/main/java/lupinwood/balancing/OutlierLimits.java
+++ b/src/main/java/lupinwood/balancing/OutlierLimits.java
@@ -6,9 +6,11 @@
  * Bounds of a server pool.
  *
  * @param mostOut upper bound of a server's in-flight limit
- * @param consecutiveFailures number of failures in a row after which a server is ejected
- * @param baseEjectionTime duration of the first ejection; each further one lasts twice as long,
- *     until an attempt succeeds
+ * @param consecutiveFailures number of failures in a row after which a server is ejected; on
+ *     probation a single failure suffices
+ * @param baseEjectionTime mean duration of the first ejection (jitter is at most a quarter of it);
+ *     each further one lasts twice as long, until successes that aren't slow take back the
+ *     doublings, one each
  * @param maxEjectionTime upper bound of an ejection
  * @param repeatShare retries allowed for each first attempt
  */
--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -13,13 +13,15 @@
  * The back-end servers of one client, with the client's own view of their latency and health.
  *
  * <p>An attempt goes to the server with the lowest expected completion time: the mean latency of
- * its latest attempts times the attempts that it would then have in flight. A failure counts as
- * long as a slow success, however fast it came, so that a server that fails fast attracts no more
- * work. The in-flight limit of each server (AIMD) is multiplied by 0.9 once for each attempt that
- * fails or exceeds {@link #target} (reported while it is in flight), and grows by one for each fast
- * attempt while at least half of the limit is used. A server with {@link
- * OutlierLimits#consecutiveFailures} failures in a row is ejected for a time that doubles with each
- * ejection, and then gets one attempt at a time until one succeeds.
+ * its latest attempts times the attempts that it would then have in flight. A failed attempt is
+ * recorded with at least the latency of a slow attempt, even if it failed faster, so that a server
+ * that fails fast attracts no more work. The in-flight limit of each server (AIMD) is multiplied by
+ * 0.9 once for each attempt that fails or exceeds {@link #target} (reported while it is in flight),
+ * and grows by one for each fast attempt while at least half of the limit is used. A server with
+ * {@link OutlierLimits#consecutiveFailures} failures in a row is ejected for a time that doubles
+ * with each ejection; each success that isn't slow takes back one doubling. Afterwards the server
+ * is on probation: it gets one attempt at a time until one succeeds, and a single failure ejects
+ * it.
  */
 public final class ServerPool {
     /** How an attempt at a server ended. */
@@ -35,14 +37,22 @@
         UNKNOWN
     }
 
-    /** Weight of the mean latency, in attempts. */
+    /**
+     * Number of attempts over which the mean latency is averaged: each new attempt has the weight
+     * 1/8.
+     */
     private static final double LATENCY_MEAN_ATTEMPTS = 8;
 
     /** Weight that the baseline histogram keeps, in attempts. */
     private static final double BASELINE_ATTEMPTS = 32;
 
     private static final double MIN_BASELINE_ATTEMPTS = 6;
-    private static final double INITIAL_LIMIT = 4;
+
+    /**
+     * Initial in-flight limit of a server, in attempts. With fewer than half as many attempts in
+     * flight, a server always counts as lightly loaded.
+     */
+    private static final double INITIAL_LIMIT_ATTEMPTS = 4;
 
     /** The slow-attempt threshold, as a multiple of the baseline median. */
     private static final double SLOW_BASELINE_MULTIPLE = 3;
@@ -50,7 +60,7 @@
     private static final double LIMIT_DECREASE_FACTOR = 0.9;
     private static final double UNTRIED_LATENCY_RATIO = 0.9;
 
-    /** Time in which the known latency of an idle server loses half of its weight. */
+    /** Time in which the known latency of an idle server halves. */
     private static final double LATENCY_HALF_LIFE_SECONDS = 5;
 
     private static final NanoDuration HEALTH_CHECK_POLL_INTERVAL = NanoDuration.ofSeconds(0.1);
@@ -59,7 +69,7 @@
     private static final class ServerState {
         final String name;
         int inFlight;
-        double limit = INITIAL_LIMIT;
+        double adaptiveLimit = INITIAL_LIMIT_ATTEMPTS;
 
         /** Mean over the latest attempts; negative before the first. */
         double meanLatencySeconds = -1;
@@ -90,7 +100,7 @@
             this.name = name;
         }
 
-        /** The weight of the previous mean decreases with its age. */
+        /** The previous mean decays with its age before the new latency is averaged in. */
         void recordLatency(double seconds, MonotonicTime now) {
             double previous =
                     meanLatencySeconds < 0 ? seconds : meanLatencySeconds * retainedRatio(now);
@@ -107,7 +117,10 @@
     private final OutlierLimits limits;
     private final Random random;
 
-    /** Latency of attempts at servers that used less than half of their in-flight limit. */
+    /**
+     * Latency of successful attempts at servers that used less than half of their in-flight limit,
+     * or of the initial limit if that is higher; of slow attempts, only one in eight.
+     */
     private final Histogram baseline = new Histogram(BASELINE_ATTEMPTS);
 
     private int nextServer;
@@ -119,7 +132,10 @@
         random = new Random(seed);
     }
 
-    /** Sets who is asked before each probe of an ejected server and is told its result. */
+    /**
+     * Sets who is asked whether an ejected server may be probed, and is told the results of the
+     * attempts on probation.
+     */
     public void checkHealthBy(HealthChecker newChecker) {
         healthChecker = newChecker;
     }
@@ -156,7 +172,7 @@
             if (state.isCordoned && !isCordoned) {
                 state.isOnProbation = true;
                 state.readmitAt = null;
-                state.limit = 1;
+                state.adaptiveLimit = 1;
             }
             state.isCordoned = isCordoned;
         }
@@ -198,7 +214,9 @@
     /** The server's in-flight limit now. */
     public int inFlightLimit(int server) {
         ServerState state = states.get(server);
-        return state.isOnProbation || state.readmitAt != null ? 1 : (int) Math.floor(state.limit);
+        return state.isOnProbation || state.readmitAt != null
+                ? 1
+                : (int) Math.floor(state.adaptiveLimit);
     }
 
     public boolean isOnProbation(int server) {
@@ -305,7 +323,7 @@
     }
 
     private static void decreaseLimit(ServerState state) {
-        state.limit = Math.max(1, state.limit * LIMIT_DECREASE_FACTOR);
+        state.adaptiveLimit = Math.max(1, state.adaptiveLimit * LIMIT_DECREASE_FACTOR);
     }
 
     /**
@@ -316,8 +334,9 @@
     public void ended(
             int server, AttemptEnd end, NanoDuration took, boolean wasSlow, MonotonicTime now) {
         ServerState state = states.get(server);
-        boolean wasHalfUsed = state.inFlight * 2 >= state.limit;
-        boolean wasLightlyLoaded = state.inFlight * 2 < Math.max(INITIAL_LIMIT, state.limit);
+        boolean wasHalfUsed = state.inFlight * 2 >= state.adaptiveLimit;
+        boolean wasLightlyLoaded =
+                state.inFlight * 2 < Math.max(INITIAL_LIMIT_ATTEMPTS, state.adaptiveLimit);
         state.inFlight--;
         if (end == AttemptEnd.UNKNOWN) {
             return;
@@ -341,7 +360,7 @@
         state.consecutiveFailures = 0;
         if (state.isOnProbation) {
             state.isOnProbation = false;
-            state.limit = 1;
+            state.adaptiveLimit = 1;
         }
         state.ejectionCount = Math.max(0, state.ejectionCount - (wasSlow ? 0 : 1));
         boolean isOutlier =
@@ -353,7 +372,7 @@
             baseline.add(took.seconds());
         }
         if (!wasSlow && !isOutlier && wasHalfUsed) {
-            state.limit = Math.min(limits.mostOut(), state.limit + 1);
+            state.adaptiveLimit = Math.min(limits.mostOut(), state.adaptiveLimit + 1);
         }
     }
 
@@ -362,8 +381,8 @@
     }
 
     /**
-     * Each ejection lasts twice as long as the one before, with jitter so that many clients don't
-     * return at once.
+     * Each ejection lasts twice as long as the one before, unless attempts succeeded in between;
+     * with jitter so that many clients don't return at once.
      */
     private void eject(ServerState state, MonotonicTime now) {
         double backoffFactor =
@@ -377,7 +396,7 @@
         state.isReportedHealthy = false;
         state.isOnProbation = false;
         state.consecutiveFailures = 0;
-        state.limit = 1;
+        state.adaptiveLimit = 1;
     }
 
     /**
--- a/src/main/java/lupinwood/experiment/SimulatedRollouts.java
+++ b/src/main/java/lupinwood/experiment/SimulatedRollouts.java
@@ -92,7 +92,9 @@
                 }
                 good += one.kind().good ? 1 : 0;
                 boolean notSure =
-                        error && one.kind().good && played.why().contains("it can't be told");
+                        error
+                                && one.kind().good
+                                && played.why().contains("canary analysis is inconclusive");
                 unsure += notSure ? 1 : 0;
                 inError += one.kind().good && error && !notSure ? 1 : 0;
                 bad += one.kind().good ? 0 : 1;
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -39,10 +39,12 @@
             MonotonicTime at) {}
 
     /** Multiple of the mean demand, since requests come unevenly and nodes have whole slots. */
-    private static final double HEADROOM = 1.35;
+    private static final double HEADROOM_FACTOR = 1.35;
 
     private static final double SMOOTHING = 0.3;
-    private static final int MIN_SAMPLES = 20;
+
+    /** A site's mean latency is updated if more of its requests than this succeeded. */
+    private static final int MIN_SUCCEEDED_REQUESTS_PER_UPDATE = 20;
 
     /** Share of a location's remaining capacity that is not given to its own zone. */
     private static final double RESERVE_RATIO = 0.3;
@@ -50,22 +52,22 @@
     /** Changes of at most this share of a location's capacity don't justify a new plan. */
     private static final double MIN_CHANGE_RATIO = 0.1;
 
-    /** A site lacks slots if it has fewer than its mean demand times this. */
+    /** A site lacks slots if it has fewer than its needed slots without headroom, times this. */
     private static final double SHORTAGE_FACTOR = 1.1;
 
-    /** Decisions between plans that only bring the slots closer to the target. */
+    /** Minimum time from the last plan to one that only rebalances slots, in decision intervals. */
     private static final double REBALANCE_INTERVAL_DECISIONS = 8;
 
     private final LocationHealth health;
-    private final NanoDuration interval;
+    private final NanoDuration decisionInterval;
 
-    /** Concurrent requests that each site needs, with headroom. */
+    /** Concurrent requests that each site needs, with headroom; at least its number of nodes. */
     private final Map<String, Double> neededSlots = new TreeMap<>();
 
     /** Mean arrival rate of each site, in requests per second. */
     private final Map<String, Double> rates = new TreeMap<>();
 
-    private final Map<NodeName, NodeDemand> demands = new HashMap<>();
+    private final Map<NodeName, NodeDemand> nodeDemands = new HashMap<>();
 
     /**
      * Mean latency in seconds of each site's requests, including the network: a site that sends
@@ -83,7 +85,7 @@
 
     public CapacityPlanner(NanoDuration lease) {
         health = new LocationHealth(lease);
-        interval = lease.times(0.5);
+        decisionInterval = lease.times(0.5);
     }
 
     /**
@@ -99,21 +101,28 @@
             List<CapacityPlan> livePlans,
             long lastPlanNumber) {}
 
-    /** The changes of the last plan and their reason, in one line. */
+    /**
+     * The changes of the last plan, then locations with reduced trust and sites whose reports are
+     * ignored, in one line.
+     */
     public String why() {
         return why;
     }
 
-    /** The next plan, or null if the current one is good enough. */
+    /**
+     * The next plan; null if the current one is good enough, if the decision interval hasn't passed
+     * since the last decision, or if no plan is possible now: without locations or members, with
+     * more than one live plan, or if no plan fits.
+     */
     public ClusterCommand.SetCapacityPlan decide(View view, FencingToken token, MonotonicTime now) {
         if (view.locations().isEmpty()
                 || view.members().isEmpty()
-                || (lastDecisionAt != null && now.since(lastDecisionAt).compareTo(interval) < 0)) {
+                || (lastDecisionAt != null
+                        && now.since(lastDecisionAt).compareTo(decisionInterval) < 0)) {
             return null;
         }
         lastDecisionAt = now;
-        // With more than one live plan, some nodes may not know the newest yet.
-        boolean isSettled = view.livePlans().size() < 2;
+        boolean isSettled = view.livePlans().size() < 2; // else nodes may not know the newest yet
         TreeSet<String> locationNames = new TreeSet<>();
         view.locations().forEach(location -> locationNames.add(location.name()));
         health.update(view.nodeViews(), locationNames, now);
@@ -145,7 +154,7 @@
                         : view.livePlans().get(view.livePlans().size() - 1);
         boolean sameRoster = newest != null && roster(view.members()).equals(newest.roster());
         Map<String, Map<String, Integer>> current = newest == null ? Map.of() : newest.slots();
-        if (sameRoster && pendingSlots == null && isSufficient(target, current, view, now)) {
+        if (sameRoster && pendingSlots == null && isPlanSufficient(target, current, view, now)) {
             return null;
         }
         if (pendingSlots != null && sameRoster && trustRatios(view).equals(plannedTrustRatios)) {
@@ -155,7 +164,7 @@
         Map<String, Map<String, Integer>> next =
                 fits(view, target, capacities, unplanned) ? target : withoutIncreases(target, view);
         if ((sameRoster && next.equals(current)) || !fits(view, next, capacities, unplanned)) {
-            pendingSlots = null; // for instance when a location's capacity was reduced
+            pendingSlots = null; // no change or no valid plan, as after a capacity reduction
             return null;
         }
         why = describeChanges(current, next);
@@ -175,17 +184,16 @@
     /**
      * Updates how many concurrent requests each site needs downstream: its arrival rate times its
      * mean latency. The number of requests in flight or queued would show what the site was given,
-     * not what it needs. The mean latency of a site comes from the sum of the latencies of its
-     * requests that succeeded and from their number, the two elements of its entry in {@code sums}.
+     * not what it needs.
      */
     private void updateDemand(View view, Map<String, Integer> nodeCounts, MonotonicTime now) {
-        Map<String, double[]> sums = new TreeMap<>();
+        Map<String, double[]> sums = new TreeMap<>(); // by site: latencies in s, succeeded
         Map<String, Double> latestRates = new TreeMap<>();
         for (NodeView node : view.nodeViews()) {
             if (node.report() == null
                     || node.status() == NodeStatus.OUT
                     || node.status() == NodeStatus.UNKNOWN) {
-                demands.remove(node.name());
+                nodeDemands.remove(node.name());
                 continue;
             }
             long offered = 0;
@@ -197,7 +205,7 @@
                 succeeded += use.ended() - use.failed();
             }
             NodeDemand last =
-                    demands.put(
+                    nodeDemands.put(
                             node.name(),
                             new NodeDemand(node.incarnation(), offered, seconds, succeeded, now));
             if (last != null
@@ -214,7 +222,7 @@
         }
         sums.forEach(
                 (site, sum) -> {
-                    if (sum[1] > MIN_SAMPLES) {
+                    if (sum[1] > MIN_SUCCEEDED_REQUESTS_PER_UPDATE) {
                         latencies.merge(site, sum[0] / sum[1], (a, b) -> a + (b - a) * SMOOTHING);
                     }
                 });
@@ -232,7 +240,7 @@
                                     count,
                                     rates.getOrDefault(site, 0.0)
                                             * latencies.getOrDefault(site, meanSeconds)
-                                            * HEADROOM));
+                                            * HEADROOM_FACTOR));
                 });
         neededSlots.keySet().retainAll(nodeCounts.keySet());
         rates.keySet().retainAll(nodeCounts.keySet());
@@ -244,8 +252,6 @@
             List<Location> locations, Map<String, Site> sites, Map<String, Integer> nodeCounts) {
         Map<String, Double> free = new HashMap<>();
         for (Location location : locations) {
-            // The slots that nodes may use without a plan are allocated first, and are part of each
-            // site's slots.
             free.put(
                     location.name(),
                     Math.max(0, location.bears() * health.trustRatio(location.name())));
@@ -253,6 +259,8 @@
         Map<String, Map<String, Double>> allocated = new TreeMap<>();
         Map<String, Double> unmet = new TreeMap<>(neededSlots);
         sites.forEach((name, site) -> allocated.put(name, new TreeMap<>()));
+        // The slots that nodes may use without a plan are allocated first, and are part of each
+        // site's slots.
         for (Location location : locations) {
             sites.forEach(
                     (name, site) -> {
@@ -394,7 +402,7 @@
      * Whether the current plan may stay: no site lacks slots that the target would give it, the
      * trust in no location has changed, and a rebalancing isn't due or would move little.
      */
-    private boolean isSufficient(
+    private boolean isPlanSufficient(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
             View view,
@@ -404,7 +412,7 @@
         }
         for (Map.Entry<String, Double> needed : neededSlots.entrySet()) {
             double currentSlots = trustedSlots(current, needed.getKey());
-            if (currentSlots < needed.getValue() / HEADROOM * SHORTAGE_FACTOR
+            if (currentSlots < needed.getValue() / HEADROOM_FACTOR * SHORTAGE_FACTOR
                     && trustedSlots(target, needed.getKey()) > currentSlots * 1.1) {
                 return false;
             }
@@ -412,9 +420,11 @@
         boolean isRebalanceDue =
                 plannedAt == null
                         || now.since(plannedAt)
-                                        .compareTo(interval.times(REBALANCE_INTERVAL_DECISIONS))
+                                        .compareTo(
+                                                decisionInterval.times(
+                                                        REBALANCE_INTERVAL_DECISIONS))
                                 >= 0;
-        return !isRebalanceDue || isNear(target, current, view.locations());
+        return !isRebalanceDue || isNearTarget(target, current, view.locations());
     }
 
     private Map<String, Double> trustRatios(View view) {
@@ -435,7 +445,7 @@
                 .sum();
     }
 
-    private static boolean isNear(
+    private static boolean isNearTarget(
             Map<String, Map<String, Integer>> target,
             Map<String, Map<String, Integer>> current,
             List<Location> locations) {
--- a/src/main/java/lupinwood/failover/LocationHealth.java
+++ b/src/main/java/lupinwood/failover/LocationHealth.java
@@ -17,13 +17,14 @@
 /**
  * Health of the locations as the nodes report it: which locations are unhealthy, and how far each
  * is trusted again after it recovered. A site that finds every location failing while other sites
- * succeed at one of them is itself at fault, and its reports are ignored. If every location in use
- * is unhealthy, trust stays as it is: a fault that affects all of them must not move traffic.
+ * succeed at one of them is itself at fault, and its reports are ignored. If at least two locations
+ * are in use and all of these are unhealthy, trust stays as it is: a fault that affects all of them
+ * must not move traffic.
  */
 final class LocationHealth {
     private static final double UNHEALTHY_FAILURE_RATIO = 0.5;
     private static final double HEALTHY_FAILURE_RATIO = 0.2;
-    private static final int MIN_ENDED_REQUESTS = 4;
+    private static final int MIN_WEIGHTED_ENDED_REQUESTS = 4;
 
     /** Weight of the earlier request counts after each update. */
     private static final double RETAINED_RATIO = 0.6;
@@ -40,22 +41,30 @@
         int ejectingNodes;
         int nodes;
 
-        /** The share of requests that failed; negative while too few have ended. */
+        /**
+         * The share of requests that failed; 1 if most nodes ejected the location, otherwise
+         * negative while too few requests have ended.
+         */
         double failureRatio() {
             // Nodes that ejected the location send no requests there, so their ejections count
             // instead of request counts.
             return nodes > 0 && ejectingNodes * 2 > nodes
                     ? 1
-                    : ended < MIN_ENDED_REQUESTS ? -1 : failed / ended;
+                    : ended < MIN_WEIGHTED_ENDED_REQUESTS ? -1 : failed / ended;
         }
     }
 
     private static final class Trust {
         double ratio = 1;
         double stepRatio = TRUST_STEP_RATIO;
+
+        /** Remains set until the first trust step after the location recovered. */
         boolean isUnhealthy;
-        MonotonicTime changedAt;
-        MonotonicTime unhealthyAt;
+
+        /** When it was last found unhealthy or its trust was last raised. */
+        MonotonicTime lastUnhealthyOrRaisedAt;
+
+        MonotonicTime becameUnhealthyAt;
     }
 
     private record NodeLocation(NodeName node, String location) {}
@@ -201,10 +210,11 @@
 
     private void markUnhealthy(Trust trust, MonotonicTime now) {
         if (!trust.isUnhealthy) {
-            // A location that fails again soon after it recovered regains trust in smaller steps.
+            // A location that becomes unhealthy again soon after it last did regains trust in
+            // smaller steps.
             boolean isFlapping =
-                    trust.unhealthyAt != null
-                            && now.since(trust.unhealthyAt)
+                    trust.becameUnhealthyAt != null
+                            && now.since(trust.becameUnhealthyAt)
                                             .compareTo(lease.times(FLAPPING_WINDOW_LEASES))
                                     < 0;
             trust.stepRatio =
@@ -212,21 +222,22 @@
                             ? Math.max(MIN_TRUST_STEP_RATIO, trust.stepRatio / 2)
                             : TRUST_STEP_RATIO;
             trust.isUnhealthy = true;
-            trust.unhealthyAt = now;
+            trust.becameUnhealthyAt = now;
         }
         trust.ratio = 0;
-        trust.changedAt = now;
+        trust.lastUnhealthyOrRaisedAt = now;
     }
 
     private void recover(Trust trust, MonotonicTime now) {
         if (trust.ratio >= 1
-                || now.since(trust.changedAt).compareTo(lease.times(TRUST_STEP_INTERVAL_LEASES))
+                || now.since(trust.lastUnhealthyOrRaisedAt)
+                                .compareTo(lease.times(TRUST_STEP_INTERVAL_LEASES))
                         < 0) {
             return;
         }
         trust.isUnhealthy = false;
         trust.ratio = Math.min(1, trust.ratio + trust.stepRatio);
-        trust.changedAt = now;
+        trust.lastUnhealthyOrRaisedAt = now;
     }
 
     /** The share of the location's capacity that may be planned, from 0 to 1. */
--- a/src/main/java/lupinwood/rollout/CanaryAnalysis.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -13,32 +13,41 @@
 /**
  * Canary analysis: compares nodes that have the release with nodes of the same site that don't,
  * over the same time, and each node with its own baseline if that is known. So a disturbance that
- * affects a whole site is not attributed to the release. The only fixed bounds are the harm and the
- * slowdown that the operator tolerates.
+ * affects a whole site is not attributed to the release. The only bounds of a difference are the
+ * harm that the operator tolerates and a fixed slowdown (see {@link CanaryLimits}); losses and
+ * restarts of nodes are attributed by fixed significance levels.
  *
- * <p>Compares all nodes and each site, all request classes together and each by itself. As there
- * are many comparisons, and each is repeated while a wave is observed, each needs a high
- * confidence.
+ * <p>Compares the share of requests that were not served in time: over all nodes and request
+ * classes, for each request class, and for each site; and the mean latency over all nodes and
+ * request classes. As there are many comparisons, and each is repeated while a wave is observed, a
+ * WORSE verdict needs a high confidence.
  */
 public final class CanaryAnalysis {
-    /** Higher than for a healthy verdict, since this comparison is repeated again and again. */
+    /**
+     * Higher than for a WELL verdict, since the comparison is repeated again and again and the
+     * first WORSE verdict ends the wave, even before the minimum observation time.
+     */
     private static final double WORSE_STANDARD_ERRORS = 3.2;
 
     /** For comparisons of one site or one request class. */
     private static final double PARTIAL_WORSE_STANDARD_ERRORS = 4.2;
 
-    private static final double HEALTHY_STANDARD_ERRORS = 1.6;
+    private static final double WELL_STANDARD_ERRORS = 1.6;
 
     /**
-     * Multiple of the tolerated harm that is allowed in one request class, which a comparison of
-     * all request classes together may hide.
+     * For a WELL verdict, the bound of each request class, as a multiple of the tolerated harm:
+     * harm in one request class may not show in all together. For a WORSE verdict, the bound of
+     * each request class is the tolerated harm itself.
      */
-    private static final double PARTIAL_HARM_FACTOR = 3;
+    private static final double REQUEST_CLASS_HARM_FACTOR = 3;
 
-    /** Losses of changed nodes that are less likely by chance are attributed to the release. */
-    private static final double MIN_LOSS_PROBABILITY = 0.02;
+    /**
+     * If the probability that chance explains the losses of changed nodes is below this, they are
+     * attributed to the release.
+     */
+    private static final double LOSS_SIGNIFICANCE_LEVEL = 0.02;
 
-    private static final double MIN_RESTART_PROBABILITY = 0.002;
+    private static final double RESTART_SIGNIFICANCE_LEVEL = 0.002;
 
     /** Requests that a node needs in an interval for its metrics to count. */
     private static final int MIN_REQUESTS = 20;
@@ -107,10 +116,10 @@
                             ? "too few requests to compare"
                             : "no unchanged node left to compare with");
         }
-        if (!overall.isHealthy()) {
+        if (!overall.isWell()) {
             return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, overall.text("not yet conclusive"));
         }
-        if (latency.estimate != null && !latency.isHealthy()) {
+        if (latency.estimate != null && !latency.isWell()) {
             return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, latency.text("not yet conclusive"));
         }
         for (String className : requestClasses) {
@@ -118,9 +127,9 @@
                     new Comparison(
                             samples,
                             className,
-                            limits.maxHarmRatio() * PARTIAL_HARM_FACTOR,
+                            limits.maxHarmRatio() * REQUEST_CLASS_HARM_FACTOR,
                             PARTIAL_WORSE_STANDARD_ERRORS);
-            if (comparison.estimate != null && !comparison.isHealthy()) {
+            if (comparison.estimate != null && !comparison.isWell()) {
                 return new CanaryVerdict(
                         CanaryVerdict.Kind.UNSURE, comparison.text("not yet conclusive"));
             }
@@ -148,7 +157,7 @@
         if (lostChanged > 0
                 && (allChangedLost
                         || hypergeometricTail(lostChanged, lost, changed, samples.size())
-                                < MIN_LOSS_PROBABILITY)) {
+                                < LOSS_SIGNIFICANCE_LEVEL)) {
             return new CanaryVerdict(
                     CanaryVerdict.Kind.WORSE,
                     lostChanged
@@ -170,7 +179,7 @@
         // share.
         if (restartsChanged > 1
                 && binomialTail(restartsChanged, restarts, (double) changed / samples.size())
-                        < MIN_RESTART_PROBABILITY) {
+                        < RESTART_SIGNIFICANCE_LEVEL) {
             return new CanaryVerdict(
                     CanaryVerdict.Kind.WORSE,
                     restartsChanged
@@ -251,7 +260,7 @@
                     bound,
                     worseStandardErrors,
                     false,
-                    observations(samples, className));
+                    nodeMetrics(samples, className));
         }
 
         private Comparison(
@@ -259,18 +268,18 @@
                 double bound,
                 double worseStandardErrors,
                 boolean isLatency,
-                List<EffectEstimate.Observation> observations) {
+                List<EffectEstimate.NodeMetric> metrics) {
             this.metric = metric;
             this.bound = bound;
             this.worseStandardErrors = worseStandardErrors;
             this.isLatency = isLatency;
-            estimate = EffectEstimate.of(observations);
+            estimate = EffectEstimate.of(metrics);
         }
 
         /** Compares the logarithm of the mean time from arrival to response. */
         static Comparison ofLatency(
                 List<NodeSample> samples, double bound, double worseStandardErrors) {
-            List<EffectEstimate.Observation> observations = new ArrayList<>();
+            List<EffectEstimate.NodeMetric> metrics = new ArrayList<>();
             boolean useBaselines =
                     hasBaselines(
                             samples,
@@ -291,8 +300,8 @@
                     double variance =
                             1.0 / after.served()
                                     + (useBaselines ? 1.0 / sample.before().all().served() : 0);
-                    observations.add(
-                            new EffectEstimate.Observation(
+                    metrics.add(
+                            new EffectEstimate.NodeMetric(
                                     sample.site(),
                                     sample.changed(),
                                     logMeanSeconds(after) - baseline,
@@ -300,20 +309,20 @@
                 }
             }
             return new Comparison(
-                    "in mean time to respond", bound, worseStandardErrors, true, observations);
+                    "in mean time to respond", bound, worseStandardErrors, true, metrics);
         }
 
         private static double logMeanSeconds(RequestCounts.ClassCounts count) {
             return Math.log(Math.max(1e-6, count.seconds() / count.served()));
         }
 
-        private static List<EffectEstimate.Observation> observations(
+        private static List<EffectEstimate.NodeMetric> nodeMetrics(
                 List<NodeSample> samples, String className) {
             ToDoubleFunction<RequestCounts.ClassCounts> badRatio =
                     count -> (double) count.bad() / count.all();
             boolean useBaselines =
                     hasBaselines(samples, sample -> hasEnoughRequests(sample.before(), className));
-            List<EffectEstimate.Observation> observations = new ArrayList<>();
+            List<EffectEstimate.NodeMetric> metrics = new ArrayList<>();
             for (NodeSample sample : samples) {
                 RequestCounts.ClassCounts after = of(sample.after(), className);
                 if (after != null
@@ -323,15 +332,15 @@
                             useBaselines ? of(sample.before(), className) : null;
                     double baseline = before == null ? 0 : badRatio.applyAsDouble(before);
                     double variance = variance(after) + (before == null ? 0 : variance(before));
-                    observations.add(
-                            new EffectEstimate.Observation(
+                    metrics.add(
+                            new EffectEstimate.NodeMetric(
                                     sample.site(),
                                     sample.changed(),
                                     badRatio.applyAsDouble(after) - baseline,
                                     variance));
                 }
             }
-            return observations;
+            return metrics;
         }
 
         /**
@@ -385,8 +394,8 @@
                     && estimate.isAbove(bound * 0.1, worseStandardErrors);
         }
 
-        boolean isHealthy() {
-            return estimate.isBelow(bound, HEALTHY_STANDARD_ERRORS);
+        boolean isWell() {
+            return estimate.isBelow(bound, WELL_STANDARD_ERRORS);
         }
 
         String text(String verdict) {
@@ -400,7 +409,7 @@
                                             Math.expm1(estimate.difference()) * 100)
                                     : String.format(
                                             Locale.ROOT,
-                                            "%+.1f points",
+                                            "%+.1f percentage points",
                                             estimate.difference() * 100);
             return verdict
                     + ", "
--- a/src/main/java/lupinwood/rollout/CanaryVerdict.java
+++ b/src/main/java/lupinwood/rollout/CanaryVerdict.java
@@ -8,11 +8,14 @@
 public record CanaryVerdict(Kind kind, String text) {
     /** What the analysis can tell with enough confidence. */
     public enum Kind {
-        /** Changed nodes do no worse than allowed. */
+        /**
+         * Changed nodes do no worse than allowed, or there are no changed or no unchanged nodes to
+         * compare.
+         */
         WELL,
-        /** Changed nodes do worse. */
+        /** Changed nodes do worse than unchanged ones. */
         WORSE,
-        /** Neither can be told yet. */
+        /** Neither is shown with enough confidence yet. */
         UNSURE
     }
 }
--- a/src/main/java/lupinwood/rollout/EffectEstimate.java
+++ b/src/main/java/lupinwood/rollout/EffectEstimate.java
@@ -8,13 +8,13 @@
 
 /**
  * By how much a metric is higher at changed nodes than at unchanged nodes of the same site, with
- * its standard error. Each node counts as one observation, since its requests share one machine.
- * The variance between nodes is pooled over the changed and unchanged nodes of all sites, and is
- * never taken to be smaller than the sampling variance of so few requests.
+ * its standard error. Each node counts as one data point, since its requests share one machine. The
+ * variance between nodes is pooled over the changed and unchanged nodes of all sites, and is at
+ * least the mean sampling variance that follows from the nodes' numbers of requests.
  */
 final class EffectEstimate {
     /** A node's metric, with its sampling variance. */
-    record Observation(Site site, boolean changed, double value, double variance) {}
+    record NodeMetric(Site site, boolean changed, double value, double variance) {}
 
     private final double difference;
     private final double standardError;
@@ -27,34 +27,35 @@
     }
 
     /** Null if no site has both changed and unchanged nodes. */
-    static EffectEstimate of(List<Observation> observations) {
-        Map<String, List<Observation>> sites = new TreeMap<>();
-        observations.forEach(
-                node ->
-                        sites.computeIfAbsent(node.site().toString(), key -> new ArrayList<>())
-                                .add(node));
-        sites.values()
+    static EffectEstimate of(List<NodeMetric> metrics) {
+        Map<String, List<NodeMetric>> bySite = new TreeMap<>();
+        metrics.forEach(
+                metric ->
+                        bySite.computeIfAbsent(metric.site().toString(), key -> new ArrayList<>())
+                                .add(metric));
+        bySite.values()
                 .removeIf(
-                        site ->
-                                site.stream().noneMatch(Observation::changed)
-                                        || site.stream().allMatch(Observation::changed));
-        if (sites.isEmpty()) {
+                        siteMetrics ->
+                                siteMetrics.stream().noneMatch(NodeMetric::changed)
+                                        || siteMetrics.stream().allMatch(NodeMetric::changed));
+        if (bySite.isEmpty()) {
             return null;
         }
         double squares = 0;
         double sampling = 0;
         int degreesOfFreedom = 0;
         int nodes = 0;
-        for (List<Observation> site : sites.values()) {
+        for (List<NodeMetric> siteMetrics : bySite.values()) {
             for (boolean changed : new boolean[] {true, false}) {
-                List<Observation> group =
-                        site.stream().filter(node -> node.changed() == changed).toList();
-                double mean = group.stream().mapToDouble(Observation::value).average().orElse(0);
+                List<NodeMetric> group =
+                        siteMetrics.stream().filter(metric -> metric.changed() == changed).toList();
+                double mean = group.stream().mapToDouble(NodeMetric::value).average().orElse(0);
                 squares +=
                         group.stream()
-                                .mapToDouble(node -> (node.value() - mean) * (node.value() - mean))
+                                .mapToDouble(
+                                        metric -> (metric.value() - mean) * (metric.value() - mean))
                                 .sum();
-                sampling += group.stream().mapToDouble(Observation::variance).sum();
+                sampling += group.stream().mapToDouble(NodeMetric::variance).sum();
                 degreesOfFreedom += group.size() - 1;
                 nodes += group.size();
             }
@@ -62,30 +63,28 @@
         double variance =
                 Math.max(degreesOfFreedom > 0 ? squares / degreesOfFreedom : 0, sampling / nodes);
         double weights = 0;
-        double weightedSum = 0;
-        for (List<Observation> site : sites.values()) {
-            double changed = site.stream().filter(Observation::changed).count();
-            double unchanged = site.size() - changed;
+        double effectSum = 0;
+        for (List<NodeMetric> siteMetrics : bySite.values()) {
+            double changed = siteMetrics.stream().filter(NodeMetric::changed).count();
+            double unchanged = siteMetrics.size() - changed;
             double weight = 1 / (1 / changed + 1 / unchanged);
             double changedMean =
-                    site.stream()
-                            .filter(Observation::changed)
-                            .mapToDouble(Observation::value)
+                    siteMetrics.stream()
+                            .filter(NodeMetric::changed)
+                            .mapToDouble(NodeMetric::value)
                             .average()
                             .orElse(0);
             double unchangedMean =
-                    site.stream()
-                            .filter(node -> !node.changed())
-                            .mapToDouble(Observation::value)
+                    siteMetrics.stream()
+                            .filter(metric -> !metric.changed())
+                            .mapToDouble(NodeMetric::value)
                             .average()
                             .orElse(0);
-            weightedSum += weight * (changedMean - unchangedMean);
+            effectSum += weight * (changedMean - unchangedMean);
             weights += weight;
         }
         return new EffectEstimate(
-                weightedSum / weights,
-                Math.sqrt(variance / weights),
-                Math.max(1, degreesOfFreedom));
+                effectSum / weights, Math.sqrt(variance / weights), Math.max(1, degreesOfFreedom));
     }
 
     double difference() {
@@ -93,8 +92,9 @@
     }
 
     /**
-     * Whether the difference is above the bound by this many standard errors of a normal
-     * distribution; more are required if the variance is estimated from few nodes.
+     * Whether the difference exceeds the bound at the one-sided confidence that the normal quantile
+     * stands for. By Student's t-distribution, more standard errors are required if the variance is
+     * estimated from few nodes.
      */
     boolean isAbove(double bound, double normalQuantile) {
         return difference - studentQuantile(normalQuantile) * standardError > bound;
@@ -110,8 +110,11 @@
      * terms of its expansion in the degrees of freedom.
      */
     private double studentQuantile(double z) {
-        double f = degreesOfFreedom;
-        double z2 = z * z;
-        return z * (1 + (z2 + 1) / (4 * f) + (5 * z2 * z2 + 16 * z2 + 3) / (96 * f * f));
+        double freedom = degreesOfFreedom;
+        double zSquared = z * z;
+        return z
+                * (1
+                        + (zSquared + 1) / (4 * freedom)
+                        + (5 * zSquared * zSquared + 16 * zSquared + 3) / (96 * freedom * freedom));
     }
 }
--- a/src/main/java/lupinwood/rollout/NodeHistory.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -98,7 +98,7 @@
         return baselineCounts;
     }
 
-    /** Starts the counts of requests and restarts since the mark. */
+    /** Sets the mark, since which {@link #countsSinceMark} and {@link #restartsSinceMark} count. */
     void mark() {
         countsAtMark = earlierCounts.plus(currentCounts);
         incarnationsAtMark = incarnations;
--- a/src/main/java/lupinwood/rollout/RolloutAction.java
+++ b/src/main/java/lupinwood/rollout/RolloutAction.java
@@ -13,8 +13,8 @@
     /**
      * Requests a disruption permit for a node, so that it restarts with what it is to run.
      *
-     * @param order names the request for one incarnation of the node; the same name again is
-     *     carried out once
+     * @param order identifies the request for one incarnation of the node; repeated requests with
+     *     the same identifier are carried out once
      */
     record PermitRestart(String order, NodeName node) implements RolloutAction {}
 }
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -24,19 +24,28 @@
  * Runs a rollout for the holder of the rollout controller duty: checks that all nodes accept the
  * release, gives it to one node of each site, then to growing waves, and observes the nodes after
  * each wave. Its decisions are in the cluster state; its observations are not, so a new holder of
- * the duty observes the current wave from its own start. It never resumes a halted rollout.
+ * the duty starts to observe the current wave anew. It never resumes a halted rollout.
  */
 public final class RolloutController {
-    /** By this factor the number of changed nodes grows with each wave. */
+    /**
+     * The number of changed nodes grows at most by this factor with each wave but the last, which
+     * takes all unchanged nodes once only a few are left.
+     */
     private static final double WAVE_GROWTH_FACTOR = 3;
 
-    /** Largest share of the unchanged nodes in one wave; the others are left to compare with. */
+    /**
+     * Largest share of the unchanged nodes in one wave but the last; the others are left to compare
+     * with.
+     */
     private static final double MAX_WAVE_RATIO = 0.6;
 
-    private static final int MAX_PERMIT_REQUESTS = 8;
+    private static final int MAX_PERMIT_REQUESTS_PER_DECISION = 8;
 
-    /** Baseline counts that are stored: the command has to fit into one message several times. */
-    private static final int MAX_BASELINE_COUNTS = 330;
+    /**
+     * Upper bound of the stored baseline entries (of nodes; also of request classes over all nodes,
+     * if these are stored), so that several such commands fit into one message.
+     */
+    private static final int MAX_BASELINE_ENTRIES = 330;
 
     private final NodeName self;
     private final CanaryLimits limits;
@@ -84,8 +93,9 @@
     }
 
     /**
-     * Returns the next actions. Called regularly with a new snapshot; the same actions are returned
-     * until the cluster state shows that they were carried out.
+     * Returns the next actions. Called regularly with a new snapshot; actions are returned again
+     * until the cluster state shows that they were carried out. Each repeated halt has a new order
+     * identifier.
      */
     public List<RolloutAction> decide(
             RolloutSnapshot snapshot, FencingToken token, MonotonicTime now) {
@@ -150,8 +160,8 @@
     }
 
     /**
-     * Requests permits for nodes that need a restart to run the agreed configuration, as they were
-     * away or came back while no leader could inform them.
+     * Requests permits for nodes that need a restart to run the agreed configuration, because they
+     * were disconnected when it changed, or rejoined while no leader could inform them.
      */
     private List<RolloutAction> restartOutdated(RolloutSnapshot snapshot) {
         List<RolloutAction> actions = new ArrayList<>();
@@ -243,12 +253,12 @@
         histories.forEach(
                 (node, history) -> {
                     RequestCounts latest = history.latestCounts(limits.minWatch(), now);
-                    if (latest != null && baselineCounts.size() < MAX_BASELINE_COUNTS) {
+                    if (latest != null && baselineCounts.size() < MAX_BASELINE_ENTRIES) {
                         // Large clusters store all request classes together, since counts by
                         // request class would be too long.
                         baselineCounts.put(
                                 node.text(),
-                                countEntries <= MAX_BASELINE_COUNTS
+                                countEntries <= MAX_BASELINE_ENTRIES
                                         ? latest
                                         : new RequestCounts(List.of(latest.all())));
                     }
@@ -375,7 +385,11 @@
                                         0)));
     }
 
-    /** Waits until the current wave is healthy, then observes it and decides on the next one. */
+    /**
+     * Waits until all nodes that were given the release are healthy with it or have exceeded the
+     * rejoin timeout (these count as lost), then observes the current wave and decides on the next
+     * one.
+     */
     private List<RolloutAction> advance(
             RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
         List<RolloutAction> actions = new ArrayList<>();
@@ -461,7 +475,7 @@
                             halt(
                                     rollout,
                                     token,
-                                    "it can't be told whether it is well: " + verdict.text()));
+                                    "canary analysis is inconclusive: " + verdict.text()));
         }
         boolean isComplete =
                 snapshot.nodeViews().stream()
@@ -653,7 +667,7 @@
     }
 
     private static List<RolloutAction> limitRequests(List<RolloutAction> actions) {
-        return actions.subList(0, Math.min(actions.size(), MAX_PERMIT_REQUESTS));
+        return actions.subList(0, Math.min(actions.size(), MAX_PERMIT_REQUESTS_PER_DECISION));
     }
 
     /** The node of each site that serves requests worst, the worst node first. */
@@ -677,9 +691,8 @@
                                 Comparator.comparing((NodeName node) -> -badRatio(node))
                                         .thenComparing(node -> node))
                         .toList();
-        return nodes.isEmpty()
-                ? rollout.given()
-                : nodes; // the cluster may have forgotten the nodes that have it
+        // If no node with the release is in the node view any more, all are rolled back at once.
+        return nodes.isEmpty() ? rollout.given() : nodes;
     }
 
     /** The share of requests since the mark that were not served in time; 1 without requests. */
--- a/src/main/java/lupinwood/rollout/RolloutSnapshot.java
+++ b/src/main/java/lupinwood/rollout/RolloutSnapshot.java
@@ -16,8 +16,9 @@
  * @param rollout null while none is in progress
  * @param agreedDigest the digest of the configuration that all nodes run while no rollout is in
  *     progress
- * @param haltedBy empty while rollouts are not halted
- * @param maxUnavailableNodes how many nodes may be out at once
+ * @param haltedBy the operator who halted rollouts, or the rollout with the reason for its halt;
+ *     empty while rollouts are not halted
+ * @param maxUnavailableNodes how many nodes may be unavailable at once
  * @param baselineCounts each node's request counts over one observation before the first wave; null
  *     if they were not requested
  */
--- a/src/test/java/lupinwood/balancing/ServerPoolTest.java
+++ b/src/test/java/lupinwood/balancing/ServerPoolTest.java
@@ -18,7 +18,10 @@
         now = now.plus(NanoDuration.ofSeconds(seconds));
     }
 
-    /** Sends requests one by one, each ending at once; returns how many each server sent. */
+    /**
+     * Sends requests one by one, each of which ends 1 ms later, before the next is sent; returns
+     * how many requests each server got.
+     */
     private int[] sendSequentially(
             int requests, ServerPool.AttemptEnd endAtA, NanoDuration latencyAtA) {
         int[] sent = new int[pool.size()];
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -33,7 +33,9 @@
     private final ClusterState clusterState = new ClusterState(100);
     private CapacityPlanner planner = new CapacityPlanner(LEASE);
 
-    /** Requests ended and failed, by node and location. */
+    /**
+     * Requests ended and failed, by node and location. None fails: nodes eject a failing location.
+     */
     private final long[][][] counts = new long[6][3][2];
 
     private final boolean[][] ejected = new boolean[6][3];
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Each node gets 40 requests of 0.1 s a second and sends them to the location of its own zone,
-     * but none to a location that it ejected.
+     * Each node gets 40 requests per second, with a latency of 0.1 s each, and sends them to the
+     * location of its own zone, but none to a location that it ejected.
      */
     private void run(int seconds) {
         for (int second = 0; second < seconds; second++) {
@@ -118,9 +120,9 @@
         }
     }
 
-    private void setFailing(int location, boolean failing) {
+    private void setEjectedByAll(int location, boolean isEjected) {
         for (int i = 0; i < 6; i++) {
-            ejected[i][location] = failing;
+            ejected[i][location] = isEjected;
         }
     }
 
@@ -145,34 +147,36 @@
     }
 
     @Test
-    void failedLocationsTrafficMovesWithinTheRegionAndReturnsInSteps() {
+    void trafficOfFailedLocationMovesWithinRegionAndReturnsInSteps() {
         run(20);
-        setFailing(0, true);
+        setEjectedByAll(0, true);
         run(6);
         assertThat(slots(0, 0)).as("the slots that nodes have without a plan").isEqualTo(4);
         assertThat(slots(0, 1)).as("p1 is in the same region").isGreaterThan(slots(0, 2));
         assertThat(slots(0, 1) + slots(0, 2)).isGreaterThanOrEqualTo(8);
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
                 .contains("trusted capacity of p0 reduced to 0%");
-        setFailing(0, false);
+        setEjectedByAll(0, false);
         run(4);
-        assertThat(slots(0, 0)).as("trust returns by a quarter at a time").isLessThan(14);
+        assertThat(slots(0, 0))
+                .as("trust returns in steps of a quarter, not at once")
+                .isLessThan(14);
         run(30);
         assertThat(slots(0, 0)).isGreaterThanOrEqualTo(14);
         assertThat(slots(0, 1)).isZero();
     }
 
     @Test
-    void globalFaultAndFaultySiteMoveNoTraffic() {
+    void globalFaultMovesNoTrafficNorFaultySiteThatOfOthers() {
         run(20);
         long plan = clusterState.lastPlan();
         for (int location = 0; location < 3; location++) {
-            setFailing(location, true);
+            setEjectedByAll(location, true);
         }
         run(20);
         assertThat(clusterState.lastPlan()).as("all locations fail for all sites").isEqualTo(plan);
         for (int location = 0; location < 3; location++) {
-            setFailing(location, false);
+            setEjectedByAll(location, false);
         }
         run(5);
         for (int location = 0; location < 3; location++) {
@@ -189,7 +193,7 @@
         locations.set(2, new Location("p2", SITES[2], 20, 2, 0, true));
         planner = new CapacityPlanner(LEASE);
         run(20);
-        setFailing(0, true);
+        setEjectedByAll(0, true);
         run(10);
         assertThat(slots(0, 2)).isZero();
         assertThat(slots(0, 1)).isPositive();
--- a/src/test/java/lupinwood/rollout/CanaryAnalysisTest.java
+++ b/src/test/java/lupinwood/rollout/CanaryAnalysisTest.java
@@ -26,7 +26,7 @@
     }
 
     private final Random random = new Random(7);
-    private int restartsOfChanged;
+    private int restartsPerChangedNode;
     private int lostChanged;
     private int lostOthers;
     private double latencyFactor = 1;
@@ -69,7 +69,7 @@
                             changed,
                             generateCounts(node, changed, false, requests, badRatio),
                             generateCounts(node, changed, true, requests, badRatio),
-                            changed ? restartsOfChanged : 0,
+                            changed ? restartsPerChangedNode : 0,
                             isLost));
         }
         return CanaryAnalysis.judge(samples, LIMITS);
@@ -83,7 +83,8 @@
                 judge(1000, (node, changed, after, className) -> changed && after ? 0.1 : 0.02);
         assertThat(worse.kind()).isEqualTo(CanaryVerdict.Kind.WORSE);
         assertThat(worse.text())
-                .contains("points of requests not served in time in all request classes");
+                .contains(
+                        "percentage points of requests not served in time in all request classes");
         assertThat(
                         judge(
                                         1000,
@@ -131,7 +132,7 @@
                 .isEqualTo(CanaryVerdict.Kind.WELL);
         lostChanged = 0;
         lostOthers = 0;
-        restartsOfChanged = 2;
+        restartsPerChangedNode = 2;
         assertThat(judge(1000, fine).text()).contains("8 restarts of 4 changed nodes");
     }
 }
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void rollsBackAutomaticallyIfRequestedOneNodePerZoneFirst() {
+    void automaticRollbackStartsWithOneNodePerZone() {
         begin(true);
         run(60); // seven nodes have the release
         assertThat(clusterState.rollout().steps()).isEqualTo(2);
