--- a/src/main/java/lupinwood/cluster/CapacityPlan.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlan.java
@@ -8,12 +8,13 @@
 
 /**
  * How many concurrent requests each node may send to each location. A site's slots at a location
- * are divided evenly among its nodes; each of some nodes gets one slot of the remainder, chosen by
- * the location's hash. A node that isn't in the roster has no slots, even in a site that has some:
- * it joined after the plan was made and wasn't counted.
+ * are divided evenly among its nodes; the remainder goes, one slot each, to nodes that the
+ * location's hash selects. A node that isn't in the roster has no slots, even in a site that has
+ * some: it joined after the plan was made and wasn't counted.
  *
  * @param number increases with each plan; a node follows the highest that it received
- * @param roster all nodes that the plan counts, with their sites at that time, ordered by name
+ * @param roster all nodes that the plan counts, with their sites at that time, ordered by name: the
+ *     members, and the nodes that had left and were not removed
  * @param slots concurrent requests of all nodes of a site together, by site and location; a site
  *     gets no slots at a location that isn't named
  */
--- a/src/main/java/lupinwood/cluster/CapacityPlans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -8,12 +8,14 @@
 
 /**
  * The capacity plans in the cluster state. Several may be live: a node that hasn't received the
- * newest follows an older one while its lease lasts. Whichever plan each node follows, no location
- * may get more concurrent requests than its capacity. A node's highest number of slots is the
- * maximum of its base slots and its slots in any live plan, the new one included. So a plan is
- * accepted only if, for each location, the sum of these maxima over all nodes doesn't exceed the
- * capacity. Slots that move from one node to another are usable by the second only after the first
- * has stopped using them and the older plan, which gave them to the first, is retired.
+ * newest follows an older one while its lease lasts. Whichever plan each node in the rosters of the
+ * live plans follows, these nodes together must not send a location more concurrent requests than
+ * its capacity. A node's highest number of slots is the maximum of its base slots and its slots in
+ * any live plan, the new one included. So a plan is accepted only if, for each location, the sum of
+ * these maxima over all nodes in these plans' rosters doesn't exceed the capacity. Base slots of a
+ * node that joined later count only from the next plan. Slots that move from one node to another
+ * are usable by the second only after the first has stopped using them and the older plan, which
+ * gave them to the first, is retired.
  *
  * <p>Part of {@link ClusterState}, and owned by the same thread.
  */
@@ -38,6 +40,10 @@
     private Map<String, Map<String, Integer>> baseSlots = Map.of();
     private long lastNumber;
 
+    /**
+     * Replaces the plans. Without a snapshot, only the live plans are dropped; the capacities, the
+     * base slots and the last plan number are kept.
+     */
     void restore(Snapshot snapshot) {
         livePlans.clear();
         if (snapshot != null) { // null in the snapshot of an older version
@@ -53,8 +59,11 @@
     }
 
     /**
-     * Adds a plan for the current members; false if the command was decided before the newest plan
-     * was set, or if a location could get more than its capacity.
+     * Adds a plan; false if the command was decided before the newest plan was set, or if a
+     * location could get more than its capacity.
+     *
+     * @param members the nodes that the plan is for: the members, and the nodes that left and were
+     *     not removed since
      */
     boolean add(ClusterCommand.SetCapacityPlan command, Collection<ClusterState.Member> members) {
         if (command.after() != lastNumber) {
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -84,7 +84,7 @@
         members = new MemberRegistry(maxMembers);
     }
 
-    /** Replaces the state; rollouts and capacities that an older version's snapshot lacks stay. */
+    /** Replaces the state. In an older version's snapshot the last three parts may be null. */
     public void open(Snapshot snapshot) {
         members.restore(snapshot.members());
         dutyLeases.restore(snapshot.duties(), snapshot.lastToken());
@@ -93,8 +93,8 @@
         permits.restore(snapshot.permits(), snapshot.lastPermit());
         haltedBy = snapshot.haltedBy();
         operatorLog.restore(snapshot.done(), snapshot.history());
-        rollouts.restore(snapshot.rollouts());
-        capacityPlans.restore(snapshot.plans());
+        rollouts.restore(snapshot.rollouts()); // keeps the present rollouts if null
+        capacityPlans.restore(snapshot.plans()); // drops only the live plans if null
         cordons.clear();
         if (snapshot.cordons() != null) { // null in the snapshot of an older version
             snapshot.cordons().forEach(cordon -> cordons.put(cordon.server(), cordon));
@@ -412,7 +412,7 @@
         return rollouts.goodDigest();
     }
 
-    /** Each node's request counts while observed before the present rollout, by node name. */
+    /** Request counts by node name, of the observation before the present rollout's first wave. */
     public Map<String, RequestCounts> past() {
         return rollouts.baselineCounts();
     }
--- a/src/main/java/lupinwood/cluster/Heartbeat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -11,7 +11,7 @@
  * @param releasing leases that it held and no longer acts under
  * @param failedLeases leases of duties that it can't perform
  * @param leftOut servers that it has ejected
- * @param found health checks that it made as the holder of that duty
+ * @param found results of the health checks that it made as the holder of the health check duty
  * @param report null from a node of an older version
  */
 public record Heartbeat(
--- a/src/main/java/lupinwood/cluster/HeartbeatReply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -12,8 +12,8 @@
  * @param leader the leader that this voter knows of; null where it knows none
  * @param trouble why the node is not accepted as a member; empty where it is
  * @param leaseDuration how long each lease lasts, counted from when the node sent the heartbeat
- * @param leases what the node holds, and what it is releasing until the leader decides to end the
- *     lease; the node doesn't hold a duty that isn't named
+ * @param leases the leases granted to the node, including one that it is releasing or has failed
+ *     at, until the leader decides to end it; the node holds no duty that isn't listed
  * @param found recent results of the holder of the health check duty
  * @param leave the number of the permit under which the node is to shut down; zero for none
  * @param wanted what the node is to run, and which servers are cordoned; null from a voter of an
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -77,8 +77,8 @@
     private final Set<Lease> endingLeases = new HashSet<>();
 
     /**
-     * When the leader first saw a node with a permit healthy without a restart, by the permit's
-     * number.
+     * Since when the leader has seen a permit's node warm without a break, still under the permit's
+     * incarnation; by the permit's number.
      */
     private final Map<Long, MonotonicTime> permitUnusedSince = new HashMap<>();
 
--- a/src/main/java/lupinwood/cluster/LeaseTiming.java
+++ b/src/main/java/lupinwood/cluster/LeaseTiming.java
@@ -8,8 +8,10 @@
  * @param lease how long a duty is held without a reply from the consensus group
  * @param driftRatio how far the rate of any node's clock may deviate from true time, as a ratio;
  *     both the holder and the consensus group allow for it
- * @param heartbeatInterval time between two heartbeats of a node that holds no duty
- * @param holderHeartbeatInterval time between two heartbeats of a node that holds a duty
+ * @param heartbeatInterval time between two heartbeats of a node that holds no duty, is releasing
+ *     none and isn't draining
+ * @param holderHeartbeatInterval time between two heartbeats of a node that holds a duty, is
+ *     releasing one or is draining
  * @param silenceTimeout a node without a heartbeat for longer is unknown
  * @param ineligibility how long a node is ineligible for a duty after its first failure at it; each
  *     further failure doubles this
--- a/src/main/java/lupinwood/cluster/Rollouts.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -37,8 +37,8 @@
      * @param nextConfig the configuration that the present rollout introduces
      * @param rollout the one in progress; null while there is none
      * @param lastNumber the number of the newest rollout
-     * @param baselineCounts the request counts of each node during the observation before the
-     *     rollout, by node name
+     * @param baselineCounts the request counts of each node during the observation period before
+     *     the rollout's first wave, by node name
      */
     public record Snapshot(
             ConfigText goodConfig,
@@ -62,11 +62,12 @@
     private long lastNumber;
 
     /**
-     * The request counts of each node during the observation before the rollout, by node name; the
-     * next holder of the rollout controller duty reads them here.
+     * The request counts of each node during the observation period before the rollout's first
+     * wave, by node name; the next holder of the rollout controller duty reads them here.
      */
     private Map<String, RequestCounts> baselineCounts = Map.of();
 
+    /** Replaces the rollouts; without a snapshot, the present ones are kept. */
     void restore(Snapshot snapshot) {
         if (snapshot != null) { // null in the snapshot of an older version
             goodConfig = snapshot.goodConfig();
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -110,7 +110,10 @@
         assertThat(setPlan(2, 8, Map.of())).isTrue();
     }
 
-    /** The lease of a silent node, and under a new leader all leases of earlier leaders. */
+    /**
+     * Covers the lease of a silent node and, under a new leader, all leases that earlier leaders
+     * granted.
+     */
     @Test
     void plansAreRetiredOnlyAfterAllLeasesOnThemHaveCertainlyExpired() {
         bootstrap(4);
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -211,7 +211,7 @@
         assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.93)))
                 .isEqualTo(new FencingToken(7));
         assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
-                .as("3 s less 2 % drift after 10 s have passed")
+                .as("the lease of 3 s less 2 % drift, counted from 10 s, has expired")
                 .isNull();
         heldLeases.asks(2, at(13));
         assertThat(heldLeases.release(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
