--- a/src/main/java/lupinwood/admission/AdmissionController.java
+++ b/src/main/java/lupinwood/admission/AdmissionController.java
@@ -68,7 +68,7 @@
                         arrivalCount++,
                         server.now(),
                         settings.machine().tick());
-        lifecycle.open(request);
+        lifecycle.register(request);
         recordArrival(request);
         checkArrival(request);
         if (!request.isFinished()) {
@@ -87,7 +87,7 @@
     private void recordArrival(AdmittedRequest request) {
         rules.tenants.charge(request, server.now());
         rules.utility.onOffered(request.classIndex());
-        rules.idleConnections.onRequest(request.request().upstreamId());
+        rules.idleConnections.onRequest(request.received().upstreamId());
         rules.load.onRead(request);
     }
 
@@ -100,9 +100,10 @@
                 if (rules.drain.rejects(request, server.now())) {
                     lifecycle.reject(request, RejectionReason.DRAINING, settings.maxRetryAfter());
                 } else if (!rules.memory.hasRoomFor(rules.idempotency.memoryKb(request))) {
-                    lifecycle.reject(request, RejectionReason.MEMORY_FULL, meanCost());
-                } else if (rules.inFlight.isFullFor(request) && !replaceOverQuota(request)) {
-                    lifecycle.reject(request, RejectionReason.IN_FLIGHT_LIMIT, meanCost());
+                    lifecycle.reject(request, RejectionReason.MEMORY_FULL, meanCostDuration());
+                } else if (rules.inFlight.isFullFor(request)
+                        && !displaceRequestOverQuota(request)) {
+                    lifecycle.reject(request, RejectionReason.IN_FLIGHT_LIMIT, meanCostDuration());
                 } else {
                     lifecycle.enqueue(request);
                 }
@@ -114,13 +115,13 @@
      * Rejects a queued request over its tenant's quota in favour of one within its quota. Otherwise
      * a burst of one tenant would fill the in-flight limit, which all tenants share.
      */
-    private boolean replaceOverQuota(AdmittedRequest request) {
+    private boolean displaceRequestOverQuota(AdmittedRequest request) {
         if (request.isOverQuota()) {
             return false;
         }
         var displaced = rules.queue.lastOverQuota();
         displaced.ifPresent(
-                other -> lifecycle.reject(other, RejectionReason.OVER_QUOTA, meanCost()));
+                other -> lifecycle.reject(other, RejectionReason.OVER_QUOTA, meanCostDuration()));
         return displaced.isPresent();
     }
 
@@ -138,22 +139,23 @@
             return;
         }
         MonotonicTime now = server.now();
-        boolean callsRestricted = !rules.callQueue.isEmpty() && rules.dependency.isRestricted();
+        boolean callsRestricted =
+                !rules.callQueue.isEmpty() && rules.dependency.areCallsRestricted();
         DeadlineQueue.Overflow overflow =
                 rules.queue.overflow(
                         new DeadlineQueue.Capacity(
                                 settings.machine().cores(),
                                 rules.concurrency.running(),
-                                rules.cost.meanCost(now),
+                                rules.cost.meanCoreSeconds(now),
                                 new DeadlineQueue.CallCapacity(
                                         callsRestricted,
-                                        rules.dependency.allowed(),
+                                        rules.dependency.allowedCalls(),
                                         rules.dependency.callTime(now),
                                         rules.callQueue),
                                 now));
         for (AdmittedRequest request : overflow.requests()) {
             double secondsUntilDone =
-                    (overflow.coreSecondsAhead() / 2 + rules.cost.meanCost(now))
+                    (overflow.coreSecondsAhead() / 2 + rules.cost.meanCoreSeconds(now))
                             / settings.machine().cores();
             lifecycle.reject(
                     request,
@@ -226,17 +228,18 @@
                 rules.queue.coreSecondsWithinQuotas(now)
                         / settings.machine().cores()
                         / settings.meanObjectiveSeconds();
-        rules.idleConnections.adjust(rules.cost.meanCost(now), rules.load.isBehindWithReading());
+        rules.idleConnections.adjust(
+                rules.cost.meanCoreSeconds(now), rules.load.isBehindWithReading());
         rules.load.adjustFloor(queuedRatio, interval);
         rules.timers.scheduleAfter(interval, this::refreshPeriodically);
     }
 
     private void reportLoad() {
-        rules.load.report(rules.cost.meanCost(server.now()), rules.drain.isDraining());
+        rules.load.report(rules.cost.meanCoreSeconds(server.now()), rules.drain.isDraining());
     }
 
-    private NanoDuration meanCost() {
-        return NanoDuration.ofSeconds(rules.cost.meanCost(server.now()));
+    private NanoDuration meanCostDuration() {
+        return NanoDuration.ofSeconds(rules.cost.meanCoreSeconds(server.now()));
     }
 
     private RequestListener listener(AdmittedRequest request) {
--- a/src/main/java/lupinwood/admission/AdmissionPolicy.java
+++ b/src/main/java/lupinwood/admission/AdmissionPolicy.java
@@ -9,15 +9,17 @@
  */
 public interface AdmissionPolicy {
     /**
-     * Handles a request that was read. It gets exactly one final answer.
+     * Handles a request that was read. It gets exactly one final answer, or none if its client is
+     * gone before.
      *
      * @return receives all later events of the request
      */
     RequestListener admit(Request request);
 
     /**
-     * Applies changed settings; only entries that may change while the node runs differ. Open
-     * requests keep the due times that they were given on arrival.
+     * Applies changed settings. The caller ensures that only entries that may change while the node
+     * runs differ from the present settings. Open requests keep the due times that they were given
+     * on arrival.
      *
      * @param settings all settings, changed or not, by their outer names
      */
--- a/src/main/java/lupinwood/admission/AdmissionRules.java
+++ b/src/main/java/lupinwood/admission/AdmissionRules.java
@@ -46,7 +46,7 @@
         idempotency = new IdempotencyGuard(server, timers, memory, settings);
         inFlight = new InFlightLimiter(new AimdLimit(cores));
         dependency = new DependencyLimiter(settings, now);
-        callTimeout = new CallTimeoutPolicy(cost, dependency.quota(), settings);
+        callTimeout = new CallTimeoutPolicy(cost, dependency.dependencyQuota(), settings);
         queue = new DeadlineQueue(cost, utility);
         callQueue = new CallQueue(utility);
         drain = new DrainPolicy(settings);
--- a/src/main/java/lupinwood/admission/AdmittedRequest.java
+++ b/src/main/java/lupinwood/admission/AdmittedRequest.java
@@ -12,8 +12,8 @@
 final class AdmittedRequest {
     /** Orders by due time, and by arrival where due times are equal. */
     static final Comparator<AdmittedRequest> BY_DUE_TIME =
-            Comparator.<AdmittedRequest, MonotonicTime>comparing(AdmittedRequest::due)
-                    .thenComparing(AdmittedRequest::number);
+            Comparator.<AdmittedRequest, MonotonicTime>comparing(AdmittedRequest::dueAt)
+                    .thenComparing(AdmittedRequest::arrivalNumber);
 
     /** The progress of a request. */
     enum State {
@@ -26,67 +26,67 @@
         FINISHED
     }
 
-    private final Request request;
+    private final Request received;
     private final ClassState classState;
-    private final long number;
+    private final long arrivalNumber;
     private final MonotonicTime arrivedAt;
-    private final MonotonicTime due;
+    private final MonotonicTime dueAt;
     private final MonotonicTime answerDeadline;
 
     private State state = State.QUEUED;
     private boolean hasRun;
     private boolean provenNeverRan;
-    private boolean answered;
+    private boolean needsNoAnswer;
     private boolean failed;
     private TenantQuota.Bucket quotaBucket;
     private boolean overQuota;
 
-    private double runStartedAtCoreSeconds;
+    private double coreClockSecondsAtEntry;
     private double coreSeconds;
 
     private boolean countedInFlight;
     private int successfulCalls;
     private int failedCallAttempts;
     private MonotonicTime calledAt;
-    private int expectedCompletedCalls;
+    private int expectedSuccessfulCalls;
     private boolean limitReduced;
     private boolean baselineCall;
 
     /**
      * Creates the record of a request that was just read.
      *
-     * @param number sequence number over all requests of this node
+     * @param arrivalNumber sequence number over all requests of this node
      * @param tick the node's time step; an answer is sent two ticks before the client gives up
      */
     AdmittedRequest(
-            Request request,
+            Request received,
             ClassState classState,
-            long number,
+            long arrivalNumber,
             MonotonicTime now,
             NanoDuration tick) {
-        this.request = request;
+        this.received = received;
         this.classState = classState;
-        this.number = number;
-        arrivedAt = now.minus(request.waited());
+        this.arrivalNumber = arrivalNumber;
+        arrivedAt = now.minus(received.waited());
         RequestClass requestClass = classState.settings();
         MonotonicTime clientTimeoutAt =
-                request.clientTimeout().isPositive()
-                        ? now.plus(request.clientTimeout())
+                received.clientTimeout().isPositive()
+                        ? now.plus(received.clientTimeout())
                         : arrivedAt.plus(requestClass.timeout());
         answerDeadline = clientTimeoutAt.minus(tick.plus(tick));
         MonotonicTime objectiveAt =
                 arrivedAt
                         .plus(requestClass.latencyObjective())
-                        .plus(request.work().times(requestClass.objectiveStretch()));
-        due = objectiveAt.isBefore(answerDeadline) ? objectiveAt : answerDeadline;
+                        .plus(received.work().times(requestClass.objectiveStretch()));
+        dueAt = objectiveAt.isBefore(answerDeadline) ? objectiveAt : answerDeadline;
     }
 
-    Request request() {
-        return request;
+    Request received() {
+        return received;
     }
 
     RequestId id() {
-        return request.id();
+        return received.id();
     }
 
     ClassState classState() {
@@ -99,11 +99,11 @@
     }
 
     int classIndex() {
-        return request.classId().number();
+        return received.classId().number();
     }
 
-    long number() {
-        return number;
+    long arrivalNumber() {
+        return arrivalNumber;
     }
 
     MonotonicTime arrivedAt() {
@@ -111,8 +111,8 @@
     }
 
     /** The end of its latency objective, or the answer deadline where that is earlier. */
-    MonotonicTime due() {
-        return due;
+    MonotonicTime dueAt() {
+        return dueAt;
     }
 
     /**
@@ -152,16 +152,16 @@
     }
 
     /** Whether it has its final answer, or its client is gone. */
-    boolean isAnswered() {
-        return answered;
+    boolean needsNoAnswer() {
+        return needsNoAnswer;
     }
 
     boolean hasFailed() {
         return failed;
     }
 
-    void markAnswered() {
-        answered = true;
+    void markNeedsNoAnswer() {
+        needsNoAnswer = true;
     }
 
     void markFailed() {
@@ -172,7 +172,7 @@
     void markCompleted(Outcome outcome) {
         failed |= outcome != Outcome.OK;
         provenNeverRan = outcome.provesNeverRan();
-        answered = true;
+        needsNoAnswer = true;
     }
 
     void chargeTo(TenantQuota.Bucket bucket, boolean isOver) {
@@ -202,14 +202,17 @@
      *
      * @param coreClockSeconds the reading of {@link CoreTimeClock}
      */
-    void startRun(double coreClockSeconds) {
+    void enterCores(double coreClockSeconds) {
         state = State.RUNNING;
-        runStartedAtCoreSeconds = coreClockSeconds;
+        coreClockSecondsAtEntry = coreClockSeconds;
     }
 
-    /** Records that it leaves the cores, and adds the core time that it was given. */
-    void pauseRun(double coreClockSeconds) {
-        coreSeconds += coreClockSeconds - runStartedAtCoreSeconds;
+    /**
+     * Records that it leaves the cores, to call or because its run ended, and adds the core time
+     * that it was given.
+     */
+    void leaveCores(double coreClockSeconds) {
+        coreSeconds += coreClockSeconds - coreClockSecondsAtEntry;
         state = State.WAITING_TO_CALL;
     }
 
@@ -250,12 +253,12 @@
     /**
      * Records that a call is made.
      *
-     * @param expectedCompletedCalls see {@link DependencyLimiter#onCallStarted}
+     * @param expectedSuccessfulCalls see {@link DependencyLimiter#onCallStarted}
      * @param baseline whether the in-flight limit is underused when the call is made
      */
-    void startCall(MonotonicTime now, int expectedCompletedCalls, boolean baseline) {
+    void startCall(MonotonicTime now, int expectedSuccessfulCalls, boolean baseline) {
         calledAt = now;
-        this.expectedCompletedCalls = expectedCompletedCalls;
+        this.expectedSuccessfulCalls = expectedSuccessfulCalls;
         baselineCall = baseline;
     }
 
@@ -263,8 +266,8 @@
         return calledAt;
     }
 
-    int expectedCompletedCalls() {
-        return expectedCompletedCalls;
+    int expectedSuccessfulCalls() {
+        return expectedSuccessfulCalls;
     }
 
     boolean isBaselineCall() {
--- a/src/main/java/lupinwood/admission/AimdLimit.java
+++ b/src/main/java/lupinwood/admission/AimdLimit.java
@@ -5,7 +5,7 @@
  * decrease (AIMD).
  *
  * <pre>
- * fast call while inFlight * 2 &gt;= limit:            limit = min(MAX_LIMIT, limit + 1)
+ * fast call while inFlight * 2 &gt;= limit:            limit = min(MAX_LIMIT_REQUESTS, limit + 1)
  * slow or failed call, at most once per attempt:  limit = max(minimum, limit * BACKOFF_RATIO)
  * </pre>
  *
@@ -18,15 +18,15 @@
     /**
      * The initial limit, in requests: enough for the first seconds, before any call has returned.
      */
-    private static final double INITIAL_LIMIT = 20;
+    private static final double INITIAL_LIMIT_REQUESTS = 20;
 
     /**
      * The least limit, in requests: calls go on, so that a recovery of the dependency is noticed.
      */
-    private static final double MIN_LIMIT = 5;
+    private static final double MIN_LIMIT_REQUESTS = 5;
 
     /** The greatest limit, in requests, whatever the latency of the dependency. */
-    private static final double MAX_LIMIT = 200;
+    private static final double MAX_LIMIT_REQUESTS = 200;
 
     /** The factor applied to the limit after a slow or failed call. */
     private static final double BACKOFF_RATIO = 0.9;
@@ -40,8 +40,8 @@
      * @param cores the cores of this node, at least 1
      */
     AimdLimit(double cores) {
-        minLimit = Math.max(MIN_LIMIT, cores);
-        limit = Math.max(INITIAL_LIMIT, cores);
+        minLimit = Math.max(MIN_LIMIT_REQUESTS, cores);
+        limit = Math.max(INITIAL_LIMIT_REQUESTS, cores);
     }
 
     /** The limit in requests, not necessarily a whole number. */
@@ -64,7 +64,7 @@
     /** Records a call that returned within its target. */
     void onFastCall(int inFlight) {
         if (inFlight * 2 >= limit) {
-            limit = Math.min(MAX_LIMIT, limit + 1);
+            limit = Math.min(MAX_LIMIT_REQUESTS, limit + 1);
         }
     }
 
--- a/src/main/java/lupinwood/admission/BaselineLatency.java
+++ b/src/main/java/lupinwood/admission/BaselineLatency.java
@@ -8,8 +8,8 @@
  *
  * <pre>target = max(latencyObjective / 2, 3 * baseline median)</pre>
  *
- * <p>Until {@link Histogram#MIN_SAMPLES} baseline calls were seen there is no target, so no call
- * reduces the in-flight limit. Source: docs/design.md, "TARGET".
+ * <p>Until the baseline calls have a weight of {@link Histogram#MIN_WEIGHT} there is no target, so
+ * no call reduces the in-flight limit. Source: docs/design.md, "TARGET".
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -27,13 +27,13 @@
      * One in this many slow calls enters the baseline. If all did, the median would rise with the
      * load of the dependency.
      */
-    private static final int SLOW_SAMPLING_INTERVAL = 8;
+    private static final int SLOW_SAMPLING_INTERVAL_REQUESTS = 8;
 
     private final Histogram samples = new Histogram(Histogram.RECENT_SAMPLES);
 
     /** Whether enough baseline calls were seen to trust the median. */
     boolean isKnown() {
-        return samples.weight() >= Histogram.MIN_SAMPLES;
+        return samples.weight() >= Histogram.MIN_WEIGHT;
     }
 
     /**
@@ -43,7 +43,7 @@
      * @param requestNumber selects which slow calls are added
      */
     void add(NanoDuration duration, boolean slow, long requestNumber) {
-        if (!slow || requestNumber % SLOW_SAMPLING_INTERVAL == 0) {
+        if (!slow || requestNumber % SLOW_SAMPLING_INTERVAL_REQUESTS == 0) {
             samples.add(duration.seconds());
         }
     }
--- a/src/main/java/lupinwood/admission/CallQueue.java
+++ b/src/main/java/lupinwood/admission/CallQueue.java
@@ -7,7 +7,8 @@
 import java.util.stream.Stream;
 
 /**
- * The requests that wait to call downstream, highest utility per remaining call first.
+ * The requests that wait to call downstream, by due time. {@link #next} selects the one with the
+ * highest utility per remaining call.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -40,17 +41,18 @@
     }
 
     /**
-     * The requests that need no call any more: already answered, or due before a call could return.
+     * The requests that need no call any more: they need no answer, or are due before a call could
+     * return.
      *
      * @param earliestReturn when a call made as soon as possible would return
      */
     List<AdmittedRequest> expired(MonotonicTime earliestReturn) {
         return requests.stream()
-                .filter(each -> each.isAnswered() || each.due().isBefore(earliestReturn))
+                .filter(each -> each.needsNoAnswer() || each.dueAt().isBefore(earliestReturn))
                 .toList();
     }
 
-    /** The request to call next. */
+    /** The request to call next: the one with the highest utility per remaining call. */
     Optional<AdmittedRequest> next() {
         return requests.stream().max(Comparator.comparingDouble(utility::utilityPerCall));
     }
--- a/src/main/java/lupinwood/admission/CallSequence.java
+++ b/src/main/java/lupinwood/admission/CallSequence.java
@@ -3,17 +3,23 @@
 import java.util.Arrays;
 
 /**
- * Learns how many downstream calls the requests of one class make, and predicts whether a request
- * will make another. A node is never told which call of a request is its last. Counted by position
- * (first call, second call, ...): the requests that needed the call and those whose call succeeded.
+ * Learns how many downstream calls the requests of one request class make, and predicts whether a
+ * request will make another. A node is never told which call of a request is its last. For each
+ * position in the sequence of calls (first call, second call, ...) it counts the requests that
+ * needed that call, and those whose call succeeded.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class CallSequence {
-    /** The last position with a count of its own; later calls are counted with it. */
+    /**
+     * The last position, from 0, that is counted; calls at later positions are counted there too.
+     */
     private static final int MAX_POSITION = 7;
 
-    /** Above this many successful calls at a position all counts are halved, to follow a change. */
+    /**
+     * If a prediction finds more successful calls than this at the position of the latest call, all
+     * counts are halved, to follow a change.
+     */
     private static final double HALVING_THRESHOLD_CALLS = Histogram.RECENT_SAMPLES;
 
     private final double[] needed = new double[MAX_POSITION + 1];
@@ -43,11 +49,13 @@
     }
 
     /**
-     * Whether more than half of the requests with as many successful calls went on to another one.
+     * Predicts whether a request makes another call: whether more than half of the requests with as
+     * many successful calls went on to another one. False from the seventh successful call on,
+     * since later positions are not counted separately. May halve all counts.
      *
      * @param successfulCalls successful calls of the request, at least 1
      */
-    boolean isAnotherCallLikely(int successfulCalls) {
+    boolean predictAnotherCall(int successfulCalls) {
         double succeededAtPosition = succeeded[Math.min(successfulCalls, MAX_POSITION) - 1];
         for (int i = 0; succeededAtPosition > HALVING_THRESHOLD_CALLS && i < needed.length; i++) {
             needed[i] /= 2;
--- a/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
+++ b/src/main/java/lupinwood/admission/CallTimeoutPolicy.java
@@ -1,13 +1,16 @@
 package lupinwood.admission;
 
 /**
- * The timeout of a downstream call: as long as the request can still earn utility or, where a
- * skipped call is paid for, as long as time remains to finish without the call.
+ * The timeout of a downstream call: the time for which the request can still earn utility or, where
+ * the request class has a positive skippedCallValue, the time until the due time less the core time
+ * that the request still needs, but at least half of the time until the due time.
  *
- * <p>Under a quota of less than one call in flight, a call also lasts no longer than half of what
- * the quota allows within the quota window, less the time for which the dependency may go on with a
- * call that was given up (the linger time). If the linger time uses up more than half of that, half
- * is left, since otherwise no call could return; the pause after each call then keeps the quota.
+ * <p>Under a dependency quota of less than one call in flight, the timeout also has a limit. {@code
+ * callBudget} is half of what the quota allows within its window: half of quota * quota window. The
+ * limit is {@code callBudget} less the time for which the dependency may go on with a call that was
+ * given up (the linger time), but at least half of {@code callBudget}, since otherwise no call
+ * could return. Where this minimum applies, the pause after each call keeps the mean within the
+ * quota.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -16,12 +19,12 @@
     private static final double MIN_TIME_LEFT_RATIO = 0.5;
 
     private final CostEstimator cost;
-    private final double quota;
+    private final double dependencyQuota;
     private PolicySettings settings;
 
-    CallTimeoutPolicy(CostEstimator cost, double quota, PolicySettings settings) {
+    CallTimeoutPolicy(CostEstimator cost, double dependencyQuota, PolicySettings settings) {
         this.cost = cost;
-        this.quota = quota;
+        this.dependencyQuota = dependencyQuota;
         this.settings = settings;
     }
 
@@ -35,8 +38,8 @@
      */
     NanoDuration timeout(AdmittedRequest request, MonotonicTime now) {
         NanoDuration requestLimit = requestTimeout(request, now);
-        NanoDuration callBudget = settings.quotaWindow().times(quota / 2);
-        if (quota >= 1 || !callBudget.isPositive()) {
+        NanoDuration callBudget = settings.dependencyQuotaWindow().times(dependencyQuota / 2);
+        if (dependencyQuota >= 1 || !callBudget.isPositive()) {
             return requestLimit;
         }
         NanoDuration quotaLimit =
@@ -48,9 +51,10 @@
     }
 
     private NanoDuration requestTimeout(AdmittedRequest request, MonotonicTime now) {
-        NanoDuration timeLeft = request.due().since(now);
+        NanoDuration timeLeft = request.dueAt().since(now);
         if (request.requestClass().skippedCallValue() > 0) {
-            double coreSecondsLeft = Math.max(0, cost.cost(request, now) - request.coreSeconds());
+            double coreSecondsLeft =
+                    Math.max(0, cost.coreSeconds(request, now) - request.coreSeconds());
             return timeLeft.minus(NanoDuration.ofSeconds(coreSecondsLeft))
                     .max(timeLeft.times(MIN_TIME_LEFT_RATIO))
                     .max(settings.machine().tick());
--- a/src/main/java/lupinwood/admission/ClassCost.java
+++ b/src/main/java/lupinwood/admission/ClassCost.java
@@ -29,8 +29,8 @@
      *
      * @param speed the present speed of this node's cores, as a share of their full speed
      */
-    double estimate(RequestClass requestClass, double speed) {
-        return samples.weight() >= Histogram.MIN_SAMPLES
+    double estimateCoreSeconds(RequestClass requestClass, double speed) {
+        return samples.weight() >= Histogram.MIN_WEIGHT
                 ? samples.mean()
                 : requestClass.latencyObjective().seconds() * INITIAL_COST_OBJECTIVE_RATIO / speed;
     }
--- a/src/main/java/lupinwood/admission/CostEstimator.java
+++ b/src/main/java/lupinwood/admission/CostEstimator.java
@@ -4,14 +4,14 @@
 
 /**
  * Estimates what requests cost in core seconds on this node: from the hint of a request where it
- * carries one, else from the measured costs of its class.
+ * carries one, else from the measured costs of its request class.
  *
  * <pre>
  * request with a hint:  cost = hint * slowness,  slowness = mean measured cost / mean hint
- * any other:            cost = mean of its class
+ * any other:            cost = mean of its request class
  * </pre>
  *
- * <p>On a node that slows down the measured costs rise, so that it takes fewer requests.
+ * <p>When the node slows down, the measured costs rise and it therefore admits fewer requests.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -27,11 +27,13 @@
     }
 
     /** The expected core seconds of the whole request. */
-    double cost(AdmittedRequest request, MonotonicTime now) {
-        double hint = request.request().work().seconds();
+    double coreSeconds(AdmittedRequest request, MonotonicTime now) {
+        double hint = request.received().work().seconds();
         return hint > 0
                 ? hint * slowness(now)
-                : request.classState().cost().estimate(request.requestClass(), ramp.speed(now));
+                : request.classState()
+                        .cost()
+                        .estimateCoreSeconds(request.requestClass(), ramp.speed(now));
     }
 
     /**
@@ -39,7 +41,7 @@
      * slow and cold nodes.
      */
     double slowness(MonotonicTime now) {
-        return hints.weight() >= Histogram.MIN_SAMPLES
+        return hints.weight() >= Histogram.MIN_WEIGHT
                 ? hintedCosts.mean() / hints.mean()
                 : 1 / ramp.speed(now);
     }
@@ -47,7 +49,7 @@
     /**
      * The expected core seconds of a request, as the mean over all classes weighted by recent runs.
      */
-    double meanCost(MonotonicTime now) {
+    double meanCoreSeconds(MonotonicTime now) {
         double speed = ramp.speed(now);
         double weight = classes.stream().mapToDouble(each -> each.cost().weight()).sum();
         double sum =
@@ -55,26 +57,29 @@
                         .mapToDouble(
                                 each ->
                                         each.cost().weight()
-                                                * each.cost().estimate(each.settings(), speed))
+                                                * each.cost()
+                                                        .estimateCoreSeconds(
+                                                                each.settings(), speed))
                         .sum();
         return weight > 0 ? sum / weight : 1;
     }
 
     /**
-     * Whether too little time is left for the work of a request because it arrived late, and not
-     * only because its work is large.
+     * Whether less time is left than the work of a request needs, and also less than half of the
+     * time that it had on arrival, whether it spent that unread or in a queue. So a request is not
+     * too late only because its work is large.
      */
     boolean isTooLate(AdmittedRequest request, MonotonicTime now) {
-        double secondsLeft = request.due().since(now).seconds();
-        double secondsAtArrival = request.due().since(request.arrivedAt()).seconds();
-        return secondsLeft < Math.min(cost(request, now), secondsAtArrival / 2);
+        double secondsLeft = request.dueAt().since(now).seconds();
+        double secondsAtArrival = request.dueAt().since(request.arrivedAt()).seconds();
+        return secondsLeft < Math.min(coreSeconds(request, now), secondsAtArrival / 2);
     }
 
     /** Records the core time of a request whose run succeeded. */
     void onRunSucceeded(AdmittedRequest request, double coreSeconds) {
         request.classState().cost().add(coreSeconds);
-        if (request.request().work().isPositive()) {
-            hints.add(request.request().work().seconds());
+        if (request.received().work().isPositive()) {
+            hints.add(request.received().work().seconds());
             hintedCosts.add(coreSeconds);
         }
     }
--- a/src/main/java/lupinwood/admission/DeadlineQueue.java
+++ b/src/main/java/lupinwood/admission/DeadlineQueue.java
@@ -13,36 +13,42 @@
  * The admitted requests that wait for a core, by due time, and the selection of those to reject
  * when not all can be done in time.
  *
- * <p>Selection goes through the queue in order of due time. At the first request that cannot be
- * done by its due time, the candidate with the least utility per cost among the requests so far is
- * selected for rejection. This is the Moore-Hodgson rule for the least number of late jobs (Moore,
- * "An n job, one machine sequencing algorithm for minimizing the number of late jobs", 1968),
- * weighted by utility.
+ * <p>Selection goes through the queue in order of due time. At each request that cannot be done by
+ * its due time, the candidate with the least utility per cost among the requests so far is selected
+ * for rejection. This is the Moore-Hodgson rule for the least number of late jobs (Moore, "An n
+ * job, one machine sequencing algorithm for minimizing the number of late jobs", 1968), weighted by
+ * utility. Where the cores could finish the request in time and only the restricted calls make it
+ * late, the request itself is selected.
  *
  * <pre>
- * coreSeconds(request) = (running * mean cost / 2 + cost of all candidates including itself) / cores + cost
- * callSeconds(request) = call time * mean calls * (1 + callers ahead / calls allowed), where calls are restricted
- * late if coreSeconds + callSeconds &gt; time left (of a new arrival: 0.85 of it)
+ * secondsUntilDone(request)     = (running * mean cost / 2 + cost of all candidates including itself) / cores + cost
+ * callSecondsUntilDone(request) = call time * mean calls * (1 + callers ahead / calls allowed), where calls are restricted
+ * late if secondsUntilDone + callSecondsUntilDone &gt; time left (of a new arrival: 0.85 of it)
  * </pre>
  *
  * <p>A request that a free core could take and that is not too late is always tried, since a wrong
- * cost estimate could otherwise never be corrected: it is neither a candidate nor counted.
+ * cost estimate could otherwise never be corrected: it is neither a candidate nor counted. This
+ * does not hold for a request whose request class calls while calls are restricted.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
 final class DeadlineQueue {
     /**
-     * The part of its time left that a new arrival may need, so that rejections fall on new
-     * arrivals.
+     * A new arrival counts as late if it needs more than this part of its time left. The bound is
+     * stricter so that new arrivals, rather than requests queued for longer, are rejected.
      */
-    private static final double NEW_ARRIVAL_TIME_RATIO = 0.85;
+    private static final double USABLE_TIME_RATIO_OF_NEW_ARRIVAL = 0.85;
 
     /** A request with more than this part of its time left counts as a new arrival. */
-    private static final double NEW_ARRIVAL_TIME_LEFT_RATIO = 0.9;
+    private static final double NEW_ARRIVAL_THRESHOLD_RATIO = 0.9;
 
     /** The present capacity of the node and of the shared dependency. */
     record Capacity(
-            double cores, int running, double meanCost, CallCapacity calls, MonotonicTime now) {}
+            double cores,
+            int running,
+            double meanCoreSeconds,
+            CallCapacity calls,
+            MonotonicTime now) {}
 
     /**
      * The present capacity of the shared dependency.
@@ -51,7 +57,7 @@
      * @param waiting the requests that wait to call
      */
     record CallCapacity(
-            boolean isRestricted, double allowed, NanoDuration callTime, CallQueue waiting) {}
+            boolean isRestricted, double allowedCalls, NanoDuration callTime, CallQueue waiting) {}
 
     /**
      * The requests to reject.
@@ -65,7 +71,7 @@
     private static final class Candidate {
         static final Comparator<Candidate> LEAST_UTILITY_FIRST =
                 Comparator.<Candidate>comparingDouble(each -> each.utilityPerCost)
-                        .thenComparingLong(each -> -each.request.number());
+                        .thenComparingLong(each -> -each.request.arrivalNumber());
 
         final AdmittedRequest request;
         final double utilityPerCost;
@@ -113,7 +119,7 @@
 
     /** The core seconds of the queued requests that are within their tenant's quota. */
     double coreSecondsWithinQuotas(MonotonicTime now) {
-        ToDoubleFunction<AdmittedRequest> presentCost = each -> cost.cost(each, now);
+        ToDoubleFunction<AdmittedRequest> presentCost = each -> cost.coreSeconds(each, now);
         Stream<AdmittedRequest> withinQuota = queue.stream().filter(each -> !each.isOverQuota());
         return withinQuota.mapToDouble(presentCost).sum();
     }
@@ -132,29 +138,30 @@
             if (hasFreeCore && !cost.isTooLate(request, capacity.now()) && !callsRestricted) {
                 continue;
             }
-            double ownCoreSeconds = cost.cost(request, capacity.now());
+            double ownCoreSeconds = cost.coreSeconds(request, capacity.now());
             Candidate candidate = new Candidate(request, utility.utility(request) / ownCoreSeconds);
             candidates.add(candidate);
             coreSecondsAhead += ownCoreSeconds;
-            double coreSeconds = coreSecondsUntilDone(capacity, coreSecondsAhead, ownCoreSeconds);
+            double secondsUntilDone = secondsUntilDone(capacity, coreSecondsAhead, ownCoreSeconds);
             double usableSeconds = usableSecondsLeft(request, capacity.now());
-            if (coreSeconds + callSecondsUntilDone(capacity, request, callsRestricted)
+            if (secondsUntilDone + callSecondsUntilDone(capacity, request, callsRestricted)
                     > usableSeconds) {
                 // Where only calls are restricted, rejecting another request would not make this
                 // one finish in time.
-                Candidate rejected = coreSeconds > usableSeconds ? candidates.peek() : candidate;
+                Candidate rejected =
+                        secondsUntilDone > usableSeconds ? candidates.peek() : candidate;
                 candidates.remove(rejected);
-                coreSecondsAhead -= cost.cost(rejected.request, capacity.now());
+                coreSecondsAhead -= cost.coreSeconds(rejected.request, capacity.now());
                 selected.add(rejected.request);
             }
         }
         return new Overflow(selected, coreSecondsAhead);
     }
 
-    private static double coreSecondsUntilDone(
-            Capacity capacity, double coreSecondsAhead, double ownCoreSeconds) {
-        double runningSeconds = capacity.running() * capacity.meanCost() / 2;
-        return (runningSeconds + coreSecondsAhead) / capacity.cores() + ownCoreSeconds;
+    private static double secondsUntilDone(
+            Capacity capacity, double coreSecondsIncludingOwn, double ownCoreSeconds) {
+        double runningSeconds = capacity.running() * capacity.meanCoreSeconds() / 2;
+        return (runningSeconds + coreSecondsIncludingOwn) / capacity.cores() + ownCoreSeconds;
     }
 
     private double callSecondsUntilDone(
@@ -170,15 +177,15 @@
                         .count();
         return calls.callTime().seconds()
                 * request.classState().callSequence().meanCalls()
-                * (1 + callersAhead / calls.allowed());
+                * (1 + callersAhead / calls.allowedCalls());
     }
 
     private static double usableSecondsLeft(AdmittedRequest request, MonotonicTime now) {
-        double secondsLeft = request.due().since(now).seconds();
-        double secondsAtArrival = request.due().since(request.arrivedAt()).seconds();
+        double secondsLeft = request.dueAt().since(now).seconds();
+        double secondsAtArrival = request.dueAt().since(request.arrivedAt()).seconds();
         return secondsLeft
-                * (secondsLeft > secondsAtArrival * NEW_ARRIVAL_TIME_LEFT_RATIO
-                        ? NEW_ARRIVAL_TIME_RATIO
+                * (secondsLeft > secondsAtArrival * NEW_ARRIVAL_THRESHOLD_RATIO
+                        ? USABLE_TIME_RATIO_OF_NEW_ARRIVAL
                         : 1);
     }
 }
--- a/src/main/java/lupinwood/admission/DependencyLimiter.java
+++ b/src/main/java/lupinwood/admission/DependencyLimiter.java
@@ -7,16 +7,17 @@
  * allowed.
  *
  * <pre>
- * slow call (slack &lt; 1):  allowed = max(0.2 * quota, allowed * slack)
- * any other:              allowed = min(quota, allowed + (0.2 * quota)^2 / allowed)
- * while allowed &lt; 1:      next call at calledAt + max(duration / min(1, quota), typical / allowed)
+ * slow call (slack &lt; 1):    allowedCalls = max(0.2 * dependencyQuota, allowedCalls * slack)
+ * any other (see below):    allowedCalls = min(dependencyQuota, allowedCalls + (0.2 * dependencyQuota)^2 / allowedCalls)
+ * while allowedCalls &lt; 1:   next call at calledAt + max(duration / min(1, dependencyQuota), typical / allowedCalls)
  * </pre>
  *
  * <p>The quota is the load from this node that the dependency survives; it slows down long before
  * that. So a slow call reduces the allowed calls in proportion to how much too slow it was, and any
- * other call raises them. A node that starts cold makes one call at a time until some class has a
- * baseline (slow start). Where downstream is a tier of servers there is no quota, and the in-flight
- * limit alone bounds the calls.
+ * other call raises them once some request class has a baseline. A node that starts cold makes one
+ * call at a time until then (slow start); a slow call that ends while less than a fifth of the
+ * quota is allowed raises the allowed calls to that lower bound. Where downstream is a tier of
+ * servers there is no quota, and the in-flight limit alone bounds the calls.
  *
  * <p>A call that was given up counts as in flight while the dependency may still work on it. Under
  * a quota of less than one call, a pause after each call keeps the average within the quota.
@@ -25,43 +26,50 @@
  */
 final class DependencyLimiter {
     /**
-     * The part of the quota that is always allowed: without calls a recovery would not be noticed.
+     * The part of the quota below which a slow call never sets the allowed calls: without calls a
+     * recovery would not be noticed. A slow start begins at one call, even if this part is greater.
      */
     private static final double MIN_ALLOWED_QUOTA_RATIO = 0.2;
 
-    /** Samples of the call duration; fewer than elsewhere, to follow a change fast. */
-    private static final int RECENT_CALL_SAMPLES = Histogram.RECENT_SAMPLES / 4;
+    /**
+     * The weight at which the counts of call durations are halved; less than elsewhere, to follow a
+     * change fast.
+     */
+    private static final int CALL_DURATION_HALVING_WEIGHT = Histogram.RECENT_SAMPLES / 4;
 
-    private final double quota;
+    private final double dependencyQuota;
     private final NanoDuration tick;
-    private final Histogram recentCallSeconds = new Histogram(RECENT_CALL_SAMPLES);
-    private double allowed;
+    private final Histogram recentCallSeconds = new Histogram(CALL_DURATION_HALVING_WEIGHT);
+    private double allowedCalls;
     private MonotonicTime nextCallAt;
     private double typicalCallSeconds;
     private int inFlight;
-    private int completedCalls;
+    private int successfulCalls;
 
     DependencyLimiter(PolicySettings settings, MonotonicTime now) {
-        quota = settings.machine().dependencyQuota();
+        dependencyQuota = settings.machine().dependencyQuota();
         tick = settings.machine().tick();
         boolean slowStart = settings.machine().hasSharedDependency() && settings.startsCold();
-        allowed = slowStart ? Math.min(1, quota) : quota;
+        allowedCalls = slowStart ? Math.min(1, dependencyQuota) : dependencyQuota;
         nextCallAt = now;
     }
 
     /** The quota of this node, in calls in flight; 1e9 where there is none. */
-    double quota() {
-        return quota;
+    double dependencyQuota() {
+        return dependencyQuota;
     }
 
-    /** The calls in flight allowed at present; at least a fifth of the quota. */
-    double allowed() {
-        return allowed;
+    /**
+     * The calls in flight allowed at present; at least a fifth of the quota, or the one call with
+     * which a slow start begins where that is less.
+     */
+    double allowedCalls() {
+        return allowedCalls;
     }
 
     /** Whether less than half the quota is allowed. */
-    boolean isRestricted() {
-        return allowed < quota / 2;
+    boolean areCallsRestricted() {
+        return allowedCalls < dependencyQuota / 2;
     }
 
     /** Whether the pause after the last call has not ended yet. */
@@ -75,8 +83,8 @@
     }
 
     /**
-     * The expected duration of a call; one tick while none is in flight or paced, since nothing is
-     * known then and one call is always tried.
+     * The expected duration of a call. It is one tick while no call is in flight and no pause is
+     * pending, so that one call is always tried, and until a call has ended.
      */
     NanoDuration callTime(MonotonicTime now) {
         return (inFlight > 0 || isPacing(now)) && recentCallSeconds.weight() > 0
@@ -86,53 +94,57 @@
 
     /** Whether a call may be made now. */
     boolean hasRoom(MonotonicTime now) {
-        return !isPacing(now) && inFlight + 1 <= Math.max(1, allowed);
+        return !isPacing(now) && inFlight + 1 <= Math.max(1, allowedCalls);
     }
 
     /**
      * Records that a call is made.
      *
-     * @return the number of completed calls once all calls now in flight, this one included, have
-     *     returned; calls completed beyond that number were made later
+     * @return the number of successful calls that is reached when all calls now in flight, this one
+     *     included, have succeeded; successful calls beyond that number include some that were made
+     *     later
      */
     int onCallStarted() {
         inFlight++;
-        return completedCalls + inFlight;
+        return successfulCalls + inFlight;
     }
 
     /**
-     * The least number of calls that were made after a given call and have returned.
+     * A lower bound (may be negative) of the number of calls that were made after the given call
+     * and have succeeded.
      *
-     * @param expectedCompletedCalls what {@link #onCallStarted} returned for the given call
+     * @param expectedSuccessfulCalls what {@link #onCallStarted} returned for the given call
      */
-    int completedAfter(int expectedCompletedCalls) {
-        return completedCalls - expectedCompletedCalls;
+    int successfulCallsAfter(int expectedSuccessfulCalls) {
+        return successfulCalls - expectedSuccessfulCalls;
     }
 
     /** Records that a call succeeded. */
     void onCallSucceeded() {
-        completedCalls++;
+        successfulCalls++;
     }
 
     /**
      * Adjusts the allowed calls to the duration of a call that ended, successfully or not.
      *
      * @param slack see {@link BaselineLatency#slack}; less than 1 for a slow call
-     * @param hasAnyBaseline whether some class has a baseline; until then the allowed calls don't
-     *     grow
+     * @param hasAnyBaseline whether some request class has a baseline; until then the allowed calls
+     *     don't grow
      */
     void onCallEnded(NanoDuration duration, double slack, boolean hasAnyBaseline) {
         recentCallSeconds.add(duration.seconds());
-        double minAllowed = quota * MIN_ALLOWED_QUOTA_RATIO;
+        double minAllowed = dependencyQuota * MIN_ALLOWED_QUOTA_RATIO;
         if (slack < 1) {
-            allowed = Math.max(minAllowed, allowed * slack);
+            allowedCalls = Math.max(minAllowed, allowedCalls * slack);
         } else if (hasAnyBaseline) {
-            allowed = Math.min(quota, allowed + minAllowed * minAllowed / allowed);
+            allowedCalls =
+                    Math.min(
+                            dependencyQuota, allowedCalls + minAllowed * minAllowed / allowedCalls);
         }
     }
 
     /**
-     * Records that a call is no longer in flight, at the dependency either.
+     * Records that the dependency no longer works on a call.
      *
      * @return when the next call may be made, if calls are paced
      */
@@ -141,10 +153,11 @@
         double seconds = now.since(calledAt).seconds();
         typicalCallSeconds =
                 typicalCallSeconds > 0 ? Math.sqrt(typicalCallSeconds * seconds) : seconds;
-        if (allowed >= 1) {
+        if (allowedCalls >= 1) {
             return Optional.empty();
         }
-        double pauseSeconds = Math.max(seconds / Math.min(1, quota), typicalCallSeconds / allowed);
+        double pauseSeconds =
+                Math.max(seconds / Math.min(1, dependencyQuota), typicalCallSeconds / allowedCalls);
         nextCallAt = calledAt.plus(NanoDuration.ofSeconds(pauseSeconds));
         return Optional.of(nextCallAt);
     }
--- a/src/main/java/lupinwood/admission/ExecutorConcurrency.java
+++ b/src/main/java/lupinwood/admission/ExecutorConcurrency.java
@@ -5,14 +5,15 @@
  *
  * <pre>
  * survivable = cores * (1 + (overloadMultiple - 1) * speed)
- * run limit  = min(cores * (2 / runnableRatio - 1) * max(0.25, 1 - unreadRatio), floor(0.85 * survivable))
+ * run limit  = min(cores * (2 / runnableRatio - 1) * max(0.25, 1 - unreadRatio), floor(max(1, 0.85 * survivable)))
  * </pre>
  *
  * <p>One request runs on each core and, where runs wait for a disk, enough further ones to use the
  * cores meanwhile; more would only slow all of them down. A node that is behind with reading
- * requests runs fewer, since reading uses the same cores. Whatever the in-flight limit allows, the
- * running requests and those that return to the cores from their calls on their own stay within
- * what the node survives.
+ * requests runs fewer, since reading uses the same cores. Whatever the in-flight limit allows, a
+ * run or a call is started only if the running and the calling requests, including this one, stay
+ * within {@code survivable} (at least 1), since a request resumes running when its call returns,
+ * without a further check. A run that skips its call resumes without this check.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -20,7 +21,7 @@
     /** The part of the survivable number of running requests that is used. */
     private static final double USED_CAPACITY_RATIO = 0.85;
 
-    /** The part of its limit that a node runs however far behind with reading it is. */
+    /** The part of its limit that a node runs even if it is far behind with reading requests. */
     private static final double MIN_RATIO_WHILE_BEHIND = 0.25;
 
     private final double cores;
@@ -49,12 +50,15 @@
         running++;
     }
 
-    /** Records that a request stops running, for a call or for good. */
+    /** Records that a request stops running, for a call or because it ended. */
     void onRunPaused() {
         running--;
     }
 
-    /** Records a call whose request resumes running on its own when the call returns. */
+    /**
+     * Records a call whose request resumes running without a further decision when the call
+     * returns.
+     */
     void onCallStarted() {
         calling++;
     }
--- a/src/main/java/lupinwood/admission/Histogram.java
+++ b/src/main/java/lupinwood/admission/Histogram.java
@@ -1,25 +1,32 @@
 package lupinwood.admission;
 
 /**
- * A histogram of positive values in 48 logarithmic bins. Each time its weight reaches a bound all
- * counts are halved, so that recent values count most.
+ * A histogram of positive values, of one unit that the caller chooses, in 48 logarithmic bins. Each
+ * time its weight reaches a bound all counts are halved, so that recent values count most.
  */
 public final class Histogram {
-    /** The usual weight at which counts are halved: follows a change within seconds. */
+    /**
+     * How many recent samples count: the usual weight at which counts are halved, so that a
+     * histogram follows a change within seconds. Also used as the length of other averages over
+     * recent requests.
+     */
     static final int RECENT_SAMPLES = 32;
 
-    /** The least weight at which a mean or a median is used. */
-    static final double MIN_SAMPLES = 6;
+    /** The least weight, in samples after halving, at which a mean or a median is used. */
+    static final double MIN_WEIGHT = 6;
 
     private static final int BIN_COUNT = 48;
-    private static final double LOWEST_VALUE = 1e-4;
+
+    /** The lower bound of the lowest bin; in this package always in seconds. */
+    private static final double LOWEST_BIN_BOUND = 1e-4;
+
     private static final double BIN_WIDTH_RATIO = Math.sqrt(2);
 
     private static final double[] BIN_MIDPOINTS = new double[BIN_COUNT];
 
     static {
         for (int i = 0; i < BIN_COUNT; i++) {
-            BIN_MIDPOINTS[i] = LOWEST_VALUE * Math.pow(BIN_WIDTH_RATIO, i + 0.5);
+            BIN_MIDPOINTS[i] = LOWEST_BIN_BOUND * Math.pow(BIN_WIDTH_RATIO, i + 0.5);
         }
     }
 
@@ -50,7 +57,8 @@
      */
     public void add(double value) {
         double position =
-                Math.log(Math.max(value, LOWEST_VALUE) / LOWEST_VALUE) / Math.log(BIN_WIDTH_RATIO);
+                Math.log(Math.max(value, LOWEST_BIN_BOUND) / LOWEST_BIN_BOUND)
+                        / Math.log(BIN_WIDTH_RATIO);
         bins[Math.min(BIN_COUNT - 1, (int) position)] += 1;
         weight += 1;
         mean = Double.NaN;
--- a/src/main/java/lupinwood/admission/Idempotency.java
+++ b/src/main/java/lupinwood/admission/Idempotency.java
@@ -1,6 +1,9 @@
 package lupinwood.admission;
 
-/** What running a request more than once would do, in the terms of HTTP. */
+/**
+ * What the settings declare about running a request more than once. SAFE has the meaning of HTTP;
+ * IDEMPOTENT has not: there, repeating a request is harmless, here it must be prevented.
+ */
 public enum Idempotency {
     /** It has no effect; it may run any number of times. */
     SAFE,
--- a/src/main/java/lupinwood/admission/IdempotencyGuard.java
+++ b/src/main/java/lupinwood/admission/IdempotencyGuard.java
@@ -46,7 +46,7 @@
     }
 
     Verdict check(AdmittedRequest request) {
-        RequestId originalId = request.request().original();
+        RequestId originalId = request.received().original();
         if (!isIdempotent(request) || originalId == null) {
             return Verdict.MAY_RUN;
         }
@@ -66,8 +66,8 @@
         if (!isIdempotent(request)) {
             return;
         }
-        // A window that ended while the request was unread is still kept for a tick: retries made
-        // within it may be unread too.
+        // The request is remembered for one tick (in this map for two) even if its window ended
+        // before it was read, since retries sent within the window may not have been read yet.
         MonotonicTime windowEnd = request.arrivedAt().plus(request.requestClass().window());
         NanoDuration timeLeft = windowEnd.since(server.now()).max(NanoDuration.ZERO);
         memory.reserve(recordKb);
@@ -77,7 +77,7 @@
     }
 
     /** Forgets a request that never ran, so that a retry may run. */
-    void release(AdmittedRequest request) {
+    void forget(AdmittedRequest request) {
         if (removeRecord(request)) {
             server.forget(request.id());
         }
--- a/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
+++ b/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
@@ -15,7 +15,8 @@
  * </pre>
  *
  * <p>A node that is behind with reading requests keeps idle connections longer, whatever the
- * fullness, so that connections are not refused needlessly.
+ * fullness, since connections that the lag alone makes look idle would be closed, and upstreams
+ * would only open them anew.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -26,8 +27,11 @@
      */
     private static final double MAX_CONNECTIONS_PER_REQUEST = 8;
 
-    private static final double SHRINK_RATIO = 0.9;
-    private static final double GROWTH_RATIO = 1.1;
+    /** The factor applied to the idle timeout at a refresh while there are too many connections. */
+    private static final double IDLE_TIMEOUT_SHRINK_RATIO_PER_REFRESH = 0.9;
+
+    /** The factor applied to the idle timeout at a refresh while there are few connections. */
+    private static final double IDLE_TIMEOUT_GROWTH_RATIO_PER_REFRESH = 1.1;
 
     /** The idle timeout never falls below this part of the longest. */
     private static final double MIN_IDLE_TIMEOUT_RATIO = 0.01;
@@ -64,20 +68,23 @@
     }
 
     /** Adjusts the idle timeout, and applies it if it changed. */
-    void adjust(double meanCost, boolean isBehindWithReading) {
+    void adjust(double meanCoreSeconds, boolean isBehindWithReading) {
         NanoDuration maxIdle = settings.maxIdleTimeout();
         double fullness =
                 connections
-                        * meanCost
+                        * meanCoreSeconds
                         / (MAX_CONNECTIONS_PER_REQUEST
                                 * upstreamReuseRatio()
                                 * cores
                                 * settings.meanObjectiveSeconds());
         NanoDuration newTimeout = idleTimeout;
         if (isBehindWithReading || fullness < 0.5) {
-            newTimeout = idleTimeout.times(GROWTH_RATIO).min(maxIdle);
+            newTimeout = idleTimeout.times(IDLE_TIMEOUT_GROWTH_RATIO_PER_REFRESH).min(maxIdle);
         } else if (fullness > 1) {
-            newTimeout = idleTimeout.times(SHRINK_RATIO).max(maxIdle.times(MIN_IDLE_TIMEOUT_RATIO));
+            newTimeout =
+                    idleTimeout
+                            .times(IDLE_TIMEOUT_SHRINK_RATIO_PER_REFRESH)
+                            .max(maxIdle.times(MIN_IDLE_TIMEOUT_RATIO));
         }
         if (!newTimeout.equals(idleTimeout)) {
             idleTimeout = newTimeout;
--- a/src/main/java/lupinwood/admission/InFlightLimiter.java
+++ b/src/main/java/lupinwood/admission/InFlightLimiter.java
@@ -2,9 +2,11 @@
 
 /**
  * The count of in-flight requests that may call downstream, shared by all request classes and
- * tenants and bounded by the {@link AimdLimit}. A request is counted from admission until its last
- * call ended. A class that never calls is not counted, so none of its requests is rejected because
- * of a slow dependency.
+ * tenants. A request is counted from admission until its predicted last call succeeded, and again
+ * from its next call if it needs one after all. The {@link AimdLimit} bounds the count when a
+ * request is admitted; a request that is counted again is not checked against it. A request class
+ * that never calls is not counted, so none of its requests is rejected because of a slow
+ * dependency.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
--- a/src/main/java/lupinwood/admission/LoadReporter.java
+++ b/src/main/java/lupinwood/admission/LoadReporter.java
@@ -7,11 +7,11 @@
  * allowance = cores * max(1, (mean objective / 2) / mean cost) / upstreams; 0 while draining
  * floor     = the rank below which upstreams are to send nothing, in hundredths; 1 while draining
  * weight    = 1; 0 while draining
- * change of the floor = seconds * (waiting ratio - 0.15), within 0 and 1 - 1 / classes
+ * each refresh: floor = floor + interval seconds * (waiting ratio - 0.15), within 0 and 1 - 1 / classes
  * </pre>
  *
- * <p>A new value is reported when it differs from the last one by more than 1/32 of that. The floor
- * never excludes the class with the highest priority weight.
+ * <p>A new value is reported when it differs from the last one by more than 1/32 of that. Except
+ * while draining, the floor never excludes the request class with the highest priority weight.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -43,7 +43,7 @@
     /** Updates the unread ratio with a request that was just read. */
     void onRead(AdmittedRequest request) {
         double waitRatio =
-                request.request().waited().seconds()
+                request.received().waited().seconds()
                         / request.requestClass().latencyObjective().seconds();
         unreadRatio += (waitRatio - unreadRatio) / Histogram.RECENT_SAMPLES;
     }
@@ -67,17 +67,17 @@
      * Moves the floor by how much recent requests waited.
      *
      * @param queuedRatio the part of the mean latency objective that the queued work takes
-     * @param sinceLast the time since the last adjustment
+     * @param interval the time for which this adjustment stands in: that until the next one
      */
-    void adjustFloor(double queuedRatio, NanoDuration sinceLast) {
+    void adjustFloor(double queuedRatio, NanoDuration interval) {
         double waitingRatio = queuedRatio + unreadRatio;
-        double newFloor = floor + sinceLast.seconds() * (waitingRatio - TOLERATED_WAIT_RATIO);
+        double newFloor = floor + interval.seconds() * (waitingRatio - TOLERATED_WAIT_RATIO);
         floor = Math.max(0, Math.min(maxFloor, newFloor));
     }
 
     /** Reports the value if it has changed enough. */
-    void report(double meanCost, boolean draining) {
-        double value = value(meanCost, draining);
+    void report(double meanCoreSeconds, boolean draining) {
+        double value = value(meanCoreSeconds, draining);
         if (value >= 0
                 && Math.abs(value - lastReported) > lastReported / Histogram.RECENT_SAMPLES) {
             lastReported = value;
@@ -85,9 +85,9 @@
         }
     }
 
-    private double value(double meanCost, boolean draining) {
+    private double value(double meanCoreSeconds, boolean draining) {
         return switch (settings.loadSignal()) {
-            case ALLOWANCE -> draining ? 0 : allowance(meanCost);
+            case ALLOWANCE -> draining ? 0 : allowance(meanCoreSeconds);
             case FLOOR -> draining ? 1 : Math.round(floor * 100) / 100.0;
             case WEIGHT -> draining ? 0 : 1;
             case NONE -> -1;
@@ -95,8 +95,9 @@
     }
 
     /** The requests that can be finished within half the mean latency objective, per upstream. */
-    private double allowance(double meanCost) {
-        double requestsPerCore = settings.meanObjectiveSeconds() / 2 / Math.max(1e-9, meanCost);
+    private double allowance(double meanCoreSeconds) {
+        double requestsPerCore =
+                settings.meanObjectiveSeconds() / 2 / Math.max(1e-9, meanCoreSeconds);
         return cores * Math.max(1, requestsPerCore) / Math.max(1, settings.upstreams());
     }
 }
--- a/src/main/java/lupinwood/admission/LoadSignal.java
+++ b/src/main/java/lupinwood/admission/LoadSignal.java
@@ -10,6 +10,6 @@
     ALLOWANCE,
     /** The rank below which upstreams are to send nothing. */
     FLOOR,
-    /** 1 while requests are admitted, 0 while draining. */
+    /** 0 while draining, although requests are admitted for a part of the drain; otherwise 1. */
     WEIGHT
 }
--- a/src/main/java/lupinwood/admission/MemoryBudget.java
+++ b/src/main/java/lupinwood/admission/MemoryBudget.java
@@ -1,9 +1,11 @@
 package lupinwood.admission;
 
 /**
- * The memory taken by admitted requests, running requests and idempotency records, in kilobytes of
- * 1,000 bytes, at the amounts that the settings give for each. At most {@link #USED_MEMORY_RATIO}
- * of the machine's memory is used.
+ * The memory taken by open requests, running requests and idempotency records, in kilobytes of
+ * 1,000 bytes, at the amounts that the settings give for each. A request is admitted and a run is
+ * started only while at most {@link #USED_MEMORY_RATIO} of the machine's memory is used. Reserving
+ * does not check this: an open request counts before it is checked, and a retry that is answered
+ * from its original is never checked.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
--- a/src/main/java/lupinwood/admission/PolicySettings.java
+++ b/src/main/java/lupinwood/admission/PolicySettings.java
@@ -13,10 +13,13 @@
  * @param warmUpNanos the time from the cold to the full speed, in nanoseconds
  * @param overloadMultiple the running requests per core beyond which a warm node fails
  * @param overloadWindow the time for which the node survives more than that
- * @param drainGrace the time after the notice to drain in which requests may still arrive and run
- * @param quotaWindow the time over which a dependency quota of less than one call is averaged
+ * @param drainGrace the grace period after the notice to drain; only requests that arrive within
+ *     the first half of it may still run
+ * @param dependencyQuotaWindow the time over which a dependency quota of less than one call in
+ *     flight is averaged
  * @param callLinger the time for which the dependency may still work on a call that was given up
- * @param worstClassShare the weight, from 0 to 1, of the class served worst in the operators' goal
+ * @param worstClassWeight the weight, from 0 to 1, of the request class served worst in the
+ *     operators' goal
  * @param overQuotaValue the value of a request over its tenant's quota, as a share of its utility
  * @param classes the request classes, in the order of the settings
  * @param meanObjectiveSeconds the mean latency objective of all classes; 1 if there are none
@@ -36,9 +39,9 @@
         double overloadMultiple,
         NanoDuration overloadWindow,
         NanoDuration drainGrace,
-        NanoDuration quotaWindow,
+        NanoDuration dependencyQuotaWindow,
         NanoDuration callLinger,
-        double worstClassShare,
+        double worstClassWeight,
         double overQuotaValue,
         List<RequestClass> classes,
         double meanObjectiveSeconds,
--- a/src/main/java/lupinwood/admission/PolicySettingsMapper.java
+++ b/src/main/java/lupinwood/admission/PolicySettingsMapper.java
@@ -13,12 +13,12 @@
  */
 public final class PolicySettingsMapper {
     private static final double UNBOUNDED_MEMORY_KB = 1e12;
-    private static final double UNBOUNDED_QUOTA_CALLS = 1e9;
+    private static final double UNBOUNDED_QUOTA_CALLS_IN_FLIGHT = 1e9;
 
     /**
      * The least quota, in calls in flight; a smaller one would make endless pauses between calls.
      */
-    private static final double MIN_QUOTA_CALLS = 1e-3;
+    private static final double MIN_QUOTA_CALLS_IN_FLIGHT = 1e-3;
 
     private static final double DEFAULT_OVERLOAD_RUNS_PER_CORE = 3;
 
@@ -58,9 +58,10 @@
                 hasSharedDependency,
                 hasSharedDependency
                         ? Math.max(
-                                MIN_QUOTA_CALLS,
-                                settings.number("domain.calls_out", UNBOUNDED_QUOTA_CALLS))
-                        : UNBOUNDED_QUOTA_CALLS);
+                                MIN_QUOTA_CALLS_IN_FLIGHT,
+                                settings.number(
+                                        "domain.calls_out", UNBOUNDED_QUOTA_CALLS_IN_FLIGHT))
+                        : UNBOUNDED_QUOTA_CALLS_IN_FLIGHT);
     }
 
     private static PolicySettings read(
--- a/src/main/java/lupinwood/admission/RejectionPolicy.java
+++ b/src/main/java/lupinwood/admission/RejectionPolicy.java
@@ -4,12 +4,13 @@
  * What a rejection asks of the upstream: a pause before the next request (Retry-After), and whether
  * to try no other node.
  *
- * <p>Other nodes are discouraged where the request is over its tenant's quota, came too late for
- * its work, or where requests here have waited for long although this node is not slow. Then the
- * other nodes are likely to be as loaded, and each node that reads the request pays for it.
+ * <p>Other nodes are discouraged where the request is over its tenant's quota, where too little of
+ * its time is left for its work, or where requests here have waited for long although this node is
+ * not slow, since then the other nodes are likely to be as loaded. Reading the request would cost
+ * each of these nodes core time.
  *
- * <p>A request of a bursting tenant gets no Retry-After, since its upstream serves other tenants
- * too.
+ * <p>A request of a bursting tenant that is over its tenant's quota gets no Retry-After, since its
+ * upstream serves other tenants too.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
--- a/src/main/java/lupinwood/admission/RejectionReason.java
+++ b/src/main/java/lupinwood/admission/RejectionReason.java
@@ -2,7 +2,10 @@
 
 /** Why a request is rejected without having run; written to the log. */
 enum RejectionReason {
-    /** The node is draining, and the request came too late to be run. */
+    /**
+     * The node is draining, and the request came too late to be run or was still queued when the
+     * last answers were due.
+     */
     DRAINING("draining"),
     /** The memory budget has no room for the request. */
     MEMORY_FULL("memory_full"),
@@ -13,11 +16,12 @@
      */
     OVER_QUOTA("over_quota"),
     /**
-     * Some queued request cannot be done in time, and this request, not necessarily the same, adds
-     * the least utility for its cost among those due no later.
+     * A queued request cannot finish by its due time. Of the queued requests due no later than that
+     * one, the rejected request has the least utility per core second (it may be the late one
+     * itself); where only restricted calls make a request late, that request is rejected.
      */
     CANNOT_FINISH_IN_TIME("cannot_finish_in_time"),
-    /** Its answer deadline passed before it was run. */
+    /** Its answer deadline, or that of a drain if earlier, passed before it was run. */
     DEADLINE_PASSED("deadline_passed");
 
     private final String logName;
--- a/src/main/java/lupinwood/admission/RequestLifecycle.java
+++ b/src/main/java/lupinwood/admission/RequestLifecycle.java
@@ -7,8 +7,8 @@
 
 /**
  * Moves requests through their states, and with each step requests the actions of the node and
- * informs the rules. Each request gets one final answer: its result, {@link #reject} or {@link
- * #fail}.
+ * informs the rules. Each request gets one final answer, unless its client is gone before: its
+ * result, {@link #reject} or {@link #fail}.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -19,7 +19,7 @@
     private PolicySettings settings;
 
     /** All requests that need an answer or take memory, by order of arrival. */
-    private final TreeMap<Long, AdmittedRequest> open = new TreeMap<>();
+    private final TreeMap<Long, AdmittedRequest> openRequests = new TreeMap<>();
 
     RequestLifecycle(ServerActions server, AdmissionRules rules, PolicySettings settings) {
         this.server = server;
@@ -35,9 +35,9 @@
     // Arrival and end.
 
     /** Registers a request that was read; it takes memory from now on. */
-    void open(AdmittedRequest request) {
-        open.put(request.number(), request);
-        rules.memory.reserve(request.request().memoryKb());
+    void register(AdmittedRequest request) {
+        openRequests.put(request.arrivalNumber(), request);
+        rules.memory.reserve(request.received().memoryKb());
     }
 
     /** Adds a request to the queue for a core. */
@@ -55,18 +55,18 @@
 
     /** Rejects all open requests; those that may have run are failed instead. */
     void rejectAll(RejectionReason reason) {
-        for (AdmittedRequest request : List.copyOf(open.values())) {
+        for (AdmittedRequest request : List.copyOf(openRequests.values())) {
             reject(request, reason, NanoDuration.ZERO);
         }
     }
 
     /**
-     * Final answer: the request never ran here. A request that did run, here or as its original, is
-     * failed instead, since a rejection promises that nothing ran.
+     * Final answer: the request never ran here. A request that has run, or a retry whose original
+     * may have run, is failed instead, since a rejection promises that nothing ran.
      */
     void reject(AdmittedRequest request, RejectionReason reason, NanoDuration retryAfter) {
         if (request.hasRun()
-                || request.isAnswered()
+                || request.needsNoAnswer()
                 || request.isInState(AdmittedRequest.State.AWAITING_ORIGINAL)) {
             fail(request);
             return;
@@ -76,21 +76,22 @@
                 request.id(),
                 rules.rejections.discouragesOtherNodes(request, server.now()),
                 rules.rejections.retryAfter(request, retryAfter));
-        request.markAnswered();
+        request.markNeedsNoAnswer();
         request.refundQuota();
         finish(request);
     }
 
     /**
      * Final answer: an error, with nothing promised about whether the request ran. Does nothing if
-     * the request is answered already. A request whose run has begun is not finished by this: it
-     * takes memory until the executor ends the run and {@link #onCompleted} is called.
+     * the request needs no answer any more. A request that is running or calling is not finished by
+     * this: it takes memory until the executor ends the run and {@link #onCompleted} is called. In
+     * any other state it is finished at once, even if its run has begun and waits to call.
      */
     void fail(AdmittedRequest request) {
-        if (request.isAnswered()) {
+        if (request.needsNoAnswer()) {
             return;
         }
-        request.markAnswered();
+        request.markNeedsNoAnswer();
         request.markFailed();
         server.fail(request.id());
         if (request.isInState(AdmittedRequest.State.CALLING)) {
@@ -104,13 +105,13 @@
 
     /** Handles a request whose client no longer waits for it. */
     void onClientGone(AdmittedRequest request) {
-        request.markAnswered();
+        request.markNeedsNoAnswer();
         if (request.isInState(AdmittedRequest.State.RUNNING) && canStopRuns) {
             server.stop(request.id());
         } else if (!request.hasRun()) {
             // A request withdrawn before its due time counts neither for its tenant's quota nor as
             // a request that its class served late: a faulty client may send and withdraw hundreds.
-            if (server.now().isBefore(request.due())) {
+            if (server.now().isBefore(request.dueAt())) {
                 request.refundQuota();
                 rules.utility.onWithdrawn(request.classIndex());
             }
@@ -123,12 +124,12 @@
         rules.queue.remove(request);
         rules.callQueue.remove(request);
         request.moveTo(AdmittedRequest.State.FINISHED);
-        open.remove(request.number());
+        openRequests.remove(request.arrivalNumber());
         if (request.isProvenNeverRun()) {
-            rules.idempotency.release(request);
+            rules.idempotency.forget(request);
         }
         rules.memory.release(
-                request.request().memoryKb() + (request.hasRun() ? runMemoryKb(request) : 0));
+                request.received().memoryKb() + (request.hasRun() ? runMemoryKb(request) : 0));
         rules.inFlight.leave(request);
         server.release(request.id());
     }
@@ -146,7 +147,7 @@
 
     /** The memory that a running request takes beyond that of a queued one, in kilobytes. */
     double runMemoryKb(AdmittedRequest request) {
-        return request.request().memoryKb() * (settings.runMemoryFactor() - 1);
+        return request.received().memoryKb() * (settings.runMemoryFactor() - 1);
     }
 
     /** Handles the end of a run, or of the original that a retry waits for. */
@@ -156,7 +157,7 @@
             abandonCall(request);
         }
         leaveCores(request);
-        boolean isInTime = !request.isAnswered() && !request.due().isBefore(server.now());
+        boolean isInTime = !request.needsNoAnswer() && !request.dueAt().isBefore(server.now());
         if (outcome == Outcome.OK && isInTime) {
             rules.utility.onServedInTime(request.classIndex());
         }
@@ -169,14 +170,14 @@
 
     private void enterCores(AdmittedRequest request) {
         rules.coreTime.advance(server.now(), rules.concurrency.running());
-        request.startRun(rules.coreTime.coreSecondsPerRun());
+        request.enterCores(rules.coreTime.coreSecondsPerRun());
         rules.concurrency.onRunStarted();
     }
 
     private void leaveCores(AdmittedRequest request) {
         if (request.isInState(AdmittedRequest.State.RUNNING)) {
             rules.coreTime.advance(server.now(), rules.concurrency.running());
-            request.pauseRun(rules.coreTime.coreSecondsPerRun());
+            request.leaveCores(rules.coreTime.coreSecondsPerRun());
             rules.concurrency.onRunPaused();
         }
     }
@@ -202,9 +203,10 @@
     void call(AdmittedRequest request) {
         rules.callQueue.remove(request);
         request.moveTo(AdmittedRequest.State.CALLING);
-        // Requests that wait to call don't load the dependency. Before any baseline is known, calls
-        // are made one at a time; if the waiting requests counted here, no call would be a baseline
-        // call and no baseline would ever become known.
+        // Requests that wait to call don't load the dependency. A node that starts cold with a
+        // shared dependency makes one call at a time until a baseline is known; if the waiting
+        // requests counted here, no call would be a baseline call and no baseline would ever
+        // become known.
         int waitingToCall = rules.hasNoBaseline() ? rules.callQueue.size() : 0;
         boolean isBaselineCall =
                 rules.inFlight.limit().isUnderusedBy(rules.inFlight.inFlight() - waitingToCall);
@@ -235,9 +237,10 @@
             return;
         }
         reduceLimit(request);
-        int completedLater = rules.dependency.completedAfter(request.expectedCompletedCalls());
+        int laterSuccessfulCalls =
+                rules.dependency.successfulCallsAfter(request.expectedSuccessfulCalls());
         switch (rules.retryPolicy.onOverdue(
-                request, completedLater, request.failedCallAttempts())) {
+                request, laterSuccessfulCalls, request.failedCallAttempts())) {
             case KEEP_WAITING -> checkTargetAfter(request, callMadeAt, target);
             case FAIL -> fail(request);
             case CALL_ANEW -> {
@@ -271,13 +274,13 @@
         } else {
             rules.inFlight.limit().onFastCall(rules.inFlight.inFlight());
             if (request.isBaselineCall()) {
-                request.classState().baseline().add(duration, slow, request.number());
+                request.classState().baseline().add(duration, slow, request.arrivalNumber());
             }
         }
         CallSequence calls = request.classState().callSequence();
         calls.onCallSucceeded(request.successfulCalls());
         request.markCallSucceeded();
-        if (!calls.isAnotherCallLikely(request.successfulCalls())) {
+        if (!calls.predictAnotherCall(request.successfulCalls())) {
             rules.inFlight.leave(request);
         }
         enterCores(request);
@@ -298,24 +301,24 @@
             skipCallOrFail(request);
             return;
         }
-        double backoffSeconds = rules.cost.meanCost(server.now()) * attempts;
+        double backoffSeconds = rules.cost.meanCoreSeconds(server.now()) * attempts;
         rules.timers.scheduleAfter(
                 NanoDuration.ofSeconds(backoffSeconds),
                 () -> {
                     if (request.isInState(AdmittedRequest.State.WAITING_TO_CALL)
-                            && !request.isAnswered()) {
+                            && !request.needsNoAnswer()) {
                         rules.callQueue.add(request);
                     }
                 });
     }
 
     /**
-     * Skips the call where an answer without it is paid for, else fails the request. Used when the
-     * call timed out, failed or could not return in time, and at once while calls take longer than
-     * their target.
+     * Skips the call where the request class has a positive skippedCallValue and the request still
+     * needs an answer, else fails the request. Used when the call timed out, failed or could not
+     * return in time, and at once while calls take longer than their target.
      */
     void skipCallOrFail(AdmittedRequest request) {
-        if (request.requestClass().skippedCallValue() > 0 && !request.isAnswered()) {
+        if (request.requestClass().skippedCallValue() > 0 && !request.needsNoAnswer()) {
             server.skipCall(request.id());
             enterCores(request);
         } else {
--- a/src/main/java/lupinwood/admission/ResourceUsage.java
+++ b/src/main/java/lupinwood/admission/ResourceUsage.java
@@ -16,8 +16,8 @@
     public static final ResourceUsage UNKNOWN = named(List.of(), new double[0]);
 
     /**
-     * Assigns values to their names, which are in the order of the settings; unknown names are
-     * ignored.
+     * Assigns values to their names: {@code values[i]} is the reading named {@code names[i]}, in
+     * the order of the settings. Unknown names are ignored.
      */
     public static ResourceUsage named(List<String> names, double[] values) {
         return new ResourceUsage(
--- a/src/main/java/lupinwood/admission/ServerActions.java
+++ b/src/main/java/lupinwood/admission/ServerActions.java
@@ -20,7 +20,7 @@
      * Final answer: the request never ran here.
      *
      * @param doNotRetryElsewhere whether to ask the upstream to try no other node
-     * @param retryAfter how long the upstream is asked to wait; zero for no such request
+     * @param retryAfter how long the upstream is asked to wait; zero if no Retry-After is sent
      */
     void reject(RequestId requestId, boolean doNotRetryElsewhere, NanoDuration retryAfter);
 
@@ -45,10 +45,10 @@
     /**
      * Sets the answer to health checks.
      *
-     * @param good whether the node is healthy
-     * @param fromStore whether health checks are answered at once rather than after real work
+     * @param healthy whether the node is healthy
+     * @param answeredAtOnce whether health checks are answered at once rather than after real work
      */
-    void reportHealth(boolean good, boolean fromStore);
+    void reportHealth(boolean healthy, boolean answeredAtOnce);
 
     /** Sets the value of the load report, which is sent with every answer. */
     void reportAvailableCapacity(double value);
--- a/src/main/java/lupinwood/admission/SpeedRamp.java
+++ b/src/main/java/lupinwood/admission/SpeedRamp.java
@@ -1,7 +1,8 @@
 package lupinwood.admission;
 
 /**
- * The share of its full speed that a node is certain to have: a cold start rises linearly to 1.
+ * The share of its full speed that a node is assumed to have: after a cold start it rises linearly
+ * from {@code coldSpeed} to 1, otherwise it is 1.
  *
  * <pre>speed = min(1, coldSpeed + (1 - coldSpeed) * age / warmUp)</pre>
  *
--- a/src/main/java/lupinwood/admission/TenantQuota.java
+++ b/src/main/java/lupinwood/admission/TenantQuota.java
@@ -60,14 +60,17 @@
             updatedAt = now;
         }
 
-        /** A decayed count of recent requests as a multiple of the quota. */
+        /** Converts a decayed count of recent requests to a multiple of the quota. */
         private double multipleOfQuota(double requests) {
             double ageSeconds = Math.max(MIN_WINDOW_SECONDS, updatedAt.since(startedAt).seconds());
             double observedRatio = 1 - Math.exp(-ageSeconds / windowSeconds);
             return requests / Math.max(1e-9, rate * windowSeconds * observedRatio);
         }
 
-        /** Counts a request, and whether it is within the quota; if so, takes one token. */
+        /**
+         * Counts a request and takes one token if there is one; returns whether the request is
+         * within the quota.
+         */
         private boolean tryTake(MonotonicTime now) {
             buckets.forEach(bucket -> bucket.advance(now));
             offered++;
@@ -113,7 +116,7 @@
 
     /** Charges a request to its tenant, if that has a quota. */
     void charge(AdmittedRequest request, MonotonicTime now) {
-        int tenantIndex = request.request().tenantId().number();
+        int tenantIndex = request.received().tenantId().number();
         if (tenantIndex < buckets.size() && buckets.get(tenantIndex).rate > 0) {
             Bucket bucket = buckets.get(tenantIndex);
             request.chargeTo(bucket, !bucket.tryTake(now));
--- a/src/main/java/lupinwood/admission/UtilityModel.java
+++ b/src/main/java/lupinwood/admission/UtilityModel.java
@@ -7,8 +7,8 @@
  * priority weight of the requests offered, and more while its class is the one served worst.
  *
  * <pre>
- * utility = (1 - worstClassShare) * priorityWeight / offeredWeight
- *         + (its class is the worst ? worstClassShare / offered(class) : 0)
+ * utility = (1 - worstClassWeight) * priorityWeight / offeredWeight
+ *         + (its request class is the worst ? worstClassWeight / offered(request class) : 0)
  * over its tenant's quota: utility * overQuotaValue
  * </pre>
  *
@@ -76,11 +76,11 @@
 
     /** The utility of serving this request in time. */
     double utility(AdmittedRequest request) {
-        double worstClassShare = settings.worstClassShare();
+        double worstClassWeight = settings.worstClassWeight();
         int classIndex = request.classIndex();
         double utility =
-                (1 - worstClassShare) * request.requestClass().priorityWeight() / offeredWeight
-                        + (classIndex == worstClass ? worstClassShare / offered[classIndex] : 0);
+                (1 - worstClassWeight) * request.requestClass().priorityWeight() / offeredWeight
+                        + (classIndex == worstClass ? worstClassWeight / offered[classIndex] : 0);
         return utility * (request.isOverQuota() ? settings.overQuotaValue() : 1);
     }
 
--- a/src/test/java/lupinwood/admission/AdmissionControllerTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -60,20 +60,20 @@
     }
 
     /**
-     * While a node drains, a request whose client is gone has no final answer left to give. A retry
-     * of it that arrives after the last answers of the drain must not wait for its result.
+     * During a drain, an original whose client is gone is never answered. A retry that arrives
+     * after the drain's last answers fails at once instead of waiting for the original's result.
      */
     @Test
     void retryAfterLastDrainAnswersDoesNotWaitForOriginal() {
-        RecordingServer server = new RecordingServer().start();
-        long original = server.admit(RecordingServer.IDEMPOTENT);
-        server.deliver(original, RequestListener::onClientGone);
-        server.policy.drain(NanoDuration.ofSeconds(3));
-        server.advanceMillis(2900);
-        server.trace.clear();
-        server.admit(RecordingServer.IDEMPOTENT, original, 10, 0);
-        server.advanceMillis(20);
-        assertThat(server.traceText())
+        RecordingServer drainingServer = new RecordingServer().start();
+        long original = drainingServer.admit(RecordingServer.IDEMPOTENT);
+        drainingServer.deliver(original, RequestListener::onClientGone);
+        drainingServer.policy.drain(NanoDuration.ofSeconds(3));
+        drainingServer.advanceMillis(2900);
+        drainingServer.trace.clear();
+        drainingServer.admit(RecordingServer.IDEMPOTENT, original, 10, 0);
+        drainingServer.advanceMillis(20);
+        assertThat(drainingServer.traceText())
                 .isEqualTo(
                         """
                 2900 answer from original 2
@@ -161,7 +161,7 @@
     @Test
     void requestIsCountedInFlightUntilItsLikelyLastCall() {
         withLongObjective().set("domain.cpus=8 domain.calls_out=40").start();
-        server.baseline(100);
+        server.learnBaseline(100);
         long calledBefore = server.admit(RecordingServer.SAFE);
         server.call(calledBefore, 100, Outcome.OK);
         for (int i = 0; i < 19; i++) {
@@ -200,7 +200,7 @@
     @Test
     void slowCallReducesLimitOnceWhileInFlight() {
         withLongObjective().start();
-        server.baseline(100);
+        server.learnBaseline(100);
         long slow = server.admit(RecordingServer.SAFE);
         server.call(slow, 12000, Outcome.BROKEN);
         assertThat(server.traceText())
@@ -220,11 +220,11 @@
             server.call(idempotent, 100, Outcome.OK);
             server.complete(idempotent);
         }
-        server.baseline(100);
+        server.learnBaseline(100);
         for (int classIndex : new int[] {RecordingServer.SAFE, RecordingServer.IDEMPOTENT}) {
             server.deliver(server.admit(classIndex), RequestListener::onCallNeeded);
         }
-        server.baseline(50);
+        server.learnBaseline(50);
         server.advanceMillis(700);
         assertThat(server.traceText())
                 .as("too few later calls returned")
@@ -233,8 +233,8 @@
                 2600 log in-flight limit reduced limit=18.0
                 2600 log in-flight limit reduced limit=16.2
                 """);
-        server.baseline(30);
-        server.baseline(30);
+        server.learnBaseline(30);
+        server.learnBaseline(30);
         server.advanceMillis(1200);
         server.deliver(
                 17, listener -> listener.onCallCompleted(Outcome.OK, NanoDuration.ofSeconds(0.5)));
@@ -250,7 +250,7 @@
     @Test
     void targetIsThreeBaselineMediansIfThatIsLonger() {
         withLongObjective().start();
-        server.baseline(5000);
+        server.learnBaseline(5000);
         long callWithinTarget = server.admit(RecordingServer.SAFE);
         server.call(callWithinTarget, 12000, Outcome.OK);
         long callPastTarget = server.admit(RecordingServer.SAFE);
@@ -326,7 +326,7 @@
     @Test
     void callsThatTurnSlowAreMadeLessOftenThanOneAtATime() {
         withLongObjective().set("domain.calls_out=1").start();
-        server.baseline(100);
+        server.learnBaseline(100);
         server.call(server.admit(RecordingServer.SAFE), 2000, Outcome.OK);
         server.call(server.admit(RecordingServer.SAFE), 2000, Outcome.OK);
         assertThat(server.traceText())
@@ -392,8 +392,8 @@
     }
 
     /**
-     * Guards against a client that sends 200 copies of a request and withdraws them, which put its
-     * tenant over its quota.
+     * Guards against a fault in which a client that sent 200 copies of a request and withdrew them
+     * put its tenant over its quota. The test sends 30 copies.
      */
     @Test
     void withdrawnRequestsUseNoTenantQuota() {
@@ -504,7 +504,7 @@
             assertThat(server.traceText().strip())
                     .isEqualTo(requestId < 4 ? "0 call " + (requestId + 1) : "");
         }
-        server.baseline(100);
+        server.learnBaseline(100);
         assertThat(callsMadeForFourRequests())
                 .as("the baseline is known and calls are fast")
                 .isEqualTo(4);
@@ -543,8 +543,8 @@
     }
 
     /**
-     * Guards against a fault in which calls returned together, so that four and more requests ran
-     * on two cores.
+     * Guards against a fault in which calls returned together, so that more requests ran on two
+     * cores than the four that they survive.
      */
     @Test
     void callingRequestsStayWithinWhatTheCoresSurvive() {
--- a/src/test/java/lupinwood/admission/RecordingServer.java
+++ b/src/test/java/lupinwood/admission/RecordingServer.java
@@ -10,7 +10,7 @@
 
 /**
  * A node driven by a test: its clock, its settings, and a trace of the actions that its {@link
- * AdmissionController} requested.
+ * AdmissionController} requested, except releases and wake-ups.
  */
 public final class RecordingServer implements ServerActions {
     static final int SAFE = 0;
@@ -86,9 +86,9 @@
         return admit(classIndex, 0, 10, 0);
     }
 
-    long admit(int classIndex, long original, double memoryKb, int tenant) {
+    long admit(int classIndex, long originalId, double memoryKb, int tenant) {
         long id = nextId++;
-        RequestId originalId = original == 0 ? null : new RequestId(original);
+        RequestId originalRequestId = originalId == 0 ? null : new RequestId(originalId);
         listeners.put(
                 id,
                 policy.admit(
@@ -104,7 +104,7 @@
                                 0.5,
                                 false,
                                 NanoDuration.ZERO,
-                                originalId)));
+                                originalRequestId)));
         policy.decide();
         return id;
     }
@@ -128,10 +128,11 @@
                         listener.onCallCompleted(outcome, NanoDuration.ofSeconds(millis / 1e3)));
     }
 
-    void baseline(int millis) {
+    /** Completes eight safe requests with calls of this duration, then clears the trace. */
+    void learnBaseline(int callMillis) {
         for (int i = 0; i < 8; i++) {
             long id = admit(SAFE);
-            call(id, millis, Outcome.OK);
+            call(id, callMillis, Outcome.OK);
             complete(id);
         }
         trace.clear();
@@ -212,8 +213,8 @@
     }
 
     @Override
-    public void reportHealth(boolean good, boolean fromStore) {
-        record("health " + (good ? "healthy" : "unhealthy"));
+    public void reportHealth(boolean healthy, boolean answeredAtOnce) {
+        record("health " + (healthy ? "healthy" : "unhealthy"));
     }
 
     @Override
--- a/src/test/java/lupinwood/admission/ScriptedPolicy.java
+++ b/src/test/java/lupinwood/admission/ScriptedPolicy.java
@@ -8,8 +8,9 @@
 
 /**
  * A policy whose actions are given by the requests: the memory of a request, in whole KB, selects
- * what is done with it. So everything that leaves the process is known in advance. The lines that
- * it reports are part of golden files.
+ * what is done with it, and the constants are such values in KB. A retry is always answered from
+ * its original, and while draining any other request is rejected. So everything that leaves the
+ * process is known in advance. The lines that it reports are part of golden files.
  */
 public final class ScriptedPolicy implements AdmissionPolicy {
     /** Rejected without Retry-After. */
@@ -24,7 +25,8 @@
     public static final int FAIL = 5;
 
     /**
-     * Reports one of {@link #ADVICES} as available capacity, the first for this number, and runs.
+     * Run; {@code REPORT_CAPACITY + i} first reports element {@code i} of {@link #ADVICES} as
+     * available capacity.
      */
     public static final int REPORT_CAPACITY = 40;
 
@@ -180,8 +182,9 @@
         }
     }
 
-    private void healthThenReject(ScriptedRequest scripted, boolean good, boolean fromStore) {
-        server.reportHealth(good, fromStore);
+    private void healthThenReject(
+            ScriptedRequest scripted, boolean healthy, boolean answeredAtOnce) {
+        server.reportHealth(healthy, answeredAtOnce);
         reject(scripted, false, NanoDuration.ZERO);
     }
 
--- a/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
+++ b/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
@@ -232,8 +232,12 @@
 
     /**
      * With a quota of at least one call per node, the quotas bound the sum of calls at each moment.
-     * Below one they bound its mean: each node may end a window with one call more, and that takes
-     * at most half of what the quota allows.
+     * Below one they bound its mean over a window, with an excess: each node may end a window with
+     * one call more, and that takes at most half of what the quota allows. Two bounds on the mean
+     * include this excess. {@code 1.5 - quota / 2} is the factor of a sum that exceeds the quotas
+     * by half where they are close to zero, and by nothing where they are one call or more. {@code
+     * 2 * sqrt(total) + 2} is an excess that grows with the square root of the sum of the quotas,
+     * since not all nodes have one in the same window.
      */
     @ParameterizedTest
     @CsvSource({"20, 0.25", "30, 0.25", "30, 0.6", "20, 1.6", "30, 3.3"})
--- a/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
+++ b/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
@@ -13,6 +13,10 @@
 import lupinwood.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Exchanges batches with the simulator adapter, written as hexadecimal bytes. The replies contain
+ * the records 0x51 (timer), 0x56 (run), 0x5b (an exception ended the node) and 0x5e (health).
+ */
 final class SimulatorAdapterTest {
     private static final String SETTINGS =
             """
