--- a/src/main/java/lupinwood/processing/ActiveRequest.java
+++ b/src/main/java/lupinwood/processing/ActiveRequest.java
@@ -15,7 +15,10 @@
     static final byte[] SKIP_CALL = {};
 
     final ConnectionId connection;
+
+    /** The tag of the request on its connection. */
     final long tag;
+
     final IncomingRequest incomingRequest;
 
     /** Set when it is added to the table. */
@@ -45,13 +48,16 @@
     /** Whether the last command, a run or a reply, may have been lost with a connection. */
     boolean inDoubt;
 
-    /** The last tag issued before the run command was written. */
-    long lastTagBeforeRun;
+    /** The last query tag issued before the run command was written. */
+    long lastQueryTagBeforeRun;
 
-    /** The last tag issued before the latest reply was written. */
-    long lastTagBeforeReply;
+    /** The last query tag issued before the latest reply was written. */
+    long lastQueryTagBeforeReply;
 
-    /** The body of the call that the run waits for, as received; null while it waits for none. */
+    /**
+     * The body of the call that the run waits for, as received; null while it waits for none. After
+     * a skip it stays until the executor is known to have read the skip.
+     */
     byte[] callBody;
 
     /** The last reply to the run, until the executor is known to have read it; otherwise null. */
@@ -72,7 +78,10 @@
         this.incomingRequest = incomingRequest;
     }
 
-    /** Whether the run was told to continue without its call and may not have read that yet. */
+    /**
+     * Whether the run was told to continue without its call and the executor may not have read that
+     * yet.
+     */
     boolean isSkippingCall() {
         return unconfirmedReply == SKIP_CALL;
     }
--- a/src/main/java/lupinwood/processing/Completion.java
+++ b/src/main/java/lupinwood/processing/Completion.java
@@ -16,9 +16,15 @@
     EXECUTOR_GONE(Outcome.ERROR),
     /** The executor refused the run command: nothing ran. */
     NOT_CARRIED_OUT(Outcome.MOOT),
-    /** The run was stopped, or ended at a call because its request was already over. */
+    /**
+     * The run was stopped, or the executor ended it when it needed a call although its request was
+     * already over.
+     */
     STOPPED(Outcome.CANCELLED),
-    /** Nothing was started, because the request was already over. */
+    /**
+     * Nothing was started, because the request was already over or no server was free for it in
+     * time.
+     */
     NOTHING_STARTED(Outcome.MOOT),
     /** The shared dependency rejected the call without processing it. */
     SHED(Outcome.REFUSED),
@@ -42,7 +48,10 @@
     CLOSED_BY_PEER(Outcome.BROKEN),
     /** The peer sent data that can't be parsed. */
     MALFORMED(Outcome.BROKEN),
-    /** The peer didn't read what was written to it. */
+    /**
+     * The peer didn't read what was written to it in time, or didn't close its side in time after
+     * that.
+     */
     SLOW_READER(Outcome.BROKEN),
     /** The peer never sent a complete message, or stopped in the middle of one. */
     SAID_NOTHING(Outcome.BROKEN),
@@ -51,8 +60,8 @@
     /** The connection was evicted to make room for another. */
     MADE_ROOM(Outcome.BROKEN),
     /**
-     * The connection was evicted after it had been unused for so long that no request can cross the
-     * close.
+     * The connection was evicted when no request could cross the close any more, because it had
+     * been unused for long or its last responses and the end of the stream had been sent.
      */
     LEFT_UNUSED(Outcome.BROKEN),
     /** This node closed the connection. */
--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -17,8 +17,8 @@
  * The connections of upstream load balancers: the open requests of each, which connections have
  * been idle for too long, and which don't come from an upstream load balancer. A connection is
  * trusted once the executor has run a request of it. An untrusted connection is closed at its first
- * invalid request, and is asked to close after many rejected or aborted requests; a peer that keeps
- * sending after that violates the protocol.
+ * request that violates the protocol. Unless it is new, it is asked to close after many rejected,
+ * aborted or late requests; a peer that keeps sending after that violates the protocol.
  *
  * <p>Owned by the event loop thread.
  */
@@ -43,14 +43,14 @@
     private static final NanoDuration PEER_CLOSE_TIMEOUT = NanoDuration.ofSeconds(0.5);
 
     /** At this many invalid requests without a run in between any connection is closed. */
-    private static final int MAX_INVALID_IN_A_ROW = 16;
+    private static final int MAX_INVALID_REQUESTS_BEFORE_RUN = 16;
 
     /** An untrusted connection must be older to be asked to close for unserved requests. */
     private static final NanoDuration MIN_CLOSE_REQUEST_AGE = NanoDuration.ofSeconds(1);
 
     private static final int MAX_UNSERVED_REQUESTS = 32;
 
-    /** How long requests may cross a close request, because either host paused. */
+    /** How long after a close request earlier requests may arrive, because a host may pause. */
     private static final NanoDuration MAX_CROSSING_TIME = NanoDuration.ofSeconds(2);
 
     /** The states of a connection without open requests, each ordered by when it was entered. */
@@ -80,12 +80,12 @@
         int silentIntervals;
 
         boolean trusted;
-        int invalidInARow;
+        int invalidSinceRun;
         int unservedRequests;
         MonotonicTime openedAt;
 
-        /** Since when a message is known to be incomplete; null if none is. */
-        MonotonicTime unfinishedSince;
+        /** Since when a message is known to be incomplete; null if none is known to be. */
+        MonotonicTime incompleteSince;
 
         /** When the upstream was asked to close it; null if it was not. */
         MonotonicTime closeRequestedAt;
@@ -110,13 +110,14 @@
     private final SlotTable<Connection> table;
     private final Map<IdleState, Set<Connection>> idleConnections = new EnumMap<>(IdleState.class);
 
-    /** Idle connections are asked to close beyond this many, silent and asked ones not counted. */
+    // With more connections than this, not counting silent ones and idle ones already asked to
+    // close, idle connections are asked to close.
     private final int closeRequestThreshold;
 
     private final UpstreamConnections upstreams;
     private final TimerService timers;
     private final Supplier<MonotonicTime> clock;
-    private final NanoDuration longestTimeout;
+    private final NanoDuration longestTimeout; // as of construction; a reload does not change it
     private NanoDuration idleTimeout;
     private boolean draining;
     private int openRequests;
@@ -202,9 +203,10 @@
     }
 
     /**
-     * Whether a connection has been unused for so long that no request can cross its close. A pause
-     * of this process, after which messages may still have to be read, is over by the second
-     * silence interval.
+     * Whether no request can cross the close of a connection: a flushed one is not read any more,
+     * one that was asked to close has had enough time, and one that sent nothing for two silence
+     * intervals after it opened counts as unused. One interval may have passed only because this
+     * process paused, with messages still unread, but not two.
      */
     private boolean isLeftUnused(Connection connection) {
         return connection.idleState == IdleState.FLUSHED
@@ -251,7 +253,7 @@
         Connection connection = table.get(id.number());
         if (connection != null) {
             connection.hasSentMessage = true;
-            connection.unfinishedSince = null;
+            connection.incompleteSince = null;
             markIdle(connection);
         }
     }
@@ -306,7 +308,7 @@
     void addRequest(ConnectionId id, long tag, RequestId requestId) {
         Connection connection = table.get(id.number());
         connection.hasSentMessage = true;
-        connection.unfinishedSince = null;
+        connection.incompleteSince = null;
         connection.openByTag.put(tag, requestId);
         openRequests++;
         updateIdleState(connection);
@@ -333,11 +335,11 @@
         Connection connection = table.get(id.number());
         if (connection != null) {
             connection.trusted = true;
-            connection.invalidInARow = 0;
+            connection.invalidSinceRun = 0;
         }
     }
 
-    /** Handles an invalid request: an untrusted connection closes once no request is open. */
+    /** Handles a protocol violation: an untrusted connection closes once no request is open. */
     void onInvalidRequest(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null && !connection.trusted) {
@@ -347,12 +349,12 @@
         }
     }
 
-    /** Counts a request with one invalid value; only many in a row show a protocol violation. */
+    /** Counts an invalid request; only many of them without a run between show a violation. */
     void countInvalidRequest(ConnectionId id) {
         Connection connection = table.get(id.number());
         if (connection != null
                 && !connection.closing
-                && ++connection.invalidInARow >= MAX_INVALID_IN_A_ROW) {
+                && ++connection.invalidSinceRun >= MAX_INVALID_REQUESTS_BEFORE_RUN) {
             beginClose(connection, Completion.UNSOUND);
         }
     }
@@ -371,7 +373,7 @@
         }
     }
 
-    /** Begins to close the connection, unless an incomplete message on it may still be finished. */
+    /** Begins to close; for SAID_NOTHING not while an incomplete message may still be finished. */
     void beginClose(ConnectionId id, Completion closeReason) {
         Connection connection = table.get(id.number());
         if (connection != null
@@ -381,16 +383,16 @@
     }
 
     /**
-     * Whether an incomplete message may still be finished. An upstream load balancer may write
-     * slowly, and a client may wait for the request that it began to write until the longest
-     * timeout is over.
+     * Returns whether an incomplete message may still be finished; the first call for a message
+     * records since when it is incomplete. An upstream load balancer may write slowly, and its
+     * client may wait for the response until the longest timeout has passed.
      */
     private boolean mayStillFinish(Connection connection) {
-        if (connection.unfinishedSince == null) {
-            connection.unfinishedSince = clock.get();
+        if (connection.incompleteSince == null) {
+            connection.incompleteSince = clock.get();
         }
         return connection.trusted
-                && clock.get().isBefore(connection.unfinishedSince.plus(longestTimeout));
+                && clock.get().isBefore(connection.incompleteSince.plus(longestTimeout));
     }
 
     /** Stops reading, and closes the connection once its open requests are answered. */
@@ -436,7 +438,7 @@
         table.forEach(this::scheduleIdleTimer);
     }
 
-    void drain() {
+    void requestCloseOfAll() {
         draining = true;
         table.forEach(this::requestClose);
     }
--- a/src/main/java/lupinwood/processing/Executor.java
+++ b/src/main/java/lupinwood/processing/Executor.java
@@ -29,8 +29,8 @@
      * Asks for resource usage. It arrives with this tag, after all messages that the executor sent
      * before.
      */
-    void askResourceUsage(long tag);
+    void askResourceUsage(long queryTag);
 
     /** Starts the work of a deep health check; its result is reported with this tag. */
-    void checkDeep(long tag);
+    void checkDeep(long queryTag);
 }
--- a/src/main/java/lupinwood/processing/ExecutorSession.java
+++ b/src/main/java/lupinwood/processing/ExecutorSession.java
@@ -20,10 +20,10 @@
     private static final NanoDuration DOUBT_POLL_INTERVAL = NanoDuration.ofSeconds(0.004);
 
     /** A tag that no query has. */
-    private static final long NO_TAG = 0;
+    private static final long NO_QUERY_TAG = 0;
 
     private final Executor executor;
-    private final TagSequence tags;
+    private final QueryTagSequence queryTags;
     private final RequestTable requests;
     private final TimerService timers;
     private final EventLoopClock clock;
@@ -31,11 +31,11 @@
     private final Consumer<String> log;
 
     /**
-     * The tag of the resource usage query that was sent on a restored connection. Its reply proves
-     * that all executor messages missed while the connection was lost have been read. {@link
-     * #NO_TAG} while no such reply is awaited.
+     * The tag of the resource usage query that was sent on a restored connection. Its reply arrives
+     * after all executor messages that were not delivered while the connection was lost, so it
+     * proves that those have been read. {@link #NO_QUERY_TAG} while no such reply is awaited.
      */
-    private long recoveryTag = NO_TAG;
+    private long recoveryQueryTag = NO_QUERY_TAG;
 
     /** Whether the executor can stop runs; assumed until it refuses to. */
     private boolean canStop = true;
@@ -53,14 +53,14 @@
      */
     ExecutorSession(
             Executor executor,
-            TagSequence tags,
+            QueryTagSequence queryTags,
             RequestTable requests,
             TimerService timers,
             EventLoopClock clock,
             Supplier<RequestValidator> validator,
             Consumer<String> log) {
         this.executor = executor;
-        this.tags = tags;
+        this.queryTags = queryTags;
         this.requests = requests;
         this.timers = timers;
         this.clock = clock;
@@ -73,7 +73,7 @@
     /** Asks the executor to run a request. */
     void run(ActiveRequest activeRequest) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
-        activeRequest.lastTagBeforeRun = tags.last();
+        activeRequest.lastQueryTagBeforeRun = queryTags.last();
         activeRequest.runsAtServer = !executor.isOnLink(incomingRequest.className());
         activeRequest.runSent =
                 executor.run(
@@ -84,8 +84,7 @@
 
     /**
      * Sends a run command in doubt again, for a request whose response was written or is no longer
-     * needed. Such a command can't start a run any more, and the reply tells whether the request
-     * runs.
+     * needed. The completion that the executor reports tells whether the earlier command was read.
      */
     void runIfInDoubt(ActiveRequest activeRequest) {
         if (activeRequest.inDoubt && !activeRequest.runConfirmed) {
@@ -95,8 +94,8 @@
     }
 
     /**
-     * Stops a run if the executor can; otherwise the run continues, and its request is over at its
-     * end.
+     * Stops a run if the executor can; otherwise the run continues, and the request ends when the
+     * run ends.
      */
     void stop(ActiveRequest activeRequest) {
         if (canStop && activeRequest.started && !activeRequest.runsAtServer) {
@@ -120,7 +119,7 @@
     }
 
     private void giveReply(ActiveRequest activeRequest) {
-        activeRequest.lastTagBeforeReply = tags.last();
+        activeRequest.lastQueryTagBeforeReply = queryTags.last();
         AttemptId id = activeRequest.incomingRequest.attemptId();
         activeRequest.replySent =
                 activeRequest.isSkippingCall()
@@ -130,12 +129,12 @@
 
     /**
      * Asks for resource usage. The reply with the returned tag proves that all earlier commands
-     * were read.
+     * were read, except those in doubt, unless the connection is lost in between.
      */
     long askResourceUsage() {
-        long tag = tags.next();
-        executor.askResourceUsage(tag);
-        return tag;
+        long queryTag = queryTags.next();
+        executor.askResourceUsage(queryTag);
+        return queryTag;
     }
 
     // ---- executor capabilities ----
@@ -144,14 +143,16 @@
         return canSkipCalls;
     }
 
-    /** Records that the executor refused to stop a run: it is not asked again. */
+    /**
+     * Records that the executor refused to stop a run: the executor is not asked to stop one again.
+     */
     void disableStop() {
         canStop = false;
     }
 
     /**
-     * Records that the executor refused to skip a call: it is not asked again. Returns false if
-     * that was known before.
+     * Records that the executor refused to skip a call: the executor is not asked to skip one
+     * again. Returns false if that was known before.
      */
     boolean disableSkippingCalls() {
         boolean wasEnabled = canSkipCalls;
@@ -159,7 +160,10 @@
         return wasEnabled;
     }
 
-    /** The runs that were told to continue without their call and may not have read that yet. */
+    /**
+     * The runs that were told to continue without their call, where the executor may not have read
+     * that yet.
+     */
     List<ActiveRequest> skippingCalls() {
         return requests.started().stream().filter(ActiveRequest::isSkippingCall).toList();
     }
@@ -167,11 +171,12 @@
     // ---- command confirmation ----
 
     /**
-     * Handles a restored connection. Resource usage queried now arrives after all missed messages.
+     * Handles a restored connection. The reply to a resource usage query sent now arrives after all
+     * executor messages that were not delivered while the connection was lost.
      */
     void onConnectionRestored() {
-        recoveryTag = tags.next();
-        executor.askResourceUsage(recoveryTag);
+        recoveryQueryTag = queryTags.next();
+        executor.askResourceUsage(recoveryQueryTag);
     }
 
     /**
@@ -185,39 +190,41 @@
     }
 
     /**
-     * Handles the reply to a resource usage query: all commands before the query with this tag were
-     * read.
+     * Handles the reply to a resource usage query. It proves that all commands sent before the
+     * query were read, except those in doubt. While the reply to the query on a restored connection
+     * is awaited, other replies prove nothing; that reply itself begins the recovery.
      */
-    void onResourceUsage(long tag, ResourceUsage usage) {
-        if (recoveryTag != NO_TAG && tag == recoveryTag) {
-            recoveryTag = NO_TAG;
+    void onResourceUsage(long queryTag, ResourceUsage usage) {
+        if (recoveryQueryTag != NO_QUERY_TAG && queryTag == recoveryQueryTag) {
+            recoveryQueryTag = NO_QUERY_TAG;
             recover();
-        } else if (recoveryTag == NO_TAG) {
-            requests.started().forEach(activeRequest -> confirmBefore(tag, activeRequest));
+        } else if (recoveryQueryTag == NO_QUERY_TAG) {
+            requests.started().forEach(activeRequest -> confirmBefore(queryTag, activeRequest));
         }
-        if (recoveryTag == NO_TAG) {
+        if (recoveryQueryTag == NO_QUERY_TAG) {
             resolveDoubts(usage.wantingCore());
         }
     }
 
-    private static void confirmBefore(long tag, ActiveRequest activeRequest) {
+    private static void confirmBefore(long queryTag, ActiveRequest activeRequest) {
         activeRequest.runConfirmed |=
                 activeRequest.runSent
                         && !activeRequest.inDoubt
-                        && tag > activeRequest.lastTagBeforeRun;
+                        && queryTag > activeRequest.lastQueryTagBeforeRun;
         if (activeRequest.replySent
                 && !activeRequest.inDoubt
-                && tag > activeRequest.lastTagBeforeReply) {
+                && queryTag > activeRequest.lastQueryTagBeforeReply) {
             activeRequest.callBody = activeRequest.isSkippingCall() ? null : activeRequest.callBody;
             activeRequest.unconfirmedReply = null;
         }
     }
 
     /**
-     * Recovers after a lost connection, on which the last commands may not have been read. Commands
-     * that were never written are written now. A safe request's run command is sent again even if
-     * it was written, because a run in progress ignores it. All other unconfirmed commands are in
-     * doubt.
+     * Recovers after a lost connection, on which the last commands may not have been read. Run
+     * commands that were never written are written now, and so are replies whose request is still
+     * open. A safe request's run command is sent again even if it was written, because a run in
+     * progress ignores it. All other unconfirmed run commands, and replies whose request is still
+     * open, are in doubt. Stop commands are not sent again.
      */
     private void recover() {
         requests.started().stream()
@@ -243,11 +250,13 @@
     /**
      * Sends commands in doubt again once it is proved that they were not read. They must not be
      * repeated without proof: an idempotent run might just have ended and would run twice, and a
-     * run that has its reply would take a repeated one for the reply to its next call. The number
-     * of requests that use or wait for a core is the proof: it counts every run there (and whatever
-     * else uses the cores), and all executor messages before it have been read. If it is no more
-     * than the number of runs that are certainly there, no run in doubt is there, so none of the
-     * commands was read. Until then it is polled.
+     * run that has its reply would take a repeated one for the reply to its next call. The executor
+     * reports how many requests use or wait for a core. That number includes every run on a core
+     * (and whatever else uses the cores), and every executor message sent before it has been read
+     * by now. If it is at most the number of runs that are known to be on a core, no run in doubt
+     * is on a core, so the executor read none of the commands in doubt. Otherwise resource usage is
+     * polled again after each reply that contains the number; without the number nothing is
+     * resolved or polled.
      *
      * @param wantingCore how many requests use or wait for a core at the executor; NaN if unknown
      */
--- a/src/main/java/lupinwood/processing/HealthChecks.java
+++ b/src/main/java/lupinwood/processing/HealthChecks.java
@@ -27,7 +27,7 @@
 
     private final TimerService timers;
     private final Executor executor;
-    private final TagSequence tags;
+    private final QueryTagSequence queryTags;
     private final Supplier<MonotonicTime> clock;
     private final Responder responder;
     private final Map<Long, DeepCheck> deepChecks = new HashMap<>();
@@ -41,12 +41,12 @@
     HealthChecks(
             TimerService timers,
             Executor executor,
-            TagSequence tags,
+            QueryTagSequence queryTags,
             Supplier<MonotonicTime> clock,
             Responder responder) {
         this.timers = timers;
         this.executor = executor;
-        this.tags = tags;
+        this.queryTags = queryTags;
         this.clock = clock;
         this.responder = responder;
     }
@@ -61,17 +61,17 @@
             responder.answer(connection, tag, healthy);
             return;
         }
-        long deepCheckTag = tags.next();
+        long queryTag = queryTags.next();
         TimerService.Timer timer =
                 timers.schedule(
                         clock.get().plus(DEEP_CHECK_TIMEOUT),
-                        () -> onDeepCheckCompleted(deepCheckTag, false));
-        deepChecks.put(deepCheckTag, new DeepCheck(connection, tag, timer));
-        executor.checkDeep(deepCheckTag);
+                        () -> onDeepCheckCompleted(queryTag, false));
+        deepChecks.put(queryTag, new DeepCheck(connection, tag, timer));
+        executor.checkDeep(queryTag);
     }
 
-    void onDeepCheckCompleted(long tag, boolean checkPassed) {
-        DeepCheck deepCheck = deepChecks.remove(tag);
+    void onDeepCheckCompleted(long queryTag, boolean checkPassed) {
+        DeepCheck deepCheck = deepChecks.remove(queryTag);
         if (deepCheck != null) {
             timers.cancel(deepCheck.timer());
             responder.answer(deepCheck.connection(), deepCheck.tag(), checkPassed && healthy);
--- a/src/main/java/lupinwood/processing/IdempotencyStore.java
+++ b/src/main/java/lupinwood/processing/IdempotencyStore.java
@@ -11,10 +11,11 @@
 import lupinwood.admission.RequestId;
 
 /**
- * The idempotency records, with the results of the requests that ran, bounded in number and in
- * bytes. When bodies and results exceed their bound, those of the records that finished first are
- * dropped; the idempotency record itself stays, so a repeat is still recognized and never runs.
- * When the number of records is at its bound, no further idempotent request is admitted.
+ * The idempotency records, with the results of the requests that ran, bounded in number. When the
+ * bodies and results exceed their limit in bytes, those of the records that finished first are
+ * dropped; those of unfinished records are kept even beyond the limit. The record itself stays: a
+ * repeat is still recognized, does not run, and fails. When the number of records is at its limit,
+ * no request with a new idempotency key is admitted.
  *
  * <p>Owned by the event loop thread.
  */
@@ -33,7 +34,9 @@
         /** Null until the run succeeds, and once it was dropped to free memory. */
         byte[] result;
 
-        /** Whether the request has ended: its result, if any, is final. */
+        /**
+         * Whether the request has ended or the record was dropped: its result, if any, is final.
+         */
         boolean finished;
 
         /** The repeats that wait for the result. */
@@ -90,7 +93,7 @@
     IdempotencyRecord remember(
             IdempotencyKey key, RequestId requestId, MonotonicTime windowEndsAt, byte[] body) {
         // An earlier request with this key, past its window, may still run and have repeats that
-        // wait for it; its record is dropped when it expires itself.
+        // wait for it; that earlier record is dropped at its own expiry.
         IdempotencyRecord idempotencyRecord =
                 new IdempotencyRecord(key, requestId, windowEndsAt, body);
         byKey.put(key, idempotencyRecord);
--- a/src/main/java/lupinwood/processing/IdempotentRequests.java
+++ b/src/main/java/lupinwood/processing/IdempotentRequests.java
@@ -11,15 +11,17 @@
 import lupinwood.admission.RequestId;
 
 /**
- * Remembers idempotent requests for their window. Within it a repeat never runs: it gets the result
- * of its original, or waits for it.
+ * Remembers idempotent requests for their window. Within it a repeat does not run, unless the
+ * original was forgotten because it never ran: it gets the result of its original or waits for it,
+ * and fails if its body differs, the original failed or the result was dropped.
  *
  * <p>Owned by the event loop thread.
  */
 final class IdempotentRequests {
     /**
-     * How much longer the window is for requests that arrive over sockets; a repeat that arrives
-     * this late doesn't run either.
+     * How much longer the window is than configured: on sockets a repeat that was sent within the
+     * window may be read later than it was sent, because delivery and reading take time. A repeat
+     * that arrives this late doesn't run either.
      */
     private static final NanoDuration WINDOW_SLACK = NanoDuration.ofSeconds(0.05);
 
@@ -29,13 +31,13 @@
     private final TimerService timers;
     private final EventLoopClock clock;
     private final Supplier<RequestValidator> validator;
-    private final Consumer<Runnable> deferred;
+    private final Consumer<Runnable> defer;
 
     /**
      * Creates the handler of one request table.
      *
      * @param validator supplies the current validator, for timeouts
-     * @param deferred receives actions to perform once the admission policy has decided
+     * @param defer receives actions to perform once the admission policy has decided
      */
     IdempotentRequests(
             IdempotencyStore store,
@@ -44,14 +46,14 @@
             TimerService timers,
             EventLoopClock clock,
             Supplier<RequestValidator> validator,
-            Consumer<Runnable> deferred) {
+            Consumer<Runnable> defer) {
         this.store = store;
         this.requests = requests;
         this.responses = responses;
         this.timers = timers;
         this.clock = clock;
         this.validator = validator;
-        this.deferred = deferred;
+        this.defer = defer;
     }
 
     /** The number of idempotency records. */
@@ -65,7 +67,7 @@
      *
      * @param stampedRequest the request with its original time stamp, or null
      */
-    IdempotencyStore.IdempotencyRecord findOriginal(IncomingRequest stampedRequest) {
+    IdempotencyStore.IdempotencyRecord findOriginalRecord(IncomingRequest stampedRequest) {
         return stampedRequest == null
                 ? null
                 : store.find(stampedRequest.idempotencyKey(), stampedRequest.reached());
@@ -101,11 +103,11 @@
      * record must outlive the extended one too.
      */
     private void dropWhenExpired(
-            IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId classId) {
-        NanoDuration timeout = validator.get().requestClass(classId).timeout();
+            IdempotencyStore.IdempotencyRecord idempotencyRecord, RequestClassId requestClassId) {
+        NanoDuration timeout = validator.get().requestClass(requestClassId).timeout();
         MonotonicTime expiresAt = clock.fromStamp(idempotencyRecord.windowEndsAt.plus(timeout));
         if (clock.now().isBefore(expiresAt)) {
-            timers.schedule(expiresAt, () -> dropWhenExpired(idempotencyRecord, classId));
+            timers.schedule(expiresAt, () -> dropWhenExpired(idempotencyRecord, requestClassId));
         } else {
             store.drop(idempotencyRecord);
         }
@@ -116,7 +118,7 @@
         IdempotencyStore.IdempotencyRecord idempotencyRecord = store.findByRequest(requestId);
         if (idempotencyRecord != null) {
             store.drop(idempotencyRecord);
-            deferred.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
+            defer.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
         }
     }
 
@@ -125,7 +127,7 @@
         IdempotencyStore.IdempotencyRecord idempotencyRecord = store.findByRequest(requestId);
         if (idempotencyRecord != null && idempotencyRecord.result == null) {
             store.finish(idempotencyRecord);
-            deferred.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
+            defer.accept(() -> answerWaitingRepeats(idempotencyRecord, null));
         }
     }
 
@@ -152,7 +154,7 @@
 
     /** Answers a repeat with its original's result, as soon as there is one. */
     void answerFromOriginal(RequestId repeatId) {
-        deferred.accept(() -> answerOrWait(repeatId));
+        defer.accept(() -> answerOrWait(repeatId));
     }
 
     private void answerOrWait(RequestId repeatId) {
@@ -160,15 +162,16 @@
         if (repeat == null) {
             return;
         }
-        IdempotencyStore.IdempotencyRecord original = repeat.originalRecord;
+        IdempotencyStore.IdempotencyRecord originalRecord = repeat.originalRecord;
         // Guards against one key used with two bodies: the result for one body must not be returned
         // for the other.
         boolean hasSameBody =
-                original != null && Arrays.equals(original.body, repeat.incomingRequest.body());
-        if (hasSameBody && original.result == null && !original.finished) {
-            original.waitingRepeats.add(repeatId);
+                originalRecord != null
+                        && Arrays.equals(originalRecord.body, repeat.incomingRequest.body());
+        if (hasSameBody && originalRecord.result == null && !originalRecord.finished) {
+            originalRecord.waitingRepeats.add(repeatId);
         } else {
-            answerRepeat(repeatId, hasSameBody ? original.result : null);
+            answerRepeat(repeatId, hasSameBody ? originalRecord.result : null);
         }
     }
 
--- a/src/main/java/lupinwood/processing/IncomingRequest.java
+++ b/src/main/java/lupinwood/processing/IncomingRequest.java
@@ -10,10 +10,14 @@
  *
  * @param className the name of the request class, as received
  * @param tenant the name of the tenant, as received
+ * @param subject what the request is about
+ * @param upstreamId the upstream load balancer that sent it
  * @param clientTimeout how long the client waits, counted from {@code reached}; zero if not given
  * @param work the cost hint: processing time on a standard core; zero if not given
  * @param repeat whether it is marked as a retry or a hedged copy of another request
  * @param reached when it reached the host, by the clock that stamped it
+ * @param memoryKb the memory that it takes while it is open, in kilobytes of 1,000 bytes
+ * @param rank its position from 0 to 1 among all requests, by priority weight
  * @param idempotencyKey null if the request has none
  * @param body the bytes as received
  */
--- a/src/main/java/lupinwood/processing/PolicyRunner.java
+++ b/src/main/java/lupinwood/processing/PolicyRunner.java
@@ -37,7 +37,7 @@
     private MonotonicTime executorStartedAt;
 
     /** Whether the executor was cold when the policy was created. */
-    private boolean executorCold;
+    private boolean wasExecutorCold;
 
     /**
      * Creates a runner that has no policy yet.
@@ -67,22 +67,22 @@
     }
 
     /** Creates the policy as of the time at which the executor was started. */
-    void start(ServerActions server, boolean cold, NanoDuration executorAge) {
-        executorCold = cold;
+    void start(ServerActions actions, boolean cold, NanoDuration executorAge) {
+        wasExecutorCold = cold;
         executorStartedAt = clock.now().minus(executorAge);
         policy =
                 clock.callAt(
                         executorStartedAt,
-                        () -> factory.make(server, seed, settingsForPolicy(settings)));
+                        () -> factory.make(actions, seed, settingsForPolicy(settings)));
     }
 
     /**
-     * Whether the executor is connected and was warm when the policy was created, or was started at
-     * least this long ago.
+     * Whether the executor is connected, and either was warm when the policy was created or was
+     * started at least this long ago.
      */
     boolean isWarm(NanoDuration warmAfter) {
         return executorStartedAt != null
-                && (!executorCold
+                && (!wasExecutorCold
                         || clock.now().since(executorStartedAt).compareTo(warmAfter) >= 0);
     }
 
@@ -137,7 +137,7 @@
 
     private Map<String, String> settingsForPolicy(Map<String, String> configured) {
         Map<String, String> result = new HashMap<>(configured);
-        result.put("domain.cold", Boolean.toString(executorCold));
+        result.put("domain.cold", Boolean.toString(wasExecutorCold));
         if (!canSkipCalls.getAsBoolean()) {
             result.remove("domain.class_skip_worth");
         }
--- a/src/main/java/lupinwood/processing/TagSequence.java
+++ b/src/main/java/lupinwood/processing/QueryTagSequence.java
@@ -5,7 +5,7 @@
  *
  * <p>Owned by the event loop thread.
  */
-final class TagSequence {
+final class QueryTagSequence {
     private long last;
 
     long next() {
--- a/src/main/java/lupinwood/processing/RefusedCommands.java
+++ b/src/main/java/lupinwood/processing/RefusedCommands.java
@@ -50,7 +50,7 @@
         switch (command) {
             case "EXEC" -> {
                 if (activeRequest != null) {
-                    runs.completeLost(id, Completion.NOT_CARRIED_OUT);
+                    runs.completeUnreported(id, Completion.NOT_CARRIED_OUT);
                     connections.onInvalidRequest(activeRequest.connection);
                 }
             }
@@ -69,8 +69,9 @@
     }
 
     /**
-     * Handles a refusal to skip a call: the run still waits for the call, which is made now if the
-     * request is safe. Any other request fails.
+     * Handles a refusal to skip a call: the run still waits for the call. If the request is safe,
+     * the admission policy is told again that the call is needed, unless the request is already
+     * answered. Any other request fails.
      */
     private void onSkipRefused(ActiveRequest activeRequest) {
         if (session.disableSkippingCalls()) {
@@ -78,7 +79,7 @@
         }
         activeRequest.unconfirmedReply = null;
         if (!validator.get().isSafe(activeRequest.incomingRequest)) {
-            runs.completeLost(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
+            runs.completeUnreported(activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         } else if (!activeRequest.answered) {
             activeRequest.listener.onCallNeeded();
         }
--- a/src/main/java/lupinwood/processing/RequestActions.java
+++ b/src/main/java/lupinwood/processing/RequestActions.java
@@ -71,7 +71,7 @@
     void skipCall(RequestId requestId) {
         ActiveRequest activeRequest = requests.get(requestId);
         if (activeRequest != null && !session.skipCall(activeRequest)) {
-            runs.completeLostAfterDecision(
+            runs.completeUnreportedAfterDecision(
                     activeRequest.incomingRequest.attemptId(), Completion.FAILED);
         }
     }
--- a/src/main/java/lupinwood/processing/RequestFault.java
+++ b/src/main/java/lupinwood/processing/RequestFault.java
@@ -11,8 +11,8 @@
     /** Another request in the request table has the same attempt id. */
     ATTEMPT_ID_IN_USE("attempt_id_in_use", Kind.PROTOCOL_VIOLATION),
     /**
-     * It has an idempotency key but its request class is not idempotent, or it has none but the
-     * class is.
+     * It has an idempotency key but its request class is not idempotent, or it has none but its
+     * request class is.
      */
     IDEMPOTENCY_KEY_MISMATCH("idempotency_key_mismatch", Kind.PROTOCOL_VIOLATION),
     /** Its idempotency key is remembered with another body. */
@@ -28,7 +28,7 @@
     /** Its connection was asked to close long before. */
     CONNECTION_CLOSE_REQUESTED("connection_close_requested", Kind.PROTOCOL_VIOLATION);
 
-    /** The origin of the fault, which decides how the connection is charged. */
+    /** The origin of the fault, which decides how it is counted against the connection. */
     enum Kind {
         /** The upstream violates the protocol. */
         PROTOCOL_VIOLATION,
@@ -36,7 +36,10 @@
          * One duration of this request only; the upstream may comply with the protocol otherwise.
          */
         INVALID_DURATION,
-        /** Perhaps this host: a pause, or a queue in front of the listener. */
+        /**
+         * The request was read late, perhaps because this host paused or the listener's backlog was
+         * long: not necessarily the upstream's fault.
+         */
         LATE
     }
 
--- a/src/main/java/lupinwood/processing/RequestIntake.java
+++ b/src/main/java/lupinwood/processing/RequestIntake.java
@@ -14,10 +14,16 @@
  * <p>Owned by the event loop thread.
  */
 final class RequestIntake {
-    /** The Retry-After before the executor is connected; it may be by then. */
-    private static final NanoDuration RETRY_AFTER_START = NanoDuration.ofSeconds(1);
+    /**
+     * The Retry-After of requests that arrive before the executor is connected; it may be connected
+     * after this time.
+     */
+    private static final NanoDuration RETRY_AFTER_NOT_CONNECTED = NanoDuration.ofSeconds(1);
 
-    /** The Retry-After while the idempotency store is full; records may have expired by then. */
+    /**
+     * The Retry-After while the idempotency store is full; records may have expired after this
+     * time.
+     */
     private static final NanoDuration RETRY_AFTER_STORE_FULL = NanoDuration.ofSeconds(1);
 
     private final ConnectionTable connections;
@@ -54,8 +60,9 @@
     }
 
     /**
-     * Rejects a request that was read after its connection began to close. Such a request must get
-     * a response, and must not run.
+     * Rejects a request that was read after its connection began to close. Such a request must not
+     * run, and must get a response; it gets none if its tag is that of an open request, because the
+     * responses could not be told apart.
      */
     void rejectOnClosing(ConnectionId connection, long tag) {
         if (connections.findRequest(connection, tag) == null) {
@@ -69,35 +76,42 @@
      * @param stampedRequest the request with its original time stamp; null if it can't be parsed
      */
     void accept(ConnectionId connection, long tag, IncomingRequest stampedRequest) {
-        boolean isConnectionFull = connections.isAtRequestLimit(connection);
-        if (!policyRunner.isStarted() || isConnectionFull || requests.isFull()) {
-            rejectWithoutRoom(connection, tag, isConnectionFull);
+        boolean isAtRequestLimit = connections.isAtRequestLimit(connection);
+        if (!policyRunner.isStarted() || isAtRequestLimit || requests.isFull()) {
+            rejectAtOnce(connection, tag, isAtRequestLimit);
             return;
         }
-        IdempotencyStore.IdempotencyRecord original = idempotency.findOriginal(stampedRequest);
+        IdempotencyStore.IdempotencyRecord originalRecord =
+                idempotency.findOriginalRecord(stampedRequest);
         IncomingRequest incomingRequest =
                 stampedRequest == null
                         ? null
                         : stampedRequest.reachedAt(clock.fromStamp(stampedRequest.reached()));
-        if (original == null && idempotency.hasNoRoomFor(incomingRequest)) {
+        if (originalRecord == null && idempotency.hasNoRoomFor(incomingRequest)) {
             rejectStoreFull(connection, tag);
             return;
         }
-        Optional<RequestFault> fault = fault(connection, incomingRequest, original);
+        Optional<RequestFault> fault = fault(connection, incomingRequest, originalRecord);
         if (fault.isPresent()) {
             failInvalid(connection, tag, incomingRequest, fault.get());
             return;
         }
-        admit(new ActiveRequest(connection, tag, incomingRequest), original);
+        admit(new ActiveRequest(connection, tag, incomingRequest), originalRecord);
     }
 
-    private void rejectWithoutRoom(ConnectionId connection, long tag, boolean isConnectionFull) {
+    /**
+     * Rejects a request without a look at its values. The reason {@code too_many_open_requests} is
+     * also logged if the request table is full, which counts the requests of all connections that
+     * the admission policy has not released.
+     */
+    private void rejectAtOnce(ConnectionId connection, long tag, boolean isAtRequestLimit) {
         boolean isStarted = policyRunner.isStarted();
         log.accept(
                 "request rejected reason="
                         + (isStarted ? "too_many_open_requests" : "executor_not_connected"));
-        responses.rejectArrival(connection, tag, isStarted ? NanoDuration.ZERO : RETRY_AFTER_START);
-        if (isConnectionFull) {
+        responses.rejectArrival(
+                connection, tag, isStarted ? NanoDuration.ZERO : RETRY_AFTER_NOT_CONNECTED);
+        if (isAtRequestLimit) {
             connections.onInvalidRequest(connection);
         }
     }
@@ -115,16 +129,19 @@
     private Optional<RequestFault> fault(
             ConnectionId connection,
             IncomingRequest incomingRequest,
-            IdempotencyStore.IdempotencyRecord original) {
+            IdempotencyStore.IdempotencyRecord originalRecord) {
         if (connections.ignoresCloseRequest(connection)) {
             return Optional.of(RequestFault.CONNECTION_CLOSE_REQUESTED);
         }
         boolean attemptIdInUse =
                 incomingRequest != null && requests.contains(incomingRequest.attemptId());
-        return validator.get().fault(incomingRequest, original, attemptIdInUse, clock.now());
+        return validator.get().fault(incomingRequest, originalRecord, attemptIdInUse, clock.now());
     }
 
-    /** Fails an invalid request at once, and charges its connection by the kind of the fault. */
+    /**
+     * Fails an invalid request at once, and counts the fault against its connection by the kind of
+     * the fault.
+     */
     private void failInvalid(
             ConnectionId connection,
             long tag,
@@ -142,10 +159,11 @@
         }
     }
 
-    private void admit(ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord original) {
+    private void admit(
+            ActiveRequest activeRequest, IdempotencyStore.IdempotencyRecord originalRecord) {
         requests.add(activeRequest);
         connections.addRequest(activeRequest.connection, activeRequest.tag, activeRequest.id);
-        activeRequest.originalRecord = original;
+        activeRequest.originalRecord = originalRecord;
         activeRequest.listener = policyRunner.policy().admit(policyRequest(activeRequest));
     }
 
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -26,11 +26,11 @@
         /**
          * Creates a policy.
          *
-         * @param server the actions that the policy may request
+         * @param actions the actions that the policy may request
          * @param seed the seed of the policy's random numbers
-         * @param settings the configured settings by entry, with what is known of the executor
+         * @param settings the settings by entry, adjusted to what is known of the executor
          */
-        AdmissionPolicy make(ServerActions server, long seed, Map<String, String> settings);
+        AdmissionPolicy make(ServerActions actions, long seed, Map<String, String> settings);
     }
 
     /**
@@ -39,7 +39,8 @@
      * @param connections the maximum number of connections
      * @param requests the maximum number of requests that the policy has not released
      * @param idempotencyRecords the maximum number of idempotency records
-     * @param idempotencyBytes the maximum total size of the bodies and results in them, in bytes
+     * @param idempotencyBytes the total size of bodies and results in bytes; above it finished ones
+     *     are dropped
      */
     public record TableLimits(
             int connections, int requests, int idempotencyRecords, long idempotencyBytes) {}
@@ -58,7 +59,7 @@
         private final Map<String, String> settings;
         private final RequestValidator validator;
 
-        /** Reads all settings that a request processor needs. */
+        /** Reads the settings of the validator; the policy reads its own when they are applied. */
         public ReloadableSettings(Map<String, String> settings) {
             this.settings = Map.copyOf(settings);
             validator = new RequestValidator(new SettingsMap(settings));
@@ -109,7 +110,7 @@
         resourceUsageNames = ProcessorSettings.resourceUsageNames(settingsMap);
         validator = new RequestValidator(settingsMap);
         Supplier<RequestValidator> current = () -> validator;
-        TagSequence tags = new TagSequence();
+        QueryTagSequence tags = new QueryTagSequence();
         Executor executor = ports.executor();
         connections =
                 new ConnectionTable(
@@ -158,7 +159,7 @@
                         ports.log());
     }
 
-    /** Sets the listener for final responses and for clients that leave before theirs. */
+    /** Sets the listener that is told of final responses and of clients that leave before them. */
     public void answersTo(ResponseListener listener) {
         responses.setListener(listener);
     }
@@ -211,8 +212,8 @@
      * Handles an arriving request.
      *
      * @param stampedRequest the request with its original time stamp; null if it can't be parsed
-     * @return false if a request with this tag is still open: the upstream load balancer reused the
-     *     tag, and the responses could not be told apart
+     * @return false if a request with this tag is still open and the connection is not closing: the
+     *     upstream load balancer reused the tag, and the responses could not be told apart
      */
     public boolean arrived(ConnectionId connection, long tag, IncomingRequest stampedRequest) {
         if (connections.isClosing(connection)) {
@@ -276,15 +277,15 @@
         }
     }
 
-    /** Whether the executor connected warm, or was started at least this long ago. */
+    /** Whether the executor connected warm, or connected and was started at least this long ago. */
     public boolean isWarm(NanoDuration warmAfter) {
         return policyRunner.isWarm(warmAfter);
     }
 
     /**
      * Applies settings that differ from the current ones only in entries that may change while the
-     * node runs. Returns false once the node drains, because the drain was announced under the old
-     * settings.
+     * node runs. Returns false once the node drains, because the policy has planned the drain with
+     * the old settings.
      */
     public boolean retune(ReloadableSettings reloaded) {
         if (drain.hasBegun()) {
@@ -329,23 +330,26 @@
     /**
      * Handles the reply to a resource usage query.
      *
-     * @param tag the tag of the query
+     * @param queryTag the tag of the query
      * @param values the values, in the order in which the settings name them
      */
-    public void resourceUsageRead(long tag, double[] values) {
+    public void resourceUsageRead(long queryTag, double[] values) {
         ResourceUsage usage = ResourceUsage.named(resourceUsageNames, values);
-        session.onResourceUsage(tag, usage);
-        wakeUps.onResourceUsage(tag, usage);
+        session.onResourceUsage(queryTag, usage);
+        wakeUps.onResourceUsage(queryTag, usage);
     }
 
-    /** Asks for resource usage; the reply with this tag proves that earlier commands were read. */
+    /**
+     * Asks for resource usage. The reply with the returned tag proves that all earlier commands
+     * were read, except those in doubt, unless the connection is lost in between.
+     */
     public long askResourceUsage() {
         return session.askResourceUsage();
     }
 
     /** Handles the result of the deep health check with this tag. */
-    public void diagnosed(long tag, boolean healthy) {
-        checks.onDeepCheckCompleted(tag, healthy);
+    public void diagnosed(long queryTag, boolean healthy) {
+        checks.onDeepCheckCompleted(queryTag, healthy);
     }
 
     // ---- shared dependency ----
@@ -443,16 +447,16 @@
 
     // ---- drain ----
 
-    /** Begins to drain; the node will stop after this duration. */
-    public void leave(NanoDuration timeUntilStop) {
+    /** Begins to drain: requests are answered within this time, then the connections are closed. */
+    public void leave(NanoDuration timeToAnswer) {
         if (drain.begin()) {
-            policyRunner.drain(timeUntilStop);
+            policyRunner.drain(timeToAnswer);
         }
     }
 
     /** Asks the upstreams to close all connections. */
     public void closeConnections() {
-        connections.drain();
+        connections.requestCloseOfAll();
     }
 
     /** Closes the remaining connections, each after its open requests are answered. */
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -32,19 +32,20 @@
     private static final int MEMORY_LIMIT_KB = 2000;
 
     /**
-     * How far an arrival time may be ahead of this clock. Both clocks are on this host, and a
-     * request from further ahead would outlive its own idempotency window.
+     * How far an arrival time may be ahead of this clock. Both clocks are on this host. The
+     * idempotency window starts at the time of this clock: with an arrival time further ahead, the
+     * window would end before the arrival times of later repeats, and such a repeat would run.
      */
     private static final NanoDuration MAX_CLOCK_LEAD = NanoDuration.ofSeconds(0.25);
 
-    private final Map<String, Integer> classNumbers = new HashMap<>();
+    private final Map<String, Integer> requestClassNumbers = new HashMap<>();
     private final Map<String, Integer> tenantNumbers = new HashMap<>();
     private final List<RequestClass> requestClasses = new ArrayList<>();
 
     RequestValidator(SettingsMap settings) {
-        numberByName(settings, "services", classNumbers);
+        numberByName(settings, "services", requestClassNumbers);
         numberByName(settings, "customers", tenantNumbers);
-        for (int i = 0; i < classNumbers.size(); i++) {
+        for (int i = 0; i < requestClassNumbers.size(); i++) {
             requestClasses.add(PolicySettingsMapper.requestClass(settings, i));
         }
     }
@@ -58,7 +59,8 @@
 
     /** The request class id of a valid request. */
     RequestClassId requestClassId(IncomingRequest incomingRequest) {
-        return new RequestClassId(classNumbers.get(SettingsMap.word(incomingRequest.className())));
+        return new RequestClassId(
+                requestClassNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
     /** The tenant id; the first if the settings name no tenants. */
@@ -75,13 +77,14 @@
     }
 
     /** The settings of a request class. */
-    RequestClass requestClass(RequestClassId classId) {
-        return requestClasses.get(classId.number());
+    RequestClass requestClass(RequestClassId requestClassId) {
+        return requestClasses.get(requestClassId.number());
     }
 
     /** The settings of a valid request's request class. */
     RequestClass requestClass(IncomingRequest incomingRequest) {
-        return requestClasses.get(classNumbers.get(SettingsMap.word(incomingRequest.className())));
+        return requestClasses.get(
+                requestClassNumbers.get(SettingsMap.word(incomingRequest.className())));
     }
 
     /** Whether a valid request may run twice. */
@@ -104,26 +107,27 @@
      * Finds the first fault of a request; empty if it is valid.
      *
      * @param incomingRequest null if it can't be parsed
-     * @param original the idempotency record of an earlier attempt with the same key, or null
+     * @param originalRecord the idempotency record of an earlier attempt with the same key, or null
      * @param attemptIdInUse whether another request in the request table has its attempt id
      */
     Optional<RequestFault> fault(
             IncomingRequest incomingRequest,
-            IdempotencyStore.IdempotencyRecord original,
+            IdempotencyStore.IdempotencyRecord originalRecord,
             boolean attemptIdInUse,
             MonotonicTime now) {
-        return Optional.ofNullable(firstFault(incomingRequest, original, attemptIdInUse, now));
+        return Optional.ofNullable(
+                firstFault(incomingRequest, originalRecord, attemptIdInUse, now));
     }
 
     private RequestFault firstFault(
             IncomingRequest incomingRequest,
-            IdempotencyStore.IdempotencyRecord original,
+            IdempotencyStore.IdempotencyRecord originalRecord,
             boolean attemptIdInUse,
             MonotonicTime now) {
         if (incomingRequest == null) {
             return RequestFault.MALFORMED;
         }
-        if (!classNumbers.containsKey(SettingsMap.word(incomingRequest.className()))) {
+        if (!requestClassNumbers.containsKey(SettingsMap.word(incomingRequest.className()))) {
             return RequestFault.UNKNOWN_CLASS;
         }
         // If the settings name no tenants, requests need none, and a tenant that they carry is
@@ -139,9 +143,9 @@
         if (isIdempotent != (incomingRequest.idempotencyKey() != null)) {
             return RequestFault.IDEMPOTENCY_KEY_MISMATCH;
         }
-        if (original != null
-                && original.body != null
-                && !Arrays.equals(original.body, incomingRequest.body())) {
+        if (originalRecord != null
+                && originalRecord.body != null
+                && !Arrays.equals(originalRecord.body, incomingRequest.body())) {
             return RequestFault.IDEMPOTENCY_KEY_REUSED;
         }
         if (now.plus(MAX_CLOCK_LEAD).isBefore(incomingRequest.reached())) {
--- a/src/main/java/lupinwood/processing/ResponseListener.java
+++ b/src/main/java/lupinwood/processing/ResponseListener.java
@@ -8,11 +8,13 @@
  */
 public interface ResponseListener {
     /**
-     * Called when a final response was written, or when the client left before it.
+     * Called when a final response is written, or when the client left before it.
      *
      * @param kind {@code FAILED} where the client left first
      * @param elapsed time since the request reached the host
-     * @param late whether {@code elapsed} exceeds the latency objective of the request class
+     * @param objectiveMissed whether {@code elapsed} exceeds the latency objective of the request
+     *     class
      */
-    void answered(String className, Response.Kind kind, NanoDuration elapsed, boolean late);
+    void answered(
+            String className, Response.Kind kind, NanoDuration elapsed, boolean objectiveMissed);
 }
--- a/src/main/java/lupinwood/processing/ResponseWriter.java
+++ b/src/main/java/lupinwood/processing/ResponseWriter.java
@@ -10,6 +10,7 @@
  * <p>Owned by the event loop thread.
  */
 final class ResponseWriter {
+    /** The load report while the admission policy has not set one; valid ones are not negative. */
     private static final double NO_AVAILABLE_CAPACITY = -1;
 
     private final UpstreamConnections upstreams;
--- a/src/main/java/lupinwood/processing/RunCompletions.java
+++ b/src/main/java/lupinwood/processing/RunCompletions.java
@@ -5,8 +5,8 @@
 import lupinwood.admission.NanoDuration;
 
 /**
- * Handles completed runs: each sends the response to its request, and to the repeats that wait for
- * it.
+ * Handles the completions of runs: writes the response to the run's request, and to the repeats
+ * that wait for the result.
  *
  * <p>Owned by the event loop thread.
  */
@@ -16,12 +16,12 @@
     private final DownstreamCalls calls;
     private final IdempotentRequests idempotency;
     private final ResponseWriter responses;
-    private final Consumer<Runnable> deferred;
+    private final Consumer<Runnable> defer;
 
     /**
-     * Handles the completions of one executor's runs.
+     * Creates the handler of the completions of one executor's runs.
      *
-     * @param deferred receives actions to perform once the admission policy has decided
+     * @param defer receives actions to perform once the admission policy has decided
      */
     RunCompletions(
             RequestTable requests,
@@ -29,13 +29,13 @@
             DownstreamCalls calls,
             IdempotentRequests idempotency,
             ResponseWriter responses,
-            Consumer<Runnable> deferred) {
+            Consumer<Runnable> defer) {
         this.requests = requests;
         this.connections = connections;
         this.calls = calls;
         this.idempotency = idempotency;
         this.responses = responses;
-        this.deferred = deferred;
+        this.defer = defer;
     }
 
     /**
@@ -69,18 +69,22 @@
     void completeAllLost() {
         for (ActiveRequest activeRequest : List.copyOf(requests.started())) {
             if (!activeRequest.runsAtServer) {
-                completeLost(activeRequest.incomingRequest.attemptId(), Completion.EXECUTOR_GONE);
+                completeUnreported(
+                        activeRequest.incomingRequest.attemptId(), Completion.EXECUTOR_GONE);
             }
         }
     }
 
     /** Completes a run for which the executor reports no completion. */
-    void completeLost(AttemptId id, Completion completion) {
+    void completeUnreported(AttemptId id, Completion completion) {
         completed(id, completion, NanoDuration.ZERO, null);
     }
 
-    /** Does the same once the admission policy has decided. */
-    void completeLostAfterDecision(AttemptId id, Completion completion) {
-        deferred.accept(() -> completeLost(id, completion));
+    /**
+     * Completes a run for which the executor reports no completion, once the admission policy has
+     * decided.
+     */
+    void completeUnreportedAfterDecision(AttemptId id, Completion completion) {
+        defer.accept(() -> completeUnreported(id, completion));
     }
 }
--- a/src/main/java/lupinwood/processing/UpstreamConnections.java
+++ b/src/main/java/lupinwood/processing/UpstreamConnections.java
@@ -14,6 +14,10 @@
     /** Ignores everything that arrives on this connection from now on. */
     void readNoMore(ConnectionId connection);
 
-    /** Closes the connection once everything written to it has been sent. */
+    /**
+     * Closes the connection: at once for {@link Completion#SLOW_READER} and {@link
+     * Completion#LEFT_UNUSED}; for {@link Completion#MADE_ROOM} after a delay, because a request
+     * may cross the close; otherwise once everything written to it has been sent.
+     */
     void close(ConnectionId connection, Completion completion);
 }
--- a/src/main/java/lupinwood/processing/WakeUpScheduler.java
+++ b/src/main/java/lupinwood/processing/WakeUpScheduler.java
@@ -9,12 +9,16 @@
 
 /**
  * Wakes the admission policy at the times that it asked for. Each wake-up carries resource usage
- * that was read recently or is queried first, if the executor replies in time.
+ * that was read recently or is queried first, if the executor replies in time; while the node
+ * drains, it carries the last values, whatever their age.
  *
  * <p>Owned by the event loop thread.
  */
 final class WakeUpScheduler {
-    /** How long a wake-up waits for resource usage before it goes ahead without. */
+    /**
+     * How long a wake-up waits for resource usage. After that it happens with the core values
+     * unknown and the last values of memory and connections.
+     */
     private static final NanoDuration RESOURCE_USAGE_TIMEOUT = NanoDuration.ofSeconds(0.02);
 
     /**
@@ -26,12 +30,14 @@
     private final List<String> resourceUsageNames;
     private final TimerService timers;
     private final Executor executor;
-    private final TagSequence tags;
+    private final QueryTagSequence queryTags;
     private final Supplier<MonotonicTime> clock;
     private final Consumer<ResourceUsage> wake;
 
-    /** The tag of the resource usage query that a wake-up waits for; 0 if none. */
-    private long requestedTag;
+    /**
+     * The tag of the resource usage query that a wake-up waits for; 0, which no query has, if none.
+     */
+    private long awaitedUsageTag;
 
     private boolean draining;
     private TimerService.Timer nextWakeUp;
@@ -43,13 +49,13 @@
             List<String> resourceUsageNames,
             TimerService timers,
             Executor executor,
-            TagSequence tags,
+            QueryTagSequence queryTags,
             Supplier<MonotonicTime> clock,
             Consumer<ResourceUsage> wake) {
         this.resourceUsageNames = resourceUsageNames;
         this.timers = timers;
         this.executor = executor;
-        this.tags = tags;
+        this.queryTags = queryTags;
         this.clock = clock;
         this.wake = wake;
     }
@@ -61,9 +67,10 @@
     }
 
     /**
-     * From now on wake-ups don't wait for resource usage, which is queried alongside. Guards the
-     * last responses of a draining node: events on timers of their own that are due after them,
-     * such as asking upstreams to send no more, must not overtake them when the process stalls.
+     * From now on each wake-up happens at once with the last known resource usage, and a query is
+     * sent for later ones. Otherwise, after a stall of the process, the last responses of a
+     * draining node would wait for the query while timers that are due later (such as the one that
+     * asks the upstreams to close) fire first.
      */
     void startDraining() {
         draining = true;
@@ -73,14 +80,14 @@
         // If the settings name no resource usage values there is nothing to wait for, and what is
         // due must not wait.
         if (draining && !resourceUsageNames.isEmpty()) {
-            executor.askResourceUsage(tags.next());
+            executor.askResourceUsage(queryTags.next());
         }
         if (resourceUsageNames.isEmpty()
                 || draining
                 || clock.get().since(readAt).compareTo(MAX_USAGE_AGE) < 0) {
             wake.accept(resourceUsage);
-        } else if (requestedTag == 0) {
-            requestedTag = tags.next();
+        } else if (awaitedUsageTag == 0) {
+            awaitedUsageTag = queryTags.next();
             // Guards against a lost or slow executor connection: the policy's wake-ups must not
             // wait for it.
             usageTimeout =
@@ -93,21 +100,21 @@
                                                     Double.NaN,
                                                     resourceUsage.memoryShare(),
                                                     resourceUsage.connections())));
-            executor.askResourceUsage(requestedTag);
+            executor.askResourceUsage(awaitedUsageTag);
         }
     }
 
     /** Handles the reply to the resource usage query with this tag. */
-    void onResourceUsage(long tag, ResourceUsage usage) {
+    void onResourceUsage(long queryTag, ResourceUsage usage) {
         resourceUsage = usage;
         readAt = clock.get();
-        if (tag == requestedTag) {
+        if (queryTag == awaitedUsageTag) {
             wakeNow(resourceUsage);
         }
     }
 
     private void wakeNow(ResourceUsage usage) {
-        requestedTag = 0;
+        awaitedUsageTag = 0;
         timers.cancel(usageTimeout);
         wake.accept(usage);
     }
--- a/src/test/java/lupinwood/processing/RandomSettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -20,8 +20,8 @@
 /**
  * Runs the request processor with random settings, of which random entries are missing, under a
  * light load in simulated time. Each request must get one final response before its client's
- * deadline, an idempotency key must run only once within its window, and without injected failures
- * every request must be served, whichever entries are missing.
+ * deadline, at most one request with the same idempotency key may run within the window, and
+ * without injected failures every request must be served, whichever entries are missing.
  */
 final class RandomSettingsTest implements UpstreamConnections, Executor, Dependency {
     private static final byte[] BODY = {'b'};
@@ -51,7 +51,7 @@
         return random.nextBoolean();
     }
 
-    private double randomBetween(double min, double max) {
+    private double randomLogUniform(double min, double max) {
         return min * Math.pow(max / min, random.nextDouble());
     }
 
@@ -82,7 +82,7 @@
         StringBuilder skips = new StringBuilder();
         for (int i = 0; i < requestClasses; i++) {
             String prefix = "services." + i + ".";
-            double timeoutSeconds = randomBetween(0.3, 60);
+            double timeoutSeconds = randomLogUniform(0.3, 60);
             shortestTimeoutSeconds = Math.min(shortestTimeoutSeconds, timeoutSeconds);
             put(prefix + "name", choose("EXEC", "a-b", "1", "track.", "x:y") + i);
             put(prefix + "give_up_ns", nanos(timeoutSeconds));
@@ -90,7 +90,7 @@
             String effect = choose("pure", "token", "side_effect");
             put(prefix + "effect", effect);
             if (effect.equals("token") || randomBoolean()) {
-                put(prefix + "window_ns", nanos(randomBetween(0.2, 600)));
+                put(prefix + "window_ns", nanos(randomLogUniform(0.2, 600)));
             }
             putSometimes(prefix + "worth", choose(0.0, 1.0, 5.0));
             putSometimes(prefix + "late_value", choose(0.0, 0.2));
@@ -114,7 +114,7 @@
         putSometimes("domain.class_calls", calls);
         putSometimes("domain.class_skip_worth", skips);
         if (downstream.equals("one_for_all")) {
-            putSometimes("domain.calls_out", randomBetween(1, 20));
+            putSometimes("domain.calls_out", randomLogUniform(1, 20));
             putSometimes("domain.calls_over_ns", nanos(5));
             putSometimes("domain.linger_ns", nanos(0.2));
         }
@@ -141,7 +141,7 @@
         put("step_ns", choose(1_000_000, 4_000_000));
         work =
                 NanoDuration.ofSeconds(
-                        Math.min(randomBetween(0.002, 5), shortestTimeoutSeconds / 50));
+                        Math.min(randomLogUniform(0.002, 5), shortestTimeoutSeconds / 50));
         injectsFailures = randomBoolean();
         executorRefuses = randomBoolean();
     }
@@ -165,11 +165,11 @@
         processor.welcomed(false, NanoDuration.ZERO);
         processor.settle();
         ConnectionId connection = processor.connected();
-        int sent = 0;
+        int sentCount = 0;
         for (int i = 0; i < 60; i++) {
             connection = i % 20 == 0 ? processor.connected() : connection;
             send(connection);
-            sent++;
+            sentCount++;
             advance(work.times(injectsFailures ? choose(0.1, 0.5, 3.0) : choose(2.0, 3.0, 6.0)));
         }
         advance(NanoDuration.ofSeconds(70));
@@ -178,13 +178,13 @@
         if (!injectsFailures) {
             assertThat(served)
                     .as("requests served with seed %d; log: %s; settings: %s", seed, log, settings)
-                    .isEqualTo(sent);
+                    .isEqualTo(sentCount);
         }
     }
 
     private void send(ConnectionId connection) {
-        int classIndex = random.nextInt(count("services"));
-        String prefix = "services." + classIndex + ".";
+        int requestClassIndex = random.nextInt(count("services"));
+        String prefix = "services." + requestClassIndex + ".";
         int tenants = count("customers");
         String tenant =
                 tenants > 0
@@ -199,8 +199,8 @@
                 randomBoolean() ? NanoDuration.ZERO : work.times(choose(0.5, 1.0, 2.0));
         boolean isIdempotent = settings.get(prefix + "effect").equals("token");
         // The key contains the request class, as an upstream load balancer's would, so that
-        // requests of different classes never share a key.
-        String key = isIdempotent ? classIndex + "f" + random.nextInt(6) : null;
+        // requests of different request classes never share a key.
+        String key = isIdempotent ? requestClassIndex + "f" + random.nextInt(6) : null;
         MonotonicTime reached = now.minus(work.times(choose(0.0, 0.5)));
         NanoDuration timeout =
                 clientTimeout.isPositive()
@@ -245,14 +245,15 @@
 
     @Override
     public void answer(ConnectionId connection, long responseTag, Response response) {
-        SentRequest sent = unanswered.remove(responseTag);
-        assertThat(sent).as("first response to request %d", responseTag).isNotNull();
-        assertThat(now.isBefore(sent.deadline))
+        SentRequest sentRequest = unanswered.remove(responseTag);
+        assertThat(sentRequest).as("first response to request %d", responseTag).isNotNull();
+        assertThat(now.isBefore(sentRequest.deadline))
                 .as(
-                        "request %d got %s before its deadline %s s ago; log: %s; settings: %s",
+                        "request %d must get its response before its deadline; it got %s %s s after"
+                                + " the deadline; log: %s; settings: %s",
                         responseTag,
                         response.word(),
-                        now.since(sent.deadline).seconds(),
+                        now.since(sentRequest.deadline).seconds(),
                         log,
                         settings)
                 .isTrue();
@@ -263,7 +264,7 @@
                             + " "
                             + response.word()
                             + " "
-                            + sent.deadline().since(now).seconds()
+                            + sentRequest.deadline().since(now).seconds()
                             + " s before its deadline");
         }
     }
@@ -295,25 +296,26 @@
         long number = Long.parseLong(id.digits(), 16);
         String key = keys.get(number);
         if (!key.isEmpty()) {
-            int classIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+            int requestClassIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
             MonotonicTime reached = arrivalTimes.get(id.digits());
             NanoDuration window =
                     new NanoDuration(
-                            Long.parseLong(settings.get("services." + classIndex + ".window_ns")));
+                            Long.parseLong(
+                                    settings.get("services." + requestClassIndex + ".window_ns")));
             MonotonicTime previousArrival = lastRunArrivals.put(key, reached);
             assertThat(previousArrival == null || !reached.isBefore(previousArrival.plus(window)))
-                    .as("key %s runs only once within its window", key)
+                    .as("at most one request with key %s runs within the window", key)
                     .isTrue();
         }
         assertThat(running.add(id)).isTrue();
-        int callsIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
+        int requestClassIndex = Integer.parseInt(className.replaceAll(".*(\\d)$", "$1"));
         boolean downstream =
                 settings.getOrDefault("domain.below", "off").matches("one_for_all|tier");
         String[] calls = settings.getOrDefault("domain.class_calls", "").split(",", 0);
         boolean called =
                 downstream
-                        && callsIndex < calls.length
-                        && calls[callsIndex].equals("true")
+                        && requestClassIndex < calls.length
+                        && calls[requestClassIndex].equals("true")
                         && randomBoolean();
         runLater(
                 work.times(0.5),
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -26,20 +26,27 @@
 final class RequestProcessorTest implements UpstreamConnections, Executor, Dependency {
     private static final byte[] EMPTY_BODY = {};
 
-    private final RecordingServer server = new RecordingServer();
+    private final RecordingServer settingsSource = new RecordingServer();
     private final StringBuilder trace = new StringBuilder();
     private final TimerService timers = new TimerService();
     private MonotonicTime now = new MonotonicTime(1_000_000_000_000L);
-    private boolean connected = true;
+    private boolean isExecutorConnected = true;
     private boolean readsResponses = true;
     private boolean repliesWithResourceUsage = true;
+
+    /**
+     * How many requests use or wait for a core, as the executor reports it. The default is more
+     * than the runs of any test that restores the executor connection, so it proves no command in
+     * doubt to be unread.
+     */
     private int wantingCore = 9;
+
     private RequestProcessor processor;
     private ConnectionId currentConnection;
     private long tag;
 
     RequestProcessorTest() {
-        server.set(
+        settingsSource.set(
                 "customers.count=1 customers.0.name=acme"
                         + " domain.gauges=core_use,on_cores,heap_share,links domain.keepalive_max_ns=3000000000"
                         + " services.0.name=pure services.1.name=token"
@@ -67,7 +74,7 @@
     private void createProcessor(int connections, long idempotencyBytes) {
         processor =
                 new RequestProcessor(
-                        server.settings,
+                        settingsSource.settings,
                         7,
                         AdmissionController::new,
                         new RequestProcessor.Ports(this, this, this, this::log),
@@ -107,7 +114,11 @@
                 body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private IncomingRequest arrival(
+    /**
+     * Creates a request with values that may be invalid; its attempt id is one above the current
+     * tag.
+     */
+    private IncomingRequest arrivalWithBoundedValues(
             String tenant, MonotonicTime reached, double memoryKb, double rank) {
         return new IncomingRequest(
                 id(tag + 1),
@@ -123,8 +134,8 @@
     }
 
     /** Creates a request with the values that only some deployments' requests carry. */
-    private IncomingRequest arrival(
-            String tenant, NanoDuration clientTimeout, NanoDuration work, boolean repeat) {
+    private IncomingRequest arrivalWithHints(
+            String tenant, NanoDuration clientTimeout, NanoDuration costHint, boolean repeat) {
         return new IncomingRequest(
                 id(tag),
                 "pure",
@@ -132,7 +143,7 @@
                 new SubjectId(0),
                 new UpstreamId(1),
                 clientTimeout,
-                work,
+                costHint,
                 repeat,
                 now,
                 10,
@@ -156,7 +167,7 @@
                                 result.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void requestCall(long number) {
+    private void needCall(long number) {
         handle(() -> processor.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -212,8 +223,13 @@
 
     @Override
     public boolean run(AttemptId id, String className, byte[] body) {
-        record("run " + number(id) + " " + text(body) + (connected ? "" : "; not connected"));
-        return connected;
+        record(
+                "run "
+                        + number(id)
+                        + " "
+                        + text(body)
+                        + (isExecutorConnected ? "" : "; not connected"));
+        return isExecutorConnected;
     }
 
     @Override
@@ -223,20 +239,20 @@
                         + number(id)
                         + " "
                         + text(reply)
-                        + (connected ? "" : "; not connected"));
-        return connected;
+                        + (isExecutorConnected ? "" : "; not connected"));
+        return isExecutorConnected;
     }
 
     @Override
     public boolean stop(AttemptId id) {
         record("stop " + number(id));
-        return connected;
+        return isExecutorConnected;
     }
 
     @Override
     public boolean skipCall(AttemptId id) {
-        record("skip call for " + number(id) + (connected ? "" : "; not connected"));
-        return connected;
+        record("skip call for " + number(id) + (isExecutorConnected ? "" : "; not connected"));
+        return isExecutorConnected;
     }
 
     @Override
@@ -280,7 +296,7 @@
     void aRequestRunsCallsAndGetsItsResultUnchanged() {
         start();
         long request = arrive("pure", null, "a");
-        requestCall(request);
+        needCall(request);
         advanceMillis(30);
         handle(
                 () ->
@@ -306,7 +322,7 @@
         long running = arrive("pure", null, "a");
         long called = arrive("pure", null, "b");
         long alsoRunning = arrive("pure", null, "c");
-        requestCall(called);
+        needCall(called);
         for (long aborted : new long[] {running, called, alsoRunning, 99}) {
             handle(() -> processor.aborted(currentConnection, aborted));
         }
@@ -388,13 +404,13 @@
 
     @Test
     void anIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesATimeoutThatGrew() {
-        server.set(
+        settingsSource.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
         start();
         long first = arrive("token", "k", "a");
         completeRun(first, Completion.WELL, "paid");
-        Map<String, String> next = new HashMap<>(server.settings);
+        Map<String, String> next = new HashMap<>(settingsSource.settings);
         next.put("services.1.window_ns", "1000000000");
         next.put("services.1.give_up_ns", "9000000000");
         assertThat(processor.retune(new RequestProcessor.ReloadableSettings(next))).isTrue();
@@ -402,7 +418,7 @@
         advanceMillis(7000);
         arrive("token", "k", "a");
         MonotonicTime inWindow = now;
-        // The old timeout after the end of the window has passed; the new one has not.
+        // The window ended longer ago than the old timeout, but not longer ago than the new one.
         advanceMillis(7500);
         handle(
                 () ->
@@ -439,7 +455,7 @@
     void requestsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
         start();
         arrive("pure", null, "a");
-        Map<String, String> next = new HashMap<>(server.settings);
+        Map<String, String> next = new HashMap<>(settingsSource.settings);
         next.put("services.0.give_up_ns", "20000000000");
         processor.retune(new RequestProcessor.ReloadableSettings(next));
         arrive("pure", null, "b");
@@ -448,7 +464,9 @@
                 .containsPattern("(?m)^49\\d\\d 1 FAILED$")
                 .containsPattern("(?m)^199\\d\\d 2 FAILED$");
         processor.leave(NanoDuration.ofSeconds(3));
-        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(server.settings)))
+        assertThat(
+                        processor.retune(
+                                new RequestProcessor.ReloadableSettings(settingsSource.settings)))
                 .isFalse();
     }
 
@@ -475,7 +493,7 @@
 
     @Test
     void aTryReadAfterItsOwnWindowIsRememberedForTheTriesInItThatAreReadLater() {
-        server.set("services.1.window_ns=800000000");
+        settingsSource.set("services.1.window_ns=800000000");
         start();
         MonotonicTime stamped = now;
         advanceMillis(1500);
@@ -511,7 +529,7 @@
 
     @Test
     void repeatsThatWaitForATryAreServedByItAlsoWhenItsWindowEndedAndAnotherRuns() {
-        server.set("services.1.window_ns=800000000");
+        settingsSource.set("services.1.window_ns=800000000");
         start();
         long first = arrive("token", "k", "a");
         advanceMillis(500);
@@ -584,6 +602,11 @@
         assertThat(recorded()).endsWith("run 68 \n");
     }
 
+    /**
+     * A new connection sends again the run commands of safe requests and those that were never
+     * written. The command of an idempotent request is in doubt, and is sent again once its client
+     * has left.
+     */
     @Test
     void aReplacedLinkRunsAgainOnlyWhatCannotRunTwice() {
         start();
@@ -592,9 +615,9 @@
         handle(() -> processor.welcomed(false, NanoDuration.ZERO));
         handle(() -> processor.aborted(currentConnection, idempotent));
         completeRun(idempotent, Completion.NOTHING_STARTED, "");
-        connected = false;
+        isExecutorConnected = false;
         arrive("token", "l", "c");
-        connected = true;
+        isExecutorConnected = true;
         handle(() -> processor.welcomed(false, NanoDuration.ZERO));
         assertThat(recorded())
                 .isEqualTo(
@@ -618,7 +641,7 @@
         advanceMillis(20);
         wantingCore = 0;
         advanceMillis(20);
-        requestCall(idempotent);
+        needCall(idempotent);
         handle(
                 () ->
                         processor.callEnded(
@@ -743,7 +766,8 @@
 
     /**
      * With 16 slots, idle connections are asked to close beyond 14 connections. A new connection is
-     * not evicted before idle ones.
+     * evicted after those that were asked to close or have been idle for a silence interval, and
+     * before other idle ones.
      */
     @Test
     void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
@@ -822,14 +846,14 @@
     void callsThatEndBadlyAreRepeatedOnlyAfterProofThatNoneRan() {
         start();
         long refused = arrive("side_effect", null, "a");
-        requestCall(refused);
+        needCall(refused);
         handle(() -> processor.callEnded(id(refused), Completion.CONNECTION_REFUSED, null));
         advanceMillis(500);
         handle(() -> processor.callEnded(id(refused), Completion.CLOSED_BY_PEER, null));
         handle(() -> processor.callEnded(id(refused), Completion.WELL, EMPTY_BODY));
         completeRun(refused, Completion.STOPPED, "");
         long slow = arrive("pure", null, "b");
-        requestCall(slow);
+        needCall(slow);
         advanceMillis(2500);
         handle(() -> processor.callEnded(id(slow), Completion.WELL, EMPTY_BODY));
         assertThat(recorded())
@@ -880,19 +904,25 @@
                                 currentConnection, ++tag, arrival(openTag, "pure", null, "a")));
         arrive("token", null, "a");
         arrive("pure", "k", "a");
-        handle(() -> processor.arrived(currentConnection, ++tag, arrival("nobody", now, 10, 0.5)));
         handle(
                 () ->
                         processor.arrived(
                                 currentConnection,
                                 ++tag,
-                                arrival("acme", now.plus(NanoDuration.ofSeconds(9)), 10, 0.5)));
+                                arrivalWithBoundedValues("nobody", now, 10, 0.5)));
+        handle(
+                () ->
+                        processor.arrived(
+                                currentConnection,
+                                ++tag,
+                                arrivalWithBoundedValues(
+                                        "acme", now.plus(NanoDuration.ofSeconds(9)), 10, 0.5)));
         handle(
                 () ->
                         processor.arrived(
                                 currentConnection,
                                 ++tag,
-                                arrival("acme", new MonotonicTime(0), 10, 0.5)));
+                                arrivalWithBoundedValues("acme", new MonotonicTime(0), 10, 0.5)));
         assertThat(recorded())
                 .isEqualTo(
                         """
@@ -926,7 +956,8 @@
                             processor.arrived(
                                     currentConnection,
                                     ++tag,
-                                    arrival("acme", now, memoryAndRank[0], memoryAndRank[1])));
+                                    arrivalWithBoundedValues(
+                                            "acme", now, memoryAndRank[0], memoryAndRank[1])));
             assertThat(recorded())
                     .isEqualTo("0 log request failed reason=out_of_bounds\n0 " + tag + " FAILED\n");
         }
@@ -934,7 +965,7 @@
 
     @Test
     void whereTheSettingsNameNoTenantsRequestsNeedNone() {
-        server.set("customers.count=0");
+        settingsSource.set("customers.count=0");
         createProcessor(8192);
         processor.welcomed(false, NanoDuration.ZERO);
         for (String tenant : List.of("", "anyone")) {
@@ -943,7 +974,8 @@
                             processor.arrived(
                                     currentConnection,
                                     ++tag,
-                                    arrival(tenant, NanoDuration.ZERO, NanoDuration.ZERO, false)));
+                                    arrivalWithHints(
+                                            tenant, NanoDuration.ZERO, NanoDuration.ZERO, false)));
             completeRun(tag, Completion.WELL, "x");
         }
         assertThat(recorded()).endsWith("0 run 1 \n0 1 SERVED x\n0 run 2 \n0 2 SERVED x\n");
@@ -955,7 +987,7 @@
         List<Request> reported = new ArrayList<>();
         processor =
                 new RequestProcessor(
-                        server.settings,
+                        settingsSource.settings,
                         7,
                         (actions, seed, map) ->
                                 new RuleCheckingPolicy(
@@ -975,7 +1007,8 @@
                         processor.arrived(
                                 currentConnection,
                                 ++tag,
-                                arrival("acme", clientTimeout, NanoDuration.ofSeconds(0.2), true)));
+                                arrivalWithHints(
+                                        "acme", clientTimeout, NanoDuration.ofSeconds(0.2), true)));
         now = now.plus(NanoDuration.ofSeconds(0.5));
         processor.advance(now);
         handle(
@@ -983,14 +1016,14 @@
                         processor.arrived(
                                 currentConnection,
                                 ++tag,
-                                arrival("acme", clientTimeout, NanoDuration.ZERO, false)
+                                arrivalWithHints("acme", clientTimeout, NanoDuration.ZERO, false)
                                         .reachedAt(now.minus(NanoDuration.ofSeconds(0.4)))));
         handle(
                 () ->
                         processor.arrived(
                                 currentConnection,
                                 ++tag,
-                                arrival("acme", clientTimeout, NanoDuration.ZERO, false)
+                                arrivalWithHints("acme", clientTimeout, NanoDuration.ZERO, false)
                                         .reachedAt(now.minus(NanoDuration.ofSeconds(1.6)))));
         advanceMillis(2000);
         assertThat(reported)
@@ -1025,7 +1058,7 @@
                             processor.arrived(
                                     currentConnection,
                                     ++tag,
-                                    arrival("acme", clientTimeout, costHint, false)));
+                                    arrivalWithHints("acme", clientTimeout, costHint, false)));
             assertThat(recorded()).contains(" " + tag + " FAILED\n");
         }
         assertThat(tag - before).isEqualTo(16);
@@ -1036,7 +1069,7 @@
 
     @Test
     void aRunIsStoppedWhereTheSettingsSaySoUntilTheExecutorWillNot() {
-        server.set("domain.stop_mode=freeze");
+        settingsSource.set("domain.stop_mode=freeze");
         start();
         long aborted = arrive("pure", null, "a");
         handle(() -> processor.aborted(currentConnection, aborted));
@@ -1064,24 +1097,24 @@
 
     @Test
     void aCallMayBeLeftOutWhereThatIsPaidForUntilTheExecutorWillNot() {
-        server.set("domain.class_skip_worth=0.5,0.5,0.5,0");
+        settingsSource.set("domain.class_skip_worth=0.5,0.5,0.5,0");
         start();
         long request = arrive("pure", null, "a");
-        requestCall(request);
+        needCall(request);
         handle(() -> processor.callEnded(id(request), Completion.TIMED_OUT_DOWNSTREAM, null));
-        connected = false;
+        isExecutorConnected = false;
         handle(() -> processor.welcomed(false, NanoDuration.ZERO));
         completeRun(request, Completion.WELL, "poorer");
-        connected = true;
+        isExecutorConnected = true;
         long secondRequest = arrive("pure", null, "b");
-        requestCall(secondRequest);
+        needCall(secondRequest);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
         handle(() -> processor.notCarriedOut("BYPASS", id(secondRequest)));
         advanceMillis(300);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
-        advanceMillis(300); // as long as a cancelled call may still occupy the dependency
+        advanceMillis(300); // until the call no longer counts as occupying the dependency
         long thirdRequest = arrive("pure", null, "c");
-        requestCall(thirdRequest);
+        needCall(thirdRequest);
         handle(() -> processor.callEnded(id(thirdRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
         assertThat(recorded())
                 .isEqualTo(
@@ -1103,18 +1136,18 @@
     }
 
     /**
-     * Guards against an executor that refuses each command to skip a call by "BAD - -": without the
-     * call its run would wait forever.
+     * An executor may refuse a command to skip a call with "BAD - -", which names neither the
+     * command nor the attempt. Then the call must be made, or the run would wait forever.
      */
     @Test
     void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorRequest() {
-        server.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
+        settingsSource.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
         start();
         long request = arrive("pure", null, "a");
-        requestCall(request);
+        needCall(request);
         handle(() -> processor.callEnded(id(request), Completion.TIMED_OUT_DOWNSTREAM, null));
         long secondRequest = arrive("side_effect", null, "b");
-        requestCall(secondRequest);
+        needCall(secondRequest);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
         handle(() -> processor.notCarriedOut("-", new AttemptId("-")));
         handle(
@@ -1145,7 +1178,7 @@
 
     @Test
     void ofMoreThan32OpenOnOneConnectionTheRestIsRejected() {
-        server.set("domain.cpus=40");
+        settingsSource.set("domain.cpus=40");
         start();
         for (int open = 1; open <= 33; open++) {
             arrive("pure", null, "a");
@@ -1312,7 +1345,8 @@
         repliesWithResourceUsage = false;
         handle(() -> processor.leave(NanoDuration.ofSeconds(1)));
         timers.schedule(now.plus(NanoDuration.ofSeconds(0.96)), () -> processor.closeConnections());
-        now = now.plus(NanoDuration.ofSeconds(1)); // a stall, past both
+        // The process stalls until both timers are overdue.
+        now = now.plus(NanoDuration.ofSeconds(1));
         handle(
                 () -> {
                     processor.advance(now);
