--- a/src/main/java/lupinwood/balancing/OutlierLimits.java
+++ b/src/main/java/lupinwood/balancing/OutlierLimits.java
@@ -9,8 +9,7 @@
  * @param consecutiveFailures number of failures in a row after which a server is ejected; on
  *     probation a single failure suffices
  * @param baseEjectionTime mean duration of the first ejection (jitter is at most a quarter of it);
- *     each further one lasts twice as long, until successes that aren't slow take back the
- *     doublings, one each
+ *     each further one lasts twice as long; each success that isn't slow takes back one doubling
  * @param maxEjectionTime upper bound of an ejection
  * @param repeatShare retries allowed for each first attempt
  */
--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -85,8 +85,8 @@
         MonotonicTime ejectedAt;
 
         /**
-         * Another node found it healthy since it was ejected here; this allows one request and no
-         * more.
+         * Another node found it healthy after it was ejected here: it may be probed, with one
+         * request at a time, without asking the health checker.
          */
         boolean isReportedHealthy;
 
@@ -363,15 +363,15 @@
             state.adaptiveLimit = 1;
         }
         state.ejectionCount = Math.max(0, state.ejectionCount - (wasSlow ? 0 : 1));
-        boolean isOutlier =
+        boolean exceedsTarget =
                 baseline.weight() >= MIN_BASELINE_ATTEMPTS
                         && took.seconds() > SLOW_BASELINE_MULTIPLE * baseline.median();
-        if (wasLightlyLoaded && (!isOutlier || random.nextInt(8) == 0)) {
+        if (wasLightlyLoaded && (!exceedsTarget || random.nextInt(8) == 0)) {
             // Only one in eight slow attempts counts, so that the baseline follows a slowdown
             // gradually.
             baseline.add(took.seconds());
         }
-        if (!wasSlow && !isOutlier && wasHalfUsed) {
+        if (!wasSlow && !exceedsTarget && wasHalfUsed) {
             state.adaptiveLimit = Math.min(limits.mostOut(), state.adaptiveLimit + 1);
         }
     }
@@ -400,8 +400,9 @@
     }
 
     /**
-     * The earliest time at which an ejected server that isn't cordoned may be probed; {@link
-     * MonotonicTime#NEVER} if there is none.
+     * The earliest time at which an ejected server that isn't cordoned may be probed, or, if the
+     * health checker doesn't allow that now, at which to ask it again; {@link MonotonicTime#NEVER}
+     * if there is no such server.
      */
     public MonotonicTime nextBack(MonotonicTime now) {
         return states.stream()
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -102,8 +102,8 @@
             long lastPlanNumber) {}
 
     /**
-     * The changes of the last plan, then locations with reduced trust and sites whose reports are
-     * ignored, in one line.
+     * The changes of slots in the last plan (none if only the roster changed), then locations with
+     * reduced trust where that plan has slots, and sites whose reports are ignored, in one line.
      */
     public String why() {
         return why;
--- a/src/main/java/lupinwood/rollout/CanaryAnalysis.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -14,8 +14,10 @@
  * Canary analysis: compares nodes that have the release with nodes of the same site that don't,
  * over the same time, and each node with its own baseline if that is known. So a disturbance that
  * affects a whole site is not attributed to the release. The only bounds of a difference are the
- * harm that the operator tolerates and a fixed slowdown (see {@link CanaryLimits}); losses and
- * restarts of nodes are attributed by fixed significance levels.
+ * harm that the operator tolerates and a fixed slowdown (see {@link CanaryLimits}): a WELL verdict
+ * rules them out, and a WORSE verdict needs more than half of one. Losses and restarts of nodes are
+ * attributed by fixed significance levels; the loss of all changed nodes, while an unchanged node
+ * remains, always is.
  *
  * <p>Compares the share of requests that were not served in time: over all nodes and request
  * classes, for each request class, and for each site; and the mean latency over all nodes and
@@ -35,15 +37,16 @@
     private static final double WELL_STANDARD_ERRORS = 1.6;
 
     /**
-     * For a WELL verdict, the bound of each request class, as a multiple of the tolerated harm:
-     * harm in one request class may not show in all together. For a WORSE verdict, the bound of
-     * each request class is the tolerated harm itself.
+     * For a WELL verdict, each request class is also checked by itself, since harm in one may not
+     * show in the total. Its bound is this multiple of the tolerated harm; for a WORSE verdict it
+     * is the tolerated harm itself.
      */
     private static final double REQUEST_CLASS_HARM_FACTOR = 3;
 
     /**
      * If the probability that chance explains the losses of changed nodes is below this, they are
-     * attributed to the release.
+     * attributed to the release. Not needed if all changed nodes are lost and an unchanged one
+     * isn't.
      */
     private static final double LOSS_SIGNIFICANCE_LEVEL = 0.02;
 
@@ -113,8 +116,8 @@
             return new CanaryVerdict(
                     hasBothGroups ? CanaryVerdict.Kind.UNSURE : CanaryVerdict.Kind.WELL,
                     hasBothGroups
-                            ? "too few requests to compare"
-                            : "no unchanged node left to compare with");
+                            ? "no site has both changed and unchanged nodes with enough requests"
+                            : "no changed or no unchanged nodes to compare");
         }
         if (!overall.isWell()) {
             return new CanaryVerdict(CanaryVerdict.Kind.UNSURE, overall.text("not yet conclusive"));
--- a/src/main/java/lupinwood/rollout/NodeHistory.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -29,8 +29,8 @@
     private int incarnationsAtMark;
 
     /**
-     * Request counts over one observation before the rollout, with the previous version; null if
-     * unknown.
+     * Request counts over about {@link CanaryLimits#minWatch} before the first wave, with the
+     * previous version; null if unknown.
      */
     private RequestCounts baselineCounts;
 
@@ -120,7 +120,7 @@
                 && now.since(versionSince).compareTo(duration) >= 0;
     }
 
-    /** Whether it was ever healthy, and has not been for that long. */
+    /** Whether it was healthy before, but not at any time within this duration. */
     boolean isLost(NanoDuration duration, MonotonicTime now) {
         return lastHealthyAt != null && now.since(lastHealthyAt).compareTo(duration) >= 0;
     }
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -21,10 +21,11 @@
 import lupinwood.cluster.Rollout;
 
 /**
- * Runs a rollout for the holder of the rollout controller duty: checks that all nodes accept the
- * release, gives it to one node of each site, then to growing waves, and observes the nodes after
- * each wave. Its decisions are in the cluster state; its observations are not, so a new holder of
- * the duty starts to observe the current wave anew. It never resumes a halted rollout.
+ * Runs a rollout for the holder of the rollout controller duty: checks that all reachable nodes,
+ * more than half of all, accept the release (nodes don't check a program in advance, but must
+ * support rollouts), gives it to one node of each site, then to growing waves, and observes the
+ * nodes after each wave. Its decisions are in the cluster state; its observations are not, so a new
+ * holder of the duty starts to observe the current wave anew. It never resumes a halted rollout.
  */
 public final class RolloutController {
     /**
@@ -34,16 +35,17 @@
     private static final double WAVE_GROWTH_FACTOR = 3;
 
     /**
-     * Largest share of the unchanged nodes in one wave but the last; the others are left to compare
-     * with.
+     * Largest share of the unchanged nodes, rounded up to a whole node, that any wave but the first
+     * and the last may take; the others are left to compare with.
      */
     private static final double MAX_WAVE_RATIO = 0.6;
 
     private static final int MAX_PERMIT_REQUESTS_PER_DECISION = 8;
 
     /**
-     * Upper bound of the stored baseline entries (of nodes; also of request classes over all nodes,
-     * if these are stored), so that several such commands fit into one message.
+     * Maximum number of stored baseline entries, so that several such commands fit into one
+     * message. An entry is one request class of one node; if there would be more, an entry is the
+     * total of one node.
      */
     private static final int MAX_BASELINE_ENTRIES = 330;
 
@@ -268,11 +270,14 @@
                 rollout,
                 token,
                 chooseCanaries(snapshot, rollout),
-                "all nodes accept the release",
+                "all reachable nodes accept the release",
                 baselineCounts);
     }
 
-    /** Whether the node runs the previous or the new version, and has checked the new one. */
+    /**
+     * Whether the node runs the previous or the new version, and has checked the new one. Always
+     * true for a program, which nodes don't check in advance.
+     */
     private static boolean isChecked(NodeView nodeView, Rollout rollout) {
         NodeReport report = nodeView.report();
         if (rollout.kind() == Rollout.Kind.PROGRAM) {
@@ -591,8 +596,8 @@
     }
 
     /**
-     * Rolls back one node of each site first, starting with the node that serves requests worst;
-     * once these are healthy, all others.
+     * Rolls back the node of each site that serves requests worst; once these are healthy, all
+     * others.
      */
     private List<RolloutAction> rollBack(
             RolloutSnapshot snapshot, Rollout rollout, FencingToken token, MonotonicTime now) {
@@ -670,7 +675,10 @@
         return actions.subList(0, Math.min(actions.size(), MAX_PERMIT_REQUESTS_PER_DECISION));
     }
 
-    /** The node of each site that serves requests worst, the worst node first. */
+    /**
+     * The node of each site that serves requests worst. The worst of them is the first in the list,
+     * since the history names the first; all are rolled back by one command.
+     */
     private List<NodeName> chooseWorstOfEachSite(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, NodeView> worst = new TreeMap<>();
         snapshot.nodeViews().stream()
--- a/src/main/java/lupinwood/rollout/RolloutSnapshot.java
+++ b/src/main/java/lupinwood/rollout/RolloutSnapshot.java
@@ -19,8 +19,8 @@
  * @param haltedBy the operator who halted rollouts, or the rollout with the reason for its halt;
  *     empty while rollouts are not halted
  * @param maxUnavailableNodes how many nodes may be unavailable at once
- * @param baselineCounts each node's request counts over one observation before the first wave; null
- *     if they were not requested
+ * @param baselineCounts each node's request counts over about {@link CanaryLimits#minWatch} before
+ *     the first wave, with the previous version; null if they were not requested
  */
 public record RolloutSnapshot(
         Rollout rollout,
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void globalFaultMovesNoTrafficNorFaultySiteThatOfOthers() {
+    void globalFaultMovesNoTrafficAndFaultySiteMovesNoneOfOthers() {
         run(20);
         long plan = clusterState.lastPlan();
         for (int location = 0; location < 3; location++) {
