--- a/src/main/java/lupinwood/consensus/ClusterJson.java
+++ b/src/main/java/lupinwood/consensus/ClusterJson.java
@@ -40,8 +40,10 @@
  * record's table.
  *
  * <p>Message envelopes have their literals in {@link ClusterNode}, {@link ClusterQuery} and {@link
- * ClusterBootstrap}, and MicroRaft's messages and log entries theirs in {@link RaftCodec}, which
- * writes a membership change's mode by MicroRaft's own name for it.
+ * ClusterBootstrap}; the field with a command's name has its literal in {@link CommandCodec}, and
+ * the keys and maps of the storage directory have theirs in {@link RaftStorage}. MicroRaft's
+ * messages and log entries have their literals in {@link RaftCodec}, which writes a membership
+ * change's mode by MicroRaft's own name for it.
  *
  * <p>Thread-safe.
  */
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -101,7 +101,8 @@
     private RaftStorage storage;
 
     /**
-     * Null on a node that isn't a voter, and before this voter takes part in the consensus group.
+     * Null on a node that isn't a voter, before this voter takes part in the consensus group, and
+     * after a storage failure.
      */
     private RaftReplica replica;
 
@@ -239,8 +240,9 @@
         String id = newId != null ? newId : settings.name().text();
         List<String> founders = settings.names().stream().map(NodeName::text).toList();
         // Used only when a consensus group is founded, so that its fencing tokens are higher than
-        // those of an earlier group whose storage was lost. A token number, not a time: it leaves
-        // 1000 tokens for each second.
+        // those of an earlier group whose storage was lost. The value is a token number, not a
+        // time. It is higher than the earlier group's tokens unless that group issued more than
+        // 1000 tokens per second on average.
         long tokensAbove = WallClock.now().getEpochSecond() * 1000;
         replica =
                 new RaftReplica(
@@ -380,10 +382,12 @@
                         () -> {
                             // Any sender is accepted: the cluster state applies rollout
                             // steps and capacity plans only under the duty's fencing token. SetHalt
-                            // (which also resumes) and RollBack have no token; the operator orders
-                            // of the same effect are accepted from any sender, too. A halt is
-                            // harmless. RollBack applies only to the rollout in progress, by
-                            // its number, and ends a halt, since nothing may delay a rollback.
+                            // (halt and resume) and RollBack carry no token. Accepting them from
+                            // any sender grants nothing new, since the operator orders with the
+                            // same effect are accepted from any sender as well. A halt is
+                            // harmless. RollBack carries the number of the rollout that it rolls
+                            // back, and is rejected if that rollout isn't the one in progress. It
+                            // also ends a halt, because a halt must not delay a rollback.
                             boolean isAccepted =
                                     command instanceof ClusterCommand.AdvanceRollout
                                             || command instanceof ClusterCommand.FinishRollout
@@ -487,7 +491,8 @@
 
     /**
      * Tells a starting node which shared configuration to run, with its text, which program version
-     * to run, and which servers are cordoned. Only the leader knows.
+     * to run, and which servers are cordoned. Only the leader answers with these; what another
+     * voter knows may be outdated.
      */
     private void sendWanted(NodeName name, RaftTransport.Peer peer) {
         String digest = replica == null ? null : replica.wantedConfig(name);
@@ -692,8 +697,9 @@
 
     /**
      * As the status reporter, sends the cluster status to the external report address, if there is
-     * one, on each call. When over {@link #RECORD_INTERVAL_LEASES} leases have passed since the
-     * last time, records the number of known nodes in the cluster state.
+     * one, on each call. Once more than {@link #RECORD_INTERVAL_LEASES} lease durations have passed
+     * since the last record, also records the number of known nodes in the cluster state. Does
+     * neither while an earlier status still waits to be sent.
      */
     private void reportStatus(JsonElement state) {
         FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
@@ -728,8 +734,8 @@
 
     /**
      * As the rollout controller, decides the next rollout actions and sends them to the voter that
-     * this node talks to: rollout steps under the duty's fencing token, restart permits as operator
-     * orders, which have no token.
+     * this node talks to: rollout steps under the duty's fencing token, rollbacks and halts as
+     * commands without a token, and restart permits as operator orders, which have no token either.
      */
     private void controlRollout(JsonElement stateJson) {
         FencingToken token = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
--- a/src/main/java/lupinwood/consensus/ClusterQuery.java
+++ b/src/main/java/lupinwood/consensus/ClusterQuery.java
@@ -47,7 +47,8 @@
     /**
      * The leader's state; null if no leader answered in time.
      *
-     * @param withPlans whether to include all capacity plans that some node may still use
+     * @param withPlans whether to include the members, the capacity plans that some node may still
+     *     use, and what nodes run at each location
      */
     public static RaftReplica.ReplicaView state(
             Collection<InetSocketAddress> voters, NanoDuration timeout, Log log, boolean withPlans)
@@ -101,8 +102,8 @@
     }
 
     /**
-     * The answers of the voters that answered in time, by the voter's position in the collection
-     * and in the order of arrival. Returns early once the leader or all voters have answered.
+     * The answers that arrived in time, keyed by the voter's position in the collection. The map
+     * iterates in the order of arrival. Returns early once the leader or all voters have answered.
      */
     public static Map<Integer, JsonObject> ask(
             Collection<InetSocketAddress> voters, NanoDuration timeout, Log log)
--- a/src/main/java/lupinwood/consensus/FaultInjection.java
+++ b/src/main/java/lupinwood/consensus/FaultInjection.java
@@ -6,7 +6,8 @@
  * Faults and overrides that the experiments' launcher, {@code cli.ExperimentNode}, sets in its own
  * process, to show that the consensus group tolerates the faults, or that {@code
  * experiment.LeaseFaultsExperiment} detects a missing safeguard. The command 'serve' sets none of
- * them. To be set before the node is created, which reads the program version once.
+ * them. Must be set before the class {@link ClusterNode} is initialized, which reads the program
+ * version once.
  */
 public final class FaultInjection {
     private static volatile NanoDuration syncTakes = NanoDuration.ZERO;
@@ -21,8 +22,9 @@
     }
 
     /**
-     * Makes a lease holder start its lease when the heartbeat reply arrives instead of when the
-     * heartbeat was sent.
+     * Makes a lease holder count its lease from the arrival of the heartbeat reply instead of from
+     * the sending of the heartbeat, so that it no longer stops acting before the leader considers
+     * the lease expired (the early stop).
      */
     public static void leaveOutEarlyStop() {
         withoutEarlyStop = true;
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -55,16 +55,17 @@
  * task loop, whose clock may be simulated.
  *
  * <p>A heartbeat is accepted only after a majority confirmed that this voter still led after the
- * heartbeat arrived. So every heartbeat whose sending time starts a granted lease was sent before
- * the next leader's term began. A heartbeat that isn't accepted is answered as such, or dropped at
- * the bound on heartbeats that wait for confirmation.
+ * heartbeat arrived. Hence each lease, which counts from the sending time of an accepted heartbeat,
+ * starts before the next leader's term. Other heartbeats get a reply that says that they weren't
+ * accepted; those that arrive while too many wait for confirmation are dropped.
  */
 public final class RaftReplica {
     /**
      * What a replica works with.
      *
      * @param sender sends a message to the voter with that id
-     * @param restored the state read from the storage directory; null for a voter that never voted
+     * @param restored the state read from the storage directory; null if nothing is stored, as for
+     *     a voter that rejoins under a new id
      */
     public record ReplicaContext(
             TaskLoop loop,
@@ -100,8 +101,8 @@
      * @param id identifies the order, so that one sent again after a lost answer is executed once;
      *     not used for a forget order, which is executed again
      * @param what the kind of the order: leave (drain the node), halt (grant no permits, begin and
-     *     advance no rollouts), resume, forget (remove the node), release (begin a rollout), back
-     *     (roll back), rest (cordon the server) or unrest (uncordon it)
+     *     advance no rollouts, cordon no servers), resume, forget (remove the node), release (begin
+     *     a rollout), back (roll back), rest (cordon the server) or unrest (uncordon it)
      * @param node the node that the order is about; null where it is about none
      * @param by who gave the order, for the history
      * @param wish the requested rollout; null for other orders
@@ -376,7 +377,8 @@
         if (pendingCommands.size() >= MAX_PENDING_COMMANDS || !pendingCommands.add(command)) {
             return;
         }
-        // The lease manager has no wall clock, but entries of the history need a wall-clock time.
+        // The lease manager, the rollout controller and the capacity planner have no wall clock,
+        // but entries of the history need a wall-clock time.
         ClusterCommand timestamped = withWallClock(command);
         raft.<Boolean>replicate(CommandCodec.encode(timestamped))
                 .whenComplete(
@@ -721,7 +723,7 @@
         return updateLeadership();
     }
 
-    /** Applies the operations that MicroRaft committed to the cluster state. */
+    /** Applies committed operations to the cluster state. */
     private final class ReplicatedStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
--- a/src/main/java/lupinwood/consensus/RaftTransport.java
+++ b/src/main/java/lupinwood/consensus/RaftTransport.java
@@ -26,8 +26,9 @@
 
 /**
  * The transport between nodes: JSON messages in MINA's length-prefixed strings, on its own threads.
- * A message may be lost, for example when a connection breaks or a peer doesn't read; nothing waits
- * for a message. A peer that doesn't read delays no other peer.
+ * A message may be lost, for example when a connection breaks or a peer doesn't read; the transport
+ * doesn't send it again. Sending doesn't wait for the recipient. A peer that doesn't read delays no
+ * other peer.
  */
 final class RaftTransport {
     /** The bound on one message. */
--- a/src/main/java/lupinwood/consensus/ThreadTaskLoop.java
+++ b/src/main/java/lupinwood/consensus/ThreadTaskLoop.java
@@ -10,8 +10,8 @@
 /** A task loop on its own thread, with the machine's monotonic clock. */
 final class ThreadTaskLoop implements TaskLoop {
     /**
-     * Bound on the queued tasks for messages from other threads. Further messages are dropped;
-     * their senders repeat them.
+     * Bound on the queued tasks for messages from other threads. Further messages are dropped, as
+     * if the network had lost them.
      */
     private static final int MAX_QUEUED_TASKS = 4096;
 
--- a/src/test/java/lupinwood/consensus/GoldenFormsTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenFormsTest.java
@@ -80,8 +80,9 @@
     }
 
     /**
-     * A newer version may add fields at the top level and in nested objects. Of the nested ones,
-     * the test extends the fields of the top level that have a "number".
+     * A newer version may add fields at the top level and in nested objects. Of the nested objects,
+     * the test extends only those that are values of top-level fields and have a field "number"
+     * themselves.
      */
     @Test
     void ignoresFieldsOfANewerVersion() throws IOException {
--- a/src/test/java/lupinwood/consensus/MessageSizeTest.java
+++ b/src/test/java/lupinwood/consensus/MessageSizeTest.java
@@ -22,7 +22,7 @@
 import lupinwood.cluster.Site;
 import org.junit.jupiter.api.Test;
 
-/** The longest messages of a cluster of 300 nodes fit into the bound of one message. */
+/** Long messages of a cluster of 300 nodes, or their long parts, fit into one message's bound. */
 final class MessageSizeTest {
     private static final int NODES = 300;
     private static final int REQUEST_CLASSES = 3;
@@ -43,8 +43,9 @@
         return new RequestCounts(counts);
     }
 
+    /** The node views in the status for the planner and the rollout controller. */
     @Test
-    void statusForPlannerAndRolloutControllerFits() {
+    void nodeViewsWithAllReportsFit() {
         List<NodeReport.LocationUse> uses = new ArrayList<>();
         for (int i = 0; i < LOCATIONS; i++) {
             uses.add(
@@ -129,8 +130,9 @@
                 .isLessThan(RaftTransport.MAX_MESSAGE_BYTES * 9 / 10);
     }
 
+    /** Four entries, as in {@code RaftReplica.MAX_BATCH_ENTRIES}; without configuration texts. */
     @Test
-    void batchOfTheLongestCommandsFits() {
+    void batchOfRolloutStepsWithRequestCountsFits() {
         Map<String, RequestCounts> past = new TreeMap<>();
         for (int i = 0; i < NODES; i++) {
             past.put("node-" + i, new RequestCounts(List.of(requestCounts().all())));
