--- a/src/main/java/lupinwood/processing/Completion.java
+++ b/src/main/java/lupinwood/processing/Completion.java
@@ -17,7 +17,7 @@
     /** The executor refused the run command: nothing ran. */
     NOT_CARRIED_OUT(Outcome.MOOT),
     /**
-     * The run was stopped, or the executor ended it when it needed a call although its request was
+     * The run was stopped, or the executor ended it because it needed a call after its request was
      * already over.
      */
     STOPPED(Outcome.CANCELLED),
--- a/src/main/java/lupinwood/processing/ExecutorSession.java
+++ b/src/main/java/lupinwood/processing/ExecutorSession.java
@@ -221,10 +221,11 @@
 
     /**
      * Recovers after a lost connection, on which the last commands may not have been read. Run
-     * commands that were never written are written now, and so are replies whose request is still
-     * open. A safe request's run command is sent again even if it was written, because a run in
-     * progress ignores it. All other unconfirmed run commands, and replies whose request is still
-     * open, are in doubt. Stop commands are not sent again.
+     * commands that were never written are written now, and so are replies that were never written,
+     * if their request is still open. A safe request's run command is sent again even if it was
+     * written, because a run in progress ignores it. All other unconfirmed run commands are in
+     * doubt, and so are replies that were written but not confirmed, if their request is still
+     * open. Stop commands are not sent again.
      */
     private void recover() {
         requests.started().stream()
@@ -258,6 +259,9 @@
      * polled again after each reply that contains the number; without the number nothing is
      * resolved or polled.
      *
+     * <p>The logged count is the number of commands that were in doubt. It includes replies whose
+     * request was answered meanwhile, which are not sent again.
+     *
      * @param wantingCore how many requests use or wait for a core at the executor; NaN if unknown
      */
     private void resolveDoubts(double wantingCore) {
--- a/src/main/java/lupinwood/processing/IdempotentRequests.java
+++ b/src/main/java/lupinwood/processing/IdempotentRequests.java
@@ -11,9 +11,10 @@
 import lupinwood.admission.RequestId;
 
 /**
- * Remembers idempotent requests for their window. Within it a repeat does not run, unless the
- * original was forgotten because it never ran: it gets the result of its original or waits for it,
- * and fails if its body differs, the original failed or the result was dropped.
+ * Remembers idempotent requests for their window. A repeat within the window does not run: it gets
+ * the result of its original or waits for it, and fails if its body differs, the original failed or
+ * the result was dropped. If the original is forgotten because it never ran, the repeats that wait
+ * for it fail, and a later repeat may run.
  *
  * <p>Owned by the event loop thread.
  */
--- a/src/main/java/lupinwood/processing/RefusedCommands.java
+++ b/src/main/java/lupinwood/processing/RefusedCommands.java
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Handles the refusal of a command about this attempt. A refused run is over. At the first
-     * refusal to stop a run or to skip a call, the executor is never asked for that again. Refusals
-     * of other commands are ignored.
+     * Handles the refusal of a command about this attempt. A refused run is over. After the first
+     * refusal to stop a run, the executor is never asked to stop one again. The same holds for
+     * skipping calls, but a refusal that matches no run with an unconfirmed skip is ignored, for
+     * example after the request was released. Refusals of other commands are ignored.
      *
      * @param command its name in the executor protocol
      */
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -447,7 +447,7 @@
 
     // ---- drain ----
 
-    /** Begins to drain: requests are answered within this time, then the connections are closed. */
+    /** Begins to drain: answers requests within this time. The caller closes connections later. */
     public void leave(NanoDuration timeToAnswer) {
         if (drain.begin()) {
             policyRunner.drain(timeToAnswer);
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -36,8 +36,8 @@
 
     /**
      * How many requests use or wait for a core, as the executor reports it. The default is more
-     * than the runs of any test that restores the executor connection, so it proves no command in
-     * doubt to be unread.
+     * than the runs of any test that restores the executor connection, so it never proves that a
+     * command in doubt was not read.
      */
     private int wantingCore = 9;
 
@@ -210,7 +210,7 @@
 
     @Override
     public void readNoMore(ConnectionId connection) {
-        // Tested through the input that the request processor then ignores.
+        // Not recorded; the tests check that later requests on the connection are rejected.
     }
 
     @Override
