--- a/src/main/java/lupinwood/admission/AdmissionController.java
+++ b/src/main/java/lupinwood/admission/AdmissionController.java
@@ -39,7 +39,8 @@
      *
      * @param server carries out the decisions
      * @param seed unused: no decision is random
-     * @param settings settings by their outer names, see {@link PolicySettingsMapper}
+     * @param settings settings by the names that the entries have in the configuration, see {@link
+     *     PolicySettingsMapper}
      * @throws NumberFormatException if a numeric setting cannot be parsed
      */
     public AdmissionController(ServerActions server, long seed, Map<String, String> settings) {
@@ -112,8 +113,8 @@
     }
 
     /**
-     * Rejects a queued request over its tenant's quota in favour of one within its quota. Otherwise
-     * a burst of one tenant would fill the in-flight limit, which all tenants share.
+     * Rejects a queued request over its tenant's quota in favour of one that is not over a quota.
+     * Otherwise a burst of one tenant would fill the in-flight limit, which all tenants share.
      */
     private boolean displaceRequestOverQuota(AdmittedRequest request) {
         if (request.isOverQuota()) {
@@ -154,13 +155,13 @@
                                         rules.callQueue),
                                 now));
         for (AdmittedRequest request : overflow.requests()) {
-            double secondsUntilDone =
+            double retryAfterSeconds =
                     (overflow.coreSecondsAhead() / 2 + rules.cost.meanCoreSeconds(now))
                             / settings.machine().cores();
             lifecycle.reject(
                     request,
                     RejectionReason.CANNOT_FINISH_IN_TIME,
-                    NanoDuration.ofSeconds(secondsUntilDone));
+                    NanoDuration.ofSeconds(retryAfterSeconds));
         }
     }
 
--- a/src/main/java/lupinwood/admission/AdmissionPolicy.java
+++ b/src/main/java/lupinwood/admission/AdmissionPolicy.java
@@ -21,7 +21,8 @@
      * runs differ from the present settings. Open requests keep the due times that they were given
      * on arrival.
      *
-     * @param settings all settings, changed or not, by their outer names
+     * @param settings all settings, changed or not, by the names that the entries have in the
+     *     configuration
      */
     void updateSettings(Map<String, String> settings);
 
--- a/src/main/java/lupinwood/admission/AdmittedRequest.java
+++ b/src/main/java/lupinwood/admission/AdmittedRequest.java
@@ -168,7 +168,7 @@
         failed = true;
     }
 
-    /** Records how its run ended. */
+    /** Records how its run ended, or that of the original that it waits for. */
     void markCompleted(Outcome outcome) {
         failed |= outcome != Outcome.OK;
         provenNeverRan = outcome.provesNeverRan();
@@ -190,7 +190,7 @@
         return quotaBucket != null && quotaBucket.isBursting();
     }
 
-    /** Returns what it took of its tenant's quota; for a request that never ran. */
+    /** Gives back to its tenant's quota what it took; for a request that never ran. */
     void refundQuota() {
         if (quotaBucket != null) {
             quotaBucket.refund(overQuota);
--- a/src/main/java/lupinwood/admission/AimdLimit.java
+++ b/src/main/java/lupinwood/admission/AimdLimit.java
@@ -61,7 +61,7 @@
         return inFlight * 2 < limit;
     }
 
-    /** Records a call that returned within its target. */
+    /** Records a successful call that returned within its target, or while no target is known. */
     void onFastCall(int inFlight) {
         if (inFlight * 2 >= limit) {
             limit = Math.min(MAX_LIMIT_REQUESTS, limit + 1);
--- a/src/main/java/lupinwood/admission/BaselineLatency.java
+++ b/src/main/java/lupinwood/admission/BaselineLatency.java
@@ -58,7 +58,10 @@
                 : 1;
     }
 
-    /** The duration up to which a call counts as fast; empty until the baseline is known. */
+    /**
+     * The duration up to which a successful call counts as fast; empty until the baseline is known,
+     * and all successful calls count as fast until then.
+     */
     Optional<NanoDuration> target(RequestClass requestClass) {
         if (!isKnown()) {
             return Optional.empty();
--- a/src/main/java/lupinwood/admission/CostEstimator.java
+++ b/src/main/java/lupinwood/admission/CostEstimator.java
@@ -66,8 +66,8 @@
 
     /**
      * Whether less time is left than the work of a request needs, and also less than half of the
-     * time that it had on arrival, whether it spent that unread or in a queue. So a request is not
-     * too late only because its work is large.
+     * time that it had on arrival; time spent unread counts like time in the queue. A large amount
+     * of work alone therefore does not make a request too late.
      */
     boolean isTooLate(AdmittedRequest request, MonotonicTime now) {
         double secondsLeft = request.dueAt().since(now).seconds();
--- a/src/main/java/lupinwood/admission/DependencyLimiter.java
+++ b/src/main/java/lupinwood/admission/DependencyLimiter.java
@@ -10,8 +10,12 @@
  * slow call (slack &lt; 1):    allowedCalls = max(0.2 * dependencyQuota, allowedCalls * slack)
  * any other (see below):    allowedCalls = min(dependencyQuota, allowedCalls + (0.2 * dependencyQuota)^2 / allowedCalls)
  * while allowedCalls &lt; 1:   next call at calledAt + max(duration / min(1, dependencyQuota), typical / allowedCalls)
+ * each call that is over:   typical = sqrt(typical * duration), a geometric running mean; duration for the first call
  * </pre>
  *
+ * <p>{@code duration} is the time from a call until the dependency no longer works on it, for a
+ * call that was given up with the linger time.
+ *
  * <p>The quota is the load from this node that the dependency survives; it slows down long before
  * that. So a slow call reduces the allowed calls in proportion to how much too slow it was, and any
  * other call raises them once some request class has a baseline. A node that starts cold makes one
--- a/src/main/java/lupinwood/admission/DrainPolicy.java
+++ b/src/main/java/lupinwood/admission/DrainPolicy.java
@@ -1,9 +1,9 @@
 package lupinwood.admission;
 
 /**
- * Graceful shutdown: no request that arrives later than half the grace period after the notice is
- * run (the other half is a margin), and every request that was read is answered shortly before the
- * node is stopped.
+ * Graceful shutdown: a request that arrives after the first half of the grace period, which begins
+ * with the notice, is not run (the other half is a margin), and every request that was read is
+ * answered shortly before the node is stopped.
  *
  * <pre>last answers = stop - max(0.05 * (stop - notice), 4 ticks)</pre>
  *
--- a/src/main/java/lupinwood/admission/IdempotencyGuard.java
+++ b/src/main/java/lupinwood/admission/IdempotencyGuard.java
@@ -5,8 +5,8 @@
 
 /**
  * Ensures that an idempotent request runs once within its window. Original requests are remembered
- * from arrival to the end of the window; a retry of one that ran, or may still run, is answered
- * from the result of the original and never run.
+ * from arrival to the end of the window; a retry of one that ran, or may still run, is never run:
+ * it is answered from the result of the original, or failed if the original failed.
  *
  * <p>Bounded by the {@link MemoryBudget}: each idempotency record is charged to it, and a request
  * for whose record there is no room is not admitted.
@@ -16,7 +16,9 @@
 final class IdempotencyGuard {
     /** How a request is to be handled. */
     enum Verdict {
-        /** Not a retry, or its original never ran and never will. */
+        /**
+         * Not a retry of an idempotent request, or its recorded original is finished and never ran.
+         */
         MAY_RUN,
         /** A retry that is answered from the result of its original. */
         ANSWER_FROM_ORIGINAL,
@@ -52,7 +54,8 @@
         }
         AdmittedRequest original = originals.get(originalId);
         if (original == null) {
-            // The record has expired here; the node may still have the result.
+            // The record has expired here, or was removed since the original never ran; the node
+            // may still have the result.
             return Verdict.ANSWER_FROM_ORIGINAL;
         }
         if (!original.hasRun() && original.isFinished()) {
--- a/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
+++ b/src/main/java/lupinwood/admission/IdleConnectionPolicy.java
@@ -15,8 +15,8 @@
  * </pre>
  *
  * <p>A node that is behind with reading requests keeps idle connections longer, whatever the
- * fullness, since connections that the lag alone makes look idle would be closed, and upstreams
- * would only open them anew.
+ * fullness, since unread requests make connections look idle; if these were closed, upstreams would
+ * only reopen them.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
--- a/src/main/java/lupinwood/admission/LoadReporter.java
+++ b/src/main/java/lupinwood/admission/LoadReporter.java
@@ -5,7 +5,7 @@
  *
  * <pre>
  * allowance = cores * max(1, (mean objective / 2) / mean cost) / upstreams; 0 while draining
- * floor     = the rank below which upstreams are to send nothing, in hundredths; 1 while draining
+ * floor     = the rank below which upstreams are to send nothing, rounded to 0.01; 1 while draining
  * weight    = 1; 0 while draining
  * each refresh: floor = floor + interval seconds * (waiting ratio - 0.15), within 0 and 1 - 1 / classes
  * </pre>
@@ -67,7 +67,7 @@
      * Moves the floor by how much recent requests waited.
      *
      * @param queuedRatio the part of the mean latency objective that the queued work takes
-     * @param interval the time for which this adjustment stands in: that until the next one
+     * @param interval the time until the next adjustment
      */
     void adjustFloor(double queuedRatio, NanoDuration interval) {
         double waitingRatio = queuedRatio + unreadRatio;
--- a/src/main/java/lupinwood/admission/PolicySettings.java
+++ b/src/main/java/lupinwood/admission/PolicySettings.java
@@ -18,8 +18,8 @@
  * @param dependencyQuotaWindow the time over which a dependency quota of less than one call in
  *     flight is averaged
  * @param callLinger the time for which the dependency may still work on a call that was given up
- * @param worstClassWeight the weight, from 0 to 1, of the request class served worst in the
- *     operators' goal
+ * @param worstClassWeight the weight, from 0 to 1, that the operators' goal gives to the request
+ *     class served worst
  * @param overQuotaValue the value of a request over its tenant's quota, as a share of its utility
  * @param classes the request classes, in the order of the settings
  * @param meanObjectiveSeconds the mean latency objective of all classes; 1 if there are none
--- a/src/main/java/lupinwood/admission/PolicySettingsMapper.java
+++ b/src/main/java/lupinwood/admission/PolicySettingsMapper.java
@@ -5,9 +5,10 @@
 import java.util.stream.IntStream;
 
 /**
- * Converts the settings, a map from outer names to texts, to the types that the decisions use. The
- * only class of the package that contains these names. An absent entry gets its default; a text
- * that should be a number but is not causes a {@link NumberFormatException}.
+ * Converts the settings, a map from the names that the entries have in the configuration to texts,
+ * to the types that the decisions use. The only class of the package that contains these names. An
+ * absent entry gets its default; a text that should be a number but is not causes a {@link
+ * NumberFormatException}.
  *
  * <p>Stateless; may be used from any thread.
  */
@@ -129,7 +130,10 @@
                 skippedCallValue.isEmpty() ? 0 : Double.parseDouble(skippedCallValue));
     }
 
-    /** A class that is not declared harmless or idempotent is never run twice. */
+    /**
+     * A request class that the settings declare neither safe nor idempotent is unsafe: its requests
+     * are never run twice.
+     */
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
             case "pure" -> Idempotency.SAFE;
--- a/src/main/java/lupinwood/admission/RejectionReason.java
+++ b/src/main/java/lupinwood/admission/RejectionReason.java
@@ -12,7 +12,8 @@
     /** The in-flight limit on requests that may call downstream is reached. */
     IN_FLIGHT_LIMIT("in_flight_limit"),
     /**
-     * Its tenant is over its quota, and a request within another tenant's quota takes its place.
+     * Its tenant had used up its quota when the request arrived, and a request that is not over a
+     * quota takes its place.
      */
     OVER_QUOTA("over_quota"),
     /**
--- a/src/main/java/lupinwood/admission/RequestLifecycle.java
+++ b/src/main/java/lupinwood/admission/RequestLifecycle.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * Moves requests through their states, and with each step requests the actions of the node and
+ * Moves each request through its states; at each step it asks the node for the actions needed and
  * informs the rules. Each request gets one final answer, unless its client is gone before: its
  * result, {@link #reject} or {@link #fail}.
  *
@@ -315,7 +315,8 @@
     /**
      * Skips the call where the request class has a positive skippedCallValue and the request still
      * needs an answer, else fails the request. Used when the call timed out, failed or could not
-     * return in time, and at once while calls take longer than their target.
+     * return in time, and instead of queueing the call while the expected call duration exceeds the
+     * target.
      */
     void skipCallOrFail(AdmittedRequest request) {
         if (request.requestClass().skippedCallValue() > 0 && !request.needsNoAnswer()) {
--- a/src/main/java/lupinwood/admission/ServerActions.java
+++ b/src/main/java/lupinwood/admission/ServerActions.java
@@ -56,7 +56,10 @@
     /** Closes upstream connections that are idle for this long, from now on. */
     void closeIdleConnections(NanoDuration idle);
 
-    /** Requests {@link AdmissionPolicy#wake} at this time; replaces an earlier request. */
+    /**
+     * Requests a wake-up ({@link AdmissionPolicy#wake}) at this time; replaces the wake-up
+     * requested before, if any.
+     */
     void wakeAt(MonotonicTime time);
 
     /**
--- a/src/main/java/lupinwood/admission/SettingsMap.java
+++ b/src/main/java/lupinwood/admission/SettingsMap.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 
 /**
- * The settings as a map from outer names to texts, with typed access. An absent name is not an
- * error. The decisions use {@link PolicySettings} instead. Immutable; may be used from any thread.
+ * The settings as a map from the names that the entries have in the configuration to texts, with
+ * typed access. An absent name is not an error. The decisions use {@link PolicySettings} instead.
+ * Immutable; may be used from any thread.
  */
 public final class SettingsMap {
     private final Map<String, String> values;
--- a/src/main/java/lupinwood/admission/TenantQuota.java
+++ b/src/main/java/lupinwood/admission/TenantQuota.java
@@ -15,8 +15,9 @@
  * </pre>
  *
  * <p>A node that upstreams prefer gets more requests of all tenants. So the rate is multiplied by
- * {@code typical}: what the median tenant had admitted recently, as a multiple of its quota, and at
- * least 1.
+ * {@code typical}: the recently admitted requests of the median tenant, as a multiple of its quota;
+ * at least 1. The median is taken over all tenants of the settings; one without a quota counts as
+ * 0.
  *
  * <p>Owned by the thread of the {@link AdmissionController}.
  */
@@ -27,7 +28,10 @@
      */
     private static final double MIN_WINDOW_SECONDS = 6;
 
-    /** The least requests in a window, so that a small quota can be told from a burst. */
+    /**
+     * The least number of requests in a window, so that a few requests under a small quota aren't
+     * taken for a burst.
+     */
     private static final double MIN_WINDOW_REQUESTS = Histogram.RECENT_SAMPLES / 2.0;
 
     /** A tenant bursts when it sends more than this multiple of what is typical here. */
@@ -81,7 +85,7 @@
             return withinQuota;
         }
 
-        /** Returns what a request that never ran took of the quota. */
+        /** Gives back to the quota what a request that never ran took. */
         void refund(boolean wasOverQuota) {
             admitted = Math.max(0, admitted - 1);
             tokens += wasOverQuota ? 0 : 1;
--- a/src/main/java/lupinwood/admission/TimerQueue.java
+++ b/src/main/java/lupinwood/admission/TimerQueue.java
@@ -35,7 +35,8 @@
 
     /**
      * Runs all tasks that are due, including those that become due meanwhile. A coarse clock may
-     * wake the node slightly early; the requested wake-up is used up all the same.
+     * wake the node slightly early; that wake-up no longer counts as pending, so {@link
+     * #requestWakeUp} requests another.
      */
     public void runDue() {
         requestedWakeUp = MonotonicTime.NEVER;
--- a/src/test/java/lupinwood/admission/AdmissionControllerTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -543,8 +543,8 @@
     }
 
     /**
-     * Guards against a fault in which calls returned together, so that more requests ran on two
-     * cores than the four that they survive.
+     * Guards against a fault in which calls returned together, so that more requests ran than the
+     * four that a node with two cores survives.
      */
     @Test
     void callingRequestsStayWithinWhatTheCoresSurvive() {
@@ -560,7 +560,7 @@
                     });
         }
         assertThat(server.callTimeouts)
-                .as("calls in flight on two cores that survive four requests")
+                .as("calls in flight of a node that survives four running requests")
                 .hasSizeLessThanOrEqualTo(4);
         List.copyOf(server.callTimeouts.keySet())
                 .forEach(
--- a/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
+++ b/src/test/java/lupinwood/admission/SharedDependencyCallsTest.java
@@ -16,9 +16,9 @@
 /**
  * Many nodes, each with an {@link AdmissionController} of its own that knows nothing of the others,
  * share one simulated dependency on one clock. The dependency divides its capacity among the calls
- * in flight, goes on with a call that was given up for the linger time, and refuses calls while
- * down. The calls in flight of all nodes are counted independently of AdmissionController, at each
- * moment and as a mean over each quota window.
+ * in flight, keeps working on a given-up call for the linger time, and refuses calls while down.
+ * The calls in flight of all nodes are counted independently of AdmissionController, at each moment
+ * and as a mean over each quota window.
  */
 final class SharedDependencyCallsTest {
     private static final int QUOTA_WINDOW_MILLIS = 5000; // domain.calls_over_ns
@@ -232,12 +232,12 @@
 
     /**
      * With a quota of at least one call per node, the quotas bound the sum of calls at each moment.
-     * Below one they bound its mean over a window, with an excess: each node may end a window with
-     * one call more, and that takes at most half of what the quota allows. Two bounds on the mean
-     * include this excess. {@code 1.5 - quota / 2} is the factor of a sum that exceeds the quotas
-     * by half where they are close to zero, and by nothing where they are one call or more. {@code
-     * 2 * sqrt(total) + 2} is an excess that grows with the square root of the sum of the quotas,
-     * since not all nodes have one in the same window.
+     * With a quota below one, the quotas bound the mean over a window, plus an excess: each node
+     * may have one more call at the end of a window, which uses at most half of what its quota
+     * allows in a window. The test checks two upper bounds on the mean: {@code total * max(1, 1.5 -
+     * quota / 2)}, which allows an excess of one half for a quota near zero, falling to none at one
+     * call or more; and {@code total + 2 * sqrt(total) + 2}, whose excess grows with the square
+     * root of the sum of the quotas, since not all nodes have their excess call in the same window.
      */
     @ParameterizedTest
     @CsvSource({"20, 0.25", "30, 0.25", "30, 0.6", "20, 1.6", "30, 3.3"})
