--- a/src/main/java/lupinwood/admission/RejectionReason.java
+++ b/src/main/java/lupinwood/admission/RejectionReason.java
@@ -1,6 +1,10 @@
 package lupinwood.admission;
 
-/** Why a request is rejected without having run; written to the log. */
+/**
+ * Why the admission policy rejects a request that has not run; written to the log. The reasons for
+ * which a request is rejected before the policy sees it are not listed here; they are in {@code
+ * processing.RequestIntake}.
+ */
 enum RejectionReason {
     /**
      * The node is draining, and the request came too late to be run or was still queued when the
--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -10,6 +10,8 @@
  * shortened by the clock drift, as in {@link HeldLeases}, because the node's clock may run slow.
  * Plan numbers never decrease within one incarnation, so a delayed reply with an older plan changes
  * nothing.
+ *
+ * <p>Not thread-safe: owned by the task loop thread of the cluster's membership.
  */
 public final class CapacityLease {
     private final Map<String, Integer> baseSlots;
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -14,6 +14,8 @@
  * the replies said. If a reply names the leader, the next heartbeat goes there. While no voter
  * replies, the session tries the voters in turn, with a jittered exponential backoff, so that
  * hundreds of nodes that were cut off don't reconnect at the same time.
+ *
+ * <p>Not thread-safe: owned by the task loop thread of the cluster's membership.
  */
 public final class ClusterSession {
     /** A heartbeat to be sent, and the voter that gets it. */
--- a/src/main/java/lupinwood/cluster/DutyLeases.java
+++ b/src/main/java/lupinwood/cluster/DutyLeases.java
@@ -8,8 +8,8 @@
 
 /**
  * Which node holds which duty, under which fencing token. Tokens increase across all duties, and
- * start above those of a lost older state. Part of {@link ClusterState}, and owned by the same
- * thread.
+ * start above those of a lost older state. {@link LeaseManager#decide} proposes the commands that
+ * grant and release the duties. Part of {@link ClusterState}, and owned by the same thread.
  */
 final class DutyLeases {
     private static final int MAX_DUTIES = 64;
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -13,7 +13,10 @@
  * sent its heartbeat, and is shortened by the clock drift, so it ends on this node before the
  * consensus group may grant the duty to another node, however long the reply took. {@link #mayAct}
  * must be called before every action under a duty, because the process may have been paused since
- * the last check.
+ * the last check. A command that carries the token is dropped by the cluster state if the duty is
+ * no longer held under that token, see {@link DutyLeases#isHeldUnder}.
+ *
+ * <p>Not thread-safe: owned by the task loop thread of the cluster's membership.
  */
 public final class HeldLeases {
     /** Heartbeats for which a reply is still accepted. */
--- a/src/main/java/lupinwood/consensus/ClusterBootstrap.java
+++ b/src/main/java/lupinwood/consensus/ClusterBootstrap.java
@@ -21,6 +21,8 @@
  * too, and starts its replica once all of them are founders. A voter with empty storage that then
  * learns that another voter has state {@link State#VOTES} has lost its storage: it never votes
  * under its old id again, and requests admission under a new one.
+ *
+ * <p>Not thread-safe: owned by the task loop thread of the cluster's membership.
  */
 final class ClusterBootstrap {
     /**
--- a/src/main/java/lupinwood/consensus/RaftStorage.java
+++ b/src/main/java/lupinwood/consensus/RaftStorage.java
@@ -24,10 +24,17 @@
 
 /**
  * A voter's storage directory: one MVStore file. MVStore verifies what it reads and opens the last
- * complete version. Whatever MicroRaft needs durable is synced before its call returns. After the
- * first failure of a put, a commit or a sync nothing more is written: a disk that failed once may
- * confirm writes that it didn't keep, so the voter stops voting until it is restarted. A failure to
- * remove entries or chunks is thrown as MVStore's exception, and doesn't count as that failure.
+ * complete version. Whatever MicroRaft needs durable is synced before its call returns: the {@code
+ * persistAndFlush} methods and {@link #flush} sync all earlier writes, the other methods don't.
+ *
+ * <p>After the first failure of a put, a commit or a sync, this class rejects all further writes
+ * and removals, and the voter stops voting until it is restarted: a disk that failed once may
+ * confirm writes that it didn't keep. A failed removal of entries or chunks has no such effect: the
+ * caller gets MVStore's exception, and later writes are still accepted.
+ *
+ * <p>Not thread-safe: owned by the task loop thread of the cluster's membership. Other threads only
+ * open and restore it before the loop uses it, close it after the loop was closed, and read {@link
+ * #syncCount} for the log.
  */
 final class RaftStorage implements RaftStore, Closeable {
     private static final String FILE_NAME = "council.mv";
--- a/src/main/java/lupinwood/consensus/StatusReporter.java
+++ b/src/main/java/lupinwood/consensus/StatusReporter.java
@@ -19,7 +19,8 @@
  * Sends the cluster status to an external HTTP server by PUT, with the fencing token of the status
  * reporter duty. The server answers 409 or 412 to a token lower than the highest it has seen. After
  * such an answer, or after {@link #MAX_CONSECUTIVE_FAILURES} consecutive failures, this node gives
- * up the duty. One request runs at a time, on a thread of its own.
+ * up the duty. One request runs at a time, on a thread of its own, which also counts the failures;
+ * {@link #report} is called on the task loop thread of the cluster's membership.
  */
 final class StatusReporter {
     private static final int TIMEOUT_MILLIS = 1000;
--- a/src/main/java/lupinwood/net/NodeServer.java
+++ b/src/main/java/lupinwood/net/NodeServer.java
@@ -108,10 +108,10 @@
     private static final NanoDuration QUIET = NanoDuration.ofSeconds(1);
 
     /**
-     * How the time to the stop is spent: by the first all is answered. The end after it has three
-     * parts of one length: upstream load balancers close their connections, as they are asked to;
-     * those that rest until this side ends them see the end; and the process is gone by itself.
-     * Where the stop comes soon each is a twelfth of the time to it.
+     * Divides the time from the notice to leave to the stop. All requests are to be answered within
+     * {@code answered}. Three phases of {@code part} follow: upstream load balancers close their
+     * connections, as asked to; those open until then are closed by this node; the process exits by
+     * itself. {@code part} is a twelfth of the time, at most {@link #LONGEST_PART}.
      */
     record DrainSequence(NanoDuration answered, NanoDuration part) {
         private static final NanoDuration LONGEST_PART = NanoDuration.ofSeconds(0.2);
--- a/src/main/java/lupinwood/processing/IdempotencyStore.java
+++ b/src/main/java/lupinwood/processing/IdempotencyStore.java
@@ -17,6 +17,9 @@
  * repeat is still recognized, does not run, and fails. When the number of records is at its limit,
  * no request with a new idempotency key is admitted.
  *
+ * <p>The records are in memory only and end with the process. A retry that arrives after a restart
+ * may therefore run again.
+ *
  * <p>Owned by the event loop thread.
  */
 final class IdempotencyStore {
