--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -46,18 +46,18 @@
     }
 
     /** The number of the newest plan received; this node no longer follows an older one. */
-    public long plan() {
+    public long planNumber() {
         return planNumber;
     }
 
     /** How many concurrent requests the node may send to the location now. */
-    public int may(String location, MonotonicTime now) {
+    public int allowedRequests(String location, MonotonicTime now) {
         int base = baseSlots.getOrDefault(location, 0);
         return now.isBefore(expiresAt) ? Math.max(base, slots.getOrDefault(location, 0)) : base;
     }
 
     /** When the lease on {@link #slots} ends. */
-    public MonotonicTime until() {
+    public MonotonicTime expiresAt() {
         return expiresAt;
     }
 
--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -17,7 +17,7 @@
  */
 public final class ClusterSession {
     /** A heartbeat to be sent, and the voter that gets it. */
-    public record Sent(NodeName to, Heartbeat heartbeat) {}
+    public record OutgoingHeartbeat(NodeName voter, Heartbeat heartbeat) {}
 
     /** In units of the heartbeat interval that applies, the holder's or the usual one. */
     private static final double MAX_BACKOFF_INTERVALS = 4;
@@ -78,7 +78,7 @@
     }
 
     /** When the next heartbeat is due. */
-    public MonotonicTime due() {
+    public MonotonicTime nextHeartbeatAt() {
         return nextHeartbeatAt;
     }
 
@@ -86,7 +86,7 @@
      * Returns the heartbeat that is due now, or null if none is due. The caller must send it: it
      * counts as sent.
      */
-    public Sent heartbeat(NodeCondition condition, MonotonicTime now) {
+    public OutgoingHeartbeat pollHeartbeat(NodeCondition condition, MonotonicTime now) {
         if (now.isBefore(nextHeartbeatAt)) {
             return null;
         }
@@ -96,13 +96,13 @@
             failedAttempts++;
         }
         heartbeatNumber++;
-        heldLeases.asks(heartbeatNumber, now);
+        heldLeases.onHeartbeatSent(heartbeatNumber, now);
         awaitingReplySince = now;
         nextHeartbeatAt = now.plus(jitteredInterval(condition, now));
         List<HealthCheckResult> agedChecks = new ArrayList<>();
         healthChecks.forEach(
                 (server, check) -> agedChecks.add(check.agedBy(now.since(checkedAt.get(server)))));
-        return new Sent(
+        return new OutgoingHeartbeat(
                 currentVoter,
                 new Heartbeat(
                                 Heartbeat.VERSION,
@@ -121,9 +121,9 @@
     }
 
     /** The last heartbeat of this incarnation; to be called after all duties were released. */
-    public Sent last(MonotonicTime now) {
+    public OutgoingHeartbeat finalHeartbeat(MonotonicTime now) {
         nextHeartbeatAt = now;
-        return heartbeat(NodeCondition.GONE, now);
+        return pollHeartbeat(NodeCondition.GONE, now);
     }
 
     private NanoDuration jitteredInterval(NodeCondition condition, MonotonicTime now) {
@@ -143,7 +143,7 @@
     }
 
     /** Handles a reply to a heartbeat. */
-    public void heard(HeartbeatReply reply, MonotonicTime now) {
+    public void onReply(HeartbeatReply reply, MonotonicTime now) {
         if (reply.number() > heartbeatNumber) {
             return; // the heartbeat was sent by another incarnation
         }
@@ -214,12 +214,12 @@
     }
 
     /** The lease on this node's slots in the capacity plan, created without base slots. */
-    public CapacityLease allotment() {
+    public CapacityLease capacityLease() {
         return capacityLease;
     }
 
     /** The duties that this node holds. */
-    public HeldLeases holding() {
+    public HeldLeases heldLeases() {
         return heldLeases;
     }
 
@@ -239,7 +239,7 @@
      * Releases a duty that this node can't perform, and reports the failure, so that the node isn't
      * given the duty again for some time.
      */
-    public void failAt(DutyName duty, MonotonicTime now) {
+    public void reportFailure(DutyName duty, MonotonicTime now) {
         Lease lease = heldLeases.release(duty);
         if (lease != null) {
             failedLeases.put(duty, lease);
@@ -248,21 +248,22 @@
     }
 
     /** Releases all duties that this node holds. */
-    public void handOnAll(MonotonicTime now) {
+    public void releaseAll(MonotonicTime now) {
         heldLeases.holds(now).forEach(lease -> release(lease.duty(), now));
     }
 
-    public void leavesOut(List<String> servers) {
+    public void setEjectedServers(List<String> servers) {
         ejectedServers = List.copyOf(servers);
     }
 
     /** Sets the report that is sent with each heartbeat from now on. */
-    public void reports(NodeReport newReport) {
+    public void setReport(NodeReport newReport) {
         report = newReport;
     }
 
     /** Records the result of a health check made under the duty's token. */
-    public void found(String server, boolean well, FencingToken token, MonotonicTime now) {
+    public void recordHealthCheck(
+            String server, boolean well, FencingToken token, MonotonicTime now) {
         healthChecks.put(server, new HealthCheckResult(server, well, token, NanoDuration.ZERO));
         checkedAt.put(server, now);
         nextHeartbeatAt = nextHeartbeatAt.isBefore(now) ? nextHeartbeatAt : now;
@@ -272,22 +273,22 @@
      * Whether the latest reply of a leader is at most one lease old and accepts this node as a
      * member; otherwise the node decides as it would without a cluster.
      */
-    public boolean isInTouch(MonotonicTime now) {
+    public boolean isConnected(MonotonicTime now) {
         return latestReplyAt != null
                 && now.since(latestReplyAt).compareTo(timing.lease()) <= 0
                 && latestReply.trouble().isEmpty();
     }
 
     /** The latest reply of a leader; null before the first. */
-    public HeartbeatReply latest() {
+    public HeartbeatReply latestReply() {
         return latestReply;
     }
 
-    public MonotonicTime latestWord() {
+    public MonotonicTime latestReplyAt() {
         return latestReplyAt;
     }
 
-    public NodeName talksTo() {
+    public NodeName currentVoter() {
         return currentVoter;
     }
 }
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -11,9 +11,9 @@
 /**
  * Which duties this node holds, by its own monotonic clock. A lease is counted from when the node
  * sent its heartbeat, and is shortened by the clock drift, so it ends on this node before the
- * consensus group may grant the duty to another node, however long the reply took. {@link #mayAct}
- * must be called before every action under a duty, because the process may have been paused since
- * the last check.
+ * consensus group may grant the duty to another node, however long the reply took. {@link
+ * #tokenFor} must be called before every action under a duty, because the process may have been
+ * paused since the last check.
  */
 public final class HeldLeases {
     /** Heartbeats for which a reply is still accepted. */
@@ -34,7 +34,7 @@
     }
 
     /** Records that a heartbeat is about to be sent. */
-    public void asks(long number, MonotonicTime now) {
+    public void onHeartbeatSent(long number, MonotonicTime now) {
         heartbeatSentAt.put(number, now);
         if (heartbeatSentAt.size() > MAX_PENDING_HEARTBEATS) {
             heartbeatSentAt.keySet().removeIf(old -> old <= number - MAX_PENDING_HEARTBEATS);
@@ -80,13 +80,13 @@
     }
 
     /** The token to act under; null where the node must not act. */
-    public FencingToken mayAct(DutyName duty, MonotonicTime now) {
+    public FencingToken tokenFor(DutyName duty, MonotonicTime now) {
         LeaseExpiry lease = leases.get(duty);
         return lease != null && now.isBefore(lease.expiresAt()) ? lease.token() : null;
     }
 
     /** How long the node may still act; zero where it must not. */
-    public NanoDuration left(DutyName duty, MonotonicTime now) {
+    public NanoDuration remaining(DutyName duty, MonotonicTime now) {
         LeaseExpiry lease = leases.get(duty);
         return lease == null
                 ? NanoDuration.ZERO
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -471,7 +471,7 @@
         JsonObject message = new JsonObject();
         message.addProperty("k", "text?");
         message.addProperty("digest", digest);
-        transport.send(voterAddresses.get(session.talksTo()), message);
+        transport.send(voterAddresses.get(session.currentVoter()), message);
     }
 
     private void sendConfigText(String digest, RaftTransport.Peer peer) {
@@ -531,42 +531,44 @@
             return;
         }
         MonotonicTime now = loop.now();
-        session.leavesOut(self.excludedServers().get());
-        session.reports(
+        session.setEjectedServers(self.excludedServers().get());
+        session.setReport(
                 new NodeReport(
                         PROGRAM_VERSION,
                         configFollower.runningDigest(),
                         configFollower.lastCheck(),
                         self.drainedServers().get(),
-                        session.allotment().plan(),
+                        session.capacityLease().planNumber(),
                         self.locationUses().get(),
                         self.requestCounts().get()));
-        ClusterSession.Sent sent =
-                session.heartbeat(leaving ? NodeCondition.LEAVING : self.condition().get(), now);
+        ClusterSession.OutgoingHeartbeat sent =
+                session.pollHeartbeat(
+                        leaving ? NodeCondition.LEAVING : self.condition().get(), now);
         if (sent != null) {
             sendHeartbeat(sent);
         }
         loop.after(
-                session.due()
+                session.nextHeartbeatAt()
                         .since(now)
                         .max(MIN_HEARTBEAT_DELAY)
                         .min(settings.timing().heartbeatInterval()),
                 this::sendDueHeartbeat);
     }
 
-    private void sendHeartbeat(ClusterSession.Sent sent) {
+    private void sendHeartbeat(ClusterSession.OutgoingHeartbeat sent) {
         JsonObject message = new JsonObject();
         message.addProperty("k", "beat");
         message.add("b", ClusterJson.toTree(sent.heartbeat()));
-        transport.send(voterAddresses.get(sent.to()), message);
+        transport.send(voterAddresses.get(sent.voter()), message);
     }
 
     private void onHeartbeatReply(HeartbeatReply reply) {
-        String previousTrouble = session.latest() == null ? "" : session.latest().trouble();
+        String previousTrouble =
+                session.latestReply() == null ? "" : session.latestReply().trouble();
         if (FaultInjection.isWithoutEarlyStop()) {
-            session.holding().asks(reply.number(), loop.now());
+            session.heldLeases().onHeartbeatSent(reply.number(), loop.now());
         }
-        session.heard(reply, loop.now());
+        session.onReply(reply, loop.now());
         if (reply.taken() && !reply.trouble().equals(previousTrouble)) {
             log.line(
                     reply.trouble().isEmpty()
@@ -589,7 +591,7 @@
     private void publishView() {
         MonotonicTime now = loop.now();
         List<ClusterView.LeaseView> leases = new ArrayList<>();
-        session.holding()
+        session.heldLeases()
                 .holds(now)
                 .forEach(
                         lease ->
@@ -598,9 +600,9 @@
                                                 lease.duty(),
                                                 lease.token(),
                                                 now.plus(
-                                                        session.holding()
-                                                                .left(lease.duty(), now)))));
-        HeartbeatReply latest = session.latest();
+                                                        session.heldLeases()
+                                                                .remaining(lease.duty(), now)))));
+        HeartbeatReply latest = session.latestReply();
         if (latest != publishedReply && latest != null) {
             publishedReply = latest;
             serverHealth =
@@ -610,28 +612,30 @@
                                             new ClusterView.ServerHealth(
                                                     result.server(),
                                                     result.well(),
-                                                    session.latestWord().minus(result.age())))
+                                                    session.latestReplyAt().minus(result.age())))
                             .toList();
         }
         MonotonicTime connectedUntil =
-                session.isInTouch(now)
-                        ? session.latestWord().plus(settings.timing().lease())
+                session.isConnected(now)
+                        ? session.latestReplyAt().plus(settings.timing().lease())
                         : new MonotonicTime(Long.MIN_VALUE);
         List<String> cordons =
                 latest == null || latest.wanted() == null || latest.wanted().cordons() == null
                         ? cordonsAtStart
                         : latest.wanted().cordons();
-        CapacityLease capacityLease = session.allotment();
+        CapacityLease capacityLease = session.capacityLease();
         view =
                 new ClusterView(
                         connectedUntil,
                         leases,
                         serverHealth,
                         new ClusterView.CapacityShare(
-                                capacityLease.plan(), capacityLease.slots(), capacityLease.until()),
+                                capacityLease.planNumber(),
+                                capacityLease.slots(),
+                                capacityLease.expiresAt()),
                         cordons,
                         latest == null ? null : latest.leader());
-        Set<Lease> heldLeases = new HashSet<>(session.holding().holds(now));
+        Set<Lease> heldLeases = new HashSet<>(session.heldLeases().holds(now));
         List<Lease> newLeases = new ArrayList<>(heldLeases);
         newLeases.removeAll(publishedLeases);
         newLeases.sort(Comparator.comparing(Lease::token));
@@ -661,15 +665,16 @@
             return;
         }
         publishView();
-        FencingToken reporterToken = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken reporterToken =
+                session.heldLeases().tokenFor(DutyName.STATUS_REPORTER, loop.now());
         FencingToken controllerToken =
-                session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
-        if (session.latest() != null && session.isInTouch(loop.now())) {
-            configFollower.follow(session.latest().wanted());
+                session.heldLeases().tokenFor(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        if (session.latestReply() != null && session.isConnected(loop.now())) {
+            configFollower.follow(session.latestReply().wanted());
         }
         boolean holdsPlanner =
                 !settings.locations().isEmpty()
-                        && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
+                        && session.heldLeases().tokenFor(DutyName.PLANNER, loop.now()) != null;
         if (reporterToken != null || (controllerToken != null && rolloutOpen) || holdsPlanner) {
             JsonObject query = new JsonObject();
             query.addProperty("k", "ask");
@@ -683,7 +688,7 @@
             if (holdsPlanner) {
                 query.addProperty("plans", true);
             }
-            transport.send(voterAddresses.get(session.talksTo()), query);
+            transport.send(voterAddresses.get(session.currentVoter()), query);
         }
         loop.after(settings.timing().holderHeartbeatInterval().times(0.5), this::performDuties);
     }
@@ -696,7 +701,7 @@
      * last time, records the number of known nodes in the cluster state.
      */
     private void reportStatus(JsonElement state) {
-        FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.STATUS_REPORTER, loop.now());
         if (token == null || !state.isJsonObject() || !state.getAsJsonObject().has("seen")) {
             return;
         }
@@ -722,7 +727,7 @@
                                     token,
                                     state.getAsJsonObject().getAsJsonArray("seen").size()
                                             + " nodes known")));
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
@@ -732,7 +737,7 @@
      * orders, which have no token.
      */
     private void controlRollout(JsonElement stateJson) {
-        FencingToken token = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.ROLLOUT_CONTROLLER, loop.now());
         if (token == null
                 || !stateJson.isJsonObject()
                 || !stateJson.getAsJsonObject().has("seen")) {
@@ -775,7 +780,7 @@
                                                 ? "the conductor"
                                                 : state.rollout().toString())));
             }
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
@@ -784,7 +789,7 @@
      * talks to, under the duty's fencing token.
      */
     private void planCapacity(JsonElement stateJson) {
-        FencingToken token = session.holding().mayAct(DutyName.PLANNER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.PLANNER, loop.now());
         if (token == null || !stateJson.getAsJsonObject().has("plans")) {
             return;
         }
@@ -808,13 +813,13 @@
             JsonObject message = new JsonObject();
             message.addProperty("k", "deed");
             message.addProperty("d", CommandCodec.encode(plan));
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
     private void onStatusReporterFailure(String error) {
         log.line("fleet: status report failed, giving up the duty error=" + error);
-        session.failAt(DutyName.STATUS_REPORTER, loop.now());
+        session.reportFailure(DutyName.STATUS_REPORTER, loop.now());
         publishView();
     }
 
@@ -843,7 +848,7 @@
 
     /** Reports a health check that this node made under the health check duty. */
     public void found(String server, boolean well, FencingToken token) {
-        loop.offer(() -> session.found(server, well, token, loop.now()));
+        loop.offer(() -> session.recordHealthCheck(server, well, token, loop.now()));
     }
 
     /**
@@ -854,7 +859,7 @@
         leaving = true;
         loop.execute(
                 () -> {
-                    session.handOnAll(loop.now());
+                    session.releaseAll(loop.now());
                     publishView();
                     sendHeartbeatNow(NodeCondition.LEAVING);
                     if (replica != null) {
@@ -864,7 +869,7 @@
     }
 
     private void sendHeartbeatNow(NodeCondition condition) {
-        ClusterSession.Sent sent = session.heartbeat(condition, loop.now());
+        ClusterSession.OutgoingHeartbeat sent = session.pollHeartbeat(condition, loop.now());
         if (sent != null) {
             sendHeartbeat(sent);
         }
@@ -878,8 +883,8 @@
         CountDownLatch lastHeartbeatGraceElapsed = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    session.handOnAll(loop.now());
-                    sendHeartbeat(session.last(loop.now()));
+                    session.releaseAll(loop.now());
+                    sendHeartbeat(session.finalHeartbeat(loop.now()));
                     loop.after(timeout.times(0.5), lastHeartbeatGraceElapsed::countDown);
                 });
         try {
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -217,7 +217,7 @@
             Server one = servers.get(server);
             return way == Way.TRUTH
                     ? one.up && !one.errors && one.sent < one.location.bears()
-                    : pool.out(server) < share.may(one.location.name(), time());
+                    : pool.out(server) < share.allowedRequests(one.location.name(), time());
         }
 
         private void carry(SimulatedRequest request, Server server) {
@@ -332,7 +332,7 @@
                                     "",
                                     null,
                                     List.of(),
-                                    share.plan(),
+                                    share.planNumber(),
                                     uses,
                                     RequestCounts.NOTHING));
             talk(
--- a/src/main/java/lupinwood/experiment/SimulatedCluster.java
+++ b/src/main/java/lupinwood/experiment/SimulatedCluster.java
@@ -192,12 +192,12 @@
         void leave() {
             if (runs()) {
                 condition = NodeCondition.LEAVING;
-                session.handOnAll(now());
+                session.releaseAll(now());
                 execute(this::say);
                 after(
                         timing.lease(),
                         () -> {
-                            send(session.last(now()));
+                            send(session.finalHeartbeat(now()));
                             time.after(0.1, this::kill);
                         });
             }
@@ -221,7 +221,7 @@
         }
 
         private void say() {
-            ClusterSession.Sent sent = session.heartbeat(condition, now());
+            ClusterSession.OutgoingHeartbeat sent = session.pollHeartbeat(condition, now());
             if (sent != null) {
                 heartbeats++;
                 weigh(sent.heartbeat());
@@ -231,12 +231,13 @@
 
         private void talk() {
             say();
-            NanoDuration wait = session.due().since(now()).max(NanoDuration.ofSeconds(0.001));
+            NanoDuration wait =
+                    session.nextHeartbeatAt().since(now()).max(NanoDuration.ofSeconds(0.001));
             after(wait.min(timing.heartbeatInterval()), this::talk);
         }
 
-        private void send(ClusterSession.Sent sent) {
-            Node voter = byName.get(sent.to());
+        private void send(ClusterSession.OutgoingHeartbeat sent) {
+            Node voter = byName.get(sent.voter());
             ClusterSession mine = session;
             links.send(
                     place,
@@ -270,10 +271,11 @@
 
         private void hears(ClusterSession mine, HeartbeatReply reply) {
             if (without == Without.EARLY_STOP) {
-                mine.holding()
-                        .asks(reply.number(), now()); // as if a grant counted from when it came
+                mine.heldLeases()
+                        .onHeartbeatSent(
+                                reply.number(), now()); // as if a grant counted from when it came
             }
-            mine.heard(reply, now());
+            mine.onReply(reply, now());
         }
 
         /** Asks itself, then acts; between the two it may be stopped. */
@@ -286,7 +288,7 @@
                 }
             }
             for (DutyName duty : DUTIES) {
-                FencingToken token = session.holding().mayAct(duty, now());
+                FencingToken token = session.heldLeases().tokenFor(duty, now());
                 if (token != null) {
                     audit(duty, token);
                     links.send(place, SINK, () -> sink(duty, token));
@@ -312,7 +314,7 @@
         private void audit(DutyName duty, FencingToken token) {
             for (Node other : nodes) {
                 if (other != this && other.runs()) {
-                    FencingToken also = other.session.holding().mayAct(duty, other.now());
+                    FencingToken also = other.session.heldLeases().tokenFor(duty, other.now());
                     if (also != null) {
                         breaks(
                                 "two may do "
@@ -337,7 +339,7 @@
         }
 
         boolean holds(DutyName duty) {
-            return runs() && session.holding().mayAct(duty, now()) != null;
+            return runs() && session.heldLeases().tokenFor(duty, now()) != null;
         }
     }
 
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -193,7 +193,7 @@
     @Test
     void holderCountsFromItsHeartbeatAndStopsBeforeTheDutyMayMove() {
         HeldLeases heldLeases = new HeldLeases(TIMING);
-        heldLeases.asks(1, at(10));
+        heldLeases.onHeartbeatSent(1, at(10));
         HeartbeatReply reply =
                 new HeartbeatReply(
                         1,
@@ -208,12 +208,12 @@
                         null,
                         1);
         heldLeases.onReply(reply, at(11.5));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.93)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(12.93)))
                 .isEqualTo(new FencingToken(7));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(12.95)))
                 .as("the lease of 3 s less 2 % drift, counted from 10 s, has expired")
                 .isNull();
-        heldLeases.asks(2, at(13));
+        heldLeases.onHeartbeatSent(2, at(13));
         assertThat(heldLeases.release(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
         heldLeases.onReply(
                 new HeartbeatReply(
@@ -229,7 +229,7 @@
                         null,
                         1),
                 at(13.1));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(13.2)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(13.2)))
                 .as("released for good under this token")
                 .isNull();
     }
