--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -117,7 +117,7 @@
                                 ejectedServers,
                                 agedChecks,
                                 report)
-                        .cut());
+                        .truncated());
     }
 
     /** The last heartbeat of this incarnation; to be called after all duties were released. */
@@ -150,7 +150,7 @@
         if (reply.number() == heartbeatNumber) {
             awaitingReplySince = null;
         }
-        if (!reply.taken()) {
+        if (!reply.accepted()) {
             redirect(reply, now);
             return;
         }
@@ -158,10 +158,10 @@
         latestReplyAt = now;
         latestReply = reply;
         MonotonicTime sentAt = heldLeases.heartbeatSentAt(reply.number());
-        if (reply.share() != null && sentAt != null) {
+        if (reply.capacityShare() != null && sentAt != null) {
             capacityLease.update(
-                    reply.share().plan(),
-                    reply.share().slots(),
+                    reply.capacityShare().plan(),
+                    reply.capacityShare().slots(),
                     sentAt.plus(
                             timing.holderLease()
                                     .min(reply.leaseDuration().times(1 - timing.driftRatio()))));
@@ -276,7 +276,7 @@
     public boolean isConnected(MonotonicTime now) {
         return latestReplyAt != null
                 && now.since(latestReplyAt).compareTo(timing.lease()) <= 0
-                && latestReply.trouble().isEmpty();
+                && latestReply.rejectionReason().isEmpty();
     }
 
     /** The latest reply of a leader; null before the first. */
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -418,8 +418,8 @@
     }
 
     /** What a node is to run, and which servers are cordoned. */
-    public HeartbeatReply.Wanted wanted(NodeName node) {
-        return new HeartbeatReply.Wanted(
+    public HeartbeatReply.DesiredState wanted(NodeName node) {
+        return new HeartbeatReply.DesiredState(
                 rollouts.wantedDigest(node),
                 rollouts.digestToCheck(),
                 rollouts.rollout() != null,
--- a/src/main/java/lupinwood/cluster/Heartbeat.java
+++ b/src/main/java/lupinwood/cluster/Heartbeat.java
@@ -10,8 +10,9 @@
  * @param heldLeases leases that it certainly holds now
  * @param releasing leases that it held and no longer acts under
  * @param failedLeases leases of duties that it can't perform
- * @param leftOut servers that it has ejected
- * @param found results of the health checks that it made as the holder of the health check duty
+ * @param ejectedServers servers that it has ejected
+ * @param healthChecks results of the health checks that it made as the holder of the health check
+ *     duty
  * @param report null from a node of an older version
  */
 public record Heartbeat(
@@ -24,8 +25,8 @@
         List<Lease> heldLeases,
         List<Lease> releasing,
         List<Lease> failedLeases,
-        List<String> leftOut,
-        List<HealthCheckResult> found,
+        List<String> ejectedServers,
+        List<HealthCheckResult> healthChecks,
         NodeReport report) {
     public static final int VERSION = 1;
 
@@ -36,7 +37,7 @@
     public static final int MAX_LIST_LENGTH = 1024;
 
     /** A copy without list entries past the bound, and with an empty list for each missing one. */
-    public Heartbeat cut() {
+    public Heartbeat truncated() {
         return new Heartbeat(
                 version,
                 name,
@@ -47,8 +48,8 @@
                 truncate(heldLeases),
                 truncate(releasing),
                 truncate(failedLeases),
-                truncate(leftOut),
-                truncate(found),
+                truncate(ejectedServers),
+                truncate(healthChecks),
                 report == null ? null : report.truncated());
     }
 
--- a/src/main/java/lupinwood/cluster/HeartbeatReply.java
+++ b/src/main/java/lupinwood/cluster/HeartbeatReply.java
@@ -8,31 +8,32 @@
  * A voter's reply to a heartbeat.
  *
  * @param number the number of the heartbeat that this answers
- * @param taken whether the voter that replies leads; otherwise the heartbeat has no effect
+ * @param accepted whether the voter that replies leads; otherwise the heartbeat has no effect
  * @param leader the leader that this voter knows of; null where it knows none
- * @param trouble why the node is not accepted as a member; empty where it is
+ * @param rejectionReason why the node is not accepted as a member; empty where it is
  * @param leaseDuration how long each lease lasts, counted from when the node sent the heartbeat
  * @param leases the leases granted to the node, including one that it is releasing or has failed
  *     at, until the leader decides to end it; the node holds no duty that isn't listed
- * @param found recent results of the holder of the health check duty
- * @param leave the number of the permit under which the node is to shut down; zero for none
- * @param wanted what the node is to run, and which servers are cordoned; null from a voter of an
- *     older version
- * @param share the node's part of the newest capacity plan, valid for one lease duration from when
- *     the node sent the heartbeat; null without a plan, or if the node isn't accepted as a member
+ * @param healthChecks recent results of the holder of the health check duty
+ * @param leavePermit the number of the permit under which the node is to shut down; zero for none
+ * @param desiredState what the node is to run, and which servers are cordoned; null from a voter of
+ *     an older version
+ * @param capacityShare the node's part of the newest capacity plan, valid for one lease duration
+ *     from when the node sent the heartbeat; null without a plan, or if the node isn't accepted as
+ *     a member
  * @param freshNodes how many nodes the leader heard recently, including the node that it replies to
  */
 public record HeartbeatReply(
         long number,
-        boolean taken,
+        boolean accepted,
         NodeName leader,
-        String trouble,
+        String rejectionReason,
         NanoDuration leaseDuration,
         List<Lease> leases,
-        List<HealthCheckResult> found,
-        long leave,
-        Wanted wanted,
-        CapacityShare share,
+        List<HealthCheckResult> healthChecks,
+        long leavePermit,
+        DesiredState desiredState,
+        CapacityShare capacityShare,
         int freshNodes) {
     /**
      * A node's part of a capacity plan.
@@ -45,15 +46,16 @@
     /**
      * What a node is to run, and which servers are cordoned.
      *
-     * @param runs the digest of the shared configuration that it is to use; empty for none
-     * @param checks the digest of a shared configuration that it is to check; empty for none
+     * @param configDigest the digest of the shared configuration that it is to use; empty for none
+     * @param digestToCheck the digest of a shared configuration that it is to check; empty for none
      * @param busy whether a rollout is in progress, or some node doesn't yet run the configuration
      *     that it is to run
      * @param cordons downstream servers to which it is to send no new requests
      */
-    public record Wanted(String runs, String checks, boolean busy, List<String> cordons) {
-        Wanted busyIf(boolean alsoBusy) {
-            return new Wanted(runs, checks, busy || alsoBusy, cordons);
+    public record DesiredState(
+            String configDigest, String digestToCheck, boolean busy, List<String> cordons) {
+        DesiredState busyIf(boolean alsoBusy) {
+            return new DesiredState(configDigest, digestToCheck, busy || alsoBusy, cordons);
         }
     }
 
--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -49,7 +49,7 @@
      */
     public void onReply(HeartbeatReply reply, MonotonicTime now) {
         MonotonicTime sentAt = heartbeatSentAt.get(reply.number());
-        if (sentAt == null || !reply.taken() || reply.number() < latestAnswered) {
+        if (sentAt == null || !reply.accepted() || reply.number() < latestAnswered) {
             return;
         }
         latestAnswered = reply.number();
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -181,7 +181,7 @@
     private void recordHealthChecks(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         ClusterState.DutyLease healthCheckDuty = clusterState.duty(DutyName.HEALTH_CHECK);
-        for (HealthCheckResult result : heartbeat.found()) {
+        for (HealthCheckResult result : heartbeat.healthChecks()) {
             MonotonicTime madeAt = now.minus(result.age());
             MonotonicTime previous = checkedAt.get(result.server());
             if (healthCheckDuty.isHeldBy(heartbeat.name(), heartbeat.incarnation())
@@ -225,8 +225,11 @@
                                                 && latest.heartbeat.report() != null
                                                 && !clusterState
                                                         .wanted(latest.heartbeat.name())
-                                                        .runs()
-                                                        .equals(latest.heartbeat.report().runs()));
+                                                        .configDigest()
+                                                        .equals(
+                                                                latest.heartbeat
+                                                                        .report()
+                                                                        .configDigest()));
         returnPermits(clusterState, now, commands);
         retirePlans(clusterState, now, commands);
         for (DutyName duty : duties) {
@@ -469,7 +472,7 @@
                         agedChecks.add(
                                 new HealthCheckResult(
                                         server,
-                                        result.well(),
+                                        result.passed(),
                                         result.token(),
                                         now.since(checkedAt.get(server)))));
         int freshNodes =
--- a/src/main/java/lupinwood/cluster/NodeReport.java
+++ b/src/main/java/lupinwood/cluster/NodeReport.java
@@ -7,76 +7,76 @@
  * version.
  *
  * @param program the version of the program
- * @param runs the digest of the shared configuration that it uses; empty for none
- * @param checked the result of checking the shared configuration that it was last asked to check;
- *     null before the first
+ * @param configDigest the digest of the shared configuration that it uses; empty for none
+ * @param configCheck the result of checking the shared configuration that it was last asked to
+ *     check; null before the first
  * @param drained cordoned servers at which it has no request left
  * @param plan the number of the newest capacity plan that it received; it follows no older one
- * @param uses its requests to each location
+ * @param locationUses its requests to each location
  * @param requestCounts its request counts in this incarnation
  */
 public record NodeReport(
         String program,
-        String runs,
-        ConfigCheck checked,
+        String configDigest,
+        ConfigCheck configCheck,
         List<String> drained,
         long plan,
-        List<LocationUse> uses,
+        List<LocationUse> locationUses,
         RequestCounts requestCounts) {
     /**
      * A node's requests to one location. Counts never decrease within one incarnation.
      *
      * @param inFlight requests to it in flight
      * @param offered requests so far that could have been sent to it, wherever they were sent
-     * @param ended requests to it completed so far
+     * @param completed requests to it completed so far
      * @param failed requests that failed, of the completed ones
      * @param seconds the total duration of the completed requests that succeeded
-     * @param leftOut whether this node has ejected the location by its own observations
+     * @param ejected whether this node has ejected the location by its own observations
      */
     public record LocationUse(
-            String place,
+            String location,
             int inFlight,
             long offered,
-            long ended,
+            long completed,
             long failed,
             double seconds,
-            boolean leftOut) {}
+            boolean ejected) {}
 
     private static final int MAX_REASON_CHARS = 200;
 
     /**
      * The result of a node's check of a shared configuration.
      *
-     * @param fits whether the node could use it
-     * @param restarts whether the node would have to restart for that
+     * @param usable whether the node could use it
+     * @param needsRestart whether the node would have to restart for that
      * @param why the reason against it; empty where it fits
      */
-    public record ConfigCheck(String digest, boolean fits, boolean restarts, String why) {}
+    public record ConfigCheck(String digest, boolean usable, boolean needsRestart, String why) {}
 
     /** A copy with the long parts only where they are requested. */
-    public NodeReport with(boolean withRequestCounts, boolean withUses) {
+    public NodeReport filtered(boolean withRequestCounts, boolean withUses) {
         return new NodeReport(
                 program,
-                runs,
-                checked,
+                configDigest,
+                configCheck,
                 drained,
                 plan,
-                withUses ? uses : List.of(),
-                withRequestCounts ? requestCounts : RequestCounts.NOTHING);
+                withUses ? locationUses : List.of(),
+                withRequestCounts ? requestCounts : RequestCounts.EMPTY);
     }
 
     /** A copy without what exceeds the bounds, and with empty lists and counts for missing ones. */
     NodeReport truncated() {
         ConfigCheck truncatedCheck =
-                checked == null
-                                || checked.why() == null
-                                || checked.why().length() <= MAX_REASON_CHARS
-                        ? checked
+                configCheck == null
+                                || configCheck.why() == null
+                                || configCheck.why().length() <= MAX_REASON_CHARS
+                        ? configCheck
                         : new ConfigCheck(
-                                checked.digest(),
-                                checked.fits(),
-                                checked.restarts(),
-                                checked.why().substring(0, MAX_REASON_CHARS));
+                                configCheck.digest(),
+                                configCheck.usable(),
+                                configCheck.needsRestart(),
+                                configCheck.why().substring(0, MAX_REASON_CHARS));
         List<String> truncatedDrained =
                 drained == null
                         ? List.of()
@@ -85,15 +85,15 @@
                                 : List.copyOf(drained.subList(0, Heartbeat.MAX_LIST_LENGTH));
         return new NodeReport(
                 program,
-                runs,
+                configDigest,
                 truncatedCheck,
                 truncatedDrained,
                 plan,
-                uses == null
+                locationUses == null
                         ? List.of()
-                        : uses.size() <= Heartbeat.MAX_LIST_LENGTH
-                                ? uses
-                                : List.copyOf(uses.subList(0, Heartbeat.MAX_LIST_LENGTH)),
-                requestCounts == null ? RequestCounts.NOTHING : requestCounts.truncated());
+                        : locationUses.size() <= Heartbeat.MAX_LIST_LENGTH
+                                ? locationUses
+                                : List.copyOf(locationUses.subList(0, Heartbeat.MAX_LIST_LENGTH)),
+                requestCounts == null ? RequestCounts.EMPTY : requestCounts.truncated());
     }
 }
--- a/src/main/java/lupinwood/cluster/NodeView.java
+++ b/src/main/java/lupinwood/cluster/NodeView.java
@@ -5,7 +5,8 @@
 /**
  * One node as the leader sees it.
  *
- * @param heard time since the last heartbeat; null where this leader got none from this incarnation
+ * @param sinceHeartbeat time since the last heartbeat; null where this leader got none from this
+ *     incarnation
  * @param report null where the node sent none
  */
 public record NodeView(
@@ -13,5 +14,5 @@
         Incarnation incarnation,
         Site site,
         NodeStatus status,
-        NanoDuration heard,
+        NanoDuration sinceHeartbeat,
         NodeReport report) {}
--- a/src/main/java/lupinwood/cluster/RequestCounts.java
+++ b/src/main/java/lupinwood/cluster/RequestCounts.java
@@ -12,12 +12,12 @@
 public record RequestCounts(List<ClassCounts> counts) {
     /**
      * The most request classes that are counted separately; the node counts all further ones
-     * together as {@link #OTHERS}.
+     * together as {@link #OTHER_CLASSES}.
      */
-    public static final int MOST_REQUEST_CLASSES = 16;
+    public static final int MAX_REQUEST_CLASSES = 16;
 
-    public static final String OTHERS = "others";
-    public static final RequestCounts NOTHING = new RequestCounts(List.of());
+    public static final String OTHER_CLASSES = "others";
+    public static final RequestCounts EMPTY = new RequestCounts(List.of());
 
     /**
      * The counts of one request class.
@@ -28,12 +28,12 @@
      */
     public record ClassCounts(
             String className, long served, long late, long rejected, long failed, double seconds) {
-        public long all() {
+        public long total() {
             return served + rejected + failed;
         }
 
         /** Requests that were not served in time. */
-        public long bad() {
+        public long notServedInTime() {
             return late + rejected + failed;
         }
 
@@ -51,11 +51,11 @@
     /** These counts without the request classes past the bound; empty if there are none. */
     RequestCounts truncated() {
         return counts == null
-                ? NOTHING
-                : counts.size() <= MOST_REQUEST_CLASSES + 1
+                ? EMPTY
+                : counts.size() <= MAX_REQUEST_CLASSES + 1
                         ? this
                         : new RequestCounts(
-                                List.copyOf(counts.subList(0, MOST_REQUEST_CLASSES + 1)));
+                                List.copyOf(counts.subList(0, MAX_REQUEST_CLASSES + 1)));
     }
 
     /** The counts of a request class; null where it has none. */
--- a/src/main/java/lupinwood/consensus/ClusterJson.java
+++ b/src/main/java/lupinwood/consensus/ClusterJson.java
@@ -220,7 +220,7 @@
                 "share",
                 "others");
         names.components(HeartbeatReply.CapacityShare.class, "plan", "slots");
-        names.components(HeartbeatReply.Wanted.class, "runs", "checks", "busy", "rests");
+        names.components(HeartbeatReply.DesiredState.class, "runs", "checks", "busy", "rests");
     }
 
     private static void addSnapshots(WireNames names) {
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -564,23 +564,24 @@
 
     private void onHeartbeatReply(HeartbeatReply reply) {
         String previousTrouble =
-                session.latestReply() == null ? "" : session.latestReply().trouble();
+                session.latestReply() == null ? "" : session.latestReply().rejectionReason();
         if (FaultInjection.isWithoutEarlyStop()) {
             session.heldLeases().onHeartbeatSent(reply.number(), loop.now());
         }
         session.onReply(reply, loop.now());
-        if (reply.taken() && !reply.trouble().equals(previousTrouble)) {
+        if (reply.accepted() && !reply.rejectionReason().equals(previousTrouble)) {
             log.line(
-                    reply.trouble().isEmpty()
+                    reply.rejectionReason().isEmpty()
                             ? "fleet: node admitted to the cluster"
-                            : "fleet: node not admitted to the cluster reason=" + reply.trouble());
+                            : "fleet: node not admitted to the cluster reason="
+                                    + reply.rejectionReason());
         }
-        if (reply.taken()) {
-            configFollower.follow(reply.wanted());
-            rolloutOpen = reply.wanted() != null && reply.wanted().busy();
+        if (reply.accepted()) {
+            configFollower.follow(reply.desiredState());
+            rolloutOpen = reply.desiredState() != null && reply.desiredState().busy();
         }
-        if (reply.taken() && reply.leave() > 0 && !leaving) {
-            log.line("fleet: leaving under disruption permit=" + reply.leave());
+        if (reply.accepted() && reply.leavePermit() > 0 && !leaving) {
+            log.line("fleet: leaving under disruption permit=" + reply.leavePermit());
             leaving = true;
             self.startLeaving().run();
         }
@@ -606,12 +607,12 @@
         if (latest != publishedReply && latest != null) {
             publishedReply = latest;
             serverHealth =
-                    latest.found().stream()
+                    latest.healthChecks().stream()
                             .map(
                                     result ->
                                             new ClusterView.ServerHealth(
                                                     result.server(),
-                                                    result.well(),
+                                                    result.passed(),
                                                     session.latestReplyAt().minus(result.age())))
                             .toList();
         }
@@ -620,9 +621,11 @@
                         ? session.latestReplyAt().plus(settings.timing().lease())
                         : new MonotonicTime(Long.MIN_VALUE);
         List<String> cordons =
-                latest == null || latest.wanted() == null || latest.wanted().cordons() == null
+                latest == null
+                                || latest.desiredState() == null
+                                || latest.desiredState().cordons() == null
                         ? cordonsAtStart
-                        : latest.wanted().cordons();
+                        : latest.desiredState().cordons();
         CapacityLease capacityLease = session.capacityLease();
         view =
                 new ClusterView(
@@ -670,7 +673,7 @@
         FencingToken controllerToken =
                 session.heldLeases().tokenFor(DutyName.ROLLOUT_CONTROLLER, loop.now());
         if (session.latestReply() != null && session.isConnected(loop.now())) {
-            configFollower.follow(session.latestReply().wanted());
+            configFollower.follow(session.latestReply().desiredState());
         }
         boolean holdsPlanner =
                 !settings.locations().isEmpty()
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -263,7 +263,7 @@
      * an answer.
      */
     public void heard(Heartbeat reported, Consumer<HeartbeatReply> replyTo) {
-        Heartbeat heartbeat = reported.cut();
+        Heartbeat heartbeat = reported.truncated();
         if (!updateLeadership()) {
             replyTo.accept(LeaseManager.elsewhere(heartbeat, leader()));
             return;
@@ -479,7 +479,7 @@
 
     /** The digest of the configuration that the node should run; null unless this voter leads. */
     String wantedConfig(NodeName node) {
-        return updateLeadership() ? clusterState.wanted(node).runs() : null;
+        return updateLeadership() ? clusterState.wanted(node).configDigest() : null;
     }
 
     /** The program version that the node should run; null unless this voter leads. */
@@ -512,9 +512,9 @@
                                                                 nodeView.incarnation(),
                                                                 nodeView.site(),
                                                                 nodeView.status(),
-                                                                nodeView.heard(),
+                                                                nodeView.sinceHeartbeat(),
                                                                 nodeView.report()
-                                                                        .with(
+                                                                        .filtered(
                                                                                 withRequestCounts,
                                                                                 withPlans)))
                                 .toList()
--- a/src/main/java/lupinwood/consensus/SharedConfigFollower.java
+++ b/src/main/java/lupinwood/consensus/SharedConfigFollower.java
@@ -42,28 +42,36 @@
     /**
      * Starts the next operation towards what the consensus group last wanted. Called repeatedly.
      */
-    void follow(HeartbeatReply.Wanted wanted) {
+    void follow(HeartbeatReply.DesiredState wanted) {
         if (wanted == null || busy) {
             return;
         }
         boolean mustApply =
-                !wanted.runs().equals(runningDigest) && !wanted.runs().equals(rejectedDigest);
+                !wanted.configDigest().equals(runningDigest)
+                        && !wanted.configDigest().equals(rejectedDigest);
         boolean mustCheck =
-                !wanted.checks().isEmpty()
-                        && (lastCheck == null || !lastCheck.digest().equals(wanted.checks()));
-        if (wanted.runs().equals(runningDigest)) {
+                !wanted.digestToCheck().isEmpty()
+                        && (lastCheck == null
+                                || !lastCheck.digest().equals(wanted.digestToCheck()));
+        if (wanted.configDigest().equals(runningDigest)) {
             rejectedDigest = null;
         }
         if (mustApply) {
             withText(
-                    wanted.runs(),
+                    wanted.configDigest(),
                     text ->
                             configApplier.take(
-                                    wanted.runs(),
+                                    wanted.configDigest(),
                                     text,
-                                    why -> loop.accept(() -> onApplied(wanted.runs(), text, why))));
+                                    why ->
+                                            loop.accept(
+                                                    () ->
+                                                            onApplied(
+                                                                    wanted.configDigest(),
+                                                                    text,
+                                                                    why))));
         } else if (mustCheck) {
-            withText(wanted.checks(), text -> check(wanted.checks(), text));
+            withText(wanted.digestToCheck(), text -> check(wanted.digestToCheck(), text));
         }
     }
 
@@ -89,8 +97,8 @@
                                     log.line(
                                             "fleet: shared configuration checked digest="
                                                     + check.digest()
-                                                    + (check.fits()
-                                                            ? check.restarts()
+                                                    + (check.usable()
+                                                            ? check.needsRestart()
                                                                     ? " result=valid-after-restart"
                                                                     : " result=valid"
                                                             : " result=invalid reason="
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -334,7 +334,7 @@
                                     List.of(),
                                     share.planNumber(),
                                     uses,
-                                    RequestCounts.NOTHING));
+                                    RequestCounts.EMPTY));
             talk(
                     () -> {
                         String trouble = leaseManager.heard(heartbeat, clusterState, time());
@@ -350,10 +350,10 @@
 
         private void hears(HeartbeatReply reply) {
             MonotonicTime requested = requestedAt.get(reply.number());
-            if (requested != null && reply.share() != null) {
+            if (requested != null && reply.capacityShare() != null) {
                 share.update(
-                        reply.share().plan(),
-                        reply.share().slots(),
+                        reply.capacityShare().plan(),
+                        reply.capacityShare().slots(),
                         requested.plus(timing.holderLease()));
                 for (int left = waiting.size(); left > 0; left--) {
                     send(waiting.poll());
--- a/src/main/java/lupinwood/experiment/RolloutExperiment.java
+++ b/src/main/java/lupinwood/experiment/RolloutExperiment.java
@@ -435,7 +435,7 @@
                         .filter(
                                 nodeView ->
                                         nodeView.report() == null
-                                                || !nodeView.report().runs().equals(good))
+                                                || !nodeView.report().configDigest().equals(good))
                         .forEach(
                                 nodeView ->
                                         others.add(
@@ -443,7 +443,8 @@
                                                         + " runs "
                                                         + (nodeView.report() == null
                                                                 ? "nothing known"
-                                                                : nodeView.report().runs())));
+                                                                : nodeView.report()
+                                                                        .configDigest())));
                 if (others.isEmpty()) {
                     return;
                 }
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -162,7 +162,7 @@
                 counts[i] = new long[4];
                 seconds[i] = 0;
             }
-            String wanted = clusterState.wanted(name).runs();
+            String wanted = clusterState.wanted(name).configDigest();
             if (!wanted.equals(runs)) {
                 changedAt = wanted.equals(NEW) ? time : -1;
             }
@@ -228,7 +228,7 @@
                                 counts[i][3],
                                 seconds[i]));
             }
-            String wanted = clusterState.wanted(name).runs();
+            String wanted = clusterState.wanted(name).configDigest();
             NodeReport.ConfigCheck says =
                     kind.byRestarts() && !wanted.equals(runs)
                             ? new NodeReport.ConfigCheck(wanted, true, true, "")
@@ -427,7 +427,7 @@
                 why = history.get(history.size() - 1).text();
             }
             if (rollout == null) {
-                boolean done = clusterState.wanted(nodes.get(0).name).runs().equals(NEW);
+                boolean done = clusterState.wanted(nodes.get(0).name).configDigest().equals(NEW);
                 end = done ? End.DONE : firstWave < 0 ? End.REFUSED : End.BACK;
             } else if (!clusterState.haltedBy().isEmpty()) {
                 end = End.HALTED;
@@ -512,8 +512,8 @@
 
     /** What a node does by the consensus group's word. */
     private void follow(Node node) {
-        String wanted = clusterState.wanted(node.name).runs();
-        String checks = clusterState.wanted(node.name).checks();
+        String wanted = clusterState.wanted(node.name).configDigest();
+        String checks = clusterState.wanted(node.name).digestToCheck();
         node.checked =
                 checks.isEmpty()
                         ? node.checked && clusterState.rollout() != null
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -199,10 +199,10 @@
             long offered = 0;
             double seconds = 0;
             long succeeded = 0;
-            for (NodeReport.LocationUse use : node.report().uses()) {
+            for (NodeReport.LocationUse use : node.report().locationUses()) {
                 offered = Math.max(offered, use.offered());
                 seconds += use.seconds();
-                succeeded += use.ended() - use.failed();
+                succeeded += use.completed() - use.failed();
             }
             NodeDemand last =
                     nodeDemands.put(
--- a/src/main/java/lupinwood/failover/LocationHealth.java
+++ b/src/main/java/lupinwood/failover/LocationHealth.java
@@ -102,19 +102,20 @@
                     || nodeView.report() == null) {
                 continue; // its last report is out of date
             }
-            for (NodeReport.LocationUse use : nodeView.report().uses()) {
+            for (NodeReport.LocationUse use : nodeView.report().locationUses()) {
                 PreviousUse last =
                         previousUses.put(
-                                new NodeLocation(nodeView.name(), use.place()),
-                                new PreviousUse(nodeView.incarnation(), use.ended(), use.failed()));
+                                new NodeLocation(nodeView.name(), use.location()),
+                                new PreviousUse(
+                                        nodeView.incarnation(), use.completed(), use.failed()));
                 boolean sameIncarnation =
                         last != null && last.incarnation().equals(nodeView.incarnation());
                 SiteUse siteUse =
-                        siteUses.computeIfAbsent(use.place(), key -> new TreeMap<>())
+                        siteUses.computeIfAbsent(use.location(), key -> new TreeMap<>())
                                 .computeIfAbsent(nodeView.site().toString(), key -> new SiteUse());
                 siteUse.nodes++;
-                siteUse.ejectingNodes += use.leftOut() ? 1 : 0;
-                siteUse.ended += use.ended() - (sameIncarnation ? last.ended() : 0);
+                siteUse.ejectingNodes += use.ejected() ? 1 : 0;
+                siteUse.ended += use.completed() - (sameIncarnation ? last.ended() : 0);
                 siteUse.failed += use.failed() - (sameIncarnation ? last.failed() : 0);
             }
         }
--- a/src/main/java/lupinwood/load/SharedConfigApplier.java
+++ b/src/main/java/lupinwood/load/SharedConfigApplier.java
@@ -107,8 +107,8 @@
 
     private String take(String digest, String text) {
         NodeReport.ConfigCheck checked = check(digest, text);
-        if (!checked.fits() || checked.restarts()) {
-            return checked.fits() ? "it counts after a restart" : checked.why();
+        if (!checked.usable() || checked.needsRestart()) {
+            return checked.usable() ? "it counts after a restart" : checked.why();
         }
         try {
             SharedConfig common = read(digest, text);
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -48,7 +48,7 @@
     private volatile List<NodeReport.LocationUse> uses = List.of();
     private ClusterView.CapacityShare shared;
     private final RequestCounters counters = new RequestCounters();
-    private volatile RequestCounts requestCounts = RequestCounts.NOTHING;
+    private volatile RequestCounts requestCounts = RequestCounts.EMPTY;
     private List<ClusterView.ServerHealth> heard = List.of();
 
     /** The token of the try that is under way. */
--- a/src/main/java/lupinwood/net/RequestCounters.java
+++ b/src/main/java/lupinwood/net/RequestCounters.java
@@ -27,9 +27,9 @@
     @Override
     public void answered(String className, Response.Kind word, NanoDuration took, boolean late) {
         String named =
-                rows.containsKey(className) || rows.size() < RequestCounts.MOST_REQUEST_CLASSES
+                rows.containsKey(className) || rows.size() < RequestCounts.MAX_REQUEST_CLASSES
                         ? className
-                        : RequestCounts.OTHERS;
+                        : RequestCounts.OTHER_CLASSES;
         Row row = rows.computeIfAbsent(named, none -> new Row());
         if (word == Response.Kind.SERVED) {
             row.served++;
--- a/src/main/java/lupinwood/rollout/CanaryAnalysis.java
+++ b/src/main/java/lupinwood/rollout/CanaryAnalysis.java
@@ -322,14 +322,14 @@
         private static List<EffectEstimate.NodeMetric> nodeMetrics(
                 List<NodeSample> samples, String className) {
             ToDoubleFunction<RequestCounts.ClassCounts> badRatio =
-                    count -> (double) count.bad() / count.all();
+                    count -> (double) count.notServedInTime() / count.total();
             boolean useBaselines =
                     hasBaselines(samples, sample -> hasEnoughRequests(sample.before(), className));
             List<EffectEstimate.NodeMetric> metrics = new ArrayList<>();
             for (NodeSample sample : samples) {
                 RequestCounts.ClassCounts after = of(sample.after(), className);
                 if (after != null
-                        && after.all() >= MIN_REQUESTS
+                        && after.total() >= MIN_REQUESTS
                         && (!useBaselines || hasEnoughRequests(sample.before(), className))) {
                     RequestCounts.ClassCounts before =
                             useBaselines ? of(sample.before(), className) : null;
@@ -371,7 +371,7 @@
         private static boolean hasEnoughRequests(RequestCounts requestCounts, String className) {
             RequestCounts.ClassCounts count =
                     requestCounts == null ? null : of(requestCounts, className);
-            return count != null && count.all() >= MIN_REQUESTS;
+            return count != null && count.total() >= MIN_REQUESTS;
         }
 
         private static RequestCounts.ClassCounts of(RequestCounts requestCounts, String className) {
@@ -383,8 +383,8 @@
          * to the good ones, so that it isn't zero if all or none are bad.
          */
         private static double variance(RequestCounts.ClassCounts count) {
-            double smoothedRatio = (count.bad() + 1.5) / (count.all() + 3);
-            return smoothedRatio * (1 - smoothedRatio) / count.all();
+            double smoothedRatio = (count.notServedInTime() + 1.5) / (count.total() + 3);
+            return smoothedRatio * (1 - smoothedRatio) / count.total();
         }
 
         /**
--- a/src/main/java/lupinwood/rollout/NodeHistory.java
+++ b/src/main/java/lupinwood/rollout/NodeHistory.java
@@ -22,10 +22,10 @@
 
     private final Deque<Sample> samples = new ArrayDeque<>();
     private Incarnation incarnation;
-    private RequestCounts currentCounts = RequestCounts.NOTHING;
-    private RequestCounts earlierCounts = RequestCounts.NOTHING;
+    private RequestCounts currentCounts = RequestCounts.EMPTY;
+    private RequestCounts earlierCounts = RequestCounts.EMPTY;
     private int incarnations;
-    private RequestCounts countsAtMark = RequestCounts.NOTHING;
+    private RequestCounts countsAtMark = RequestCounts.EMPTY;
     private int incarnationsAtMark;
 
     /**
@@ -57,7 +57,7 @@
         lastHealthyAt = isHealthy ? now : lastHealthyAt;
         if (hasRestarted) {
             earlierCounts = earlierCounts.plus(currentCounts);
-            currentCounts = RequestCounts.NOTHING;
+            currentCounts = RequestCounts.EMPTY;
             incarnation = nodeView.incarnation();
             incarnations++;
         }
@@ -65,7 +65,8 @@
             return;
         }
         currentCounts = nodeView.report().requestCounts();
-        String reportedVersion = nodeView.report().runs() + " " + nodeView.report().program();
+        String reportedVersion =
+                nodeView.report().configDigest() + " " + nodeView.report().program();
         if (!reportedVersion.equals(version)) {
             version = reportedVersion;
             versionSince = now;
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -171,7 +171,7 @@
             boolean isOutdated =
                     isReachable(nodeView)
                             && nodeView.report() != null
-                            && !nodeView.report().runs().equals(snapshot.agreedDigest());
+                            && !nodeView.report().configDigest().equals(snapshot.agreedDigest());
             if (isOutdated
                     && reportsRestartNeeded(nodeView, snapshot.agreedDigest())
                     && !snapshot.hasPermit(nodeView.name())) {
@@ -207,11 +207,11 @@
                         token,
                         nodeView.name() + " runs a program version that doesn't support rollouts");
             }
-            NodeReport.ConfigCheck checked = report.checked();
+            NodeReport.ConfigCheck checked = report.configCheck();
             if (rollout.kind() == Rollout.Kind.CONFIGURATION
                     && checked != null
                     && checked.digest().equals(rollout.to())
-                    && !checked.fits()) {
+                    && !checked.usable()) {
                 return refuse(
                         rollout,
                         token,
@@ -284,10 +284,11 @@
             return true;
         }
         boolean settled =
-                report.runs().equals(rollout.from()) || report.runs().equals(rollout.to());
+                report.configDigest().equals(rollout.from())
+                        || report.configDigest().equals(rollout.to());
         return settled
-                && report.checked() != null
-                && report.checked().digest().equals(rollout.to());
+                && report.configCheck() != null
+                && report.configCheck().digest().equals(rollout.to());
     }
 
     /** Refuses the release if it has been waiting for too long. */
@@ -557,7 +558,8 @@
     private static boolean runs(NodeView nodeView, Rollout.Kind kind, String version) {
         NodeReport report = nodeView.report();
         return report != null
-                && version.equals(kind == Rollout.Kind.PROGRAM ? report.program() : report.runs());
+                && version.equals(
+                        kind == Rollout.Kind.PROGRAM ? report.program() : report.configDigest());
     }
 
     /** Whether the node needs a restart to run this version of the program or configuration. */
@@ -567,8 +569,8 @@
 
     private static boolean reportsRestartNeeded(NodeView nodeView, String digest) {
         NodeReport.ConfigCheck checked =
-                nodeView.report() == null ? null : nodeView.report().checked();
-        return checked != null && checked.digest().equals(digest) && checked.restarts();
+                nodeView.report() == null ? null : nodeView.report().configCheck();
+        return checked != null && checked.digest().equals(digest) && checked.needsRestart();
     }
 
     // ---- halting and rolling back ----
@@ -706,6 +708,6 @@
     /** The share of requests since the mark that were not served in time; 1 without requests. */
     private double badRatio(NodeName node) {
         RequestCounts.ClassCounts total = histories.get(node).countsSinceMark().all();
-        return total.all() == 0 ? 1 : (double) total.bad() / total.all();
+        return total.total() == 0 ? 1 : (double) total.notServedInTime() / total.total();
     }
 }
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -71,7 +71,7 @@
                         List.of(),
                         List.of(),
                         new NodeReport(
-                                "1", "", null, List.of(), plan, List.of(), RequestCounts.NOTHING));
+                                "1", "", null, List.of(), plan, List.of(), RequestCounts.EMPTY));
         return leaseManager.replyTo(
                 heartbeat,
                 leaseManager.heard(heartbeat, clusterState, at(seconds)),
@@ -102,7 +102,7 @@
                 .as("n0 got the first plan and has not reported a newer one")
                 .hasSize(2);
         assertThat(setPlan(2, 8, Map.of())).isFalse();
-        assertThat(sendHeartbeat(0, 1, 4.5).share().slots()).isEqualTo(Map.of("p", 1));
+        assertThat(sendHeartbeat(0, 1, 4.5).capacityShare().slots()).isEqualTo(Map.of("p", 1));
         sendHeartbeat(0, 2, 4.6);
         sendHeartbeat(2, 2, 4.6);
         applyDecisions(4.7);
@@ -145,7 +145,7 @@
         assertThat(setPlan(2, 4, baseSlots)).isTrue();
         clusterState.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
         assertThat(clusterState.plan().of(node(4))).isEmpty();
-        assertThat(sendHeartbeat(4, 0, 5).share().slots()).isEmpty();
+        assertThat(sendHeartbeat(4, 0, 5).capacityShare().slots()).isEmpty();
         clusterState.apply(new ClusterCommand.RemoveNode(node(1)));
         assertThat(clusterState.plan().roster()).doesNotContainKey("n1");
         ClusterState restored = new ClusterState(100);
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -145,14 +145,14 @@
                         sendHeartbeat(
                                         heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()),
                                         1.5)
-                                .trouble())
+                                .rejectionReason())
                 .contains("in use");
         assertThat(sendWarmHeartbeat("a", 1.6).leases()).hasSize(1);
         assertThat(
                         sendHeartbeat(
                                         heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()),
                                         6)
-                                .trouble())
+                                .rejectionReason())
                 .isEmpty();
     }
 
@@ -171,7 +171,7 @@
             sendWarmHeartbeat(name, 5.3); // b left, and made room for one
             applyDecisions(5.3);
         }
-        assertThat(sendWarmHeartbeat("e", 5.4).trouble()).contains("at most 3 nodes");
+        assertThat(sendWarmHeartbeat("e", 5.4).rejectionReason()).contains("at most 3 nodes");
         Heartbeat newerVersionHeartbeat =
                 new Heartbeat(
                         9,
--- a/src/test/java/lupinwood/cluster/RolloutsTest.java
+++ b/src/test/java/lupinwood/cluster/RolloutsTest.java
@@ -39,7 +39,7 @@
                         back,
                         List.of(nodes),
                         "",
-                        Map.of("a", RequestCounts.NOTHING),
+                        Map.of("a", RequestCounts.EMPTY),
                         1));
     }
 
@@ -52,12 +52,12 @@
         assertThat(clusterState.reasonAgainstRollout(Rollout.Kind.CONFIGURATION, "y", ""))
                 .isEqualTo("release 1 by ann is in progress and must end first");
         assertThat(clusterState.wanted(A))
-                .isEqualTo(new HeartbeatReply.Wanted("", "x", true, List.of()));
+                .isEqualTo(new HeartbeatReply.DesiredState("", "x", true, List.of()));
         assertThat(advance(2, false, A)).isFalse();
         assertThat(advance(1, false, A)).isTrue();
         assertThat(advance(1, false, new NodeName("b"))).isFalse();
-        assertThat(clusterState.wanted(A).runs()).isEqualTo("x");
-        assertThat(clusterState.wanted(new NodeName("b")).runs()).isEmpty();
+        assertThat(clusterState.wanted(A).configDigest()).isEqualTo("x");
+        assertThat(clusterState.wanted(new NodeName("b")).configDigest()).isEmpty();
         assertThat(clusterState.text("x")).isEqualTo("text of x");
         ClusterState restored = new ClusterState(10);
         restored.open(clusterState.snapshot());
@@ -91,7 +91,7 @@
                                 new ClusterCommand.FinishRollout(
                                         controllerToken, 1, false, "all are back", 4)))
                 .isTrue();
-        assertThat(clusterState.wanted(A).runs()).isEmpty();
+        assertThat(clusterState.wanted(A).configDigest()).isEmpty();
         assertThat(clusterState.text("x")).isNull();
         assertThat(begin("o3", "x")).isTrue();
     }
--- a/src/test/java/lupinwood/consensus/GoldenCommands.java
+++ b/src/test/java/lupinwood/consensus/GoldenCommands.java
@@ -55,7 +55,7 @@
     private static Map<String, RequestCounts> past() {
         Map<String, RequestCounts> past = new TreeMap<>();
         past.put("n0", REQUEST_COUNTS);
-        past.put("n1", RequestCounts.NOTHING);
+        past.put("n1", RequestCounts.EMPTY);
         return past;
     }
 
--- a/src/test/java/lupinwood/consensus/GoldenMessages.java
+++ b/src/test/java/lupinwood/consensus/GoldenMessages.java
@@ -43,7 +43,7 @@
     }
 
     private static NodeReport reportMinimal() {
-        return new NodeReport("0.5", "", null, List.of(), 0, List.of(), RequestCounts.NOTHING);
+        return new NodeReport("0.5", "", null, List.of(), 0, List.of(), RequestCounts.EMPTY);
     }
 
     private static Heartbeat heartbeat(NodeCondition condition, NodeReport report) {
@@ -140,7 +140,8 @@
                                                 new FencingToken(8),
                                                 NanoDuration.ZERO)),
                                 12,
-                                new HeartbeatReply.Wanted("d1", "d2", true, List.of("server-1")),
+                                new HeartbeatReply.DesiredState(
+                                        "d1", "d2", true, List.of("server-1")),
                                 new HeartbeatReply.CapacityShare(4, slots),
                                 299),
                         HeartbeatReply.class),
@@ -155,7 +156,7 @@
                                 List.of(),
                                 List.of(),
                                 0,
-                                new HeartbeatReply.Wanted("", "", false, null),
+                                new HeartbeatReply.DesiredState("", "", false, null),
                                 null,
                                 0),
                         HeartbeatReply.class),
--- a/src/test/java/lupinwood/consensus/MessageSizeTest.java
+++ b/src/test/java/lupinwood/consensus/MessageSizeTest.java
@@ -122,9 +122,9 @@
                         servers,
                         healthCheckResults,
                         report);
-        assertThat(heartbeat.cut().leftOut()).hasSize(1024);
-        assertThat(heartbeat.cut().report().drained()).hasSize(1024);
-        assertThat(heartbeat.cut().report().uses()).hasSize(1024);
+        assertThat(heartbeat.truncated().ejectedServers()).hasSize(1024);
+        assertThat(heartbeat.truncated().report().drained()).hasSize(1024);
+        assertThat(heartbeat.truncated().report().locationUses()).hasSize(1024);
         assertThat(ClusterJson.gson().toJson(heartbeat).length())
                 .isLessThan(RaftTransport.MAX_MESSAGE_BYTES * 9 / 10);
     }
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -99,7 +99,7 @@
                                         List.of(),
                                         clusterState.lastPlan(),
                                         uses,
-                                        RequestCounts.NOTHING)));
+                                        RequestCounts.EMPTY)));
             }
             ClusterCommand.SetCapacityPlan plan =
                     planner.decide(
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -129,7 +129,7 @@
                                             ? 1
                                             : 0] +=
                             50;
-                    runningDigests[node] = clusterState.wanted(name(node)).runs();
+                    runningDigests[node] = clusterState.wanted(name(node)).configDigest();
                 }
             }
             rolloutController
@@ -155,7 +155,7 @@
         assertThat(clusterState.rollout().given()).hasSize(7);
         run(60);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(clusterState.wanted(name(5)).runs()).isEqualTo("new");
+        assertThat(clusterState.wanted(name(5)).configDigest()).isEqualTo("new");
     }
 
     @Test
@@ -164,7 +164,7 @@
         rejectsRelease[4] = true;
         run(5);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(clusterState.wanted(name(1)).runs()).isEmpty();
+        assertThat(clusterState.wanted(name(1)).configDigest()).isEmpty();
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
                 .contains("n4 rejects the configuration: no such track");
     }
