--- a/src/main/java/lupinwood/cluster/ClusterSession.java
+++ b/src/main/java/lupinwood/cluster/ClusterSession.java
@@ -183,7 +183,10 @@
                 .entrySet()
                 .removeIf(
                         check ->
-                                timing.lease().times(4).compareTo(now.since(check.getValue())) < 0);
+                                timing.leaseDuration()
+                                                .times(4)
+                                                .compareTo(now.since(check.getValue()))
+                                        < 0);
         healthChecks.keySet().retainAll(checkedAt.keySet());
     }
 
@@ -275,7 +278,7 @@
      */
     public boolean isConnected(MonotonicTime now) {
         return latestReplyAt != null
-                && now.since(latestReplyAt).compareTo(timing.lease()) <= 0
+                && now.since(latestReplyAt).compareTo(timing.leaseDuration()) <= 0
                 && latestReply.rejectionReason().isEmpty();
     }
 
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -97,7 +97,7 @@
     }
 
     /** Starts to decide, when this voter becomes the leader. */
-    public void leads(ClusterState clusterState, MonotonicTime now) {
+    public void onElected(ClusterState clusterState, MonotonicTime now) {
         leadingSince = now;
         latestHeartbeats.clear();
         leaseExpiries.clear();
@@ -118,7 +118,7 @@
      * Stops deciding, when this voter is no longer the leader. Commands that it decided before may
      * still be applied, or be lost.
      */
-    public void leadsNoMore() {
+    public void onDeposed() {
         leadingSince = null;
     }
 
@@ -131,7 +131,7 @@
      *
      * @return why the node is not accepted as a member, or an empty text
      */
-    public String heard(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
+    public String onHeartbeat(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         if (heartbeat.version() != Heartbeat.VERSION) {
             return "heartbeat version "
                     + heartbeat.version()
@@ -192,7 +192,9 @@
                 checkedAt.put(result.server(), madeAt);
             }
         }
-        checkedAt.values().removeIf(time -> timing.lease().times(4).compareTo(now.since(time)) < 0);
+        checkedAt
+                .values()
+                .removeIf(time -> timing.leaseDuration().times(4).compareTo(now.since(time)) < 0);
         healthChecks.keySet().retainAll(checkedAt.keySet());
     }
 
@@ -294,13 +296,15 @@
                 permitUnusedSince.remove(permit.number());
             } else if (isAnotherIncarnation
                     && now.since(warmSince)
-                                    .compareTo(timing.lease().times(PERMIT_END_HEALTHY_LEASES))
+                                    .compareTo(
+                                            timing.leaseDuration().times(PERMIT_END_HEALTHY_LEASES))
                             >= 0) {
                 commands.add(new ClusterCommand.ReturnPermit(permit.number(), "well again", 0));
             } else if (!isAnotherIncarnation) {
                 MonotonicTime unusedSince =
                         permitUnusedSince.computeIfAbsent(permit.number(), number -> now);
-                if (now.since(unusedSince).compareTo(timing.lease().times(UNUSED_PERMIT_LEASES))
+                if (now.since(unusedSince)
+                                .compareTo(timing.leaseDuration().times(UNUSED_PERMIT_LEASES))
                         >= 0) {
                     commands.add(new ClusterCommand.ReturnPermit(permit.number(), "never used", 0));
                 }
@@ -313,7 +317,7 @@
 
     /** Members that the leader sees as unavailable: all without a recent warm heartbeat. */
     public List<NodeName> unavailableNodes(ClusterState clusterState, MonotonicTime now) {
-        return snapshot(clusterState, now).stream()
+        return nodeViews(clusterState, now).stream()
                 .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
                 .map(NodeView::name)
                 .toList();
@@ -439,7 +443,7 @@
      * The reply to a heartbeat. To be called once the consensus group has confirmed that this voter
      * still led after the heartbeat arrived; the leader counts the leases in the reply from now.
      *
-     * @param trouble what {@link #heard} returned
+     * @param trouble what {@link #onHeartbeat} returned
      */
     public HeartbeatReply replyTo(
             Heartbeat heartbeat,
@@ -497,7 +501,7 @@
                 true,
                 self,
                 trouble,
-                timing.lease(),
+                timing.leaseDuration(),
                 leases,
                 agedChecks,
                 leavePermit,
@@ -567,12 +571,12 @@
     }
 
     /** The reply of a voter that doesn't lead. */
-    public static HeartbeatReply elsewhere(Heartbeat heartbeat, NodeName leader) {
+    public static HeartbeatReply notLeadingReply(Heartbeat heartbeat, NodeName leader) {
         return HeartbeatReply.notLeading(heartbeat.number(), leader);
     }
 
     /** What this leader knows of each member, ordered by name. */
-    public List<NodeView> snapshot(ClusterState clusterState, MonotonicTime now) {
+    public List<NodeView> nodeViews(ClusterState clusterState, MonotonicTime now) {
         List<NodeView> views = new ArrayList<>();
         for (ClusterState.Member member : clusterState.members()) {
             LatestHeartbeat latest = latestHeartbeats.get(member.name());
@@ -605,7 +609,7 @@
     }
 
     /** The interval at which {@link #decide} is to be called even without a heartbeat. */
-    public NanoDuration looksEvery() {
+    public NanoDuration decisionInterval() {
         return timing.holderHeartbeatInterval().times(0.5);
     }
 }
--- a/src/main/java/lupinwood/cluster/LeaseTiming.java
+++ b/src/main/java/lupinwood/cluster/LeaseTiming.java
@@ -5,7 +5,7 @@
 /**
  * The timing of leases and heartbeats in a cluster.
  *
- * @param lease how long a duty is held without a reply from the consensus group
+ * @param leaseDuration how long a duty is held without a reply from the consensus group
  * @param driftRatio how far the rate of any node's clock may deviate from true time, as a ratio;
  *     both the holder and the consensus group allow for it
  * @param heartbeatInterval time between two heartbeats of a node that holds no duty, is releasing
@@ -16,27 +16,27 @@
  * @param ineligibility how long a node is ineligible for a duty after its first failure at it; each
  *     further failure doubles this
  * @param maxIneligibility the longest ineligibility
- * @param mostMembers the highest number of members in the cluster state; any further node serves
+ * @param maxMembers the highest number of members in the cluster state; any further node serves
  *     requests but doesn't become a member
  */
 public record LeaseTiming(
-        NanoDuration lease,
+        NanoDuration leaseDuration,
         double driftRatio,
         NanoDuration heartbeatInterval,
         NanoDuration holderHeartbeatInterval,
         NanoDuration silenceTimeout,
         NanoDuration ineligibility,
         NanoDuration maxIneligibility,
-        int mostMembers) {
+        int maxMembers) {
     private static final double MAX_DRIFT_RATIO = 0.2;
 
     public LeaseTiming {
-        if (!lease.isPositive() || driftRatio < 0 || driftRatio > MAX_DRIFT_RATIO) {
+        if (!leaseDuration.isPositive() || driftRatio < 0 || driftRatio > MAX_DRIFT_RATIO) {
             throw new IllegalArgumentException(
                     "expected a positive lease and a clock drift ratio from 0 to "
                             + MAX_DRIFT_RATIO
                             + ", found lease "
-                            + lease
+                            + leaseDuration
                             + " and drift ratio "
                             + driftRatio);
         }
@@ -59,7 +59,7 @@
      * How long a holder may act after it sent its heartbeat, by its own clock, which may run slow.
      */
     public NanoDuration holderLease() {
-        return lease.times(1 - driftRatio);
+        return leaseDuration.times(1 - driftRatio);
     }
 
     /**
@@ -67,6 +67,6 @@
      * by the leader's clock, which may run fast.
      */
     public NanoDuration expiresAfter() {
-        return lease.times(1 + driftRatio);
+        return leaseDuration.times(1 + driftRatio);
     }
 }
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -435,7 +435,7 @@
                     peer.send(message);
                 };
         if (replica == null) {
-            replyTo.accept(LeaseManager.elsewhere(heartbeat, null));
+            replyTo.accept(LeaseManager.notLeadingReply(heartbeat, null));
         } else {
             replica.heard(heartbeat, replyTo);
         }
@@ -618,7 +618,7 @@
         }
         MonotonicTime connectedUntil =
                 session.isConnected(now)
-                        ? session.latestReplyAt().plus(settings.timing().lease())
+                        ? session.latestReplyAt().plus(settings.timing().leaseDuration())
                         : new MonotonicTime(Long.MIN_VALUE);
         List<String> cordons =
                 latest == null
@@ -718,7 +718,7 @@
         }
         MonotonicTime now = loop.now();
         if (now.since(statusRecordedAt)
-                        .compareTo(settings.timing().lease().times(RECORD_INTERVAL_LEASES))
+                        .compareTo(settings.timing().leaseDuration().times(RECORD_INTERVAL_LEASES))
                 > 0) {
             statusRecordedAt = now;
             JsonObject message = new JsonObject();
@@ -799,7 +799,7 @@
         RaftReplica.ReplicaView state = ClusterJson.read(stateJson, RaftReplica.ReplicaView.class);
         if (!token.equals(plannerToken)) {
             plannerToken = token;
-            planner = new CapacityPlanner(settings.timing().lease());
+            planner = new CapacityPlanner(settings.timing().leaseDuration());
         }
         ClusterCommand.SetCapacityPlan plan =
                 planner.decide(
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -203,9 +203,9 @@
         this.self = self;
         this.context = context;
         this.tokensAbove = tokensAbove;
-        clusterState = new ClusterState(timing.mostMembers());
+        clusterState = new ClusterState(timing.maxMembers());
         leaseManager = new LeaseManager(timing, duties);
-        clockSpeedup = MICRORAFT_SECONDS_PER_LEASE / timing.lease().seconds();
+        clockSpeedup = MICRORAFT_SECONDS_PER_LEASE / timing.leaseDuration().seconds();
         RaftConfig config =
                 RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(MICRORAFT_ELECTION_TIMEOUT_MILLIS)
@@ -265,7 +265,7 @@
     public void heard(Heartbeat reported, Consumer<HeartbeatReply> replyTo) {
         Heartbeat heartbeat = reported.truncated();
         if (!updateLeadership()) {
-            replyTo.accept(LeaseManager.elsewhere(heartbeat, leader()));
+            replyTo.accept(LeaseManager.notLeadingReply(heartbeat, leader()));
             return;
         }
         if (unconfirmedHeartbeats.size() < MAX_UNCONFIRMED_HEARTBEATS) {
@@ -302,7 +302,7 @@
                                         pending ->
                                                 pending.replyTo()
                                                         .accept(
-                                                                LeaseManager.elsewhere(
+                                                                LeaseManager.notLeadingReply(
                                                                         pending.heartbeat(),
                                                                         leader())));
                             }
@@ -315,7 +315,7 @@
         String trouble =
                 pending.repeated()
                         ? ""
-                        : leaseManager.heard(pending.heartbeat(), clusterState, now);
+                        : leaseManager.onHeartbeat(pending.heartbeat(), clusterState, now);
         pending.replyTo()
                 .accept(
                         leaseManager.replyTo(
@@ -335,11 +335,11 @@
                         && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (isLeader && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
-            leaseManager.leads(clusterState, context.loop().now());
+            leaseManager.onElected(clusterState, context.loop().now());
             context.log().accept("consensus leadership acquired term=" + ledTerm);
         } else if (!isLeader && ledTerm >= 0) {
             ledTerm = -1;
-            leaseManager.leadsNoMore();
+            leaseManager.onDeposed();
             latestHeartbeats.clear();
             context.log().accept("consensus leadership lost");
         }
@@ -356,7 +356,7 @@
             if (updateLeadership()) {
                 proposeDecisions();
             }
-            context.loop().after(leaseManager.looksEvery(), this::tick);
+            context.loop().after(leaseManager.decisionInterval(), this::tick);
         }
     }
 
@@ -502,7 +502,7 @@
     public ReplicaView state(boolean withRequestCounts, boolean withPast, boolean withPlans) {
         List<NodeView> nodeViews =
                 updateLeadership()
-                        ? leaseManager.snapshot(clusterState, context.loop().now()).stream()
+                        ? leaseManager.nodeViews(clusterState, context.loop().now()).stream()
                                 .map(
                                         nodeView ->
                                                 nodeView.report() == null
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -337,7 +337,7 @@
                                     RequestCounts.EMPTY));
             talk(
                     () -> {
-                        String trouble = leaseManager.heard(heartbeat, clusterState, time());
+                        String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, time());
                         HeartbeatReply reply =
                                 leaseManager.replyTo(
                                         heartbeat, trouble, clusterState, name, time());
@@ -440,7 +440,7 @@
 
     Played play() {
         clusterState.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(clusterState, time());
+        leaseManager.onElected(clusterState, time());
         for (Node node : nodes) {
             time.after(random.nextDouble() * 0.5, node::heartbeats);
             time.after(6 + random.nextDouble() / rate, node::comes);
@@ -488,7 +488,7 @@
                             new CapacityPlanner.View(
                                     servers.stream().map(server -> server.location).toList(),
                                     clusterState.members(),
-                                    leaseManager.snapshot(clusterState, time()),
+                                    leaseManager.nodeViews(clusterState, time()),
                                     clusterState.livePlans(),
                                     clusterState.lastPlan()),
                             lease.token(),
--- a/src/main/java/lupinwood/experiment/LeaseHandoverExperiment.java
+++ b/src/main/java/lupinwood/experiment/LeaseHandoverExperiment.java
@@ -113,6 +113,6 @@
             gap += holder.holds(DutyName.STATUS_REPORTER) ? 0 : 0.01;
         }
         broken.addAll(fleet.broken);
-        return gap / timing.lease().seconds();
+        return gap / timing.leaseDuration().seconds();
     }
 }
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -395,7 +395,7 @@
 
     Played play() {
         clusterState.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(clusterState, now());
+        leaseManager.onElected(clusterState, now());
         for (; time < 30; time++) {
             second();
         }
@@ -475,7 +475,7 @@
             node.serves();
             follow(node);
             Heartbeat heartbeat = node.heartbeat();
-            String trouble = leaseManager.heard(heartbeat, clusterState, now());
+            String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, now());
             leaseManager.replyTo(heartbeat, trouble, clusterState, node.name, now());
         }
         leaseManager.decide(clusterState, 1, now()).forEach(clusterState::apply);
@@ -562,7 +562,7 @@
                         clusterState.rollout(),
                         clusterState.good(),
                         clusterState.haltedBy(),
-                        leaseManager.snapshot(clusterState, now()),
+                        leaseManager.nodeViews(clusterState, now()),
                         clusterState.permits(),
                         disruptionLimits.mostOf(nodes.size()),
                         clusterState.past());
--- a/src/main/java/lupinwood/experiment/SimulatedCluster.java
+++ b/src/main/java/lupinwood/experiment/SimulatedCluster.java
@@ -161,7 +161,7 @@
                 execute(replica::start);
             }
             after(
-                    NanoDuration.ofSeconds(timing.lease().seconds() / 2),
+                    NanoDuration.ofSeconds(timing.leaseDuration().seconds() / 2),
                     () -> condition = NodeCondition.WARM);
             execute(this::talk);
             execute(this::poll);
@@ -195,7 +195,7 @@
                 session.releaseAll(now());
                 execute(this::say);
                 after(
-                        timing.lease(),
+                        timing.leaseDuration(),
                         () -> {
                             send(session.finalHeartbeat(now()));
                             time.after(0.1, this::kill);
@@ -294,7 +294,7 @@
                     links.send(place, SINK, () -> sink(duty, token));
                     if (stalls && random.nextInt(2000) == 0) {
                         // It was stopped between asking and acting.
-                        double stop = timing.lease().seconds() * 2 * random.nextDouble();
+                        double stop = timing.leaseDuration().seconds() * 2 * random.nextDouble();
                         int of = process;
                         stopFor(stop);
                         time.after(
@@ -399,7 +399,7 @@
         random = new Random(seed);
         this.zones = zones;
         this.without = without;
-        this.timing = without == Without.DRIFT ? LeaseTiming.of(timing.lease(), 0) : timing;
+        this.timing = without == Without.DRIFT ? LeaseTiming.of(timing.leaseDuration(), 0) : timing;
         replicaRules = this.timing;
         links = new SimulatedNetwork(time, new Random(random.nextLong()));
         for (int i = 0; i < voters + members; i++) {
@@ -494,7 +494,7 @@
             if (isLeased || !could) {
                 Long since = unheldSince.remove(duty);
                 if (since != null && isLeased) {
-                    gaps.add((time.now() - since) / 1e9 / timing.lease().seconds());
+                    gaps.add((time.now() - since) / 1e9 / timing.leaseDuration().seconds());
                 }
             } else {
                 unheldSince.putIfAbsent(duty, time.now());
--- a/src/main/java/lupinwood/load/StartupConfig.java
+++ b/src/main/java/lupinwood/load/StartupConfig.java
@@ -28,7 +28,7 @@
                     ClusterQuery.wanted(
                             settings.voters().values(),
                             settings.name(),
-                            settings.timing().lease().min(MOST),
+                            settings.timing().leaseDuration().min(MOST),
                             log);
             if (wanted == null) {
                 return alone;
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -40,7 +40,7 @@
                 new ClusterCommand.GrantLease(
                         DutyName.PLANNER, node(0), new Incarnation(0), new FencingToken(0)));
         plannerToken = clusterState.duty(DutyName.PLANNER).token();
-        leaseManager.leads(clusterState, at(0));
+        leaseManager.onElected(clusterState, at(0));
     }
 
     private boolean setPlan(int z0Slots, int z1Slots, Map<String, Map<String, Integer>> baseSlots) {
@@ -74,7 +74,7 @@
                                 "1", "", null, List.of(), plan, List.of(), RequestCounts.EMPTY));
         return leaseManager.replyTo(
                 heartbeat,
-                leaseManager.heard(heartbeat, clusterState, at(seconds)),
+                leaseManager.onHeartbeat(heartbeat, clusterState, at(seconds)),
                 clusterState,
                 node(0),
                 at(seconds));
@@ -125,8 +125,8 @@
         applyDecisions(7.1);
         assertThat(clusterState.livePlans()).as("lease of 3 s and drift have passed").hasSize(1);
         setPlan(2, 1, Map.of());
-        leaseManager.leadsNoMore();
-        leaseManager.leads(clusterState, at(8));
+        leaseManager.onDeposed();
+        leaseManager.onElected(clusterState, at(8));
         applyDecisions(10.9);
         assertThat(clusterState.livePlans())
                 .as("the new leader doesn't know which plans were sent before")
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -43,7 +43,7 @@
     }
 
     private HeartbeatReply sendHeartbeat(Heartbeat heartbeat, double seconds) {
-        String trouble = leaseManager.heard(heartbeat, clusterState, at(seconds));
+        String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, at(seconds));
         return leaseManager.replyTo(heartbeat, trouble, clusterState, SELF, at(seconds));
     }
 
@@ -59,7 +59,7 @@
 
     @BeforeEach
     void startWithNodesAAndBAndDutyAtA() {
-        leaseManager.leads(clusterState, at(0));
+        leaseManager.onElected(clusterState, at(0));
         sendWarmHeartbeat("a", 0.1);
         applyDecisions(0.1);
         applyDecisions(0.1);
@@ -105,8 +105,8 @@
     @Test
     void newLeaderCountsLeasesFromWhenItBeganToLead() {
         sendWarmHeartbeat("a", 2);
-        leaseManager.leadsNoMore();
-        leaseManager.leads(clusterState, at(4));
+        leaseManager.onDeposed();
+        leaseManager.onElected(clusterState, at(4));
         assertThat(sendWarmHeartbeat("b", 6.9).leases()).isEmpty();
         assertThat(applyDecisions(7)).isEmpty();
         assertThat(applyDecisions(7.1)).hasSize(1);
@@ -160,12 +160,12 @@
     @Test
     void nodeStatusFollowsHeartbeatsAndExcessNodesOrNewerVersionsAreRejected() {
         sendWarmHeartbeat("b", 5);
-        assertThat(leaseManager.snapshot(clusterState, at(5)))
+        assertThat(leaseManager.nodeViews(clusterState, at(5)))
                 .extracting(NodeView::status)
                 .containsExactly(NodeStatus.UNKNOWN, NodeStatus.WARM);
         sendHeartbeat(heartbeat("b", 1, NodeCondition.GONE, List.of(), List.of()), 5.1);
         applyDecisions(5.1);
-        assertThat(leaseManager.snapshot(clusterState, at(5.2)).get(1).status())
+        assertThat(leaseManager.nodeViews(clusterState, at(5.2)).get(1).status())
                 .isEqualTo(NodeStatus.OUT);
         for (String name : List.of("c", "d")) {
             sendWarmHeartbeat(name, 5.3); // b left, and made room for one
@@ -186,7 +186,7 @@
                         List.of(),
                         List.of(),
                         null);
-        assertThat(leaseManager.heard(newerVersionHeartbeat, clusterState, at(5.5)))
+        assertThat(leaseManager.onHeartbeat(newerVersionHeartbeat, clusterState, at(5.5)))
                 .contains("heartbeat version 9 is not supported");
     }
 
@@ -200,7 +200,7 @@
                         true,
                         SELF,
                         "",
-                        TIMING.lease(),
+                        TIMING.leaseDuration(),
                         List.of(new Lease(DutyName.HEALTH_CHECK, new FencingToken(7))),
                         List.of(),
                         0,
@@ -221,7 +221,7 @@
                         true,
                         SELF,
                         "",
-                        TIMING.lease(),
+                        TIMING.leaseDuration(),
                         reply.leases(),
                         List.of(),
                         0,
