--- a/src/main/java/lupinwood/cluster/CapacityPlan.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlan.java
@@ -26,7 +26,7 @@
     }
 
     /** A node's slots, by location. */
-    public Map<String, Integer> of(NodeName node) {
+    public Map<String, Integer> slotsOf(NodeName node) {
         String site = roster.get(node.text());
         Map<String, Integer> nodeSlots = new TreeMap<>();
         if (site != null) {
@@ -78,7 +78,7 @@
      * @param baseSlots by site and location, how many concurrent requests a node may send without
      *     any plan
      */
-    public static String overfull(
+    public static String findOverfullLocation(
             List<CapacityPlan> plans,
             Map<String, Integer> capacities,
             Map<String, Map<String, Integer>> baseSlots) {
--- a/src/main/java/lupinwood/cluster/CapacityPlans.java
+++ b/src/main/java/lupinwood/cluster/CapacityPlans.java
@@ -74,7 +74,8 @@
         CapacityPlan plan = new CapacityPlan(lastNumber + 1, roster, command.slots());
         List<CapacityPlan> candidates = new ArrayList<>(livePlans);
         candidates.add(plan);
-        if (CapacityPlan.overfull(candidates, command.bears(), command.alone()) != null) {
+        if (CapacityPlan.findOverfullLocation(candidates, command.bears(), command.alone())
+                != null) {
             return false;
         }
         lastNumber++;
--- a/src/main/java/lupinwood/cluster/ClusterState.java
+++ b/src/main/java/lupinwood/cluster/ClusterState.java
@@ -19,8 +19,8 @@
  * <p>Not thread-safe: owned by the task loop of the replica.
  */
 public final class ClusterState {
-    /** A node that joined; {@code in} is true until it leaves. */
-    public record Member(NodeName name, Incarnation incarnation, Site site, boolean in) {}
+    /** A node that joined; {@code active} is true until it leaves. */
+    public record Member(NodeName name, Incarnation incarnation, Site site, boolean active) {}
 
     /**
      * A duty and its lease.
@@ -58,7 +58,7 @@
             List<DisruptionPermit> permits,
             long lastPermit,
             String haltedBy,
-            List<CompletedOrder> done,
+            List<CompletedOrder> completedOrders,
             List<HistoryEntry> history,
             Rollouts.Snapshot rollouts,
             List<Cordon> cordons,
@@ -77,7 +77,7 @@
     private String haltedBy = "";
 
     private String digest = "";
-    private long commands;
+    private long commandCount;
 
     /** Creates an empty state of {@code maxMembers} nodes at most; see {@link #isFull}. */
     public ClusterState(int maxMembers) {
@@ -85,14 +85,14 @@
     }
 
     /** Replaces the state. In an older version's snapshot the last three parts may be null. */
-    public void open(Snapshot snapshot) {
+    public void restore(Snapshot snapshot) {
         members.restore(snapshot.members());
         dutyLeases.restore(snapshot.duties(), snapshot.lastToken());
         digest = snapshot.digest();
-        commands = snapshot.commands();
+        commandCount = snapshot.commands();
         permits.restore(snapshot.permits(), snapshot.lastPermit());
         haltedBy = snapshot.haltedBy();
-        operatorLog.restore(snapshot.done(), snapshot.history());
+        operatorLog.restore(snapshot.completedOrders(), snapshot.history());
         rollouts.restore(snapshot.rollouts()); // keeps the present rollouts if null
         capacityPlans.restore(snapshot.plans()); // drops only the live plans if null
         cordons.clear();
@@ -108,7 +108,7 @@
                 new ArrayList<>(dutyLeases.all()),
                 dutyLeases.lastToken(),
                 digest,
-                commands,
+                commandCount,
                 new ArrayList<>(permits.all()),
                 permits.lastNumber(),
                 haltedBy,
@@ -121,7 +121,7 @@
 
     /** Applies a command; if its conditions don't hold, only counts it and returns false. */
     public boolean apply(ClusterCommand command) {
-        commands++;
+        commandCount++;
         return command.applyTo(handler);
     }
 
@@ -372,7 +372,7 @@
     }
 
     /** Why a node must not get a permit now, apart from the bound on permits; empty if it may. */
-    public String against(
+    public String reasonAgainstPermit(
             NodeName node, DisruptionLimits limits, Collection<NodeName> unavailable) {
         if (!haltedBy.isEmpty()) {
             return haltedBy + " halted";
@@ -383,7 +383,7 @@
     }
 
     /** The newest capacity plan; null before the first. */
-    public CapacityPlan plan() {
+    public CapacityPlan newestPlan() {
         return capacityPlans.newest();
     }
 
@@ -393,7 +393,7 @@
     }
 
     /** The number of the newest capacity plan. */
-    public long lastPlan() {
+    public long lastPlanNumber() {
         return capacityPlans.lastNumber();
     }
 
@@ -408,17 +408,17 @@
     }
 
     /** The digest of the shared configuration that nodes run outside a rollout; empty for none. */
-    public String good() {
+    public String goodConfigDigest() {
         return rollouts.goodDigest();
     }
 
     /** Request counts by node name, of the observation before the present rollout's first wave. */
-    public Map<String, RequestCounts> past() {
+    public Map<String, RequestCounts> baselineCounts() {
         return rollouts.baselineCounts();
     }
 
     /** What a node is to run, and which servers are cordoned. */
-    public HeartbeatReply.DesiredState wanted(NodeName node) {
+    public HeartbeatReply.DesiredState desiredState(NodeName node) {
         return new HeartbeatReply.DesiredState(
                 rollouts.wantedDigest(node),
                 rollouts.digestToCheck(),
@@ -432,12 +432,12 @@
     }
 
     /** The shared configuration of a digest; null where it isn't stored. */
-    public String text(String digest) {
+    public String configText(String digest) {
         return rollouts.text(digest);
     }
 
     /** The result of a completed order; null for any other. */
-    public String answer(String order) {
+    public String orderResult(String order) {
         return operatorLog.result(order);
     }
 
@@ -492,7 +492,7 @@
     }
 
     /** How many commands were passed to {@link #apply}, including rejected ones. */
-    public long commands() {
-        return commands;
+    public long commandCount() {
+        return commandCount;
     }
 }
--- a/src/main/java/lupinwood/cluster/DisruptionBudget.java
+++ b/src/main/java/lupinwood/cluster/DisruptionBudget.java
@@ -25,7 +25,7 @@
         unavailable = new HashSet<>(unavailableNodes);
         permits.forEach(permit -> unavailable.add(permit.node()));
         members.stream()
-                .filter(member -> !member.in())
+                .filter(member -> !member.active())
                 .forEach(member -> unavailable.add(member.name()));
     }
 
@@ -49,13 +49,13 @@
         }
         int total = members.size();
         int unavailableAfter = unavailableCount() + 1;
-        if (unavailableAfter > limits.mostOf(total)) {
+        if (unavailableAfter > limits.maxUnavailable(total)) {
             return "of "
                     + total
                     + " nodes "
                     + (unavailableAfter - 1)
                     + " are unavailable, and at most "
-                    + limits.mostOf(total)
+                    + limits.maxUnavailable(total)
                     + " may be";
         }
         if (total - unavailableAfter < limits.leastIn()) {
--- a/src/main/java/lupinwood/cluster/DisruptionLimits.java
+++ b/src/main/java/lupinwood/cluster/DisruptionLimits.java
@@ -21,7 +21,7 @@
         double zoneShare,
         int leastIn,
         List<NodeName> voters) {
-    public static final DisruptionLimits USUAL =
+    public static final DisruptionLimits DEFAULT =
             new DisruptionLimits(Integer.MAX_VALUE, 0.1, Integer.MAX_VALUE, 0.34, 1);
 
     public DisruptionLimits(int most, double share, int zoneMost, double zoneShare, int leastIn) {
@@ -33,7 +33,7 @@
      *
      * @param total nodes in the fleet
      */
-    public int mostOf(int total) {
+    public int maxUnavailable(int total) {
         return Math.min(most, Math.max(1, (int) Math.floor(share * total + 1e-9)));
     }
 
--- a/src/main/java/lupinwood/cluster/DutyLeases.java
+++ b/src/main/java/lupinwood/cluster/DutyLeases.java
@@ -53,7 +53,7 @@
                         : lease.isFree() && lease.token().equals(command.after());
         if (!isAvailable
                 || heir == null
-                || !heir.in()
+                || !heir.active()
                 || !heir.incarnation().equals(command.incarnation())) {
             return false;
         }
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -142,7 +142,7 @@
         ClusterState.Member member = clusterState.member(heartbeat.name());
         boolean isAnotherIncarnation =
                 member != null
-                        && member.in()
+                        && member.active()
                         && !member.incarnation().equals(heartbeat.incarnation());
         if (isAnotherIncarnation
                 && previous != null
@@ -226,7 +226,7 @@
                                         isFresh(latest, now)
                                                 && latest.heartbeat.report() != null
                                                 && !clusterState
-                                                        .wanted(latest.heartbeat.name())
+                                                        .desiredState(latest.heartbeat.name())
                                                         .configDigest()
                                                         .equals(
                                                                 latest.heartbeat
@@ -262,7 +262,7 @@
             ClusterState.Member member = clusterState.member(heartbeat.name());
             boolean isMember =
                     member != null
-                            && member.in()
+                            && member.active()
                             && member.incarnation().equals(heartbeat.incarnation());
             boolean siteChanged = member != null && !member.site().equals(heartbeat.site());
             if (isMember && heartbeat.condition() == NodeCondition.GONE) {
@@ -395,7 +395,7 @@
         }
         Map<Site, int[]> zones = new HashMap<>(); // members in it, and how many are healthy
         for (ClusterState.Member member : clusterState.members()) {
-            if (member.in()) {
+            if (member.active()) {
                 int[] zone = zones.computeIfAbsent(member.site(), site -> new int[2]);
                 zone[0]++;
                 zone[1] += isRecentlyWarm(member, now) ? 1 : 0;
@@ -404,7 +404,7 @@
         return clusterState.members().stream()
                 .filter(
                         member ->
-                                member.in()
+                                member.active()
                                         && isRecentlyWarm(member, now)
                                         && !isIneligible(duty, member.name(), now))
                 .min(
@@ -505,7 +505,7 @@
                 leases,
                 agedChecks,
                 leavePermit,
-                clusterState.wanted(heartbeat.name()).busyIf(isSomeNodeOutdated),
+                clusterState.desiredState(heartbeat.name()).busyIf(isSomeNodeOutdated),
                 trouble.isEmpty() ? grantCapacityShare(heartbeat, clusterState, now) : null,
                 freshNodes);
     }
@@ -517,7 +517,7 @@
      */
     private HeartbeatReply.CapacityShare grantCapacityShare(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
-        CapacityPlan plan = clusterState.plan();
+        CapacityPlan plan = clusterState.newestPlan();
         if (plan == null) {
             return null;
         }
@@ -526,7 +526,7 @@
                         new IncarnationKey(heartbeat.name(), heartbeat.incarnation()),
                         key -> new TreeMap<>())
                 .put(plan.number(), now.plus(timing.expiresAfter()));
-        return new HeartbeatReply.CapacityShare(plan.number(), plan.of(heartbeat.name()));
+        return new HeartbeatReply.CapacityShare(plan.number(), plan.slotsOf(heartbeat.name()));
     }
 
     /**
@@ -536,7 +536,7 @@
      */
     private void retirePlans(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
-        CapacityPlan newest = clusterState.plan();
+        CapacityPlan newest = clusterState.newestPlan();
         if (newest == null
                 || clusterState.livePlans().size() < 2
                 || now.since(leadingSince).compareTo(timing.expiresAfter()) < 0) {
@@ -583,7 +583,7 @@
             boolean isKnown =
                     latest != null && latest.heartbeat.incarnation().equals(member.incarnation());
             NodeStatus status;
-            if (!member.in()) {
+            if (!member.active()) {
                 status = NodeStatus.OUT;
             } else if (!isKnown || !isFresh(latest, now)) {
                 status = NodeStatus.UNKNOWN;
--- a/src/main/java/lupinwood/cluster/MemberRegistry.java
+++ b/src/main/java/lupinwood/cluster/MemberRegistry.java
@@ -27,7 +27,7 @@
             // Nodes may get a new name at each start, so a member that left is removed to make
             // room.
             members.values().stream()
-                    .filter(member -> !member.in())
+                    .filter(member -> !member.active())
                     .findFirst()
                     .ifPresent(former -> members.remove(former.name()));
             if (members.size() >= maxMembers) {
@@ -69,6 +69,6 @@
 
     /** Whether no further node can join. */
     boolean isFull() {
-        return members.size() >= maxMembers && members.values().stream().allMatch(Member::in);
+        return members.size() >= maxMembers && members.values().stream().allMatch(Member::active);
     }
 }
--- a/src/main/java/lupinwood/cluster/Rollout.java
+++ b/src/main/java/lupinwood/cluster/Rollout.java
@@ -10,11 +10,12 @@
  * @param from what all nodes ran before: a configuration's digest, or a version of the program
  * @param to what all nodes are to run
  * @param by who ordered it
- * @param backsOnHalt whether the rollout controller may roll it back without an order when the
- *     canary analysis fails
- * @param turnedAt the number of steps decided when the rollback began; negative if none began
+ * @param rollsBackAutomatically whether the rollout controller may roll it back without an order
+ *     when the canary analysis fails
+ * @param stepsBeforeRollback the number of steps decided when the rollback began; negative if none
+ *     began
  * @param steps how many waves were decided, forward and back
- * @param given the nodes that are to run {@code to} now, in the order in which they got it
+ * @param updatedNodes the nodes that are to run {@code to} now, in the order in which they got it
  */
 public record Rollout(
         long number,
@@ -22,10 +23,10 @@
         String from,
         String to,
         String by,
-        boolean backsOnHalt,
-        int turnedAt,
+        boolean rollsBackAutomatically,
+        int stepsBeforeRollback,
         int steps,
-        List<NodeName> given) {
+        List<NodeName> updatedNodes) {
     /** What a rollout changes. */
     public enum Kind {
         CONFIGURATION,
@@ -33,8 +34,8 @@
     }
 
     /** Whether it is being rolled back. */
-    public boolean back() {
-        return turnedAt >= 0;
+    public boolean isRollingBack() {
+        return stepsBeforeRollback >= 0;
     }
 
     Rollout with(int newTurnedAt, int newSteps, List<NodeName> newGiven) {
@@ -44,14 +45,14 @@
                 from,
                 to,
                 by,
-                backsOnHalt,
+                rollsBackAutomatically,
                 newTurnedAt,
                 newSteps,
                 List.copyOf(newGiven));
     }
 
-    public boolean isGiven(NodeName node) {
-        return given.contains(node);
+    public boolean isUpdated(NodeName node) {
+        return updatedNodes.contains(node);
     }
 
     @Override
--- a/src/main/java/lupinwood/cluster/Rollouts.java
+++ b/src/main/java/lupinwood/cluster/Rollouts.java
@@ -131,32 +131,36 @@
         if (rollout == null
                 || command.rollout() != rollout.number()
                 || command.step() != rollout.steps() + 1
-                || command.back() != rollout.back()) {
+                || command.back() != rollout.isRollingBack()) {
             return false;
         }
-        Set<NodeName> given = new LinkedHashSet<>(rollout.given());
+        Set<NodeName> given = new LinkedHashSet<>(rollout.updatedNodes());
         boolean changed =
-                rollout.back() ? given.removeAll(command.nodes()) : given.addAll(command.nodes());
+                rollout.isRollingBack()
+                        ? given.removeAll(command.nodes())
+                        : given.addAll(command.nodes());
         if (changed) {
             baselineCounts = command.past() == null ? baselineCounts : command.past();
-            rollout = rollout.with(rollout.turnedAt(), command.step(), new ArrayList<>(given));
+            rollout =
+                    rollout.with(
+                            rollout.stepsBeforeRollback(), command.step(), new ArrayList<>(given));
         }
         return changed;
     }
 
     boolean rollBack(long rolloutNumber) {
-        if (rollout == null || rollout.number() != rolloutNumber || rollout.back()) {
+        if (rollout == null || rollout.number() != rolloutNumber || rollout.isRollingBack()) {
             return false;
         }
-        rollout = rollout.with(rollout.steps(), rollout.steps(), rollout.given());
+        rollout = rollout.with(rollout.steps(), rollout.steps(), rollout.updatedNodes());
         return true;
     }
 
     boolean finish(ClusterCommand.FinishRollout command) {
         if (rollout == null
                 || command.rollout() != rollout.number()
-                || command.done() == (rollout.back() || rollout.steps() == 0)
-                || (!command.done() && !rollout.given().isEmpty())) {
+                || command.done() == (rollout.isRollingBack() || rollout.steps() == 0)
+                || (!command.done() && !rollout.updatedNodes().isEmpty())) {
             return false;
         }
         if (command.done() && rollout.kind() == Rollout.Kind.CONFIGURATION) {
@@ -183,19 +187,21 @@
         boolean given =
                 rollout != null
                         && rollout.kind() == Rollout.Kind.CONFIGURATION
-                        && rollout.isGiven(node);
+                        && rollout.isUpdated(node);
         return given ? rollout.to() : goodConfig.digest();
     }
 
     /** The program version that a node is to be started with; empty where any will do. */
     String wantedProgram(NodeName node) {
         boolean isProgram = rollout != null && rollout.kind() == Rollout.Kind.PROGRAM;
-        return isProgram && rollout.isGiven(node) ? rollout.to() : goodProgram;
+        return isProgram && rollout.isUpdated(node) ? rollout.to() : goodProgram;
     }
 
     /** The digest of the shared configuration that nodes are to check now; empty for none. */
     String digestToCheck() {
-        return rollout != null && rollout.kind() == Rollout.Kind.CONFIGURATION && !rollout.back()
+        return rollout != null
+                        && rollout.kind() == Rollout.Kind.CONFIGURATION
+                        && !rollout.isRollingBack()
                 ? rollout.to()
                 : "";
     }
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -754,7 +754,7 @@
                         state.haltedBy(),
                         state.nodeViews(),
                         state.permits(),
-                        settings.disruptionLimits().mostOf(state.nodeViews().size()),
+                        settings.disruptionLimits().maxUnavailable(state.nodeViews().size()),
                         state.past());
         String previousStatus = rolloutController.says();
         List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -177,7 +177,7 @@
 
     private static DisruptionLimits disruptionLimits(
             ParsedSettings parsedSettings, List<NodeName> voters) {
-        DisruptionLimits defaults = DisruptionLimits.USUAL;
+        DisruptionLimits defaults = DisruptionLimits.DEFAULT;
         return new DisruptionLimits(
                 parsedSettings.number("out most", BigDecimal.valueOf(defaults.most())).intValue(),
                 parsedSettings
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -474,12 +474,12 @@
 
     /** The configuration text of that digest; null where this voter doesn't know it. */
     String configText(String digest) {
-        return clusterState.text(digest);
+        return clusterState.configText(digest);
     }
 
     /** The digest of the configuration that the node should run; null unless this voter leads. */
     String wantedConfig(NodeName node) {
-        return updateLeadership() ? clusterState.wanted(node).configDigest() : null;
+        return updateLeadership() ? clusterState.desiredState(node).configDigest() : null;
     }
 
     /** The program version that the node should run; null unless this voter leads. */
@@ -526,17 +526,17 @@
                 nodeViews,
                 new ArrayList<>(clusterState.duties()),
                 clusterState.digest(),
-                clusterState.commands(),
+                clusterState.commandCount(),
                 new ArrayList<>(clusterState.permits()),
                 clusterState.haltedBy(),
                 clusterState.history(),
                 clusterState.rollout(),
-                clusterState.good(),
+                clusterState.goodConfigDigest(),
                 new ArrayList<>(clusterState.cordons()),
-                withPast ? clusterState.past() : null,
+                withPast ? clusterState.baselineCounts() : null,
                 withPlans ? new ArrayList<>(clusterState.members()) : null,
                 withPlans ? clusterState.livePlans() : null,
-                clusterState.lastPlan());
+                clusterState.lastPlanNumber());
     }
 
     /**
@@ -554,7 +554,7 @@
             replyTo.accept(null);
             return;
         }
-        String earlierAnswer = clusterState.answer(order.id());
+        String earlierAnswer = clusterState.orderResult(order.id());
         long nowMillis = millis();
         List<NodeName> unavailable =
                 leaseManager.unavailableNodes(clusterState, context.loop().now());
@@ -562,13 +562,14 @@
         String refusal =
                 switch (order.what()) {
                     case "leave" ->
-                            clusterState.against(order.node(), disruptionLimits, unavailable);
+                            clusterState.reasonAgainstPermit(
+                                    order.node(), disruptionLimits, unavailable);
                     case "release" ->
                             clusterState.reasonAgainstRollout(wish.kind(), wish.to(), wish.text());
                     case "back" ->
                             clusterState.rollout() == null
                                     ? "no rollout is in progress"
-                                    : clusterState.rollout().back()
+                                    : clusterState.rollout().isRollingBack()
                                             ? clusterState.rollout()
                                                     + " is already being rolled back"
                                             : "";
@@ -638,8 +639,8 @@
                         replyTo.accept(
                                 new OrderResult(
                                         isApplied,
-                                        clusterState.answer(order.id()) != null
-                                                ? clusterState.answer(order.id())
+                                        clusterState.orderResult(order.id()) != null
+                                                ? clusterState.orderResult(order.id())
                                                 : isApplied
                                                         ? order.what() + " " + order.node()
                                                         : "rejected, or may still be committed; send the order again")));
@@ -741,7 +742,7 @@
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
-            clusterState.open(CommandCodec.decodeSnapshot(chunks));
+            clusterState.restore(CommandCodec.decodeSnapshot(chunks));
         }
 
         @Override
--- a/src/main/java/lupinwood/experiment/CapacityPlanModel.java
+++ b/src/main/java/lupinwood/experiment/CapacityPlanModel.java
@@ -151,7 +151,7 @@
                                                     && word.came());
             if (leased) {
                 plan(state, heard)
-                        .of(new NodeName(NODES.get(node)))
+                        .slotsOf(new NodeName(NODES.get(node)))
                         .forEach((place, may) -> sums.merge(place, may, Integer::sum));
             }
         }
@@ -246,7 +246,7 @@
                 live.add(plan(after, number));
             }
             if (without == Without.SUM_OVER_LIVE_PLANS
-                    || CapacityPlan.overfull(live, BOUNDS, Map.of()) == null) {
+                    || CapacityPlan.findOverfullLocation(live, BOUNDS, Map.of()) == null) {
                 all.add(after);
             }
         }
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -490,7 +490,7 @@
                                     clusterState.members(),
                                     leaseManager.nodeViews(clusterState, time()),
                                     clusterState.livePlans(),
-                                    clusterState.lastPlan()),
+                                    clusterState.lastPlanNumber()),
                             lease.token(),
                             time());
             if (plan != null && !clusterState.apply(plan)) {
@@ -501,7 +501,7 @@
                                 Locale.ROOT,
                                 "%.1f plan %d: %s",
                                 now(),
-                                clusterState.lastPlan(),
+                                clusterState.lastPlanNumber(),
                                 plan.why()));
                 plans++;
                 planBytes += plan.toString().length();
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -162,7 +162,7 @@
                 counts[i] = new long[4];
                 seconds[i] = 0;
             }
-            String wanted = clusterState.wanted(name).configDigest();
+            String wanted = clusterState.desiredState(name).configDigest();
             if (!wanted.equals(runs)) {
                 changedAt = wanted.equals(NEW) ? time : -1;
             }
@@ -228,7 +228,7 @@
                                 counts[i][3],
                                 seconds[i]));
             }
-            String wanted = clusterState.wanted(name).configDigest();
+            String wanted = clusterState.desiredState(name).configDigest();
             NodeReport.ConfigCheck says =
                     kind.byRestarts() && !wanted.equals(runs)
                             ? new NodeReport.ConfigCheck(wanted, true, true, "")
@@ -419,7 +419,10 @@
                 faultFrom = faulty ? time + random.nextInt(20) : faultFrom;
                 faultUntil = faultFrom + 100 + random.nextInt(200);
             }
-            boolean stops = rollout == null || rollout.back() || !clusterState.haltedBy().isEmpty();
+            boolean stops =
+                    rollout == null
+                            || rollout.isRollingBack()
+                            || !clusterState.haltedBy().isEmpty();
             if (stops && caught < 0) {
                 caught = time - Math.max(firstWave, begun);
                 had = share(NEW);
@@ -427,7 +430,8 @@
                 why = history.get(history.size() - 1).text();
             }
             if (rollout == null) {
-                boolean done = clusterState.wanted(nodes.get(0).name).configDigest().equals(NEW);
+                boolean done =
+                        clusterState.desiredState(nodes.get(0).name).configDigest().equals(NEW);
                 end = done ? End.DONE : firstWave < 0 ? End.REFUSED : End.BACK;
             } else if (!clusterState.haltedBy().isEmpty()) {
                 end = End.HALTED;
@@ -512,8 +516,8 @@
 
     /** What a node does by the consensus group's word. */
     private void follow(Node node) {
-        String wanted = clusterState.wanted(node.name).configDigest();
-        String checks = clusterState.wanted(node.name).digestToCheck();
+        String wanted = clusterState.desiredState(node.name).configDigest();
+        String checks = clusterState.desiredState(node.name).digestToCheck();
         node.checked =
                 checks.isEmpty()
                         ? node.checked && clusterState.rollout() != null
@@ -560,12 +564,12 @@
         RolloutSnapshot snapshot =
                 new RolloutSnapshot(
                         clusterState.rollout(),
-                        clusterState.good(),
+                        clusterState.goodConfigDigest(),
                         clusterState.haltedBy(),
                         leaseManager.nodeViews(clusterState, now()),
                         clusterState.permits(),
-                        disruptionLimits.mostOf(nodes.size()),
-                        clusterState.past());
+                        disruptionLimits.maxUnavailable(nodes.size()),
+                        clusterState.baselineCounts());
         if (stalledToken != null) {
             lateWord(snapshot);
         }
@@ -600,13 +604,13 @@
      */
     private void lateWord(RolloutSnapshot snapshot) {
         Rollout rollout = snapshot.rollout();
-        if (rollout == null || rollout.steps() == 0 || rollout.back()) {
+        if (rollout == null || rollout.steps() == 0 || rollout.isRollingBack()) {
             return;
         }
         List<NodeName> next =
                 nodes.stream()
                         .map(node -> node.name)
-                        .filter(name -> !rollout.isGiven(name))
+                        .filter(name -> !rollout.isUpdated(name))
                         .limit(3)
                         .toList();
         FencingToken shown = without == Without.TOKEN ? token : stalledToken;
@@ -623,11 +627,11 @@
             breaks("versions " + versions + " at once");
         }
         int permits = clusterState.permits().size();
-        if (permits > disruptionLimits.mostOf(nodes.size())) {
+        if (permits > disruptionLimits.maxUnavailable(nodes.size())) {
             breaks(
                     permits
                             + " nodes out by permits of "
-                            + disruptionLimits.mostOf(nodes.size())
+                            + disruptionLimits.maxUnavailable(nodes.size())
                             + " allowed");
         }
         for (DisruptionPermit permit : clusterState.permits()) {
@@ -636,7 +640,7 @@
             }
         }
         Rollout rollout = clusterState.rollout();
-        if (rollout != null && !rollout.back() && rollout.steps() != stepsObserved) {
+        if (rollout != null && !rollout.isRollingBack() && rollout.steps() != stepsObserved) {
             if (stepsObserved > 0 && time - stepAt < WATCH) {
                 breaks(
                         "step "
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -473,7 +473,7 @@
             Map<String, Map<String, Integer>> unplanned) {
         List<CapacityPlan> plans = new ArrayList<>(view.livePlans());
         plans.add(new CapacityPlan(view.lastPlanNumber() + 1, roster(view.members()), slots));
-        return CapacityPlan.overfull(plans, capacities, unplanned) == null;
+        return CapacityPlan.findOverfullLocation(plans, capacities, unplanned) == null;
     }
 
     /** The target slots, but for each site and location at most the slots of every live plan. */
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -126,7 +126,7 @@
                             limits.minWatch().times(1.0 / NodeHistory.SAMPLES_PER_WATCH));
         }
         histories.keySet().retainAll(known);
-        everGiven.addAll(rollout.given());
+        everGiven.addAll(rollout.updatedNodes());
         if (needsBaseline && snapshot.baselineCounts() != null) {
             needsBaseline = false;
             snapshot.baselineCounts()
@@ -140,10 +140,10 @@
         }
         boolean isHalted = !snapshot.haltedBy().isEmpty();
         if (rollout.steps() != step
-                || rollout.back() != isRollingBack
+                || rollout.isRollingBack() != isRollingBack
                 || (wasHalted && !isHalted)) {
             step = rollout.steps();
-            isRollingBack = rollout.back();
+            isRollingBack = rollout.isRollingBack();
             stepSeenAt = now;
             watchStartedAt = null;
             unhealthySince.clear();
@@ -153,7 +153,7 @@
             statusMessage = "halted by " + snapshot.haltedBy();
             return List.of();
         }
-        if (rollout.back()) {
+        if (rollout.isRollingBack()) {
             return rollBack(snapshot, rollout, token, now);
         }
         return rollout.steps() == 0
@@ -331,7 +331,7 @@
                 .filter(
                         nodeView ->
                                 nodeView.status() == NodeStatus.WARM
-                                        && !rollout.isGiven(nodeView.name()))
+                                        && !rollout.isUpdated(nodeView.name()))
                 .sorted(
                         Comparator.comparing((NodeView nodeView) -> nodeView.name().equals(self))
                                 .thenComparing(NodeView::name))
@@ -347,7 +347,7 @@
     private List<NodeName> chooseNextWave(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, List<NodeView>> sites = unchangedBySite(snapshot, rollout);
         int unchanged = sites.values().stream().mapToInt(List::size).sum();
-        int given = rollout.given().size();
+        int given = rollout.updatedNodes().size();
         int all = given + unchanged;
         int maxLastWave = Math.max(sites.size(), all / 10);
         int size =
@@ -401,7 +401,7 @@
         List<RolloutAction> actions = new ArrayList<>();
         List<NodeName> waitingFor = new ArrayList<>();
         awaitingPermit.clear();
-        for (NodeName node : rollout.given()) {
+        for (NodeName node : rollout.updatedNodes()) {
             NodeView nodeView = snapshot.of(node).orElse(null);
             if (nodeView == null
                     || (runs(nodeView, rollout.kind(), rollout.to()) && isHealthy(node, now))) {
@@ -487,7 +487,7 @@
                 snapshot.nodeViews().stream()
                         .allMatch(
                                 nodeView ->
-                                        rollout.isGiven(nodeView.name())
+                                        rollout.isUpdated(nodeView.name())
                                                 || (!isReachable(nodeView)
                                                         && nodeView.status()
                                                                 != NodeStatus.LEAVING));
@@ -525,7 +525,7 @@
         for (NodeView nodeView : snapshot.nodeViews()) {
             NodeHistory history = histories.get(nodeView.name());
             boolean changed =
-                    rollout.isGiven(nodeView.name()) && !awaitingPermit.contains(nodeView.name());
+                    rollout.isUpdated(nodeView.name()) && !awaitingPermit.contains(nodeView.name());
             if (!changed && !history.wasEverHealthy()) {
                 continue; // it was unavailable before the rollout began
             }
@@ -576,7 +576,7 @@
     // ---- halting and rolling back ----
 
     private RolloutAction rollBackOrHalt(Rollout rollout, FencingToken token, String why) {
-        return rollout.backsOnHalt()
+        return rollout.rollsBackAutomatically()
                 ? new RolloutAction.Propose(
                         new ClusterCommand.RollBack(
                                 "back" + rollout.number(),
@@ -593,7 +593,9 @@
                 new ClusterCommand.SetHalt(
                         order,
                         true,
-                        rollout + (rollout.back() ? ", rolling back: " : ", rolling out: ") + why,
+                        rollout
+                                + (rollout.isRollingBack() ? ", rolling back: " : ", rolling out: ")
+                                + why,
                         0));
     }
 
@@ -612,7 +614,7 @@
                     rollout.kind() == Rollout.Kind.PROGRAM
                             ? !runs(nodeView, rollout.kind(), rollout.to())
                             : runs(nodeView, rollout.kind(), rollout.from());
-            if (rollout.isGiven(node)
+            if (rollout.isUpdated(node)
                     || (!isReachable(nodeView) && !everGiven.contains(node))
                     || (runsPrevious && isHealthy(node, now))) {
                 unhealthySince.remove(node);
@@ -649,13 +651,13 @@
                                     : "");
             return limitRequests(actions);
         }
-        if (rollout.given().isEmpty()) {
+        if (rollout.updatedNodes().isEmpty()) {
             return List.of(
                     new RolloutAction.Propose(
                             new ClusterCommand.FinishRollout(
                                     token, rollout.number(), false, "all nodes rolled back", 0)));
         }
-        boolean isFirstStep = rollout.steps() == rollout.turnedAt();
+        boolean isFirstStep = rollout.steps() == rollout.stepsBeforeRollback();
         return List.of(
                 new RolloutAction.Propose(
                         new ClusterCommand.AdvanceRollout(
@@ -665,7 +667,7 @@
                                 true,
                                 isFirstStep
                                         ? chooseWorstOfEachSite(snapshot, rollout)
-                                        : rollout.given(),
+                                        : rollout.updatedNodes(),
                                 isFirstStep
                                         ? "one node of each site first"
                                         : "the first nodes are healthy again",
@@ -684,7 +686,7 @@
     private List<NodeName> chooseWorstOfEachSite(RolloutSnapshot snapshot, Rollout rollout) {
         Map<String, NodeView> worst = new TreeMap<>();
         snapshot.nodeViews().stream()
-                .filter(nodeView -> rollout.isGiven(nodeView.name()))
+                .filter(nodeView -> rollout.isUpdated(nodeView.name()))
                 .forEach(
                         nodeView ->
                                 worst.merge(
@@ -702,7 +704,7 @@
                                         .thenComparing(node -> node))
                         .toList();
         // If no node with the release is in the node view any more, all are rolled back at once.
-        return nodes.isEmpty() ? rollout.given() : nodes;
+        return nodes.isEmpty() ? rollout.updatedNodes() : nodes;
     }
 
     /** The share of requests since the mark that were not served in time; 1 without requests. */
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -47,7 +47,7 @@
         return clusterState.apply(
                 new ClusterCommand.SetCapacityPlan(
                         plannerToken,
-                        clusterState.lastPlan(),
+                        clusterState.lastPlanNumber(),
                         Map.of("p", 10),
                         baseSlots,
                         Map.of("r/z0", Map.of("p", z0Slots), "r/z1", Map.of("p", z1Slots)),
@@ -144,12 +144,12 @@
                 .isFalse();
         assertThat(setPlan(2, 4, baseSlots)).isTrue();
         clusterState.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
-        assertThat(clusterState.plan().of(node(4))).isEmpty();
+        assertThat(clusterState.newestPlan().slotsOf(node(4))).isEmpty();
         assertThat(sendHeartbeat(4, 0, 5).capacityShare().slots()).isEmpty();
         clusterState.apply(new ClusterCommand.RemoveNode(node(1)));
-        assertThat(clusterState.plan().roster()).doesNotContainKey("n1");
+        assertThat(clusterState.newestPlan().roster()).doesNotContainKey("n1");
         ClusterState restored = new ClusterState(100);
-        restored.open(clusterState.snapshot());
+        restored.restore(clusterState.snapshot());
         assertThat(restored.snapshot()).isEqualTo(clusterState.snapshot());
     }
 
@@ -171,12 +171,12 @@
                 if (random.nextInt(4) == 0) {
                     state.apply(
                             new ClusterCommand.RetireCapacityPlans(
-                                    1 + random.nextInt((int) state.lastPlan() + 1)));
+                                    1 + random.nextInt((int) state.lastPlanNumber() + 1)));
                 } else {
                     state.apply(
                             new ClusterCommand.SetCapacityPlan(
                                     planner,
-                                    state.lastPlan(),
+                                    state.lastPlanNumber(),
                                     Map.of("p", 12),
                                     Map.of(),
                                     Map.of(
@@ -192,7 +192,9 @@
                 for (int i = 0; i < nodes && !live.isEmpty(); i++) {
                     followedSlots.put(
                             i,
-                            live.get(random.nextInt(live.size())).of(node(i)).getOrDefault("p", 0));
+                            live.get(random.nextInt(live.size()))
+                                    .slotsOf(node(i))
+                                    .getOrDefault("p", 0));
                 }
                 assertThat(followedSlots.values().stream().mapToInt(slots -> slots).sum())
                         .as("seed " + seed)
--- a/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
+++ b/src/test/java/lupinwood/cluster/DisruptionPermitTest.java
@@ -39,12 +39,12 @@
         assertThat(grantPermit("o1", 0)).isTrue();
         assertThat(grantPermit("o2", 3)).isTrue();
         assertThat(grantPermit("o3", 6)).as("third node of zone a").isFalse();
-        assertThat(clusterState.against(node(6), LIMITS, List.of()))
+        assertThat(clusterState.reasonAgainstPermit(node(6), LIMITS, List.of()))
                 .isEqualTo("of 3 nodes in r/a 2 are unavailable, and at most 2 may be");
         assertThat(grantPermit("o4", 1, node(4)))
                 .as("n4 is unknown, so four would be unavailable")
                 .isFalse();
-        assertThat(clusterState.against(node(1), LIMITS, List.of(node(4))))
+        assertThat(clusterState.reasonAgainstPermit(node(1), LIMITS, List.of(node(4))))
                 .contains("of 9 nodes 3 are unavailable, and at most 3");
         assertThat(grantPermit("o4", 4, node(4)))
                 .as("n4 itself is not known to be healthy")
@@ -61,7 +61,7 @@
             smallState.apply(new ClusterCommand.Join(node(i), new Incarnation(i), SITES[i % 3]));
         }
         smallState.apply(new ClusterCommand.GrantPermit("x", node(0), "ann", 1, LIMITS, List.of()));
-        assertThat(smallState.against(node(1), LIMITS, List.of()))
+        assertThat(smallState.reasonAgainstPermit(node(1), LIMITS, List.of()))
                 .isEqualTo("fewer than 4 nodes would remain available");
     }
 
@@ -85,12 +85,12 @@
                                 new ClusterCommand.GrantPermit(
                                         "o3", node(1), "ann", 1, limits, List.of())))
                 .isFalse();
-        assertThat(clusterState.against(node(1), limits, List.of()))
+        assertThat(clusterState.reasonAgainstPermit(node(1), limits, List.of()))
                 .isEqualTo("of 3 voters 1 are unavailable, and a majority must remain available");
         clusterState.apply(new ClusterCommand.ReturnPermit(1, "well again", 2));
-        assertThat(clusterState.against(node(1), limits, List.of(node(2))))
+        assertThat(clusterState.reasonAgainstPermit(node(1), limits, List.of(node(2))))
                 .contains("a majority must remain available");
-        assertThat(clusterState.against(node(1), limits, List.of())).isEmpty();
+        assertThat(clusterState.reasonAgainstPermit(node(1), limits, List.of())).isEmpty();
     }
 
     @Test
@@ -101,14 +101,15 @@
         assertThat(clusterState.permits()).hasSize(1);
         clusterState.apply(new ClusterCommand.SetHalt("h1", true, "bob", 7));
         assertThat(grantPermit("o2", 1)).isFalse();
-        assertThat(clusterState.against(node(1), LIMITS, List.of())).isEqualTo("bob halted");
+        assertThat(clusterState.reasonAgainstPermit(node(1), LIMITS, List.of()))
+                .isEqualTo("bob halted");
         clusterState.apply(new ClusterCommand.SetHalt("h2", false, "ann", 8));
         clusterState.apply(new ClusterCommand.SetHalt("h1", true, "bob", 9));
         assertThat(grantPermit("o2", 1)).as("a repeated old halt order halts nothing").isTrue();
         ClusterState restored = new ClusterState(100);
-        restored.open(clusterState.snapshot());
+        restored.restore(clusterState.snapshot());
         assertThat(restored.snapshot()).isEqualTo(clusterState.snapshot());
-        assertThat(restored.answer("o2")).isEqualTo("permit 2 for n1");
+        assertThat(restored.orderResult("o2")).isEqualTo("permit 2 for n1");
     }
 
     @Test
@@ -165,7 +166,7 @@
                     assertThat(state.haltedBy()).isEmpty();
                     assertThat(unavailable.size())
                             .as("seed " + seed)
-                            .isLessThanOrEqualTo(limits.mostOf(nodes));
+                            .isLessThanOrEqualTo(limits.maxUnavailable(nodes));
                     assertThat(nodes - unavailable.size()).isGreaterThanOrEqualTo(limits.leastIn());
                 }
             }
--- a/src/test/java/lupinwood/cluster/RolloutsTest.java
+++ b/src/test/java/lupinwood/cluster/RolloutsTest.java
@@ -51,16 +51,16 @@
         assertThat(begin("o2", "y")).isFalse();
         assertThat(clusterState.reasonAgainstRollout(Rollout.Kind.CONFIGURATION, "y", ""))
                 .isEqualTo("release 1 by ann is in progress and must end first");
-        assertThat(clusterState.wanted(A))
+        assertThat(clusterState.desiredState(A))
                 .isEqualTo(new HeartbeatReply.DesiredState("", "x", true, List.of()));
         assertThat(advance(2, false, A)).isFalse();
         assertThat(advance(1, false, A)).isTrue();
         assertThat(advance(1, false, new NodeName("b"))).isFalse();
-        assertThat(clusterState.wanted(A).configDigest()).isEqualTo("x");
-        assertThat(clusterState.wanted(new NodeName("b")).configDigest()).isEmpty();
-        assertThat(clusterState.text("x")).isEqualTo("text of x");
+        assertThat(clusterState.desiredState(A).configDigest()).isEqualTo("x");
+        assertThat(clusterState.desiredState(new NodeName("b")).configDigest()).isEmpty();
+        assertThat(clusterState.configText("x")).isEqualTo("text of x");
         ClusterState restored = new ClusterState(10);
-        restored.open(clusterState.snapshot());
+        restored.restore(clusterState.snapshot());
         assertThat(restored.snapshot()).isEqualTo(clusterState.snapshot());
     }
 
@@ -91,8 +91,8 @@
                                 new ClusterCommand.FinishRollout(
                                         controllerToken, 1, false, "all are back", 4)))
                 .isTrue();
-        assertThat(clusterState.wanted(A).configDigest()).isEmpty();
-        assertThat(clusterState.text("x")).isNull();
+        assertThat(clusterState.desiredState(A).configDigest()).isEmpty();
+        assertThat(clusterState.configText("x")).isNull();
         assertThat(begin("o3", "x")).isTrue();
     }
 
@@ -119,7 +119,7 @@
         assertThat(clusterState.reasonAgainstCordon("s2", 1))
                 .isEqualTo("[s1] are cordoned, and at most 1 may be");
         assertThat(begin("o1", "x")).isFalse();
-        assertThat(clusterState.wanted(A).cordons()).containsExactly("s1");
+        assertThat(clusterState.desiredState(A).cordons()).containsExactly("s1");
         assertThat(clusterState.apply(new ClusterCommand.UncordonServer("r3", "s1", "ann", 2)))
                 .isTrue();
         assertThat(clusterState.apply(new ClusterCommand.CordonServer("r1", "s1", "ann", 1, 3)))
--- a/src/test/java/lupinwood/consensus/GoldenCommands.java
+++ b/src/test/java/lupinwood/consensus/GoldenCommands.java
@@ -84,7 +84,7 @@
                                 ClusterCommand.LeaseEnd.HANDED_ON),
                         new ClusterCommand.RecordStatus(STATUS_REPORTER_TOKEN, "4 nodes known"),
                         new ClusterCommand.GrantPermit(
-                                "order-1", N3, "ann", NOW, DisruptionLimits.USUAL, List.of()),
+                                "order-1", N3, "ann", NOW, DisruptionLimits.DEFAULT, List.of()),
                         new ClusterCommand.BeginRollout(
                                 "order-2",
                                 "ann",
@@ -185,7 +185,7 @@
                 snapshot.permits(),
                 snapshot.lastPermit(),
                 snapshot.haltedBy(),
-                snapshot.done(),
+                snapshot.completedOrders(),
                 snapshot.history(),
                 snapshot.rollouts(),
                 List.of(new Cordon("server-1", "ann"), new Cordon("server-2", "bob")),
@@ -203,7 +203,7 @@
                 snapshot.permits(),
                 snapshot.lastPermit(),
                 snapshot.haltedBy(),
-                snapshot.done(),
+                snapshot.completedOrders(),
                 snapshot.history(),
                 null,
                 null,
--- a/src/test/java/lupinwood/consensus/GoldenMessages.java
+++ b/src/test/java/lupinwood/consensus/GoldenMessages.java
@@ -208,7 +208,7 @@
         }
         ClusterState.Snapshot snapshot = GoldenCommands.fullSnapshot();
         ClusterState clusterState = new ClusterState(16);
-        clusterState.open(snapshot);
+        clusterState.restore(snapshot);
         return new RaftReplica.ReplicaView(
                 GoldenCommands.N0,
                 GoldenCommands.N1,
@@ -221,12 +221,12 @@
                 snapshot.haltedBy(),
                 snapshot.history(),
                 clusterState.rollout(),
-                clusterState.good(),
+                clusterState.goodConfigDigest(),
                 snapshot.cordons(),
-                clusterState.past(),
+                clusterState.baselineCounts(),
                 snapshot.members(),
                 new ArrayList<>(clusterState.livePlans()),
-                clusterState.lastPlan());
+                clusterState.lastPlanNumber());
     }
 
     private static RaftReplica.ReplicaView stateMinimal() {
--- a/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
+++ b/src/test/java/lupinwood/consensus/GoldenRaftStorageTest.java
@@ -71,7 +71,7 @@
     @Test
     void replayingTheLogGivesTheSameState() {
         ClusterState clusterState = new ClusterState(16);
-        clusterState.open(snapshot());
+        clusterState.restore(snapshot());
         int unknownCommands = 0;
         for (LogEntry entry : restored.getLogEntries()) {
             String text = (String) entry.getOperation();
@@ -89,7 +89,7 @@
         assertThat(clusterState.members()).hasSize(5);
         assertThat(clusterState.member(GoldenCommands.N0).incarnation())
                 .isEqualTo(GoldenCommands.INCARNATION);
-        assertThat(clusterState.member(GoldenCommands.N4).in()).isFalse();
+        assertThat(clusterState.member(GoldenCommands.N4).active()).isFalse();
         assertThat(clusterState.duty(DutyName.STATUS_REPORTER))
                 .isEqualTo(
                         new ClusterState.DutyLease(
@@ -107,13 +107,13 @@
         assertThat(clusterState.permits()).hasSize(1);
         assertThat(clusterState.cordons()).containsExactly(new Cordon("server-1", "ann"));
         assertThat(clusterState.rollout()).isNull();
-        assertThat(clusterState.good()).isEqualTo("d1");
-        assertThat(clusterState.text("d1")).startsWith("class \"a\"");
+        assertThat(clusterState.goodConfigDigest()).isEqualTo("d1");
+        assertThat(clusterState.configText("d1")).startsWith("class \"a\"");
         assertThat(clusterState.wantedProgram(GoldenCommands.N0)).isEqualTo("0.6");
         assertThat(clusterState.livePlans()).extracting(CapacityPlan::number).containsExactly(2L);
-        assertThat(clusterState.lastPlan()).isEqualTo(2);
+        assertThat(clusterState.lastPlanNumber()).isEqualTo(2);
         assertThat(clusterState.digest()).isEqualTo("4 nodes known");
-        assertThat(clusterState.answer("order-4")).isEqualTo("server-1 rests");
+        assertThat(clusterState.orderResult("order-4")).isEqualTo("server-1 rests");
     }
 
     @SuppressWarnings("unchecked") // MicroRaft types the chunks as Object
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -247,7 +247,7 @@
     private static boolean isComplete(RaftReplica.ReplicaView state) {
         return state.leader() != null
                 && state.members().size() == VOTERS
-                && state.members().stream().allMatch(ClusterState.Member::in)
+                && state.members().stream().allMatch(ClusterState.Member::active)
                 && state.duties().size() == ClusterNode.DUTIES.size()
                 && state.duties().stream().noneMatch(ClusterState.DutyLease::isFree)
                 && !state.plans().isEmpty();
--- a/src/test/java/lupinwood/failover/CapacityPlannerTest.java
+++ b/src/test/java/lupinwood/failover/CapacityPlannerTest.java
@@ -97,7 +97,7 @@
                                         "",
                                         null,
                                         List.of(),
-                                        clusterState.lastPlan(),
+                                        clusterState.lastPlanNumber(),
                                         uses,
                                         RequestCounts.EMPTY)));
             }
@@ -108,7 +108,7 @@
                                     clusterState.members(),
                                     nodeViews,
                                     clusterState.livePlans(),
-                                    clusterState.lastPlan()),
+                                    clusterState.lastPlanNumber()),
                             token,
                             new MonotonicTime(Math.round(now * 1e9)));
             if (plan != null) {
@@ -116,7 +116,7 @@
             }
             clusterState.apply(
                     new ClusterCommand.RetireCapacityPlans(
-                            clusterState.lastPlan())); // all nodes report the newest plan
+                            clusterState.lastPlanNumber())); // all nodes report the newest plan
         }
     }
 
@@ -128,7 +128,7 @@
 
     private int slots(int zone, int location) {
         return clusterState
-                .plan()
+                .newestPlan()
                 .slots()
                 .getOrDefault(SITES[zone].toString(), Map.of())
                 .getOrDefault("p" + location, 0);
@@ -141,9 +141,9 @@
             assertThat(slots(zone, zone)).isBetween(14, 20);
             assertThat(slots(zone, (zone + 1) % 3)).isZero();
         }
-        long plan = clusterState.lastPlan();
+        long plan = clusterState.lastPlanNumber();
         run(60);
-        assertThat(clusterState.lastPlan()).as("no new plan without a cause").isEqualTo(plan);
+        assertThat(clusterState.lastPlanNumber()).as("no new plan without a cause").isEqualTo(plan);
     }
 
     @Test
@@ -169,12 +169,14 @@
     @Test
     void globalFaultMovesNoTrafficAndFaultySiteMovesNoneOfOthers() {
         run(20);
-        long plan = clusterState.lastPlan();
+        long plan = clusterState.lastPlanNumber();
         for (int location = 0; location < 3; location++) {
             setEjectedByAll(location, true);
         }
         run(20);
-        assertThat(clusterState.lastPlan()).as("all locations fail for all sites").isEqualTo(plan);
+        assertThat(clusterState.lastPlanNumber())
+                .as("all locations fail for all sites")
+                .isEqualTo(plan);
         for (int location = 0; location < 3; location++) {
             setEjectedByAll(location, false);
         }
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -110,12 +110,12 @@
         }
         return new RolloutSnapshot(
                 clusterState.rollout(),
-                clusterState.good(),
+                clusterState.goodConfigDigest(),
                 clusterState.haltedBy(),
                 nodeViews,
                 clusterState.permits(),
                 3,
-                clusterState.past());
+                clusterState.baselineCounts());
     }
 
     /** Advances the time by seconds; reachable nodes run what the cluster state wants. */
@@ -129,7 +129,7 @@
                                             ? 1
                                             : 0] +=
                             50;
-                    runningDigests[node] = clusterState.wanted(name(node)).configDigest();
+                    runningDigests[node] = clusterState.desiredState(name(node)).configDigest();
                 }
             }
             rolloutController
@@ -146,16 +146,16 @@
         run(19);
         assertThat(clusterState.rollout().steps()).as("the baseline is recorded first").isZero();
         run(3);
-        assertThat(clusterState.rollout().given())
+        assertThat(clusterState.rollout().updatedNodes())
                 .extracting(NodeName::text)
                 .containsExactlyInAnyOrder("n1", "n2", "n3");
         run(15);
         assertThat(clusterState.rollout().steps()).as("a wave is observed for 20 s").isEqualTo(1);
         run(15);
-        assertThat(clusterState.rollout().given()).hasSize(7);
+        assertThat(clusterState.rollout().updatedNodes()).hasSize(7);
         run(60);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(clusterState.wanted(name(5)).configDigest()).isEqualTo("new");
+        assertThat(clusterState.desiredState(name(5)).configDigest()).isEqualTo("new");
     }
 
     @Test
@@ -164,7 +164,7 @@
         rejectsRelease[4] = true;
         run(5);
         assertThat(clusterState.rollout()).isNull();
-        assertThat(clusterState.wanted(name(1)).configDigest()).isEmpty();
+        assertThat(clusterState.desiredState(name(1)).configDigest()).isEmpty();
         assertThat(clusterState.history().get(clusterState.history().size() - 1).text())
                 .contains("n4 rejects the configuration: no such track");
     }
@@ -175,9 +175,9 @@
         failsWithRelease[1] = failsWithRelease[2] = failsWithRelease[3] = true;
         run(40);
         assertThat(clusterState.haltedBy()).contains("release 1, rolling out: worse");
-        List<NodeName> given = clusterState.rollout().given();
+        List<NodeName> given = clusterState.rollout().updatedNodes();
         run(200);
-        assertThat(clusterState.rollout().given()).isEqualTo(given);
+        assertThat(clusterState.rollout().updatedNodes()).isEqualTo(given);
         clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         run(40);
         assertThat(clusterState.rollout()).isNull();
@@ -190,12 +190,12 @@
         run(60); // seven nodes have the release
         assertThat(clusterState.rollout().steps()).isEqualTo(2);
         Arrays.fill(failsWithRelease, true);
-        for (int i = 0; i < 60 && !clusterState.rollout().back(); i++) {
+        for (int i = 0; i < 60 && !clusterState.rollout().isRollingBack(); i++) {
             run(1);
         }
-        int givenBefore = clusterState.rollout().given().size();
+        int givenBefore = clusterState.rollout().updatedNodes().size();
         run(2);
-        assertThat(clusterState.rollout().given()).hasSize(givenBefore - 3);
+        assertThat(clusterState.rollout().updatedNodes()).hasSize(givenBefore - 3);
         run(40);
         assertThat(clusterState.rollout()).isNull();
         assertThat(runningDigests).containsOnly("");
@@ -222,7 +222,7 @@
         rolloutController = new RolloutController(name(1), LIMITS);
         run(1);
         assertThat(rolloutController.wantsPast()).as("it read the stored baseline").isFalse();
-        assertThat(clusterState.past()).hasSize(9);
+        assertThat(clusterState.baselineCounts()).hasSize(9);
         run(100);
         assertThat(clusterState.rollout()).isNull();
         assertThat(runningDigests).containsOnly("new");
@@ -235,7 +235,7 @@
         clusterState.apply(new ClusterCommand.RollBack("t", 1, "ann", 2));
         run(2);
         for (int i = 0; i < 9; i++) {
-            reachable[i] = clusterState.rollout().isGiven(name(i)) || i > 3;
+            reachable[i] = clusterState.rollout().isUpdated(name(i)) || i > 3;
         }
         run(40);
         assertThat(clusterState.haltedBy())
