--- a/src/main/java/lupinwood/balancing/HealthChecker.java
+++ b/src/main/java/lupinwood/balancing/HealthChecker.java
@@ -6,26 +6,26 @@
  */
 public interface HealthChecker {
     /** Every node probes by itself and shares no results. */
-    HealthChecker ALONE =
+    HealthChecker INDEPENDENT =
             new HealthChecker() {
                 @Override
-                public boolean mayTry(String server) {
+                public boolean allowsProbe(String server) {
                     return true;
                 }
 
                 @Override
-                public void tried(String server, boolean healthy) {
+                public void onProbeResult(String server, boolean healthy) {
                     // No other node is informed.
                 }
             };
 
     /** Whether this node may probe the server now. */
-    boolean mayTry(String server);
+    boolean allowsProbe(String server);
 
     /**
      * Reports the result of an attempt on probation: a probe, or an attempt after an uncordon.
-     * {@link #mayTry} isn't asked before an attempt after an uncordon, nor before a probe of a
+     * {@link #allowsProbe} isn't asked before an attempt after an uncordon, nor before a probe of a
      * server that another node found healthy.
      */
-    void tried(String server, boolean healthy);
+    void onProbeResult(String server, boolean healthy);
 }
--- a/src/main/java/lupinwood/balancing/RetryBudget.java
+++ b/src/main/java/lupinwood/balancing/RetryBudget.java
@@ -22,13 +22,13 @@
     }
 
     /** Records the first attempt of a request. */
-    public void first() {
+    public void recordFirstAttempt() {
         firstAttempts++;
         reserve = Math.min(maxReserve, reserve + retriesPerAttempt);
     }
 
     /** Whether a retry is allowed; if so, it is taken from the budget. */
-    public boolean again() {
+    public boolean tryAcquireRetry() {
         if (reserve < 1) {
             return false;
         }
@@ -37,11 +37,11 @@
         return true;
     }
 
-    public long firsts() {
+    public long firstAttempts() {
         return firstAttempts;
     }
 
-    public long repeats() {
+    public long retries() {
         return retries;
     }
 }
--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -16,16 +16,16 @@
  * its latest attempts times the attempts that it would then have in flight. A failed attempt is
  * recorded with at least the latency of a slow attempt, even if it failed faster, so that a server
  * that fails fast attracts no more work. The in-flight limit of each server (AIMD) is multiplied by
- * 0.9 once for each attempt that fails or exceeds {@link #target} (reported while it is in flight),
- * and grows by one for each fast attempt while at least half of the limit is used. A server with
- * {@link OutlierLimits#consecutiveFailures} failures in a row is ejected for a time that doubles
- * with each ejection; each success that isn't slow takes back one doubling. Afterwards the server
- * is on probation: it gets one attempt at a time until one succeeds, and a single failure ejects
- * it.
+ * 0.9 once for each attempt that fails or exceeds {@link #slowAttemptThreshold} (reported while it
+ * is in flight), and grows by one for each fast attempt while at least half of the limit is used. A
+ * server with {@link OutlierLimits#consecutiveFailures} failures in a row is ejected for a time
+ * that doubles with each ejection; each success that isn't slow takes back one doubling. Afterwards
+ * the server is on probation: it gets one attempt at a time until one succeeds, and a single
+ * failure ejects it.
  */
 public final class ServerPool {
     /** How an attempt at a server ended. */
-    public enum AttemptEnd {
+    public enum AttemptCompletion {
         /** With a response that shows that the server works. */
         WELL,
         /** With an error, or without a response. */
@@ -124,7 +124,7 @@
     private final Histogram baseline = new Histogram(BASELINE_ATTEMPTS);
 
     private int nextServer;
-    private HealthChecker healthChecker = HealthChecker.ALONE;
+    private HealthChecker healthChecker = HealthChecker.INDEPENDENT;
 
     public ServerPool(List<String> servers, OutlierLimits limits, long seed) {
         servers.forEach(name -> states.add(new ServerState(name)));
@@ -136,7 +136,7 @@
      * Sets who is asked whether an ejected server may be probed, and is told the results of the
      * attempts on probation.
      */
-    public void checkHealthBy(HealthChecker newChecker) {
+    public void setHealthChecker(HealthChecker newChecker) {
         healthChecker = newChecker;
     }
 
@@ -166,7 +166,7 @@
      * Cordons exactly these servers: they get no new requests. An uncordoned server starts on
      * probation, with one request at a time until one succeeds.
      */
-    public void rest(Collection<String> cordonedNames) {
+    public void setCordonedServers(Collection<String> cordonedNames) {
         for (ServerState state : states) {
             boolean isCordoned = cordonedNames.contains(state.name);
             if (state.isCordoned && !isCordoned) {
@@ -179,7 +179,7 @@
     }
 
     /** Cordoned servers at which this node has no attempt in flight. */
-    public List<String> drained() {
+    public List<String> drainedServers() {
         return states.stream()
                 .filter(state -> state.isCordoned && state.inFlight == 0)
                 .map(state -> state.name)
@@ -187,7 +187,7 @@
     }
 
     /** The servers that are ejected now. */
-    public List<String> leftOut() {
+    public List<String> ejectedServers() {
         return states.stream()
                 .filter(state -> state.readmitAt != null)
                 .map(state -> state.name)
@@ -196,18 +196,18 @@
 
     private boolean canReadmit(ServerState state, MonotonicTime now) {
         return !now.isBefore(state.readmitAt)
-                && (state.isReportedHealthy || healthChecker.mayTry(state.name));
+                && (state.isReportedHealthy || healthChecker.allowsProbe(state.name));
     }
 
     public int size() {
         return states.size();
     }
 
-    public String name(int server) {
+    public String serverName(int server) {
         return states.get(server).name;
     }
 
-    public int out(int server) {
+    public int inFlightCount(int server) {
         return states.get(server).inFlight;
     }
 
@@ -223,7 +223,7 @@
         return states.get(server).isOnProbation;
     }
 
-    public boolean isLeftOut(int server) {
+    public boolean isEjected(int server) {
         return states.get(server).readmitAt != null;
     }
 
@@ -234,16 +234,16 @@
      *     server can take it
      * @return the server's index, or a negative number if no server can take another attempt
      */
-    public int send(MonotonicTime now, List<Integer> tried) {
-        return send(now, tried, server -> true);
+    public int acquireServer(MonotonicTime now, List<Integer> tried) {
+        return acquireServer(now, tried, server -> true);
     }
 
     /**
-     * As {@link #send(MonotonicTime, List)}, among the eligible servers only.
+     * As {@link #acquireServer(MonotonicTime, List)}, among the eligible servers only.
      *
      * @param eligible accepts the indexes of servers that can run the request
      */
-    public int send(MonotonicTime now, List<Integer> tried, IntPredicate eligible) {
+    public int acquireServer(MonotonicTime now, List<Integer> tried, IntPredicate eligible) {
         int best = findBest(now, tried, eligible);
         if (best < 0 && !tried.isEmpty()) {
             best = findBest(now, List.of(), eligible);
@@ -311,14 +311,17 @@
     /**
      * How long an attempt may take before it counts as slow; zero while the baseline is unknown.
      */
-    public NanoDuration target() {
+    public NanoDuration slowAttemptThreshold() {
         return baseline.weight() < MIN_BASELINE_ATTEMPTS
                 ? NanoDuration.ZERO
                 : NanoDuration.ofSeconds(SLOW_BASELINE_MULTIPLE * baseline.median());
     }
 
-    /** Reports an attempt in flight that has exceeded {@link #target}; at most once an attempt. */
-    public void slow(int server) {
+    /**
+     * Reports an attempt in flight that has exceeded {@link #slowAttemptThreshold}; at most once an
+     * attempt.
+     */
+    public void onAttemptSlow(int server) {
         decreaseLimit(states.get(server));
     }
 
@@ -329,22 +332,26 @@
     /**
      * Reports the end of an attempt.
      *
-     * @param wasSlow whether {@link #slow} was called for it
+     * @param wasSlow whether {@link #onAttemptSlow} was called for it
      */
-    public void ended(
-            int server, AttemptEnd end, NanoDuration took, boolean wasSlow, MonotonicTime now) {
+    public void onAttemptEnded(
+            int server,
+            AttemptCompletion end,
+            NanoDuration took,
+            boolean wasSlow,
+            MonotonicTime now) {
         ServerState state = states.get(server);
         boolean wasHalfUsed = state.inFlight * 2 >= state.adaptiveLimit;
         boolean wasLightlyLoaded =
                 state.inFlight * 2 < Math.max(INITIAL_LIMIT_ATTEMPTS, state.adaptiveLimit);
         state.inFlight--;
-        if (end == AttemptEnd.UNKNOWN) {
+        if (end == AttemptCompletion.UNKNOWN) {
             return;
         }
         if (state.isOnProbation) {
-            healthChecker.tried(state.name, end == AttemptEnd.WELL);
+            healthChecker.onProbeResult(state.name, end == AttemptCompletion.WELL);
         }
-        if (end == AttemptEnd.FAILED) {
+        if (end == AttemptCompletion.FAILED) {
             state.recordLatency(
                     Math.max(took.seconds(), SLOW_BASELINE_MULTIPLE * baselineSeconds()), now);
             if (!wasSlow) {
@@ -372,7 +379,7 @@
             baseline.add(took.seconds());
         }
         if (!wasSlow && !exceedsTarget && wasHalfUsed) {
-            state.adaptiveLimit = Math.min(limits.mostOut(), state.adaptiveLimit + 1);
+            state.adaptiveLimit = Math.min(limits.maxInFlight(), state.adaptiveLimit + 1);
         }
     }
 
@@ -404,7 +411,7 @@
      * health checker doesn't allow that now, at which to ask it again; {@link MonotonicTime#NEVER}
      * if there is no such server.
      */
-    public MonotonicTime nextBack(MonotonicTime now) {
+    public MonotonicTime nextProbeAt(MonotonicTime now) {
         return states.stream()
                 .filter(state -> state.readmitAt != null && !state.isCordoned)
                 .map(
--- a/src/main/java/lupinwood/experiment/BalancingExperiment.java
+++ b/src/main/java/lupinwood/experiment/BalancingExperiment.java
@@ -34,7 +34,7 @@
 
         default void ended(
                 int server,
-                ServerPool.AttemptEnd end,
+                ServerPool.AttemptCompletion end,
                 NanoDuration took,
                 boolean slow,
                 MonotonicTime now) {}
@@ -59,7 +59,7 @@
                                 new OfPool(
                                         new ServerPool(
                                                 List.of("a", "b", "c", "d"),
-                                                OutlierLimits.USUAL,
+                                                OutlierLimits.DEFAULTS,
                                                 seed)))
                         .play();
         int[] turn = {0};
@@ -78,7 +78,7 @@
         if (pool.worst() < LEAST) {
             broken.add("in one phase only " + percent(pool.worst()) + " were satisfied");
         }
-        if (pool.repeats > pool.firsts * OutlierLimits.USUAL.repeatShare() + 11) {
+        if (pool.repeats > pool.firsts * OutlierLimits.DEFAULTS.retryRatio() + 11) {
             broken.add(pool.repeats + " repeats are past the budget");
         }
         return new Outcome(
@@ -130,27 +130,27 @@
     private record OfPool(ServerPool pool) implements Chooser {
         @Override
         public int send(MonotonicTime now, List<Integer> tried, int[] out) {
-            return pool.send(now, tried);
+            return pool.acquireServer(now, tried);
         }
 
         @Override
         public void slow(int server) {
-            pool.slow(server);
+            pool.onAttemptSlow(server);
         }
 
         @Override
         public void ended(
                 int server,
-                ServerPool.AttemptEnd end,
+                ServerPool.AttemptCompletion end,
                 NanoDuration took,
                 boolean slow,
                 MonotonicTime now) {
-            pool.ended(server, end, took, slow, now);
+            pool.onAttemptEnded(server, end, took, slow, now);
         }
 
         @Override
         public NanoDuration target() {
-            return pool.target();
+            return pool.slowAttemptThreshold();
         }
     }
 
@@ -158,7 +158,7 @@
     private final class Play {
         private final Chooser chooser;
         private final Random random = new Random(seed);
-        private final RetryBudget budget = new RetryBudget(OutlierLimits.USUAL.repeatShare(), 10);
+        private final RetryBudget budget = new RetryBudget(OutlierLimits.DEFAULTS.retryRatio(), 10);
         private final PriorityQueue<Event> queue =
                 new PriorityQueue<>(
                         Comparator.comparing(Event::at).thenComparingLong(Event::order));
@@ -191,7 +191,7 @@
                         at,
                         () -> {
                             result.firsts++;
-                            budget.first();
+                            budget.recordFirstAttempt();
                             SimulatedRequest request = new SimulatedRequest();
                             result.came[request.phase]++;
                             send(request);
@@ -202,7 +202,7 @@
                 now = Math.max(now, next.at().nanos() / 1e9);
                 next.job().run();
             }
-            result.repeats = budget.repeats();
+            result.repeats = budget.retries();
             return result;
         }
 
@@ -252,13 +252,13 @@
                         chooser.ended(
                                 server,
                                 fails || dead
-                                        ? ServerPool.AttemptEnd.FAILED
-                                        : ServerPool.AttemptEnd.WELL,
+                                        ? ServerPool.AttemptCompletion.FAILED
+                                        : ServerPool.AttemptCompletion.WELL,
                                 NanoDuration.ofSeconds(now - begun),
                                 slow[0],
                                 time(now));
                         if (fails || dead) {
-                            if (now - request.came < RESPONSE_TIMEOUT && budget.again()) {
+                            if (now - request.came < RESPONSE_TIMEOUT && budget.tryAcquireRetry()) {
                                 send(request);
                             }
                         } else if (now - request.came <= RESPONSE_TIMEOUT) {
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -144,7 +144,7 @@
             pool =
                     new ServerPool(
                             servers.stream().map(one -> one.location.name()).toList(),
-                            lupinwood.balancing.OutlierLimits.USUAL,
+                            lupinwood.balancing.OutlierLimits.DEFAULTS,
                             random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
             servers.forEach(one -> alone.put(one.location.name(), one.location.alone(site)));
@@ -155,7 +155,7 @@
             offered++;
             demanded++;
             SimulatedRequest request = new SimulatedRequest();
-            budget.first();
+            budget.recordFirstAttempt();
             time.after(
                     TIMEOUT,
                     () -> {
@@ -189,20 +189,20 @@
         private int choose(SimulatedRequest request) {
             MonotonicTime at = time();
             if (way == Way.EACH_FOR_ITSELF) {
-                return pool.send(at, request.tried);
+                return pool.acquireServer(at, request.tried);
             }
             if (way == Way.NEAR_ONLY) {
-                return pool.send(at, request.tried, server -> server == zone);
+                return pool.acquireServer(at, request.tried, server -> server == zone);
             }
             if (way == Way.EVENLY) {
                 int one = turn++ % ZONES;
-                int chosen = pool.send(at, request.tried, server -> server == one);
-                return chosen >= 0 ? chosen : pool.send(at, request.tried);
+                int chosen = pool.acquireServer(at, request.tried, server -> server == one);
+                return chosen >= 0 ? chosen : pool.acquireServer(at, request.tried);
             }
             for (int distance = 0; distance <= 2; distance++) {
                 int of = distance;
                 int chosen =
-                        pool.send(
+                        pool.acquireServer(
                                 at,
                                 request.tried,
                                 server -> distance(zone, server) == of && may(server));
@@ -217,7 +217,8 @@
             Server one = servers.get(server);
             return way == Way.TRUTH
                     ? one.up && !one.errors && one.sent < one.location.bears()
-                    : pool.out(server) < share.allowedRequests(one.location.name(), time());
+                    : pool.inFlightCount(server)
+                            < share.allowedRequests(one.location.name(), time());
         }
 
         private void carry(SimulatedRequest request, Server server) {
@@ -238,7 +239,7 @@
                                             ended(
                                                     request,
                                                     server.index,
-                                                    ServerPool.AttemptEnd.FAILED,
+                                                    ServerPool.AttemptCompletion.FAILED,
                                                     sentAt));
                             return;
                         }
@@ -271,24 +272,29 @@
                                                             request,
                                                             server.index,
                                                             same
-                                                                    ? ServerPool.AttemptEnd.WELL
-                                                                    : ServerPool.AttemptEnd.FAILED,
+                                                                    ? ServerPool.AttemptCompletion
+                                                                            .WELL
+                                                                    : ServerPool.AttemptCompletion
+                                                                            .FAILED,
                                                             sentAt));
                                 });
                     });
         }
 
         private void ended(
-                SimulatedRequest request, int server, ServerPool.AttemptEnd end, double sentAt) {
+                SimulatedRequest request,
+                int server,
+                ServerPool.AttemptCompletion end,
+                double sentAt) {
             servers.get(server).sent--;
-            pool.ended(server, end, NanoDuration.ofSeconds(now() - sentAt), false, time());
+            pool.onAttemptEnded(server, end, NanoDuration.ofSeconds(now() - sentAt), false, time());
             ended[server][0]++;
-            seconds[server] += end == ServerPool.AttemptEnd.WELL ? now() - sentAt : 0;
-            ended[server][1] += end == ServerPool.AttemptEnd.FAILED ? 1 : 0;
-            if (!request.over && end == ServerPool.AttemptEnd.WELL) {
+            seconds[server] += end == ServerPool.AttemptCompletion.WELL ? now() - sentAt : 0;
+            ended[server][1] += end == ServerPool.AttemptCompletion.FAILED ? 1 : 0;
+            if (!request.over && end == ServerPool.AttemptCompletion.WELL) {
                 request.over = true;
                 inTime += now() - request.came <= ON_TIME ? 1 : 0;
-            } else if (!request.over && request.tried.size() < 3 && budget.again()) {
+            } else if (!request.over && request.tried.size() < 3 && budget.tryAcquireRetry()) {
                 send(request);
             } else {
                 request.over = true;
@@ -307,12 +313,12 @@
                 uses.add(
                         new NodeReport.LocationUse(
                                 server.location.name(),
-                                pool.out(server.index),
+                                pool.inFlightCount(server.index),
                                 demanded,
                                 ended[server.index][0],
                                 ended[server.index][1],
                                 seconds[server.index],
-                                pool.isLeftOut(server.index)));
+                                pool.isEjected(server.index)));
             }
             Heartbeat heartbeat =
                     new Heartbeat(
--- a/src/main/java/lupinwood/experiment/HealthChecksExperiment.java
+++ b/src/main/java/lupinwood/experiment/HealthChecksExperiment.java
@@ -95,19 +95,20 @@
 
         Result play() {
             for (int i = 0; i < nodes; i++) {
-                ServerPool pool = new ServerPool(SERVERS, OutlierLimits.USUAL, random.nextLong());
+                ServerPool pool =
+                        new ServerPool(SERVERS, OutlierLimits.DEFAULTS, random.nextLong());
                 pools.add(pool);
                 int place = i;
                 if (inCommon) {
-                    pool.checkHealthBy(
+                    pool.setHealthChecker(
                             new HealthChecker() {
                                 @Override
-                                public boolean mayTry(String server) {
+                                public boolean allowsProbe(String server) {
                                     return place == 0;
                                 }
 
                                 @Override
-                                public void tried(String server, boolean well) {
+                                public void onProbeResult(String server, boolean well) {
                                     if (place == 0) {
                                         tell(server, well);
                                     }
@@ -139,7 +140,7 @@
         private void request(int place) {
             time.after(EVERY * (0.5 + random.nextDouble()), () -> request(place));
             ServerPool pool = pools.get(place);
-            int server = pool.send(now(), List.of());
+            int server = pool.acquireServer(now(), List.of());
             if (server < 0) {
                 return;
             }
@@ -159,11 +160,11 @@
             time.after(
                     takes,
                     () ->
-                            pool.ended(
+                            pool.onAttemptEnded(
                                     server,
                                     dead
-                                            ? ServerPool.AttemptEnd.FAILED
-                                            : ServerPool.AttemptEnd.WELL,
+                                            ? ServerPool.AttemptCompletion.FAILED
+                                            : ServerPool.AttemptCompletion.WELL,
                                     now().since(begun),
                                     false,
                                     now()));
--- a/src/main/java/lupinwood/net/AjpExecutor.java
+++ b/src/main/java/lupinwood/net/AjpExecutor.java
@@ -83,7 +83,8 @@
     /** How long a run whose connection is gone may go on. */
     private final NanoDuration linger;
 
-    private final RetryBudget budget = new RetryBudget(OutlierLimits.USUAL.repeatShare(), SAVED_UP);
+    private final RetryBudget budget =
+            new RetryBudget(OutlierLimits.DEFAULTS.retryRatio(), SAVED_UP);
     private final Deque<Run> waiting = new ArrayDeque<>();
     private final Set<ServerConnection> toFlush = new HashSet<>();
     private TimerService.Timer back;
@@ -147,7 +148,7 @@
                 new NanoDuration(
                         Long.parseLong(
                                 parsedSettings.values().getOrDefault("machine linger", "0")));
-        pool = new ServerPool(parsedSettings.items(Schema.SERVER), OutlierLimits.USUAL, seed);
+        pool = new ServerPool(parsedSettings.items(Schema.SERVER), OutlierLimits.DEFAULTS, seed);
         mostOpen = mostConnections();
         offered = new long[servers.size()];
         endedThere = new long[servers.size()];
@@ -162,7 +163,7 @@
 
     /** As many as the pool can use at once. */
     int mostConnections() {
-        return servers.size() * OutlierLimits.USUAL.mostOut();
+        return servers.size() * OutlierLimits.DEFAULTS.maxInFlight();
     }
 
     /** From now on no more connections at once; requests past that wait. */
@@ -172,7 +173,7 @@
 
     /** These rest and no others; what waits may have a place elsewhere now. */
     void rest(List<String> names) {
-        pool.rest(names);
+        pool.setCordonedServers(names);
         sendWaiting();
         watchForBack();
     }
@@ -192,7 +193,7 @@
 
     /** It will end, by itself; so there is always somebody to ask. */
     boolean run(AttemptId id, String className, byte[] body) {
-        budget.first();
+        budget.recordFirstAttempt();
         for (int i = 0; i < servers.size(); i++) {
             offered[i] += servers.get(i).requestClasses().contains(className) ? 1 : 0;
         }
@@ -236,7 +237,7 @@
 
     private int choose(Run run) {
         if (most == null) {
-            return pool.send(
+            return pool.acquireServer(
                     processor.now(),
                     run.tried,
                     one -> servers.get(one).requestClasses().contains(run.className));
@@ -244,13 +245,13 @@
         for (int away = 0; away <= FARTHEST; away++) {
             int of = away;
             int server =
-                    pool.send(
+                    pool.acquireServer(
                             processor.now(),
                             run.tried,
                             one ->
                                     servers.get(one).requestClasses().contains(run.className)
                                             && distance[one] == of
-                                            && pool.out(one) < most.applyAsInt(one));
+                                            && pool.inFlightCount(one) < most.applyAsInt(one));
             if (server >= 0) {
                 return server;
             }
@@ -298,10 +299,10 @@
     private void watchForBack() {
         context.deadlines().cancel(back);
         back =
-                waiting.isEmpty() || pool.nextBack(processor.now()).equals(MonotonicTime.NEVER)
+                waiting.isEmpty() || pool.nextProbeAt(processor.now()).equals(MonotonicTime.NEVER)
                         ? null
                         : context.deadlines()
-                                .schedule(pool.nextBack(processor.now()), this::sendWaiting);
+                                .schedule(pool.nextProbeAt(processor.now()), this::sendWaiting);
     }
 
     private void sendWaiting() {
@@ -380,7 +381,7 @@
         /** From now on it is out there: slow past the target, given up at its timeout. */
         private void watch() {
             slow = false;
-            NanoDuration most = pool.target();
+            NanoDuration most = pool.slowAttemptThreshold();
             if (most.isPositive()) {
                 target =
                         context.deadlines()
@@ -388,7 +389,7 @@
                                         processor.now().plus(most),
                                         () -> {
                                             slow = true;
-                                            pool.slow(server);
+                                            pool.onAttemptSlow(server);
                                         });
             }
             cap =
@@ -463,7 +464,7 @@
             boolean well = answer.status() / 100 == 2 && answer.body() != null;
             boolean reusable = answer.reuse() && bodyFrom >= done.body.length;
             written = false; // it answered, so it runs no more
-            release(well ? ServerPool.AttemptEnd.WELL : ServerPool.AttemptEnd.FAILED);
+            release(well ? ServerPool.AttemptCompletion.WELL : ServerPool.AttemptCompletion.FAILED);
             if (reusable) {
                 restsSince = processor.now();
                 servers.get(server).resting().addFirst(this);
@@ -479,26 +480,27 @@
         }
 
         /** The request is no longer out on this connection. */
-        private void release(ServerPool.AttemptEnd end) {
+        private void release(ServerPool.AttemptCompletion end) {
             context.deadlines().cancel(pong);
             context.deadlines().cancel(target);
             context.deadlines().cancel(cap);
             NanoDuration took = processor.now().since(sentAt);
             boolean wasSlow = slow;
             endedThere[server]++;
-            failedThere[server] += end == ServerPool.AttemptEnd.WELL ? 0 : 1;
-            tookThere[server] += end == ServerPool.AttemptEnd.WELL ? took.seconds() : 0;
-            if (end == ServerPool.AttemptEnd.FAILED && written && linger.isPositive()) {
+            failedThere[server] += end == ServerPool.AttemptCompletion.WELL ? 0 : 1;
+            tookThere[server] += end == ServerPool.AttemptCompletion.WELL ? took.seconds() : 0;
+            if (end == ServerPool.AttemptCompletion.FAILED && written && linger.isPositive()) {
                 // AJP can't stop a run: it may go on there, and counts as out for as long.
                 context.deadlines()
                         .schedule(
                                 processor.now().plus(linger),
                                 () -> {
-                                    pool.ended(server, end, took, wasSlow, processor.now());
+                                    pool.onAttemptEnded(
+                                            server, end, took, wasSlow, processor.now());
                                     sendWaiting();
                                 });
             } else {
-                pool.ended(server, end, took, wasSlow, processor.now());
+                pool.onAttemptEnded(server, end, took, wasSlow, processor.now());
             }
             run = null;
             written = false;
@@ -518,11 +520,15 @@
             boolean wasWritten = written;
             close();
             if (lost != null) {
-                release(ServerPool.AttemptEnd.FAILED);
+                release(ServerPool.AttemptCompletion.FAILED);
                 Completion ending =
                         wasWritten || why.outcome().provesNeverRan() ? why : Completion.NOT_WRITTEN;
                 context.log()
-                        .line("a ticket at the server " + pool.name(server) + " ended: " + ending);
+                        .line(
+                                "a ticket at the server "
+                                        + pool.serverName(server)
+                                        + " ended: "
+                                        + ending);
                 conclude(lost, ending, null);
                 sendWaiting();
                 watchForBack();
@@ -550,7 +556,7 @@
                 ending != Completion.WELL
                         && ending != Completion.GIVEN_UP
                         && (ending.outcome().provesNeverRan() || safe.contains(run.className));
-        if (mayAgain && budget.again()) {
+        if (mayAgain && budget.tryAcquireRetry()) {
             send(run);
         } else {
             processor.exited(run.id, ending, processor.now().since(run.began), result);
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -103,7 +103,7 @@
             shareServers();
         }
         if (servers != null) {
-            servers.pool().checkHealthBy(new SharedHealthChecker());
+            servers.pool().setHealthChecker(new SharedHealthChecker());
             servers.markProbation(
                     () -> tries == null ? Map.of() : Map.of("X-Duty-Token", tries.toString()));
         }
@@ -120,13 +120,13 @@
         locations.forEach(location -> planned.put(location.name(), location));
         int[] away = new int[pool.size()];
         for (int i = 0; i < away.length; i++) {
-            Location location = planned.get(pool.name(i));
+            Location location = planned.get(pool.serverName(i));
             away[i] = location == null ? 0 : location.distance(settings.site());
         }
         servers.share(
                 away,
                 server -> {
-                    Location location = planned.get(pool.name(server));
+                    Location location = planned.get(pool.serverName(server));
                     if (location == null) {
                         return Integer.MAX_VALUE;
                     }
@@ -144,13 +144,13 @@
         for (int i = 0; i < pool.size(); i++) {
             reported.add(
                     new NodeReport.LocationUse(
-                            pool.name(i),
-                            pool.out(i),
+                            pool.serverName(i),
+                            pool.inFlightCount(i),
                             servers.offered(i),
                             servers.ended(i),
                             servers.failed(i),
                             servers.took(i),
-                            pool.isLeftOut(i)));
+                            pool.isEjected(i)));
         }
         return reported;
     }
@@ -165,12 +165,12 @@
         condition = processor.isWarm(warmAfter) ? NodeCondition.WARM : NodeCondition.COLD;
         if (servers != null) {
             ServerPool pool = servers.pool();
-            leftOut = pool.leftOut();
+            leftOut = pool.ejectedServers();
             if (!fleet.view().cordons().equals(rests)) {
                 rests = fleet.view().cordons();
                 servers.rest(rests);
             }
-            drained = pool.drained();
+            drained = pool.drainedServers();
             if (!locations.isEmpty()) {
                 uses = uses();
                 if (shared != fleet.view().share()) {
@@ -217,7 +217,7 @@
      */
     private final class SharedHealthChecker implements HealthChecker {
         @Override
-        public boolean mayTry(String server) {
+        public boolean allowsProbe(String server) {
             ClusterView view = fleet.view();
             MonotonicTime now = monotonic();
             tries = view.mayAct(DutyName.HEALTH_CHECK, now);
@@ -225,7 +225,7 @@
         }
 
         @Override
-        public void tried(String server, boolean well) {
+        public void onProbeResult(String server, boolean well) {
             if (tries != null) {
                 fleet.found(server, well, tries);
             }
