--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -685,7 +685,7 @@
             if (controllerToken != null && rolloutOpen) {
                 query.addProperty("tallies", true);
             }
-            if (controllerToken != null && rolloutController.wantsPast()) {
+            if (controllerToken != null && rolloutController.needsBaseline()) {
                 query.addProperty("past", true);
             }
             if (holdsPlanner) {
@@ -756,14 +756,14 @@
                         state.permits(),
                         settings.disruptionLimits().maxUnavailable(state.nodeViews().size()),
                         state.past());
-        String previousStatus = rolloutController.says();
+        String previousStatus = rolloutController.statusMessage();
         List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
-        if (!rolloutController.says().equals(previousStatus)
-                && !rolloutController.says().isEmpty()) {
+        if (!rolloutController.statusMessage().equals(previousStatus)
+                && !rolloutController.statusMessage().isEmpty()) {
             log.line(
                     "fleet: "
                             + (state.rollout() == null ? "" : state.rollout() + ": ")
-                            + rolloutController.says());
+                            + rolloutController.statusMessage());
         }
         for (RolloutAction action : actions) {
             JsonObject message = new JsonObject();
@@ -812,7 +812,7 @@
                         token,
                         loop.now());
         if (plan != null) {
-            log.line("fleet: capacity plan proposed reason=" + planner.why());
+            log.line("fleet: capacity plan proposed reason=" + planner.reason());
             JsonObject message = new JsonObject();
             message.addProperty("k", "deed");
             message.addProperty("d", CommandCodec.encode(plan));
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -110,7 +110,7 @@
             // Past what it bears each gets its part only.
             return SERVICE
                     / speed
-                    * Math.max(1, (double) inHand / location.bears())
+                    * Math.max(1, (double) inHand / location.capacity())
                     * (0.7 + 0.6 * random.nextDouble());
         }
     }
@@ -147,7 +147,8 @@
                             lupinwood.balancing.OutlierLimits.DEFAULTS,
                             random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
-            servers.forEach(one -> alone.put(one.location.name(), one.location.alone(site)));
+            servers.forEach(
+                    one -> alone.put(one.location.name(), one.location.unplannedSlots(site)));
             share = new CapacityLease(alone);
         }
 
@@ -216,7 +217,7 @@
         private boolean may(int server) {
             Server one = servers.get(server);
             return way == Way.TRUTH
-                    ? one.up && !one.errors && one.sent < one.location.bears()
+                    ? one.up && !one.errors && one.sent < one.location.capacity()
                     : pool.inFlightCount(server)
                             < share.allowedRequests(one.location.name(), time());
         }
@@ -246,7 +247,7 @@
                         server.inHand++;
                         server.most = Math.max(server.most, server.inHand);
                         int of = server.life;
-                        if (way == Way.PLANNED && server.inHand > server.location.bears()) {
+                        if (way == Way.PLANNED && server.inHand > server.location.capacity()) {
                             breaks(
                                     server.location.name()
                                             + " has "
@@ -254,9 +255,9 @@
                                             + " tickets at "
                                             + now()
                                             + " s, and bears "
-                                            + server.location.bears());
+                                            + server.location.capacity());
                         }
-                        if (server.inHand > server.location.bears() * BREAKS_AT) {
+                        if (server.inHand > server.location.capacity() * BREAKS_AT) {
                             server.broke++;
                             server.dies(DOWN_WHEN_BROKEN);
                         }
@@ -472,7 +473,7 @@
         int broke = servers.stream().mapToInt(server -> server.broke).sum();
         double over =
                 servers.stream()
-                        .mapToDouble(server -> (double) server.most / server.location.bears())
+                        .mapToDouble(server -> (double) server.most / server.location.capacity())
                         .max()
                         .orElse(0);
         return new Played(
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -573,7 +573,7 @@
         if (stalledToken != null) {
             lateWord(snapshot);
         }
-        String before = rolloutController.says();
+        String before = rolloutController.statusMessage();
         for (RolloutAction action : rolloutController.decide(snapshot, token, now())) {
             if (action instanceof RolloutAction.Propose write) {
                 boolean fitted = clusterState.apply(write.command());
@@ -593,8 +593,8 @@
                                 leaseManager.unavailableNodes(clusterState, now())));
             }
         }
-        if (!rolloutController.says().equals(before)) {
-            trace.accept(time + " " + rolloutController.says());
+        if (!rolloutController.statusMessage().equals(before)) {
+            trace.accept(time + " " + rolloutController.statusMessage());
         }
     }
 
--- a/src/main/java/lupinwood/failover/CapacityPlanner.java
+++ b/src/main/java/lupinwood/failover/CapacityPlanner.java
@@ -81,7 +81,7 @@
     private MonotonicTime lastDecisionAt;
     private MonotonicTime plannedAt;
     private Map<String, Double> plannedTrustRatios = Map.of();
-    private String why = "";
+    private String reason = "";
 
     public CapacityPlanner(NanoDuration lease) {
         health = new LocationHealth(lease);
@@ -105,8 +105,8 @@
      * The changes of slots in the last plan (none if only the roster changed), then locations with
      * reduced trust where that plan has slots, and sites whose reports are ignored, in one line.
      */
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 
     /**
@@ -141,12 +141,12 @@
         Map<String, Integer> capacities = new TreeMap<>();
         Map<String, Map<String, Integer>> unplanned = new TreeMap<>();
         for (Location location : view.locations()) {
-            capacities.put(location.name(), location.bears());
+            capacities.put(location.name(), location.capacity());
             sites.forEach(
                     (name, site) ->
                             unplanned
                                     .computeIfAbsent(name, key -> new TreeMap<>())
-                                    .put(location.name(), location.alone(site)));
+                                    .put(location.name(), location.unplannedSlots(site)));
         }
         CapacityPlan newest =
                 view.livePlans().isEmpty()
@@ -167,12 +167,12 @@
             pendingSlots = null; // no change or no valid plan, as after a capacity reduction
             return null;
         }
-        why = describeChanges(current, next);
+        reason = describeChanges(current, next);
         pendingSlots = next.equals(target) ? null : target;
         plannedAt = now;
         plannedTrustRatios = trustRatios(view);
         return new ClusterCommand.SetCapacityPlan(
-                token, view.lastPlanNumber(), capacities, unplanned, next, why, 0);
+                token, view.lastPlanNumber(), capacities, unplanned, next, reason, 0);
     }
 
     private static Map<String, String> roster(Collection<ClusterState.Member> members) {
@@ -254,7 +254,7 @@
         for (Location location : locations) {
             free.put(
                     location.name(),
-                    Math.max(0, location.bears() * health.trustRatio(location.name())));
+                    Math.max(0, location.capacity() * health.trustRatio(location.name())));
         }
         Map<String, Map<String, Double>> allocated = new TreeMap<>();
         Map<String, Double> unmet = new TreeMap<>(neededSlots);
@@ -264,7 +264,8 @@
         for (Location location : locations) {
             sites.forEach(
                     (name, site) -> {
-                        double unplanned = (double) location.alone(site) * nodeCounts.get(name);
+                        double unplanned =
+                                (double) location.unplannedSlots(site) * nodeCounts.get(name);
                         allocated.get(name).put(location.name(), unplanned);
                         free.merge(location.name(), -unplanned, Double::sum);
                         if (health.trustRatio(location.name()) > 0) {
@@ -361,7 +362,7 @@
                             .sum();
             free.put(
                     location.name(),
-                    Math.floor(location.bears() * health.trustRatio(location.name())) - used);
+                    Math.floor(location.capacity() * health.trustRatio(location.name())) - used);
         }
         Map<String, Map<String, Integer>> slots = new TreeMap<>();
         allocated.forEach(
@@ -458,7 +459,7 @@
                         current.getOrDefault(site, Map.of()).getOrDefault(location.name(), 0);
                 moved += Math.abs(targetSlots - currentSlots);
             }
-            if (moved > Math.max(1, location.bears() * MIN_CHANGE_RATIO)) {
+            if (moved > Math.max(1, location.capacity() * MIN_CHANGE_RATIO)) {
                 return false;
             }
         }
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -131,7 +131,7 @@
                         return Integer.MAX_VALUE;
                     }
                     ClusterView.CapacityShare share = fleet.view().share();
-                    int alone = location.alone(settings.site());
+                    int alone = location.unplannedSlots(settings.site());
                     return monotonic().isBefore(share.until())
                             ? Math.max(alone, share.slots().getOrDefault(location.name(), 0))
                             : alone;
--- a/src/main/java/lupinwood/rollout/RolloutController.java
+++ b/src/main/java/lupinwood/rollout/RolloutController.java
@@ -82,7 +82,7 @@
     }
 
     /** What the controller waits for, or its last finding, in one line. */
-    public String says() {
+    public String statusMessage() {
         return statusMessage;
     }
 
@@ -90,7 +90,7 @@
      * Whether the next snapshot is to contain the stored baseline counts, since the rollout began
      * under another holder of the duty.
      */
-    public boolean wantsPast() {
+    public boolean needsBaseline() {
         return needsBaseline;
     }
 
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -221,7 +221,7 @@
                 .isFalse();
         rolloutController = new RolloutController(name(1), LIMITS);
         run(1);
-        assertThat(rolloutController.wantsPast()).as("it read the stored baseline").isFalse();
+        assertThat(rolloutController.needsBaseline()).as("it read the stored baseline").isFalse();
         assertThat(clusterState.baselineCounts()).hasSize(9);
         run(100);
         assertThat(clusterState.rollout()).isNull();
