--- a/src/main/java/lupinwood/cli/ExperimentNode.java
+++ b/src/main/java/lupinwood/cli/ExperimentNode.java
@@ -40,7 +40,7 @@
         if (failsAtStart) {
             return 1;
         }
-        FaultInjection.program(program);
+        FaultInjection.overrideProgramVersion(program);
         long begun = System.nanoTime();
         WallClock.readFrom(
                 () -> {
@@ -49,9 +49,9 @@
                                     && System.nanoTime() - begun > stepAfterMillis * 1_000_000;
                     return right ? Instant.now() : Instant.now().plusMillis(shiftMillis);
                 });
-        FaultInjection.syncTakes(NanoDuration.ofSeconds(syncTakesMillis / 1000.0));
+        FaultInjection.setSyncDelay(NanoDuration.ofSeconds(syncTakesMillis / 1000.0));
         if (withoutEarlyStop) {
-            FaultInjection.leaveOutEarlyStop();
+            FaultInjection.countLeasesFromReply();
         }
         return super.run();
     }
--- a/src/main/java/lupinwood/cli/FleetActions.java
+++ b/src/main/java/lupinwood/cli/FleetActions.java
@@ -280,7 +280,7 @@
             RaftReplica.ReplicaView state =
                     ClusterQuery.state(settings.voters().values(), within, quiet);
             if (state != null) {
-                String left = DrainTracker.left(state, server);
+                String left = DrainTracker.undrainedNodes(state, server);
                 if (left.isEmpty()) {
                     System.out.println(server + " is empty: each node said so");
                     return 0;
@@ -435,7 +435,7 @@
         whole.cordons()
                 .forEach(
                         cordon -> {
-                            String left = DrainTracker.left(whole, cordon.server());
+                            String left = DrainTracker.undrainedNodes(whole, cordon.server());
                             System.out.println(
                                     "server "
                                             + cordon.server()
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -43,8 +43,8 @@
 /**
  * One node's membership in its cluster: heartbeats to the consensus group, the duties that the node
  * holds and, on a voter, the replica of the consensus group. Runs on its own thread; the event loop
- * thread only reads {@link #view} and {@link #figures}, and queues tasks. No failure here stops the
- * node from serving requests.
+ * thread only reads {@link #view} and {@link #stateLogLine}, and queues tasks. No failure here
+ * stops the node from serving requests.
  */
 public final class ClusterNode {
     public static final List<DutyName> DUTIES =
@@ -53,7 +53,7 @@
                     DutyName.HEALTH_CHECK,
                     DutyName.ROLLOUT_CONTROLLER,
                     DutyName.PLANNER);
-    private static final String PROGRAM_VERSION = FaultInjection.program();
+    private static final String PROGRAM_VERSION = FaultInjection.overrideProgramVersion();
     private static final NanoDuration MIN_HEARTBEAT_DELAY = NanoDuration.ofSeconds(0.02);
     private static final double RECORD_INTERVAL_LEASES = 5;
     private static final NanoDuration BOOTSTRAP_INTERVAL = NanoDuration.ofSeconds(0.3);
@@ -69,7 +69,7 @@
      * @param startLeaving begins to drain the node as an operator's request to leave does; returns
      *     immediately
      */
-    public record Self(
+    public record LocalNode(
             Supplier<NodeCondition> condition,
             Supplier<List<String>> excludedServers,
             Supplier<List<String>> drainedServers,
@@ -79,7 +79,7 @@
             Runnable startLeaving) {}
 
     private final ClusterSettings settings;
-    private final Self self;
+    private final LocalNode self;
     private final Log log;
     private final ThreadTaskLoop loop;
     private final RaftTransport transport;
@@ -115,7 +115,7 @@
     private List<String> cordonsAtStart = List.of();
     private boolean stopped;
 
-    public ClusterNode(ClusterSettings settings, Self self, Log log) {
+    public ClusterNode(ClusterSettings settings, LocalNode self, Log log) {
         this.settings = settings;
         voterAddresses = settings.voters();
         this.self = self;
@@ -128,7 +128,7 @@
                         settings.name(),
                         incarnation,
                         settings.site(),
-                        settings.names(),
+                        settings.voterNames(),
                         random.nextLong(),
                         loop.now());
     }
@@ -138,7 +138,7 @@
      * without its cluster is better than none.
      */
     public void start() {
-        if (settings.votes()) {
+        if (settings.isVoter()) {
             try {
                 startVoter();
             } catch (IOException e) {
@@ -149,13 +149,15 @@
             }
         }
         statusReporter =
-                settings.report() == null ? null : new StatusReporter(settings.report(), log);
+                settings.reportAddress() == null
+                        ? null
+                        : new StatusReporter(settings.reportAddress(), log);
         cordonsAtStart = self.configApplier().get().cordonsAtStart();
         publishView();
         configFollower =
                 new SharedConfigFollower(
                         self.configApplier().get(), loop::execute, this::requestConfig, log);
-        rolloutController = new RolloutController(settings.name(), settings.limits());
+        rolloutController = new RolloutController(settings.name(), settings.canaryLimits());
         loop.execute(this::sendDueHeartbeat);
         loop.execute(this::performDuties);
         log.line(
@@ -166,7 +168,7 @@
                         + " incarnation="
                         + incarnation
                         + " voters="
-                        + settings.names());
+                        + settings.voterNames());
     }
 
     private void startVoter() throws IOException {
@@ -178,7 +180,7 @@
         ClusterBootstrap.State state = ClusterBootstrap.stateOf(restored);
         bootstrap =
                 new ClusterBootstrap(
-                        settings.name(), settings.names(), state, BOOTSTRAP_INTERVAL.times(4));
+                        settings.name(), settings.voterNames(), state, BOOTSTRAP_INTERVAL.times(4));
         log.line(
                 "fleet: voter started "
                         + switch (state) {
@@ -201,9 +203,11 @@
         try {
             switch (bootstrap.step(loop.now())) {
                 case FOUND -> {
-                    ClusterBootstrap.persistFounders(storage, settings.name(), settings.names());
+                    ClusterBootstrap.persistFounders(
+                            storage, settings.name(), settings.voterNames());
                     bootstrap.onFounded();
-                    log.line("fleet: bootstrapping consensus group voters=" + settings.names());
+                    log.line(
+                            "fleet: bootstrapping consensus group voters=" + settings.voterNames());
                 }
                 case START_REPLICA -> {
                     startReplica(storage.restore(), null);
@@ -237,7 +241,7 @@
 
     private void startReplica(RestoredRaftState restored, String newId) {
         String id = newId != null ? newId : settings.name().text();
-        List<String> founders = settings.names().stream().map(NodeName::text).toList();
+        List<String> founders = settings.voterNames().stream().map(NodeName::text).toList();
         // Used only when a consensus group is founded, so that its fencing tokens are higher than
         // those of an earlier group whose storage was lost. A token number, not a time: it leaves
         // 1000 tokens for each second.
@@ -454,7 +458,7 @@
             replyTo.accept(null);
         } else {
             String refusal =
-                    order.what().equals("rest")
+                    order.kind().equals("rest")
                             ? settings.reasonAgainstCordon(
                                     order.server(), replica.cordonedServers())
                             : "";
@@ -712,7 +716,7 @@
                 && !statusReporter.report(
                         token,
                         ClusterJson.gson().toJson(state),
-                        () -> token.equals(view.mayAct(DutyName.STATUS_REPORTER, loop.now())),
+                        () -> token.equals(view.tokenFor(DutyName.STATUS_REPORTER, loop.now())),
                         error -> loop.execute(() -> onStatusReporterFailure(error)))) {
             return;
         }
@@ -750,12 +754,12 @@
         RolloutSnapshot snapshot =
                 new RolloutSnapshot(
                         state.rollout(),
-                        state.good(),
+                        state.goodConfigDigest(),
                         state.haltedBy(),
                         state.nodeViews(),
                         state.permits(),
                         settings.disruptionLimits().maxUnavailable(state.nodeViews().size()),
-                        state.past());
+                        state.baselineCounts());
         String previousStatus = rolloutController.statusMessage();
         List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
         if (!rolloutController.statusMessage().equals(previousStatus)
@@ -808,7 +812,7 @@
                                 state.members(),
                                 state.nodeViews(),
                                 state.plans(),
-                                state.lastPlan()),
+                                state.lastPlanNumber()),
                         token,
                         loop.now());
         if (plan != null) {
@@ -832,7 +836,7 @@
      * Takes new addresses of the voters; connections to the old ones are closed. Ignored where the
      * set of voter names differs.
      */
-    public void reach(Map<NodeName, InetSocketAddress> newAddresses) {
+    public void updateVoterAddresses(Map<NodeName, InetSocketAddress> newAddresses) {
         loop.execute(
                 () -> {
                     if (newAddresses.keySet().equals(voterAddresses.keySet())
@@ -850,7 +854,7 @@
     }
 
     /** Reports a health check that this node made under the health check duty. */
-    public void found(String server, boolean well, FencingToken token) {
+    public void recordHealthCheck(String server, boolean well, FencingToken token) {
         loop.offer(() -> session.recordHealthCheck(server, well, token, loop.now()));
     }
 
@@ -910,10 +914,10 @@
     }
 
     /** A summary of the membership for the log. */
-    public String figures() {
+    public String stateLogLine() {
         ClusterView current = view;
         return "fleet: membership status "
-                + (current.isInTouch(loop.now())
+                + (current.isConnected(loop.now())
                         ? "connected=true leader=" + current.leader()
                         : "connected=false")
                 + " leases="
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -26,7 +26,8 @@
  *     voter
  * @param directory where a voter stores the state that must survive a restart; null unless the node
  *     is a voter
- * @param report the address to which the status reporter sends the cluster status; null for none
+ * @param reportAddress the address to which the status reporter sends the cluster status; null for
+ *     none
  * @param requestClassesByServer the request classes that each downstream server runs, by the
  *     server's name
  * @param maxCordons how many servers may be cordoned at once
@@ -38,10 +39,10 @@
         Map<NodeName, InetSocketAddress> voters,
         InetSocketAddress listenAddress,
         Path directory,
-        InetSocketAddress report,
+        InetSocketAddress reportAddress,
         LeaseTiming timing,
         DisruptionLimits disruptionLimits,
-        CanaryLimits limits,
+        CanaryLimits canaryLimits,
         Map<String, Set<String>> requestClassesByServer,
         int maxCordons,
         List<Location> locations) {
@@ -89,10 +90,10 @@
                         : address(parsedSettings.value("fleet report")),
                 timing,
                 disruptionLimits(parsedSettings, new ArrayList<>(voters.keySet())),
-                limits(parsedSettings, lease),
+                canaryLimits(parsedSettings, lease),
                 requestClassesByServer(parsedSettings),
                 parsedSettings.number("out below-most", BigDecimal.ONE).intValue(),
-                places(parsedSettings));
+                locations(parsedSettings));
     }
 
     private static Map<String, Set<String>> requestClassesByServer(ParsedSettings parsedSettings) {
@@ -110,7 +111,7 @@
     }
 
     /** The servers whose capacity the file gives; only those are part of the capacity plan. */
-    public static List<Location> places(ParsedSettings parsedSettings) {
+    public static List<Location> locations(ParsedSettings parsedSettings) {
         List<Location> locations = new ArrayList<>();
         for (String name : parsedSettings.items(Schema.SERVER)) {
             String prefix = "server " + name + " ";
@@ -163,7 +164,7 @@
         return "";
     }
 
-    private static CanaryLimits limits(ParsedSettings parsedSettings, NanoDuration lease) {
+    private static CanaryLimits canaryLimits(ParsedSettings parsedSettings, NanoDuration lease) {
         return CanaryLimits.of(
                 new NanoDuration(
                         parsedSettings.number("release watch", DEFAULT_WATCH_NANOS).longValue()),
@@ -195,11 +196,11 @@
                 voters);
     }
 
-    public boolean votes() {
+    public boolean isVoter() {
         return listenAddress != null;
     }
 
-    List<NodeName> names() {
+    List<NodeName> voterNames() {
         return new ArrayList<>(voters.keySet());
     }
 
--- a/src/main/java/lupinwood/consensus/ClusterView.java
+++ b/src/main/java/lupinwood/consensus/ClusterView.java
@@ -58,7 +58,7 @@
      */
     public record ServerHealth(String server, boolean well, MonotonicTime at) {}
 
-    public boolean isInTouch(MonotonicTime now) {
+    public boolean isConnected(MonotonicTime now) {
         return now.isBefore(connectedUntil);
     }
 
@@ -66,7 +66,7 @@
      * The fencing token under which this node may act on the duty; null if it may not. Has to be
      * called before each action.
      */
-    public FencingToken mayAct(DutyName duty, MonotonicTime now) {
+    public FencingToken tokenFor(DutyName duty, MonotonicTime now) {
         for (LeaseView lease : leases) {
             if (lease.duty().equals(duty) && now.isBefore(lease.until())) {
                 return lease.token();
--- a/src/main/java/lupinwood/consensus/DrainTracker.java
+++ b/src/main/java/lupinwood/consensus/DrainTracker.java
@@ -22,7 +22,7 @@
      *
      * @param state the leader's view; that of another voter has no nodes, which gives an empty line
      */
-    public static String left(RaftReplica.ReplicaView state, String server) {
+    public static String undrainedNodes(RaftReplica.ReplicaView state, String server) {
         List<String> undrained = new ArrayList<>();
         for (NodeView nodeView : state.nodeViews()) {
             if (nodeView.status() == NodeStatus.OUT) {
--- a/src/main/java/lupinwood/consensus/FaultInjection.java
+++ b/src/main/java/lupinwood/consensus/FaultInjection.java
@@ -9,22 +9,22 @@
  * them. To be set before the node is created, which reads the program version once.
  */
 public final class FaultInjection {
-    private static volatile NanoDuration syncTakes = NanoDuration.ZERO;
+    private static volatile NanoDuration setSyncDelay = NanoDuration.ZERO;
     private static volatile boolean withoutEarlyStop;
-    private static volatile String program;
+    private static volatile String overrideProgramVersion;
 
     private FaultInjection() {}
 
     /** Adds this duration to each storage sync, as on a disk under load from other processes. */
-    public static void syncTakes(NanoDuration duration) {
-        syncTakes = duration;
+    public static void setSyncDelay(NanoDuration duration) {
+        setSyncDelay = duration;
     }
 
     /**
      * Makes a lease holder start its lease when the heartbeat reply arrives instead of when the
      * heartbeat was sent.
      */
-    public static void leaveOutEarlyStop() {
+    public static void countLeasesFromReply() {
         withoutEarlyStop = true;
     }
 
@@ -32,13 +32,15 @@
      * Overrides the program version that the node reports, so that one build can stand for two
      * versions.
      */
-    public static void program(String name) {
-        program = name;
+    public static void overrideProgramVersion(String name) {
+        overrideProgramVersion = name;
     }
 
-    static String program() {
+    static String overrideProgramVersion() {
         String version = ClusterNode.class.getPackage().getImplementationVersion();
-        return program != null ? program : version == null ? "unpackaged" : version;
+        return overrideProgramVersion != null
+                ? overrideProgramVersion
+                : version == null ? "unpackaged" : version;
     }
 
     static boolean isWithoutEarlyStop() {
@@ -46,9 +48,9 @@
     }
 
     static void onSync() {
-        if (syncTakes.isPositive()) {
+        if (setSyncDelay.isPositive()) {
             try {
-                Thread.sleep(syncTakes.nanos() / 1_000_000);
+                Thread.sleep(setSyncDelay.nanos() / 1_000_000);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -81,41 +81,46 @@
             int term,
             List<NodeView> nodeViews,
             List<ClusterState.DutyLease> duties,
-            String digest,
-            long commands,
+            String statusSummary,
+            long commandCount,
             List<DisruptionPermit> permits,
             String haltedBy,
             List<ClusterState.HistoryEntry> history,
             Rollout rollout,
-            String good,
+            String goodConfigDigest,
             List<Cordon> cordons,
-            Map<String, RequestCounts> past,
+            Map<String, RequestCounts> baselineCounts,
             List<ClusterState.Member> members,
             List<CapacityPlan> plans,
-            long lastPlan) {}
+            long lastPlanNumber) {}
 
     /**
      * An operator order.
      *
      * @param id identifies the order, so that one sent again after a lost answer is executed once;
      *     not used for a forget order, which is executed again
-     * @param what the kind of the order: leave (drain the node), halt (grant no permits, begin and
+     * @param kind the kind of the order: leave (drain the node), halt (grant no permits, begin and
      *     advance no rollouts), resume, forget (remove the node), release (begin a rollout), back
      *     (roll back), rest (cordon the server) or unrest (uncordon it)
      * @param node the node that the order is about; null where it is about none
      * @param by who gave the order, for the history
-     * @param wish the requested rollout; null for other orders
+     * @param rolloutRequest the requested rollout; null for other orders
      * @param server the server to cordon or to uncordon; null for other orders
      */
     public record OperatorOrder(
-            String id, String what, NodeName node, String by, RolloutRequest wish, String server) {
-        public OperatorOrder(String id, String what, NodeName node, String by) {
-            this(id, what, node, by, null, null);
+            String id,
+            String kind,
+            NodeName node,
+            String by,
+            RolloutRequest rolloutRequest,
+            String server) {
+        public OperatorOrder(String id, String kind, NodeName node, String by) {
+            this(id, kind, node, by, null, null);
         }
 
         public OperatorOrder(
-                String id, String what, NodeName node, String by, RolloutRequest wish) {
-            this(id, what, node, by, wish, null);
+                String id, String kind, NodeName node, String by, RolloutRequest rolloutRequest) {
+            this(id, kind, node, by, rolloutRequest, null);
         }
     }
 
@@ -124,9 +129,10 @@
      *
      * @param to the digest of a configuration, or a version of the program
      * @param text the configuration's text; empty for a program
-     * @param backsOnHalt whether the rollout rolls back when it is halted
+     * @param rollsBackAutomatically whether the rollout rolls back when it is halted
      */
-    public record RolloutRequest(Rollout.Kind kind, String to, String text, boolean backsOnHalt) {}
+    public record RolloutRequest(
+            Rollout.Kind kind, String to, String text, boolean rollsBackAutomatically) {}
 
     /**
      * The answer to an operator order.
@@ -558,9 +564,9 @@
         long nowMillis = millis();
         List<NodeName> unavailable =
                 leaseManager.unavailableNodes(clusterState, context.loop().now());
-        RolloutRequest wish = order.wish();
+        RolloutRequest wish = order.rolloutRequest();
         String refusal =
-                switch (order.what()) {
+                switch (order.kind()) {
                     case "leave" ->
                             clusterState.reasonAgainstPermit(
                                     order.node(), disruptionLimits, unavailable);
@@ -584,7 +590,7 @@
                     default -> "";
                 };
         ClusterCommand command =
-                switch (order.what()) {
+                switch (order.kind()) {
                     case "leave" ->
                             new ClusterCommand.GrantPermit(
                                     order.id(),
@@ -595,7 +601,7 @@
                                     unavailable);
                     case "halt", "resume" ->
                             new ClusterCommand.SetHalt(
-                                    order.id(), order.what().equals("halt"), order.by(), nowMillis);
+                                    order.id(), order.kind().equals("halt"), order.by(), nowMillis);
                     case "forget" -> new ClusterCommand.RemoveNode(order.node());
                     case "rest" ->
                             new ClusterCommand.CordonServer(
@@ -610,7 +616,7 @@
                                     wish.kind(),
                                     wish.to(),
                                     wish.text(),
-                                    wish.backsOnHalt(),
+                                    wish.rollsBackAutomatically(),
                                     nowMillis);
                     case "back" ->
                             new ClusterCommand.RollBack(
@@ -629,7 +635,7 @@
                             earlierAnswer != null
                                     ? earlierAnswer
                                     : command == null
-                                            ? "unknown order: " + order.what()
+                                            ? "unknown order: " + order.kind()
                                             : refusal));
             return;
         }
@@ -642,7 +648,7 @@
                                         clusterState.orderResult(order.id()) != null
                                                 ? clusterState.orderResult(order.id())
                                                 : isApplied
-                                                        ? order.what() + " " + order.node()
+                                                        ? order.kind() + " " + order.node()
                                                         : "rejected, or may still be committed; send the order again")));
     }
 
--- a/src/main/java/lupinwood/experiment/CordonExperiment.java
+++ b/src/main/java/lupinwood/experiment/CordonExperiment.java
@@ -167,7 +167,7 @@
         String left = "nobody leads";
         while (!left.isEmpty() && System.currentTimeMillis() - begun < EMPTY_WITHIN_MILLIS) {
             RaftReplica.ReplicaView state = fleet.state();
-            left = state == null ? "nobody leads" : DrainTracker.left(state, server);
+            left = state == null ? "nobody leads" : DrainTracker.undrainedNodes(state, server);
             Thread.sleep(50);
         }
         longestToEmpty = Math.max(longestToEmpty, System.currentTimeMillis() - begun);
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -70,14 +70,14 @@
         this.deadlines = deadlines;
         this.servers = servers;
         settings = ClusterSettings.of(parsedSettings);
-        locations = ClusterSettings.places(parsedSettings);
+        locations = ClusterSettings.locations(parsedSettings);
         warmAfter =
                 new NanoDuration(
                         parsedSettings.number("rules warm-after", BigDecimal.ZERO).longValue());
         fleet =
                 new ClusterNode(
                         settings,
-                        new ClusterNode.Self(
+                        new ClusterNode.LocalNode(
                                 () -> condition,
                                 () -> leftOut,
                                 () -> drained,
@@ -196,7 +196,7 @@
 
     /** A configuration was taken over. */
     void reach(ParsedSettings parsedSettings) {
-        fleet.reach(ClusterSettings.of(parsedSettings).voters());
+        fleet.updateVoterAddresses(ClusterSettings.of(parsedSettings).voters());
     }
 
     void leave() {
@@ -208,7 +208,7 @@
     }
 
     String figures() {
-        return fleet.figures();
+        return fleet.stateLogLine();
     }
 
     /**
@@ -220,14 +220,14 @@
         public boolean allowsProbe(String server) {
             ClusterView view = fleet.view();
             MonotonicTime now = monotonic();
-            tries = view.mayAct(DutyName.HEALTH_CHECK, now);
-            return tries != null || !view.isInTouch(now);
+            tries = view.tokenFor(DutyName.HEALTH_CHECK, now);
+            return tries != null || !view.isConnected(now);
         }
 
         @Override
         public void onProbeResult(String server, boolean well) {
             if (tries != null) {
-                fleet.found(server, well, tries);
+                fleet.recordHealthCheck(server, well, tries);
             }
         }
     }
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -284,12 +284,12 @@
         assertThat(after.cordons()).isEqualTo(before.cordons());
         assertThat(after.permits()).isEqualTo(before.permits());
         assertThat(after.haltedBy()).isEqualTo(before.haltedBy());
-        assertThat(after.good()).isEqualTo(before.good());
+        assertThat(after.goodConfigDigest()).isEqualTo(before.goodConfigDigest());
         assertThat(after.rollout()).isEqualTo(before.rollout());
-        assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
-        assertThat(after.plans().stream().filter(plan -> plan.number() <= before.lastPlan()))
+        assertThat(after.lastPlanNumber()).isGreaterThanOrEqualTo(before.lastPlanNumber());
+        assertThat(after.plans().stream().filter(plan -> plan.number() <= before.lastPlanNumber()))
                 .isSubsetOf(before.plans());
-        assertThat(after.commands()).isGreaterThan(before.commands());
+        assertThat(after.commandCount()).isGreaterThan(before.commandCount());
         assertThat(Files.readString(log(number)))
                 .contains("voter started storage=VOTES next=resume")
                 .doesNotContain("can't be read", "cannot be read");
