--- a/src/main/java/lupinwood/net/AjpExecutor.java
+++ b/src/main/java/lupinwood/net/AjpExecutor.java
@@ -207,7 +207,7 @@
             run.tried.add(server);
             begin(run, server);
         } else if (waiting.size() >= MOST_WAITING) {
-            processor.exited(run.id, Completion.NOTHING_STARTED, NanoDuration.ZERO, null);
+            processor.onRunCompleted(run.id, Completion.NOTHING_STARTED, NanoDuration.ZERO, null);
         } else {
             waiting.add(run);
             context.deadlines()
@@ -215,7 +215,7 @@
                             run.began.plus(timeout.get(run.className)),
                             () -> {
                                 if (waiting.remove(run)) {
-                                    processor.exited(
+                                    processor.onRunCompleted(
                                             run.id,
                                             Completion.NOTHING_STARTED,
                                             NanoDuration.ZERO,
@@ -559,7 +559,7 @@
         if (mayAgain && budget.tryAcquireRetry()) {
             send(run);
         } else {
-            processor.exited(run.id, ending, processor.now().since(run.began), result);
+            processor.onRunCompleted(run.id, ending, processor.now().since(run.began), result);
         }
     }
 
--- a/src/main/java/lupinwood/net/AjpListener.java
+++ b/src/main/java/lupinwood/net/AjpListener.java
@@ -81,7 +81,7 @@
      * ends now.
      */
     @Override
-    public void sayNoMore(ConnectionId connection) {
+    public void requestClose(ConnectionId connection) {
         if (caller(connection) instanceof AjpConnection caller) {
             caller.last = true;
             if (!caller.open && caller.answered > 0) {
@@ -170,7 +170,7 @@
                     return;
                 }
                 if (event instanceof FrontReader.Ping) {
-                    processor().checked(id(), ++tag, false);
+                    processor().onHealthCheck(id(), ++tag, false);
                 } else if (open) {
                     offended = true;
                     last = true;
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -98,7 +98,7 @@
     /** On the event loop thread. */
     void serve(RequestProcessor served) {
         processor = served;
-        served.answersTo(counters);
+        served.setResponseListener(counters);
         if (servers != null && !locations.isEmpty()) {
             shareServers();
         }
--- a/src/main/java/lupinwood/net/DependencyClient.java
+++ b/src/main/java/lupinwood/net/DependencyClient.java
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void giveUp(AttemptId id) {
+    public void cancelCall(AttemptId id) {
         DependencyConnection line = lines.remove(id);
         if (line == null) {
             waiting.removeIf(call -> call.id().equals(id));
--- a/src/main/java/lupinwood/net/EventLoop.java
+++ b/src/main/java/lupinwood/net/EventLoop.java
@@ -82,7 +82,7 @@
 
     private void advance() {
         processor.advance(time());
-        processor.clockShows(clock());
+        processor.setWallClock(clock());
     }
 
     /** Called after each round, to write what gathered in it. */
--- a/src/main/java/lupinwood/net/ExecutorClient.java
+++ b/src/main/java/lupinwood/net/ExecutorClient.java
@@ -272,12 +272,12 @@
             }
             if (announcedAge != null && startedAnew(age)) {
                 last = 0;
-                processor.executorStartedAnew();
+                processor.onExecutorRestarted();
             }
             announcedAge = age;
             announcedAt = processor.now();
             lostAt = null;
-            processor.welcomed(cold, age);
+            processor.onExecutorConnected(cold, age);
         }
 
         /**
@@ -307,20 +307,20 @@
                     AttemptId id = id(words[2]);
                     Completion ending = ending(words[3]);
                     NanoDuration took = millis(words[4]);
-                    return notice(words[1], () -> processor.exited(id, ending, took, body));
+                    return notice(words[1], () -> processor.onRunCompleted(id, ending, took, body));
                 }
                 case "CALLOUT 3" -> {
                     AttemptId id = id(words[2]);
-                    return notice(words[1], () -> processor.calledOut(id, body));
+                    return notice(words[1], () -> processor.onCallNeeded(id, body));
                 }
                 case "DIAGNOSED 2" -> {
                     long tag = LineParser.number(words[1]);
-                    return () -> processor.diagnosed(tag, words[2].equals("OK"));
+                    return () -> processor.onDeepCheckCompleted(tag, words[2].equals("OK"));
                 }
                 case "BAD 2" -> {
                     // The id of a command without one is its tag.
                     AttemptId id = new AttemptId(words[2]);
-                    return () -> processor.notCarriedOut(words[1], id);
+                    return () -> processor.onCommandRefused(words[1], id);
                 }
                 default -> {
                     return other(words);
--- a/src/main/java/lupinwood/net/ExecutorRouter.java
+++ b/src/main/java/lupinwood/net/ExecutorRouter.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public boolean isOnLink(String className) {
+    public boolean usesExecutorConnection(String className) {
         return !servers.carriesOut(className);
     }
 
--- a/src/main/java/lupinwood/net/NodeServer.java
+++ b/src/main/java/lupinwood/net/NodeServer.java
@@ -138,7 +138,7 @@
     /** What stands open, told by the event loop thread. */
     public String figures() {
         CompletableFuture<String> reported = new CompletableFuture<>();
-        eventLoop.tell(() -> reported.complete(processor.figures()));
+        eventLoop.tell(() -> reported.complete(processor.stateLogLine()));
         return reported.completeOnTimeout("", LONGEST_STEP, TimeUnit.SECONDS).join();
     }
 
@@ -338,7 +338,7 @@
     }
 
     private void tellFigures() {
-        log.line(processor.figures());
+        log.line(processor.stateLogLine());
         if (fleet != null) {
             log.line(fleet.figures());
         }
@@ -423,7 +423,7 @@
 
     /** The step. Nothing in it can fail for what the configuration says. */
     private boolean takeOver(NodeConfig now, RequestProcessor.ReloadableSettings tuning) {
-        if (!processor.retune(tuning)) {
+        if (!processor.updateSettings(tuning)) {
             return false;
         }
         long within =
@@ -479,7 +479,7 @@
         }
         eventLoop.tell(
                 () -> {
-                    processor.leave(parts.answered());
+                    processor.drain(parts.answered());
                     registryClient.leave();
                     lookUntil(
                             processor.now().plus(parts.answered()),
@@ -493,13 +493,13 @@
         CountDownLatch closed = new CountDownLatch(1);
         eventLoop.tell(
                 () -> {
-                    processor.closeConnections();
+                    processor.requestCloseOfConnections();
                     lookUntil(processor.now().plus(parts.part()), this::isEmpty, closed);
                 });
         closed.await(stop.nanos(), TimeUnit.NANOSECONDS);
         eventLoop.tell(
                 () -> {
-                    processor.endConnections();
+                    processor.beginCloseOfConnections();
                     lookUntil(processor.now().plus(parts.part()), this::isEmpty, left);
                 });
         left.await(stop.nanos(), TimeUnit.NANOSECONDS);
@@ -518,7 +518,7 @@
     private boolean isEmpty() {
         return processor.isAnswered()
                 && processor.connectionCount() == 0
-                && processor.connectionsEver() == sockets.accepted();
+                && processor.totalConnectionCount() == sockets.accepted();
     }
 
     private void lookUntil(MonotonicTime last, BooleanSupplier done, CountDownLatch reported) {
--- a/src/main/java/lupinwood/net/RespListener.java
+++ b/src/main/java/lupinwood/net/RespListener.java
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void sayNoMore(ConnectionId connection) {
+    public void requestClose(ConnectionId connection) {
         send(connection, "0", "FIN", null, NOTHING);
     }
 
@@ -153,7 +153,7 @@
                 case "HEALTH" -> {
                     boolean real =
                             items.size() > 2 && "1".equals(fields(text(items.get(2))).get("real"));
-                    return () -> processor().checked(id(), tag, real);
+                    return () -> processor().onHealthCheck(id(), tag, real);
                 }
                 default -> throw new ProtocolException("an unknown verb");
             }
@@ -202,9 +202,9 @@
             NanoDuration reported = NanoDuration.ofSeconds(decimal(text) / 1000);
             return reported.isPositive() && reported.compareTo(MAX_RETRY_AFTER) <= 0
                     ? reported
-                    : IncomingRequest.NO_TIME;
+                    : IncomingRequest.INVALID_DURATION;
         } catch (NumberFormatException e) {
-            return IncomingRequest.NO_TIME;
+            return IncomingRequest.INVALID_DURATION;
         }
     }
 
--- a/src/main/java/lupinwood/net/UpstreamListener.java
+++ b/src/main/java/lupinwood/net/UpstreamListener.java
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public final void readNoMore(ConnectionId connection) {
+    public final void stopReading(ConnectionId connection) {
         UpstreamConnection caller = callers.get(connection);
         if (caller != null) {
             caller.over = true;
@@ -208,7 +208,7 @@
                                             outbox.closeNow();
                                         } else {
                                             outbox.endOutput();
-                                            processor.written(id);
+                                            processor.onFlushed(id);
                                         }
                                     }));
         }
@@ -237,14 +237,14 @@
             eventLoop.tell(
                     () -> {
                         outbox = new WriteBuffer(session);
-                        id = processor.connected();
+                        id = processor.addConnection();
                         if (id == null) {
                             log.line("no room for one more dispatcher's connection");
                             outbox.closeNow();
                         } else {
                             callers.put(id, this);
                             // It may have been told to send no more before it could be found.
-                            processor.greet(id);
+                            processor.onWritable(id);
                         }
                     });
         }
@@ -297,7 +297,7 @@
                             awaitEnd(before, left - 1);
                         } else {
                             watched = false;
-                            processor.leftOff(id);
+                            processor.onMessageIncomplete(id);
                             if (!over) {
                                 watch(); // it may be slow
                             }
--- a/src/main/java/lupinwood/net/UpstreamListeners.java
+++ b/src/main/java/lupinwood/net/UpstreamListeners.java
@@ -18,15 +18,15 @@
     }
 
     @Override
-    public void sayNoMore(ConnectionId connection) {
-        one.sayNoMore(connection);
-        other.sayNoMore(connection);
+    public void requestClose(ConnectionId connection) {
+        one.requestClose(connection);
+        other.requestClose(connection);
     }
 
     @Override
-    public void readNoMore(ConnectionId connection) {
-        one.readNoMore(connection);
-        other.readNoMore(connection);
+    public void stopReading(ConnectionId connection) {
+        one.stopReading(connection);
+        other.stopReading(connection);
     }
 
     @Override
--- a/src/main/java/lupinwood/net/WarmUp.java
+++ b/src/main/java/lupinwood/net/WarmUp.java
@@ -88,8 +88,8 @@
         WarmUp warmUp = new WarmUp(settings, seed, maker);
         long begun = steady.getAsLong();
         try {
-            warmUp.processor.welcomed(false, NanoDuration.ZERO);
-            ConnectionId connection = warmUp.processor.connected();
+            warmUp.processor.onExecutorConnected(false, NanoDuration.ZERO);
+            ConnectionId connection = warmUp.processor.addConnection();
             while (warmUp.tag < REQUESTS && steady.getAsLong() - begun < LONGEST_NANOS) {
                 warmUp.round(connection);
             }
@@ -127,7 +127,7 @@
         for (int left = running.size(); left > 0; left--) {
             AttemptId id = running.poll();
             if (tag % 3 > 0) {
-                processor.calledOut(id, BODY);
+                processor.onCallNeeded(id, BODY);
             } else {
                 exit(id);
             }
@@ -145,7 +145,7 @@
                 ByteBuffer.wrap(
                         ("EXIT 1 " + id.digits() + " OK 5 4\r\nwarm\r\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
-        processor.exited(id, Completion.WELL, NanoDuration.ofSeconds(0.005), BODY);
+        processor.onRunCompleted(id, Completion.WELL, NanoDuration.ofSeconds(0.005), BODY);
     }
 
     private void settle() {
@@ -159,12 +159,12 @@
     }
 
     @Override
-    public void sayNoMore(ConnectionId connection) {
+    public void requestClose(ConnectionId connection) {
         // Nobody is there to hear it.
     }
 
     @Override
-    public void readNoMore(ConnectionId connection) {
+    public void stopReading(ConnectionId connection) {
         // Nothing comes but what is made up here.
     }
 
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public void giveUp(AttemptId id) {
+    public void cancelCall(AttemptId id) {
         calling.remove(id);
     }
 }
--- a/src/main/java/lupinwood/processing/ConnectionTable.java
+++ b/src/main/java/lupinwood/processing/ConnectionTable.java
@@ -195,7 +195,7 @@
             remove(connection.id);
             boolean unused = isLeftUnused(connection);
             if (connection.idleState == IdleState.IDLE) {
-                upstreams.sayNoMore(connection.id);
+                upstreams.requestClose(connection.id);
             }
             upstreams.close(connection.id, unused ? Completion.LEFT_UNUSED : Completion.MADE_ROOM);
         }
@@ -402,7 +402,7 @@
         }
         connection.closing = true;
         connection.closeReason = closeReason;
-        upstreams.readNoMore(connection.id);
+        upstreams.stopReading(connection.id);
         if (connection.openByTag.isEmpty()) {
             closeAfterFlush(connection);
         }
@@ -492,7 +492,7 @@
     private void requestClose(Connection connection) {
         if (connection.closeRequestedAt == null) {
             connection.closeRequestedAt = clock.get();
-            upstreams.sayNoMore(connection.id);
+            upstreams.requestClose(connection.id);
             markIdle(connection);
         }
     }
--- a/src/main/java/lupinwood/processing/Dependency.java
+++ b/src/main/java/lupinwood/processing/Dependency.java
@@ -14,5 +14,5 @@
     void call(AttemptId id, NanoDuration timeout, byte[] body);
 
     /** Cancels the pending call; its completion is not reported. */
-    void giveUp(AttemptId id);
+    void cancelCall(AttemptId id);
 }
--- a/src/main/java/lupinwood/processing/DownstreamCalls.java
+++ b/src/main/java/lupinwood/processing/DownstreamCalls.java
@@ -58,7 +58,7 @@
     }
 
     private void timeOut(AttemptId id) {
-        dependency.giveUp(id);
+        dependency.cancelCall(id);
         onCallEnded(id, Completion.GIVEN_UP, null);
     }
 
@@ -85,7 +85,7 @@
     /** Cancels a request's pending call, if any; the admission policy is not notified. */
     void cancel(ActiveRequest activeRequest) {
         if (activeRequest.calledAt != null) {
-            dependency.giveUp(activeRequest.incomingRequest.attemptId());
+            dependency.cancelCall(activeRequest.incomingRequest.attemptId());
             clearPendingCall(activeRequest);
         }
     }
--- a/src/main/java/lupinwood/processing/Executor.java
+++ b/src/main/java/lupinwood/processing/Executor.java
@@ -21,7 +21,7 @@
      * Whether runs of a request class use the executor connection, so that losing it puts their
      * commands in doubt. Runs at servers don't use it: each of them reports its own completion.
      */
-    default boolean isOnLink(String className) {
+    default boolean usesExecutorConnection(String className) {
         return true;
     }
 
--- a/src/main/java/lupinwood/processing/ExecutorSession.java
+++ b/src/main/java/lupinwood/processing/ExecutorSession.java
@@ -74,7 +74,7 @@
     void run(ActiveRequest activeRequest) {
         IncomingRequest incomingRequest = activeRequest.incomingRequest;
         activeRequest.lastQueryTagBeforeRun = queryTags.last();
-        activeRequest.runsAtServer = !executor.isOnLink(incomingRequest.className());
+        activeRequest.runsAtServer = !executor.usesExecutorConnection(incomingRequest.className());
         activeRequest.runSent =
                 executor.run(
                         incomingRequest.attemptId(),
--- a/src/main/java/lupinwood/processing/IncomingRequest.java
+++ b/src/main/java/lupinwood/processing/IncomingRequest.java
@@ -41,7 +41,7 @@
      * Stands in for a duration that was given but is invalid: not a number, not positive, or out of
      * range.
      */
-    public static final NanoDuration NO_TIME = new NanoDuration(-1);
+    public static final NanoDuration INVALID_DURATION = new NanoDuration(-1);
 
     /** Creates a request with only the values that every request has. */
     public IncomingRequest(
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -160,7 +160,7 @@
     }
 
     /** Sets the listener that is told of final responses and of clients that leave before them. */
-    public void answersTo(ResponseListener listener) {
+    public void setResponseListener(ResponseListener listener) {
         responses.setListener(listener);
     }
 
@@ -172,7 +172,7 @@
     }
 
     /** Sets the time of the host clock that stamps requests; it may step in either direction. */
-    public void clockShows(MonotonicTime time) {
+    public void setWallClock(MonotonicTime time) {
         clock.setStampTime(time);
     }
 
@@ -184,12 +184,12 @@
     // ---- upstream load balancers ----
 
     /** Adds a new connection and returns its id; null if there is no room for it. */
-    public ConnectionId connected() {
+    public ConnectionId addConnection() {
         return connections.add();
     }
 
     /** Handles a connection that can now be written to. */
-    public void greet(ConnectionId connection) {
+    public void onWritable(ConnectionId connection) {
         connections.onWritable(connection);
     }
 
@@ -199,7 +199,7 @@
     }
 
     /** Handles that everything written to a closing connection has been sent. */
-    public void written(ConnectionId connection) {
+    public void onFlushed(ConnectionId connection) {
         connections.onFlushed(connection);
     }
 
@@ -244,7 +244,7 @@
     }
 
     /** Handles a message that has stayed incomplete for too long. */
-    public void leftOff(ConnectionId connection) {
+    public void onMessageIncomplete(ConnectionId connection) {
         connections.beginClose(connection, Completion.SAID_NOTHING);
     }
 
@@ -253,7 +253,7 @@
      *
      * @param deep whether it asks for real work of the executor
      */
-    public void checked(ConnectionId connection, long tag, boolean deep) {
+    public void onHealthCheck(ConnectionId connection, long tag, boolean deep) {
         connections.onHealthCheck(connection);
         checks.check(connection, tag, deep);
     }
@@ -267,7 +267,7 @@
      * @param cold whether the executor is still warming up
      * @param age how long ago the executor was started
      */
-    public void welcomed(boolean cold, NanoDuration age) {
+    public void onExecutorConnected(boolean cold, NanoDuration age) {
         if (policyRunner.isStarted()) {
             session.onConnectionRestored();
         } else if (!drain.hasBegun()) {
@@ -287,7 +287,7 @@
      * node runs. Returns false once the node drains, because the policy has planned the drain with
      * the old settings.
      */
-    public boolean retune(ReloadableSettings reloaded) {
+    public boolean updateSettings(ReloadableSettings reloaded) {
         if (drain.hasBegun()) {
             return false;
         }
@@ -297,7 +297,7 @@
     }
 
     /** Handles an executor restart: its runs never complete, but may have had their effect. */
-    public void executorStartedAnew() {
+    public void onExecutorRestarted() {
         log("executor restarted, its runs are lost");
         runs.completeAllLost();
     }
@@ -308,7 +308,8 @@
      * @param elapsed how long the run took
      * @param result null unless the run succeeded
      */
-    public void exited(AttemptId id, Completion completion, NanoDuration elapsed, byte[] result) {
+    public void onRunCompleted(
+            AttemptId id, Completion completion, NanoDuration elapsed, byte[] result) {
         runs.completed(id, completion, elapsed, result);
     }
 
@@ -317,12 +318,12 @@
      *
      * @param body the body of the call
      */
-    public void calledOut(AttemptId id, byte[] body) {
+    public void onCallNeeded(AttemptId id, byte[] body) {
         calls.onCallNeeded(id, body);
     }
 
     /** Handles the refusal of a command about an attempt. Refusing a run command ends the run. */
-    public void notCarriedOut(String command, AttemptId id) {
+    public void onCommandRefused(String command, AttemptId id) {
         log("executor refused command=" + command + " attempt=" + id.digits());
         refusedCommands.onRefused(command, id);
     }
@@ -348,7 +349,7 @@
     }
 
     /** Handles the result of the deep health check with this tag. */
-    public void diagnosed(long queryTag, boolean healthy) {
+    public void onDeepCheckCompleted(long queryTag, boolean healthy) {
         checks.onDeepCheckCompleted(queryTag, healthy);
     }
 
@@ -448,19 +449,19 @@
     // ---- drain ----
 
     /** Begins to drain: requests are answered within this time, then the connections are closed. */
-    public void leave(NanoDuration timeToAnswer) {
+    public void drain(NanoDuration timeToAnswer) {
         if (drain.begin()) {
             policyRunner.drain(timeToAnswer);
         }
     }
 
     /** Asks the upstreams to close all connections. */
-    public void closeConnections() {
+    public void requestCloseOfConnections() {
         connections.requestCloseOfAll();
     }
 
     /** Closes the remaining connections, each after its open requests are answered. */
-    public void endConnections() {
+    public void beginCloseOfConnections() {
         connections.beginCloseOfAll();
     }
 
@@ -480,12 +481,12 @@
     }
 
     /** The number of connections so far, including those that there was no room for. */
-    public long connectionsEver() {
+    public long totalConnectionCount() {
         return connections.totalCount();
     }
 
     /** A log line with the sizes of the processor's tables. */
-    public String figures() {
+    public String stateLogLine() {
         return "request processor state connections="
                 + connections.size()
                 + " openRequests="
--- a/src/main/java/lupinwood/processing/RequestValidator.java
+++ b/src/main/java/lupinwood/processing/RequestValidator.java
@@ -151,8 +151,8 @@
         if (now.plus(MAX_CLOCK_LEAD).isBefore(incomingRequest.reached())) {
             return RequestFault.ARRIVAL_TIME_IN_FUTURE;
         }
-        if (incomingRequest.clientTimeout().equals(IncomingRequest.NO_TIME)
-                || incomingRequest.work().equals(IncomingRequest.NO_TIME)) {
+        if (incomingRequest.clientTimeout().equals(IncomingRequest.INVALID_DURATION)
+                || incomingRequest.work().equals(IncomingRequest.INVALID_DURATION)) {
             return RequestFault.INVALID_DURATION;
         }
         if (!now.isBefore(incomingRequest.reached().plus(effectiveTimeout(incomingRequest)))) {
--- a/src/main/java/lupinwood/processing/UpstreamConnections.java
+++ b/src/main/java/lupinwood/processing/UpstreamConnections.java
@@ -9,10 +9,10 @@
     void answer(ConnectionId connection, long tag, Response response);
 
     /** Asks the upstream to send no new request on this connection. */
-    void sayNoMore(ConnectionId connection);
+    void requestClose(ConnectionId connection);
 
     /** Ignores everything that arrives on this connection from now on. */
-    void readNoMore(ConnectionId connection);
+    void stopReading(ConnectionId connection);
 
     /**
      * Closes the connection: at once for {@link Completion#SLOW_READER} and {@link
--- a/src/test/java/lupinwood/processing/RandomSettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -162,12 +162,12 @@
                         timers,
                         new RequestProcessor.TableLimits(64, 1024, 1024, 1 << 20),
                         now);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         processor.settle();
-        ConnectionId connection = processor.connected();
+        ConnectionId connection = processor.addConnection();
         int sentCount = 0;
         for (int i = 0; i < 60; i++) {
-            connection = i % 20 == 0 ? processor.connected() : connection;
+            connection = i % 20 == 0 ? processor.addConnection() : connection;
             send(connection);
             sentCount++;
             advance(work.times(injectsFailures ? choose(0.1, 0.5, 3.0) : choose(2.0, 3.0, 6.0)));
@@ -270,12 +270,12 @@
     }
 
     @Override
-    public void sayNoMore(ConnectionId connection) {
+    public void requestClose(ConnectionId connection) {
         // Each connection is replaced after 20 requests.
     }
 
     @Override
-    public void readNoMore(ConnectionId connection) {
+    public void stopReading(ConnectionId connection) {
         // Nothing more arrives on it.
     }
 
@@ -321,7 +321,7 @@
                 work.times(0.5),
                 () -> {
                     if (called) {
-                        processor.calledOut(id, BODY);
+                        processor.onCallNeeded(id, BODY);
                     } else {
                         finishRun(id);
                     }
@@ -342,7 +342,7 @@
 
     private void completeRun(AttemptId id, Completion completion) {
         if (running.contains(id) && completed.add(id)) {
-            processor.exited(id, completion, work, BODY);
+            processor.onRunCompleted(id, completion, work, BODY);
         }
     }
 
@@ -360,7 +360,7 @@
         runLater(
                 NanoDuration.ofSeconds(0.001),
                 executorRefuses
-                        ? () -> processor.notCarriedOut("KILL", id)
+                        ? () -> processor.onCommandRefused("KILL", id)
                         : () -> completeRun(id, Completion.STOPPED));
         return true;
     }
@@ -368,7 +368,7 @@
     @Override
     public boolean skipCall(AttemptId id) {
         if (executorRefuses) {
-            runLater(NanoDuration.ofSeconds(0.001), () -> processor.notCarriedOut("BYPASS", id));
+            runLater(NanoDuration.ofSeconds(0.001), () -> processor.onCommandRefused("BYPASS", id));
         } else {
             finishRun(id);
         }
@@ -410,7 +410,7 @@
     }
 
     @Override
-    public void giveUp(AttemptId id) {
+    public void cancelCall(AttemptId id) {
         // The request processor ignores a late completion.
     }
 
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -55,7 +55,7 @@
 
     private void start() {
         createProcessor(8192);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         processor.settle();
         gainTrust();
     }
@@ -81,7 +81,7 @@
                         timers,
                         new RequestProcessor.TableLimits(connections, 40, 64, idempotencyBytes),
                         now);
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
     }
 
     private static AttemptId id(long tag) {
@@ -160,7 +160,7 @@
     private void completeRun(long number, Completion completion, String result) {
         handle(
                 () ->
-                        processor.exited(
+                        processor.onRunCompleted(
                                 id(number),
                                 completion,
                                 NanoDuration.ZERO,
@@ -168,7 +168,7 @@
     }
 
     private void needCall(long number) {
-        handle(() -> processor.calledOut(id(number), "q".getBytes(StandardCharsets.UTF_8)));
+        handle(() -> processor.onCallNeeded(id(number), "q".getBytes(StandardCharsets.UTF_8)));
     }
 
     private void advanceMillis(int millis) {
@@ -204,12 +204,12 @@
     }
 
     @Override
-    public void sayNoMore(ConnectionId connection) {
+    public void requestClose(ConnectionId connection) {
         record("ask to close");
     }
 
     @Override
-    public void readNoMore(ConnectionId connection) {
+    public void stopReading(ConnectionId connection) {
         // Tested through the input that the request processor then ignores.
     }
 
@@ -217,7 +217,7 @@
     public void close(ConnectionId connection, Completion reason) {
         record("close " + (connection.number() & 0xff) + " " + reason);
         if (readsResponses && reason != Completion.SLOW_READER && reason != Completion.MADE_ROOM) {
-            processor.written(connection);
+            processor.onFlushed(connection);
         }
     }
 
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public void giveUp(AttemptId id) {
+    public void cancelCall(AttemptId id) {
         record("cancel call for " + number(id));
     }
 
@@ -332,7 +332,7 @@
         handle(() -> processor.aborted(currentConnection, running));
         advanceMillis(100);
         assertThat(processor.isAnswered()).isTrue();
-        assertThat(processor.figures())
+        assertThat(processor.stateLogLine())
                 .startsWith(
                         "request processor state connections=1 openRequests=0 requests=0"
                                 + " idempotencyRecords=0 ");
@@ -355,7 +355,7 @@
         arrive("token", "k", "another body");
         completeRun(first, Completion.WELL, "result");
         advanceMillis(7000);
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         arrive("token", "k", "a");
         advanceMillis(2000);
         arrive("token", "k", "a");
@@ -413,7 +413,8 @@
         Map<String, String> next = new HashMap<>(settingsSource.settings);
         next.put("services.1.window_ns", "1000000000");
         next.put("services.1.give_up_ns", "9000000000");
-        assertThat(processor.retune(new RequestProcessor.ReloadableSettings(next))).isTrue();
+        assertThat(processor.updateSettings(new RequestProcessor.ReloadableSettings(next)))
+                .isTrue();
         processor.settle();
         advanceMillis(7000);
         arrive("token", "k", "a");
@@ -446,9 +447,9 @@
                 7000 2 SERVED paid
                 14500 3 SERVED paid
                 """);
-        assertThat(processor.figures()).contains(" idempotencyRecords=1 ");
+        assertThat(processor.stateLogLine()).contains(" idempotencyRecords=1 ");
         advanceMillis(4000);
-        assertThat(processor.figures()).contains(" idempotencyRecords=0 ");
+        assertThat(processor.stateLogLine()).contains(" idempotencyRecords=0 ");
     }
 
     @Test
@@ -457,15 +458,15 @@
         arrive("pure", null, "a");
         Map<String, String> next = new HashMap<>(settingsSource.settings);
         next.put("services.0.give_up_ns", "20000000000");
-        processor.retune(new RequestProcessor.ReloadableSettings(next));
+        processor.updateSettings(new RequestProcessor.ReloadableSettings(next));
         arrive("pure", null, "b");
         advanceMillis(30_000);
         assertThat(recorded())
                 .containsPattern("(?m)^49\\d\\d 1 FAILED$")
                 .containsPattern("(?m)^199\\d\\d 2 FAILED$");
-        processor.leave(NanoDuration.ofSeconds(3));
+        processor.drain(NanoDuration.ofSeconds(3));
         assertThat(
-                        processor.retune(
+                        processor.updateSettings(
                                 new RequestProcessor.ReloadableSettings(settingsSource.settings)))
                 .isFalse();
     }
@@ -473,7 +474,7 @@
     @Test
     void resultsBeyondTheirBoundAreDroppedButTheirIdempotencyRecordsStay() {
         createProcessor(10);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         trace.setLength(0);
         completeRun(arrive("token", "k", "a"), Completion.WELL, "12345678");
         completeRun(arrive("token", "l", "b"), Completion.WELL, "12345678");
@@ -554,7 +555,7 @@
     @Test
     void whatIsDroppedForRoomIsTheOldestResultAndNeverThatOfWhatRuns() {
         createProcessor(20);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         long running = arrive("token", "a", "body");
         for (String key : List.of("b", "c", "d")) {
             completeRun(arrive("token", key, ""), Completion.WELL, "12345678");
@@ -597,7 +598,7 @@
                 0 run 67 p
                 """);
         advanceMillis(30_000);
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         arrive("token", "new key", "");
         assertThat(recorded()).endsWith("run 68 \n");
     }
@@ -612,13 +613,13 @@
         start();
         arrive("pure", null, "a");
         long idempotent = arrive("token", "k", "b");
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         handle(() -> processor.aborted(currentConnection, idempotent));
         completeRun(idempotent, Completion.NOTHING_STARTED, "");
         isExecutorConnected = false;
         arrive("token", "l", "c");
         isExecutorConnected = true;
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         assertThat(recorded())
                 .isEqualTo(
                         """
@@ -637,7 +638,7 @@
         start();
         wantingCore = 1;
         long idempotent = arrive("token", "k", "a");
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         advanceMillis(20);
         wantingCore = 0;
         advanceMillis(20);
@@ -649,13 +650,13 @@
                                 Completion.WELL,
                                 "r".getBytes(StandardCharsets.UTF_8)));
         wantingCore = 1;
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         advanceMillis(20);
         wantingCore = 0;
         advanceMillis(20);
         wantingCore = 1;
         advanceMillis(20);
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         completeRun(idempotent, Completion.WELL, "result");
         assertThat(recorded())
                 .isEqualTo(
@@ -674,13 +675,13 @@
     @Test
     void whoHasNoStandingIsClosedForOneUnsoundRequestAndForManyThatAreTurnedAway() {
         start();
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         arrive("no such class", null, "a");
         arrive("pure", null, "a");
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         long refused = arrive("pure", null, "b");
-        handle(() -> processor.notCarriedOut("EXEC", id(refused)));
-        currentConnection = processor.connected();
+        handle(() -> processor.onCommandRefused("EXEC", id(refused)));
+        currentConnection = processor.addConnection();
         advanceMillis(1100);
         for (int i = 0; i < 34; i++) {
             advanceMillis(i == 33 ? 2100 : 0);
@@ -713,7 +714,7 @@
     void aMarkWhoseRequestTheExecutorWouldNotRunIsFreeAgain() {
         start();
         long refused = arrive("token", "k", "a");
-        handle(() -> processor.notCarriedOut("EXEC", id(refused)));
+        handle(() -> processor.onCommandRefused("EXEC", id(refused)));
         arrive("token", "k", "b");
         assertThat(recorded())
                 .isEqualTo(
@@ -728,20 +729,20 @@
     @Test
     void theSilentAndThoseIdleForLongestMakeRoomAndTheSilentSoonGo() {
         start();
-        ConnectionId checked = processor.connected();
+        ConnectionId checked = processor.addConnection();
         advanceMillis(100);
-        processor.connected();
-        handle(() -> processor.checked(checked, 1, false));
-        ConnectionId last = processor.connected();
+        processor.addConnection();
+        handle(() -> processor.onHealthCheck(checked, 1, false));
+        ConnectionId last = processor.addConnection();
         arrive("pure", null, "a");
         for (int i = 0; i < 3; i++) {
             advanceMillis(10);
-            ConnectionId next = processor.connected();
+            ConnectionId next = processor.addConnection();
             record("connected");
-            handle(() -> processor.checked(next, 1, false));
+            handle(() -> processor.onHealthCheck(next, 1, false));
         }
         processor.disconnected(last);
-        processor.connected();
+        processor.addConnection();
         advanceMillis(1600);
         assertThat(recorded())
                 .isEqualTo(
@@ -772,22 +773,22 @@
     @Test
     void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
         createProcessor(16, 8192);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         gainTrust();
         arrive("pure", null, "a");
         for (int i = 0; i < 16; i++) {
             advanceMillis(10);
-            ConnectionId next = processor.connected();
+            ConnectionId next = processor.addConnection();
             record("connections: " + processor.connectionCount());
-            handle(() -> processor.checked(next, 1, false));
+            handle(() -> processor.onHealthCheck(next, 1, false));
         }
         for (int i = 0; i < 4; i++) {
             advanceMillis(i == 0 ? 600 : 0);
-            processor.connected();
+            processor.addConnection();
             record("connections: " + processor.connectionCount());
         }
         advanceMillis(600);
-        processor.connected();
+        processor.addConnection();
         assertThat(
                         recorded()
                                 .replaceAll("(?m)^.*HEALTHY\n", "")
@@ -818,19 +819,19 @@
     void anUpstreamMayBeSlowToWriteForTheLongestTimeoutAndOthersMayNot() {
         start();
         processor.closeIdleConnections(NanoDuration.ofSeconds(100));
-        ConnectionId other = processor.connected();
-        handle(() -> processor.checked(other, 1, false));
-        processor.leftOff(other);
-        processor.leftOff(currentConnection);
+        ConnectionId other = processor.addConnection();
+        handle(() -> processor.onHealthCheck(other, 1, false));
+        processor.onMessageIncomplete(other);
+        processor.onMessageIncomplete(currentConnection);
         advanceMillis(1500);
-        processor.leftOff(currentConnection);
-        handle(() -> processor.checked(currentConnection, 2, false));
+        processor.onMessageIncomplete(currentConnection);
+        handle(() -> processor.onHealthCheck(currentConnection, 2, false));
         advanceMillis(1500);
-        processor.leftOff(currentConnection);
+        processor.onMessageIncomplete(currentConnection);
         advanceMillis(4999);
-        processor.leftOff(currentConnection);
+        processor.onMessageIncomplete(currentConnection);
         advanceMillis(1);
-        processor.leftOff(currentConnection);
+        processor.onMessageIncomplete(currentConnection);
         assertThat(recorded())
                 .isEqualTo(
                         """
@@ -874,8 +875,8 @@
     void whatTheExecutorWillNotCarryOutIsFailed() {
         start();
         long request = arrive("pure", null, "a");
-        handle(() -> processor.notCarriedOut("EXEC", id(request)));
-        handle(() -> processor.notCarriedOut("RETURN", id(request)));
+        handle(() -> processor.onCommandRefused("EXEC", id(request)));
+        handle(() -> processor.onCommandRefused("RETURN", id(request)));
         assertThat(recorded())
                 .isEqualTo(
                         """
@@ -890,7 +891,7 @@
     void requestsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
         createProcessor(8192);
         arrive("pure", null, "early");
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         gainTrust();
         arrive("no such class", null, "a");
         handle(() -> processor.arrived(currentConnection, ++tag, null));
@@ -967,7 +968,7 @@
     void whereTheSettingsNameNoTenantsRequestsNeedNone() {
         settingsSource.set("customers.count=0");
         createProcessor(8192);
-        processor.welcomed(false, NanoDuration.ZERO);
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         for (String tenant : List.of("", "anyone")) {
             handle(
                     () ->
@@ -998,8 +999,8 @@
                         timers,
                         new RequestProcessor.TableLimits(4, 40, 64, 8192),
                         now);
-        currentConnection = processor.connected();
-        processor.welcomed(false, NanoDuration.ZERO);
+        currentConnection = processor.addConnection();
+        processor.onExecutorConnected(false, NanoDuration.ZERO);
         trace.setLength(0);
         NanoDuration clientTimeout = NanoDuration.ofSeconds(1.5);
         handle(
@@ -1047,11 +1048,13 @@
     void aTimeThatIsNoneCostsItsRequestAloneAndManyOfThemTheConnection() {
         start();
         long other = arrive("pure", null, "a");
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         long before = tag;
         for (int i = 0; i < 16; i++) {
-            NanoDuration clientTimeout = i % 2 == 0 ? IncomingRequest.NO_TIME : NanoDuration.ZERO;
-            NanoDuration costHint = i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.NO_TIME;
+            NanoDuration clientTimeout =
+                    i % 2 == 0 ? IncomingRequest.INVALID_DURATION : NanoDuration.ZERO;
+            NanoDuration costHint =
+                    i % 2 == 0 ? NanoDuration.ZERO : IncomingRequest.INVALID_DURATION;
             assertThat(recorded()).doesNotContain("close");
             handle(
                     () ->
@@ -1076,7 +1079,7 @@
         completeRun(aborted, Completion.STOPPED, "");
         long late = arrive("pure", null, "b");
         advanceMillis(5000);
-        handle(() -> processor.notCarriedOut("KILL", id(late)));
+        handle(() -> processor.onCommandRefused("KILL", id(late)));
         completeRun(late, Completion.WELL, "unused");
         long third = arrive("pure", null, "c");
         handle(() -> processor.aborted(currentConnection, third));
@@ -1092,7 +1095,7 @@
                 5000 log executor refused command=KILL attempt=0000000000000002
                 5000 run 3 c
                 """);
-        assertThat(processor.figures()).contains(" requests=0 ");
+        assertThat(processor.stateLogLine()).contains(" requests=0 ");
     }
 
     @Test
@@ -1103,13 +1106,13 @@
         needCall(request);
         handle(() -> processor.callEnded(id(request), Completion.TIMED_OUT_DOWNSTREAM, null));
         isExecutorConnected = false;
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         completeRun(request, Completion.WELL, "poorer");
         isExecutorConnected = true;
         long secondRequest = arrive("pure", null, "b");
         needCall(secondRequest);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
-        handle(() -> processor.notCarriedOut("BYPASS", id(secondRequest)));
+        handle(() -> processor.onCommandRefused("BYPASS", id(secondRequest)));
         advanceMillis(300);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
         advanceMillis(300); // until the call no longer counts as occupying the dependency
@@ -1149,14 +1152,14 @@
         long secondRequest = arrive("side_effect", null, "b");
         needCall(secondRequest);
         handle(() -> processor.callEnded(id(secondRequest), Completion.TIMED_OUT_DOWNSTREAM, null));
-        handle(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        handle(() -> processor.onCommandRefused("-", new AttemptId("-")));
         handle(
                 () ->
                         processor.callEnded(
                                 id(request),
                                 Completion.WELL,
                                 "r".getBytes(StandardCharsets.UTF_8)));
-        handle(() -> processor.notCarriedOut("-", new AttemptId("-")));
+        handle(() -> processor.onCommandRefused("-", new AttemptId("-")));
         completeRun(request, Completion.WELL, "whole");
         assertThat(recorded())
                 .isEqualTo(
@@ -1248,7 +1251,7 @@
         arrive("pure", null, "a");
         arrive("token", "k", "b");
         arrive("pure", null, "c");
-        handle(processor::executorStartedAnew);
+        handle(processor::onExecutorRestarted);
         arrive("token", "k", "b");
         arrive("pure", null, "d");
         assertThat(recorded())
@@ -1272,8 +1275,8 @@
         handle(() -> processor.halfClosed(currentConnection));
         advanceMillis(4000);
         completeRun(request, Completion.WELL, "result");
-        ConnectionId idle = processor.connected();
-        handle(() -> processor.checked(idle, 5, false));
+        ConnectionId idle = processor.addConnection();
+        handle(() -> processor.onHealthCheck(idle, 5, false));
         advanceMillis(9000);
         assertThat(recorded())
                 .isEqualTo(
@@ -1294,10 +1297,10 @@
         start();
         readsResponses = false;
         arrive("no such class", null, "");
-        currentConnection = processor.connected();
+        currentConnection = processor.addConnection();
         arrive("no such class", null, "");
         advanceMillis(1000);
-        processor.written(currentConnection);
+        processor.onFlushed(currentConnection);
         advanceMillis(60_000);
         assertThat(recorded())
                 .isEqualTo(
@@ -1318,15 +1321,15 @@
     void leavingAsksForNoMoreRunsNothingNewAndAnswersAll() {
         start();
         arrive("pure", null, "a");
-        handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
+        handle(() -> processor.drain(NanoDuration.ofSeconds(3)));
         advanceMillis(700);
         arrive("pure", null, "b");
         assertThat(processor.sinceLastRequest()).isEqualTo(NanoDuration.ZERO);
         assertThat(processor.isAnswered()).isFalse();
         advanceMillis(2200);
         assertThat(processor.isAnswered()).isTrue();
-        handle(() -> processor.checked(currentConnection, 9, true));
-        processor.closeConnections();
+        handle(() -> processor.onHealthCheck(currentConnection, 9, true));
+        processor.requestCloseOfConnections();
         assertThat(recorded())
                 .isEqualTo(
                         """
@@ -1343,8 +1346,10 @@
         start();
         arrive("pure", null, "a");
         repliesWithResourceUsage = false;
-        handle(() -> processor.leave(NanoDuration.ofSeconds(1)));
-        timers.schedule(now.plus(NanoDuration.ofSeconds(0.96)), () -> processor.closeConnections());
+        handle(() -> processor.drain(NanoDuration.ofSeconds(1)));
+        timers.schedule(
+                now.plus(NanoDuration.ofSeconds(0.96)),
+                () -> processor.requestCloseOfConnections());
         // The process stalls until both timers are overdue.
         now = now.plus(NanoDuration.ofSeconds(1));
         handle(
@@ -1364,8 +1369,8 @@
     @Test
     void aNodeThatLeavesBeforeItsExecutorIsUpBeginsNothing() {
         createProcessor(8192);
-        handle(() -> processor.leave(NanoDuration.ofSeconds(3)));
-        handle(() -> processor.welcomed(false, NanoDuration.ZERO));
+        handle(() -> processor.drain(NanoDuration.ofSeconds(3)));
+        handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
         arrive("pure", null, "a");
         assertThat(recorded())
                 .isEqualTo(
