--- a/src/test/java/lupinwood/admission/AdmissionControllerTest.java
+++ b/src/test/java/lupinwood/admission/AdmissionControllerTest.java
@@ -10,7 +10,7 @@
     private RecordingServer server = new RecordingServer();
 
     @Test
-    void everyRequestIsAnsweredBeforeItsTimeout() {
+    void answersEveryRequestBeforeItsTimeout() {
         server.set("domain.calls_out=1").start();
         server.admit(RecordingServer.UNSAFE);
         long calling = server.admit(RecordingServer.UNSAFE);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void nothingThatComesOverTheGraceIsRunAndAllIsAnsweredBeforeTheStop() {
+    void drainRejectsLateArrivalsAndAnswersAllBeforeStop() {
         server.start();
         server.admit(RecordingServer.LOCAL);
         server.policy.drain(NanoDuration.ofSeconds(3));
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void memoryThatIsNearlyFullBouncesAndHoldsBackRuns() {
+    void nearlyFullMemoryRejectsRequestsAndDelaysRuns() {
         server.set("domain.memory_kb=100").start();
         server.admit(RecordingServer.LOCAL, 0, 20, 0);
         server.admit(RecordingServer.LOCAL, 0, 4, 0);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aColdMachineRunsFewerButStillTriesOnAFreeCore() {
+    void coldNodeRunsFewerRequestsButUsesAFreeCore() {
         for (String cold :
                 new String[] {"0.2 rules.fall_multiple=1.1", "0.01 rules.fall_multiple=9"}) {
             RecordingServer coldServer =
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void atTheLimitArrivalsAreRejectedAtOnceAndOthersAreNot() {
+    void inFlightLimitRejectsOnlyClassesThatCall() {
         withLongObjective().set("domain.cpus=8").start();
         for (int i = 0; i < 20; i++) {
             server.admit(RecordingServer.SAFE, 0, 1, 0);
@@ -267,7 +267,7 @@
     }
 
     @Test
-    void aTimedOutCallFailsItsRequestAndLingersInHand() {
+    void timedOutCallFailsRequestAndStaysInFlightForLingerTime() {
         server.set("domain.calls_out=1").start();
         long first = server.admit(RecordingServer.UNSAFE);
         long second = server.admit(RecordingServer.UNSAFE);
@@ -289,7 +289,7 @@
     }
 
     @Test
-    void aShareOfCallsBelowOneIsKeptByPauses() {
+    void quotaBelowOneCallIsKeptByPauses() {
         server.set("domain.calls_out=0.25").start();
         long first = server.admit(RecordingServer.SAFE);
         long second = server.admit(RecordingServer.SAFE);
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void callsThatTurnSlowAreMadeLessOftenThanOneAtATime() {
+    void callsArePausedWhileLessThanOneIsAllowed() {
         withLongObjective().set("domain.calls_out=1").start();
         server.learnBaseline(100);
         server.call(server.admit(RecordingServer.SAFE), 2000, Outcome.OK);
@@ -355,7 +355,7 @@
     }
 
     @Test
-    void anUnsafeCallIsRepeatedOnlyWhenItProvablyNeverRan() {
+    void unsafeCallIsRetriedOnlyIfProvenNeverRun() {
         server.start();
         long requestId = server.admit(RecordingServer.UNSAFE);
         server.call(requestId, 10, Outcome.UNREACHABLE);
@@ -374,7 +374,7 @@
     }
 
     @Test
-    void oneTenantsBurstGivesWayToTheOthers() {
+    void burstingTenantIsRejectedRatherThanOthers() {
         server.set("customers.count=2 customers.0.quota_rps=1 customers.1.quota_rps=10")
                 .set("over_share_worth=0.05")
                 .start();
@@ -418,7 +418,7 @@
     }
 
     @Test
-    void whereRequestsWaitLongOnlyAMachineThatIsNotSlowAsksForNoOther() {
+    void slowNodeDoesNotDiscourageOtherNodes() {
         withLongObjective()
                 .set("rules.cold_share=0.5 rules.ramp_time_ns=100000000000 rules.fall_multiple=20");
         for (String cold : new String[] {"false", "true"}) {
@@ -437,7 +437,7 @@
     }
 
     @Test
-    void aWakeUpThatComesATrifleEarlyIsAskedForAgain() {
+    void earlyWakeUpIsRequestedAgain() {
         TimerQueue timers = new TimerQueue(server);
         timers.scheduleAfter(new NanoDuration(1_000), () -> server.log("timer fired"));
         timers.requestWakeUp();
@@ -447,7 +447,7 @@
     }
 
     @Test
-    void aRequestWhoseCallerIsAllButGoneAsksForNoWakeUpInThePast() {
+    void expiringRequestRequestsNoWakeUpInThePast() {
         server.start();
         server.clientTimeout = NanoDuration.ofSeconds(0.001);
         server.admit(RecordingServer.LOCAL);
@@ -460,7 +460,7 @@
     }
 
     @Test
-    void manyOpenConnectionsAreClosedSoonerWhenIdle() {
+    void manyOpenConnectionsShortenTheIdleTimeout() {
         server.set("domain.keepalive_max_ns=10000000000").start();
         server.resourceUsage = new ResourceUsage(0, 0, 0, 500);
         server.advanceMillis(300);
@@ -474,7 +474,7 @@
     }
 
     @Test
-    void aSmallAllowanceAmongManyCallersIsNotRoundedToNothing() {
+    void smallAllowancePerUpstreamIsNotRoundedToZero() {
         server.set("domain.advert=allowance domain.upstreams=100").start();
         for (int i = 0; i < 6; i++) {
             server.complete(server.admit(RecordingServer.LOCAL));
--- a/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
+++ b/src/test/java/lupinwood/admission/SimulatorAdapterTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aNodeThatThrowsIsReportedAndTheOthersGoOn() throws IOException {
+    void exceptionOfOneNodeIsReportedAndOthersContinue() throws IOException {
         String badRequestClass = "11 0000000b 0004 00000008 09 00000000";
         String replies = play(start(3) + start(4), badRequestClass + String.format(REQUEST, 3, 7));
         assertThat(replies.split("\n", 0)[1])
--- a/src/test/java/lupinwood/processing/RandomSettingsTest.java
+++ b/src/test/java/lupinwood/processing/RandomSettingsTest.java
@@ -415,7 +415,7 @@
     }
 
     @Test
-    void eachRequestGetsOneAnswerInItsTimeAndNoneIsLostToWhatTheSettingsLeaveOut() {
+    void eachRequestGetsOneResponseInTimeWhicheverSettingsAreMissing() {
         for (int seed = 1; seed <= 400; seed++) {
             new RandomSettingsTest().runSeed(seed);
         }
--- a/src/test/java/lupinwood/processing/RequestProcessorTest.java
+++ b/src/test/java/lupinwood/processing/RequestProcessorTest.java
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void aRequestRunsCallsAndGetsItsResultUnchanged() {
+    void requestRunsWithCallAndReturnsResultUnchanged() {
         start();
         long request = arrive("pure", null, "a");
         needCall(request);
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void anAbortBeforeDuringAndAfterTheAnswerLeavesNothingBehind() {
+    void abortedRequestsLeaveNoState() {
         start();
         long running = arrive("pure", null, "a");
         long called = arrive("pure", null, "b");
@@ -348,7 +348,7 @@
     }
 
     @Test
-    void repeatsOfAnIdempotentRequestShareItsOneRunWhileItLastsAndAfterIt() {
+    void repeatsWithinWindowShareTheOriginalRun() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
@@ -376,7 +376,7 @@
     }
 
     @Test
-    void repeatsFailWithAnOriginalThatFailedAndOneThatNeverRanIsForgotten() {
+    void repeatsFailWithOriginalAndKeyThatNeverRanIsForgotten() {
         start();
         long first = arrive("token", "k", "a");
         arrive("token", "k", "a");
@@ -403,7 +403,7 @@
     }
 
     @Test
-    void anIdempotencyRecordKeepsItsWindowWhenThatShrinksAndOutlivesATimeoutThatGrew() {
+    void idempotencyRecordKeepsOldWindowAndOutlivesLongerTimeout() {
         settingsSource.set(
                 "services.1.window_ns=8000000000 services.1.give_up_ns=5000000000"
                         + " domain.keepalive_max_ns=60000000000");
@@ -453,7 +453,7 @@
     }
 
     @Test
-    void requestsInHandAreAnsweredByTheTimeTheyCameUnderAndALeavingNodeTakesNothingOver() {
+    void reloadedTimeoutAppliesToNewRequestsAndNeverWhileDraining() {
         start();
         arrive("pure", null, "a");
         Map<String, String> next = new HashMap<>(settingsSource.settings);
@@ -472,7 +472,7 @@
     }
 
     @Test
-    void resultsBeyondTheirBoundAreDroppedButTheirIdempotencyRecordsStay() {
+    void evictedResultsKeepTheirIdempotencyRecords() {
         createProcessor(10);
         processor.onExecutorConnected(false, NanoDuration.ZERO);
         trace.setLength(0);
@@ -493,7 +493,7 @@
     }
 
     @Test
-    void aTryReadAfterItsOwnWindowIsRememberedForTheTriesInItThatAreReadLater() {
+    void attemptReadAfterItsWindowIsRememberedForLaterRepeats() {
         settingsSource.set("services.1.window_ns=800000000");
         start();
         MonotonicTime stamped = now;
@@ -529,7 +529,7 @@
     }
 
     @Test
-    void repeatsThatWaitForATryAreServedByItAlsoWhenItsWindowEndedAndAnotherRuns() {
+    void waitingRepeatsGetOriginalResultAfterItsWindowEnds() {
         settingsSource.set("services.1.window_ns=800000000");
         start();
         long first = arrive("token", "k", "a");
@@ -553,7 +553,7 @@
     }
 
     @Test
-    void whatIsDroppedForRoomIsTheOldestResultAndNeverThatOfWhatRuns() {
+    void evictionDropsOldestResultsAndSparesRunningRequests() {
         createProcessor(20);
         processor.onExecutorConnected(false, NanoDuration.ZERO);
         long running = arrive("token", "a", "body");
@@ -580,7 +580,7 @@
     }
 
     @Test
-    void aMarkThatThereIsNoRoomToRememberIsRejectedAndRepeatsOfOthersAreServed() {
+    void newKeyIsRejectedAndRepeatsServedWhileStoreIsFull() {
         start();
         for (int i = 0; i < 64; i++) {
             completeRun(arrive("token", "m" + i, ""), Completion.WELL, "r");
@@ -609,7 +609,7 @@
      * has left.
      */
     @Test
-    void aReplacedLinkRunsAgainOnlyWhatCannotRunTwice() {
+    void newConnectionResendsOnlyCommandsThatCannotRunTwice() {
         start();
         arrive("pure", null, "a");
         long idempotent = arrive("token", "k", "b");
@@ -634,7 +634,7 @@
     }
 
     @Test
-    void aCommandInDoubtIsGivenAgainOnlyOnceTheResourceUsageShowsThatItWasNotRead() {
+    void commandInDoubtIsResentOnlyOnceResourceUsageProvesItUnread() {
         start();
         wantingCore = 1;
         long idempotent = arrive("token", "k", "a");
@@ -673,7 +673,7 @@
     }
 
     @Test
-    void whoHasNoStandingIsClosedForOneUnsoundRequestAndForManyThatAreTurnedAway() {
+    void untrustedConnectionClosesForOneInvalidOrManyUnservedRequests() {
         start();
         currentConnection = processor.addConnection();
         arrive("no such class", null, "a");
@@ -711,7 +711,7 @@
     }
 
     @Test
-    void aMarkWhoseRequestTheExecutorWouldNotRunIsFreeAgain() {
+    void keyOfRefusedRunCanBeUsedAgain() {
         start();
         long refused = arrive("token", "k", "a");
         handle(() -> processor.onCommandRefused("EXEC", id(refused)));
@@ -727,7 +727,7 @@
     }
 
     @Test
-    void theSilentAndThoseIdleForLongestMakeRoomAndTheSilentSoonGo() {
+    void silentAndLongestIdleConnectionsAreEvictedAndSilentOnesClosed() {
         start();
         ConnectionId checked = processor.addConnection();
         advanceMillis(100);
@@ -771,7 +771,7 @@
      * before other idle ones.
      */
     @Test
-    void beforeTheTableIsFullThoseThatRestAreRequestedToCloseAndWhoHasAnOpenRequestNever() {
+    void onlyIdleConnectionsAreAskedToCloseNearCapacity() {
         createProcessor(16, 8192);
         processor.onExecutorConnected(false, NanoDuration.ZERO);
         gainTrust();
@@ -816,7 +816,7 @@
     }
 
     @Test
-    void anUpstreamMayBeSlowToWriteForTheLongestTimeoutAndOthersMayNot() {
+    void onlyTrustedConnectionMayFinishMessageUntilLongestTimeout() {
         start();
         processor.closeIdleConnections(NanoDuration.ofSeconds(100));
         ConnectionId other = processor.addConnection();
@@ -844,7 +844,7 @@
     }
 
     @Test
-    void callsThatEndBadlyAreRepeatedOnlyAfterProofThatNoneRan() {
+    void failedCallsAreRetriedOnlyIfProvedNotToHaveRun() {
         start();
         long refused = arrive("side_effect", null, "a");
         needCall(refused);
@@ -872,7 +872,7 @@
     }
 
     @Test
-    void whatTheExecutorWillNotCarryOutIsFailed() {
+    void requestFailsIfExecutorRefusesItsRun() {
         start();
         long request = arrive("pure", null, "a");
         handle(() -> processor.onCommandRefused("EXEC", id(request)));
@@ -888,7 +888,7 @@
     }
 
     @Test
-    void requestsThatCannotBeTakenAreAnsweredAtOnceAndARepeatedTagIsNot() {
+    void invalidRequestsAreAnsweredAtOnceButReusedTagsAreNot() {
         createProcessor(8192);
         arrive("pure", null, "early");
         processor.onExecutorConnected(false, NanoDuration.ZERO);
@@ -965,7 +965,7 @@
     }
 
     @Test
-    void whereTheSettingsNameNoTenantsRequestsNeedNone() {
+    void requestsNeedNoTenantIfSettingsNameNone() {
         settingsSource.set("customers.count=0");
         createProcessor(8192);
         processor.onExecutorConnected(false, NanoDuration.ZERO);
@@ -983,7 +983,7 @@
     }
 
     @Test
-    void theCallersOwnTimeBoundsTheAnswerAndAHintOrAMarkReachesTheDecisions() {
+    void clientTimeoutBoundsResponseAndHintsReachPolicy() {
         start();
         List<Request> reported = new ArrayList<>();
         processor =
@@ -1045,7 +1045,7 @@
     }
 
     @Test
-    void aTimeThatIsNoneCostsItsRequestAloneAndManyOfThemTheConnection() {
+    void invalidDurationFailsItsRequestAndManyCloseTheConnection() {
         start();
         long other = arrive("pure", null, "a");
         currentConnection = processor.addConnection();
@@ -1071,7 +1071,7 @@
     }
 
     @Test
-    void aRunIsStoppedWhereTheSettingsSaySoUntilTheExecutorWillNot() {
+    void runsAreStoppedAsConfiguredUntilExecutorRefuses() {
         settingsSource.set("domain.stop_mode=freeze");
         start();
         long aborted = arrive("pure", null, "a");
@@ -1099,7 +1099,7 @@
     }
 
     @Test
-    void aCallMayBeLeftOutWhereThatIsPaidForUntilTheExecutorWillNot() {
+    void callsAreSkippedAsConfiguredUntilExecutorRefuses() {
         settingsSource.set("domain.class_skip_worth=0.5,0.5,0.5,0");
         start();
         long request = arrive("pure", null, "a");
@@ -1143,7 +1143,7 @@
      * command nor the attempt. Then the call must be made, or the run would wait forever.
      */
     @Test
-    void aCallThatCannotBeLeftOutIsMadeThoughTheRefusalNamesNeitherCommandNorRequest() {
+    void callIsMadeAfterRefusalToSkipThatNamesNoCommand() {
         settingsSource.set("domain.class_skip_worth=0.5,0.5,0.5,0 domain.calls_out=8");
         start();
         long request = arrive("pure", null, "a");
@@ -1180,7 +1180,7 @@
     }
 
     @Test
-    void ofMoreThan32OpenOnOneConnectionTheRestIsRejected() {
+    void requestsBeyond32OpenOnOneConnectionAreRejected() {
         settingsSource.set("domain.cpus=40");
         start();
         for (int open = 1; open <= 33; open++) {
@@ -1200,7 +1200,7 @@
     }
 
     @Test
-    void allIsAnsweredBeforeTheTimeoutReckonedFromWhenItCame() {
+    void timeoutCountsFromArrivalTime() {
         start();
         IncomingRequest late =
                 new IncomingRequest(
@@ -1228,7 +1228,7 @@
     }
 
     @Test
-    void afterAPauseOfTheProcessAllThatIsDueIsAnsweredAtOnce() {
+    void overdueRequestsFailAtOnceAfterProcessPause() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
@@ -1246,7 +1246,7 @@
     }
 
     @Test
-    void runsOfAnExecutorThatStartedAnewAreFailedAndTheirCoresAreFree() {
+    void executorRestartFailsItsRunsAndFreesTheirCores() {
         start();
         arrive("pure", null, "a");
         arrive("token", "k", "b");
@@ -1269,7 +1269,7 @@
     }
 
     @Test
-    void idleAndHalfClosedConnectionsGoOnceNothingIsOpenOnThem() {
+    void idleAndHalfClosedConnectionsCloseOnceNoRequestIsOpen() {
         start();
         long request = arrive("pure", null, "a");
         handle(() -> processor.halfClosed(currentConnection));
@@ -1293,7 +1293,7 @@
     }
 
     @Test
-    void whoReadsItsLastAnswersSlowlyHasAsLongForItAsAnyoneWaits() {
+    void slowReaderMayReadLastResponsesForLongestTimeout() {
         start();
         readsResponses = false;
         arrive("no such class", null, "");
@@ -1318,7 +1318,7 @@
     }
 
     @Test
-    void leavingAsksForNoMoreRunsNothingNewAndAnswersAll() {
+    void drainingNodeRejectsNewRequestsAndAnswersOpenOnes() {
         start();
         arrive("pure", null, "a");
         handle(() -> processor.drain(NanoDuration.ofSeconds(3)));
@@ -1342,7 +1342,7 @@
     }
 
     @Test
-    void theLastAnswersOfANodeThatLeavesWaitForNoResourceUsageAndGoOutBeforeWhatIsDueAfterThem() {
+    void lastResponsesWhileDrainingPrecedeLaterTimersAfterStall() {
         start();
         arrive("pure", null, "a");
         repliesWithResourceUsage = false;
@@ -1367,7 +1367,7 @@
     }
 
     @Test
-    void aNodeThatLeavesBeforeItsExecutorIsUpBeginsNothing() {
+    void nodeDrainingBeforeExecutorConnectsStartsNoPolicy() {
         createProcessor(8192);
         handle(() -> processor.drain(NanoDuration.ofSeconds(3)));
         handle(() -> processor.onExecutorConnected(false, NanoDuration.ZERO));
@@ -1381,7 +1381,7 @@
     }
 
     @Test
-    void lateNewsNeverHitsASlotThatIsUsedAgain() {
+    void staleIdNeverMatchesReusedSlot() {
         SlotTable<String> slots = new SlotTable<>(2);
         long first = slots.put("a");
         slots.put("b");
@@ -1395,7 +1395,7 @@
     }
 
     @Test
-    void deadlinesRingInOrderAndWhatTheyAddWaits() {
+    void timersFireInOrderAndThoseTheyAddWait() {
         timers.schedule(new MonotonicTime(2), () -> record("second"));
         timers.schedule(
                 new MonotonicTime(1),
@@ -1413,7 +1413,7 @@
     }
 
     @Test
-    void onlyWhatWasNeverSentOrObservedProvesThatNothingRan() {
+    void onlyUnsentOrUnstartedWorkProvesNothingRan() {
         assertThat(
                         Arrays.stream(Completion.values())
                                 .filter(completion -> completion.outcome().provesNeverRan()))
