--- a/src/main/java/lupinwood/balancing/ServerPool.java
+++ b/src/main/java/lupinwood/balancing/ServerPool.java
@@ -336,7 +336,7 @@
      */
     public void onAttemptEnded(
             int server,
-            AttemptCompletion end,
+            AttemptCompletion completion,
             NanoDuration took,
             boolean wasSlow,
             MonotonicTime now) {
@@ -345,13 +345,13 @@
         boolean wasLightlyLoaded =
                 state.inFlight * 2 < Math.max(INITIAL_LIMIT_ATTEMPTS, state.adaptiveLimit);
         state.inFlight--;
-        if (end == AttemptCompletion.UNKNOWN) {
+        if (completion == AttemptCompletion.UNKNOWN) {
             return;
         }
         if (state.isOnProbation) {
-            healthChecker.onProbeResult(state.name, end == AttemptCompletion.WELL);
+            healthChecker.onProbeResult(state.name, completion == AttemptCompletion.WELL);
         }
-        if (end == AttemptCompletion.FAILED) {
+        if (completion == AttemptCompletion.FAILED) {
             state.recordLatency(
                     Math.max(took.seconds(), SLOW_BASELINE_MULTIPLE * baselineSeconds()), now);
             if (!wasSlow) {
--- a/src/main/java/lupinwood/cli/FleetActions.java
+++ b/src/main/java/lupinwood/cli/FleetActions.java
@@ -55,7 +55,7 @@
             String order,
             boolean waits,
             String program,
-            boolean backsOnHalt,
+            boolean rollsBackAutomatically,
             String explain) {}
 
     FleetActions(String operator, boolean json, double within, boolean history) {
@@ -131,10 +131,10 @@
         boolean release = words.get(0).equals("release");
         boolean rests = words.get(0).endsWith("rest");
         NodeName node = words.size() > 1 && !release && !rests ? new NodeName(words.get(1)) : null;
-        RaftReplica.RolloutRequest wish = null;
+        RaftReplica.RolloutRequest rolloutRequest = null;
         if (release) {
             try {
-                wish = wish(words, invocation);
+                rolloutRequest = readRolloutRequest(words, invocation);
             } catch (IOException | NodeConfig.UnusableConfiguration e) {
                 System.err.println(
                         "lupinwood: can't be released: "
@@ -150,7 +150,7 @@
                         words.get(0),
                         node,
                         invocation.by(),
-                        wish,
+                        rolloutRequest,
                         rests ? words.get(1) : null);
         while (true) {
             RaftReplica.OrderResult answer =
@@ -180,18 +180,22 @@
         }
     }
 
-    private static RaftReplica.RolloutRequest wish(List<String> words, Invocation invocation)
+    private static RaftReplica.RolloutRequest readRolloutRequest(
+            List<String> words, Invocation invocation)
             throws IOException, NodeConfig.UnusableConfiguration {
         if (invocation.program() != null) {
             return new RaftReplica.RolloutRequest(
-                    Rollout.Kind.PROGRAM, invocation.program(), "", invocation.backsOnHalt());
+                    Rollout.Kind.PROGRAM,
+                    invocation.program(),
+                    "",
+                    invocation.rollsBackAutomatically());
         }
         String text = Files.readString(Path.of(words.get(1)));
         return new RaftReplica.RolloutRequest(
                 Rollout.Kind.CONFIGURATION,
                 SharedConfig.read(text).digest(),
                 text,
-                invocation.backsOnHalt());
+                invocation.rollsBackAutomatically());
     }
 
     /** How much goes where by the newest plan, and why; of one zone only, where one is named. */
--- a/src/main/java/lupinwood/cli/FleetCommand.java
+++ b/src/main/java/lupinwood/cli/FleetCommand.java
@@ -51,7 +51,7 @@
     @Parameter(
             names = "--back-on-halt",
             description = "With release: go back by itself when the watch fails")
-    private boolean backsOnHalt;
+    private boolean rollsBackAutomatically;
 
     @Parameter(
             names = "--wait",
@@ -71,6 +71,6 @@
                 .run(
                         words,
                         new FleetActions.Invocation(
-                                by, order, waits, program, backsOnHalt, explain));
+                                by, order, waits, program, rollsBackAutomatically, explain));
     }
 }
--- a/src/main/java/lupinwood/cluster/CapacityLease.java
+++ b/src/main/java/lupinwood/cluster/CapacityLease.java
@@ -27,17 +27,18 @@
     /**
      * Applies what the leader grants under a plan.
      *
-     * @param plan the number of the plan; zero for none
+     * @param newPlanNumber the number of the plan; zero for none
      * @param newSlots the node's concurrent requests for each location
      * @param newExpiresAt when the lease given by the reply that carries the plan ends on this
      *     node's clock
      */
-    public void update(long plan, Map<String, Integer> newSlots, MonotonicTime newExpiresAt) {
-        if (plan < planNumber || plan == 0) {
+    public void update(
+            long newPlanNumber, Map<String, Integer> newSlots, MonotonicTime newExpiresAt) {
+        if (newPlanNumber < planNumber || newPlanNumber == 0) {
             return;
         }
-        if (plan > planNumber) {
-            planNumber = plan;
+        if (newPlanNumber > planNumber) {
+            planNumber = newPlanNumber;
             slots = Map.copyOf(newSlots);
             expiresAt = newExpiresAt;
         } else if (expiresAt.isBefore(newExpiresAt)) {
--- a/src/main/java/lupinwood/cluster/LeaseTiming.java
+++ b/src/main/java/lupinwood/cluster/LeaseTiming.java
@@ -42,16 +42,16 @@
         }
     }
 
-    /** Derives all other durations from the lease. */
-    public static LeaseTiming of(NanoDuration lease, double driftRatio) {
+    /** Derives all other durations from the lease duration. */
+    public static LeaseTiming of(NanoDuration leaseDuration, double driftRatio) {
         return new LeaseTiming(
-                lease,
+                leaseDuration,
                 driftRatio,
-                lease.times(1.0 / 3),
-                lease.times(1.0 / 6),
-                lease.times(1.2),
-                lease.times(2),
-                lease.times(40),
+                leaseDuration.times(1.0 / 3),
+                leaseDuration.times(1.0 / 6),
+                leaseDuration.times(1.2),
+                leaseDuration.times(2),
+                leaseDuration.times(40),
                 4096);
     }
 
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -54,12 +54,12 @@
 
     /** The settings of the file; null if it names no voters. */
     public static ClusterSettings of(ParsedSettings parsedSettings) {
-        List<String> names = parsedSettings.items(Schema.VOTER);
-        if (names.isEmpty()) {
+        List<String> voterNames = parsedSettings.items(Schema.VOTER);
+        if (voterNames.isEmpty()) {
             return null;
         }
         Map<NodeName, InetSocketAddress> voters = new LinkedHashMap<>();
-        names.forEach(
+        voterNames.forEach(
                 name ->
                         voters.put(
                                 new NodeName(name),
@@ -68,7 +68,7 @@
                 parsedSettings
                         .values()
                         .getOrDefault("name", ""); // an operator's own file has no name
-        boolean votes = names.contains(name);
+        boolean isVoter = voterNames.contains(name);
         String listen = parsedSettings.value("fleet listen");
         NanoDuration lease =
                 new NanoDuration(
@@ -83,8 +83,8 @@
                         parsedSettings.values().getOrDefault("fleet region", "region"),
                         parsedSettings.values().getOrDefault("fleet zone", "zone")),
                 voters,
-                !votes ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
-                votes ? Path.of(parsedSettings.values().getOrDefault("fleet folder", "")) : null,
+                !isVoter ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
+                isVoter ? Path.of(parsedSettings.values().getOrDefault("fleet folder", "")) : null,
                 parsedSettings.value("fleet report") == null
                         ? null
                         : address(parsedSettings.value("fleet report")),
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -564,14 +564,17 @@
         long nowMillis = millis();
         List<NodeName> unavailable =
                 leaseManager.unavailableNodes(clusterState, context.loop().now());
-        RolloutRequest wish = order.rolloutRequest();
+        RolloutRequest rolloutRequest = order.rolloutRequest();
         String refusal =
                 switch (order.kind()) {
                     case "leave" ->
                             clusterState.reasonAgainstPermit(
                                     order.node(), disruptionLimits, unavailable);
                     case "release" ->
-                            clusterState.reasonAgainstRollout(wish.kind(), wish.to(), wish.text());
+                            clusterState.reasonAgainstRollout(
+                                    rolloutRequest.kind(),
+                                    rolloutRequest.to(),
+                                    rolloutRequest.text());
                     case "back" ->
                             clusterState.rollout() == null
                                     ? "no rollout is in progress"
@@ -613,10 +616,10 @@
                             new ClusterCommand.BeginRollout(
                                     order.id(),
                                     order.by(),
-                                    wish.kind(),
-                                    wish.to(),
-                                    wish.text(),
-                                    wish.rollsBackAutomatically(),
+                                    rolloutRequest.kind(),
+                                    rolloutRequest.to(),
+                                    rolloutRequest.text(),
+                                    rolloutRequest.rollsBackAutomatically(),
                                     nowMillis);
                     case "back" ->
                             new ClusterCommand.RollBack(
--- a/src/main/java/lupinwood/consensus/SharedConfigFollower.java
+++ b/src/main/java/lupinwood/consensus/SharedConfigFollower.java
@@ -42,36 +42,38 @@
     /**
      * Starts the next operation towards what the consensus group last wanted. Called repeatedly.
      */
-    void follow(HeartbeatReply.DesiredState wanted) {
-        if (wanted == null || busy) {
+    void follow(HeartbeatReply.DesiredState desiredState) {
+        if (desiredState == null || busy) {
             return;
         }
         boolean mustApply =
-                !wanted.configDigest().equals(runningDigest)
-                        && !wanted.configDigest().equals(rejectedDigest);
+                !desiredState.configDigest().equals(runningDigest)
+                        && !desiredState.configDigest().equals(rejectedDigest);
         boolean mustCheck =
-                !wanted.digestToCheck().isEmpty()
+                !desiredState.digestToCheck().isEmpty()
                         && (lastCheck == null
-                                || !lastCheck.digest().equals(wanted.digestToCheck()));
-        if (wanted.configDigest().equals(runningDigest)) {
+                                || !lastCheck.digest().equals(desiredState.digestToCheck()));
+        if (desiredState.configDigest().equals(runningDigest)) {
             rejectedDigest = null;
         }
         if (mustApply) {
             withText(
-                    wanted.configDigest(),
+                    desiredState.configDigest(),
                     text ->
                             configApplier.take(
-                                    wanted.configDigest(),
+                                    desiredState.configDigest(),
                                     text,
                                     why ->
                                             loop.accept(
                                                     () ->
                                                             onApplied(
-                                                                    wanted.configDigest(),
+                                                                    desiredState.configDigest(),
                                                                     text,
                                                                     why))));
         } else if (mustCheck) {
-            withText(wanted.digestToCheck(), text -> check(wanted.digestToCheck(), text));
+            withText(
+                    desiredState.digestToCheck(),
+                    text -> check(desiredState.digestToCheck(), text));
         }
     }
 
--- a/src/main/java/lupinwood/experiment/RolloutExperiment.java
+++ b/src/main/java/lupinwood/experiment/RolloutExperiment.java
@@ -265,12 +265,12 @@
 
     // ---- what operators do ----
 
-    private RaftReplica.OrderResult order(String what, RaftReplica.RolloutRequest wish)
+    private RaftReplica.OrderResult order(String kind, RaftReplica.RolloutRequest rolloutRequest)
             throws InterruptedException {
         return ClusterQuery.order(
                 fleet.voterAddresses(),
                 new RaftReplica.OperatorOrder(
-                        "lab" + seed + "." + orders++, what, null, "ann", wish),
+                        "lab" + seed + "." + orders++, kind, null, "ann", rolloutRequest),
                 NanoDuration.ofSeconds(5),
                 quiet);
     }
@@ -290,9 +290,9 @@
     private void round(int round, What what, Fault fault) throws InterruptedException, IOException {
         String text = text(what, round);
         boolean program = what == What.PROGRAM || what == What.BAD_PROGRAM;
-        RaftReplica.RolloutRequest wish;
+        RaftReplica.RolloutRequest rolloutRequest;
         try {
-            wish =
+            rolloutRequest =
                     program
                             ? new RaftReplica.RolloutRequest(
                                     Rollout.Kind.PROGRAM,
@@ -308,8 +308,8 @@
             throw new IOException(e);
         }
         from = good;
-        to = program ? good : wish.to();
-        RaftReplica.OrderResult begun = order("release", wish);
+        to = program ? good : rolloutRequest.to();
+        RaftReplica.OrderResult begun = order("release", rolloutRequest);
         log.line("round " + round + ": " + what + " with " + fault + ": " + begun);
         if (begun == null || !begun.done()) {
             wrong("round " + round + ", " + what + ", did not begin: " + begun);
@@ -335,7 +335,7 @@
             Thread.sleep(100);
         }
         Thread.sleep(2 * LEASE_MILLIS);
-        ended(round, what, fault, state, wish);
+        ended(round, what, fault, state, rolloutRequest);
     }
 
     private void draw() {
@@ -363,7 +363,7 @@
             What what,
             Fault fault,
             RaftReplica.ReplicaView state,
-            RaftReplica.RolloutRequest wish)
+            RaftReplica.RolloutRequest rolloutRequest)
             throws InterruptedException {
         String last =
                 state == null || state.history().isEmpty()
@@ -417,8 +417,8 @@
                                             Math.max(0, state.history().size() - 6),
                                             state.history().size()));
         }
-        if (done && wish.kind() == Rollout.Kind.CONFIGURATION) {
-            good = wish.to();
+        if (done && rolloutRequest.kind() == Rollout.Kind.CONFIGURATION) {
+            good = rolloutRequest.to();
         }
         whole(round, what);
     }
--- a/src/main/java/lupinwood/net/AjpExecutor.java
+++ b/src/main/java/lupinwood/net/AjpExecutor.java
@@ -480,27 +480,30 @@
         }
 
         /** The request is no longer out on this connection. */
-        private void release(ServerPool.AttemptCompletion end) {
+        private void release(ServerPool.AttemptCompletion completion) {
             context.deadlines().cancel(pong);
             context.deadlines().cancel(target);
             context.deadlines().cancel(cap);
             NanoDuration took = processor.now().since(sentAt);
             boolean wasSlow = slow;
             endedThere[server]++;
-            failedThere[server] += end == ServerPool.AttemptCompletion.WELL ? 0 : 1;
-            tookThere[server] += end == ServerPool.AttemptCompletion.WELL ? took.seconds() : 0;
-            if (end == ServerPool.AttemptCompletion.FAILED && written && linger.isPositive()) {
+            failedThere[server] += completion == ServerPool.AttemptCompletion.WELL ? 0 : 1;
+            tookThere[server] +=
+                    completion == ServerPool.AttemptCompletion.WELL ? took.seconds() : 0;
+            if (completion == ServerPool.AttemptCompletion.FAILED
+                    && written
+                    && linger.isPositive()) {
                 // AJP can't stop a run: it may go on there, and counts as out for as long.
                 context.deadlines()
                         .schedule(
                                 processor.now().plus(linger),
                                 () -> {
                                     pool.onAttemptEnded(
-                                            server, end, took, wasSlow, processor.now());
+                                            server, completion, took, wasSlow, processor.now());
                                     sendWaiting();
                                 });
             } else {
-                pool.onAttemptEnded(server, end, took, wasSlow, processor.now());
+                pool.onAttemptEnded(server, completion, took, wasSlow, processor.now());
             }
             run = null;
             written = false;
--- a/src/main/java/lupinwood/processing/RequestProcessor.java
+++ b/src/main/java/lupinwood/processing/RequestProcessor.java
@@ -284,8 +284,7 @@
 
     /**
      * Applies settings that differ from the current ones only in entries that may change while the
-     * node runs. Returns false once the node drains, because the policy has planned the drain with
-     * the old settings.
+     * node runs. Returns false once it drains: the policy planned the drain with the old settings.
      */
     public boolean updateSettings(ReloadableSettings reloaded) {
         if (drain.hasBegun()) {
--- a/src/test/java/lupinwood/cluster/RolloutsTest.java
+++ b/src/test/java/lupinwood/cluster/RolloutsTest.java
@@ -30,13 +30,13 @@
                         order, "ann", Rollout.Kind.CONFIGURATION, to, "text of " + to, false, 1));
     }
 
-    private boolean advance(int step, boolean back, NodeName... nodes) {
+    private boolean advance(int step, boolean isRollingBack, NodeName... nodes) {
         return clusterState.apply(
                 new ClusterCommand.AdvanceRollout(
                         controllerToken,
                         1,
                         step,
-                        back,
+                        isRollingBack,
                         List.of(nodes),
                         "",
                         Map.of("a", RequestCounts.EMPTY),
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -217,10 +217,11 @@
         return fail("not in time, or a process ended: " + what + "; last " + state + logs);
     }
 
-    private String order(String id, String what, RaftReplica.RolloutRequest wish, String server)
+    private String order(
+            String id, String kind, RaftReplica.RolloutRequest rolloutRequest, String server)
             throws InterruptedException {
         RaftReplica.OperatorOrder order =
-                new RaftReplica.OperatorOrder(id, what, null, "ann", wish, server);
+                new RaftReplica.OperatorOrder(id, kind, null, "ann", rolloutRequest, server);
         for (int i = 0; i < 10; i++) {
             RaftReplica.OrderResult answer =
                     ClusterQuery.order(addresses, order, NanoDuration.ofSeconds(10), discardingLog);
--- a/src/test/java/lupinwood/rollout/RolloutControllerTest.java
+++ b/src/test/java/lupinwood/rollout/RolloutControllerTest.java
@@ -46,7 +46,7 @@
         return new NodeName("n" + i);
     }
 
-    private void begin(boolean backsOnHalt) {
+    private void begin(boolean rollsBackAutomatically) {
         clusterState.apply(new ClusterCommand.Bootstrap(10));
         for (int i = 0; i < 9; i++) {
             clusterState.apply(
@@ -68,7 +68,7 @@
                                         Rollout.Kind.CONFIGURATION,
                                         "new",
                                         "text",
-                                        backsOnHalt,
+                                        rollsBackAutomatically,
                                         1)))
                 .isTrue();
     }
