--- a/src/main/java/lupinwood/cluster/HeldLeases.java
+++ b/src/main/java/lupinwood/cluster/HeldLeases.java
@@ -11,10 +11,10 @@
 /**
  * Which duties this node holds, by its own monotonic clock. A lease is counted from when the node
  * sent its heartbeat, and is shortened by the clock drift, so it ends on this node before the
- * consensus group may grant the duty to another node, however long the reply took. {@link #mayAct}
- * must be called before every action under a duty, because the process may have been paused since
- * the last check. A command that carries the token is dropped by the cluster state if the duty is
- * no longer held under that token, see {@link DutyLeases#isHeldUnder}.
+ * consensus group may grant the duty to another node, however long the reply took. {@link
+ * #tokenFor} must be called before every action under a duty, because the process may have been
+ * paused since the last check. A command that carries the token is dropped by the cluster state if
+ * the duty is no longer held under that token, see {@link DutyLeases#isHeldUnder}.
  *
  * <p>Not thread-safe: owned by the task loop thread of the cluster's membership.
  */
@@ -37,7 +37,7 @@
     }
 
     /** Records that a heartbeat is about to be sent. */
-    public void asks(long number, MonotonicTime now) {
+    public void onHeartbeatSent(long number, MonotonicTime now) {
         heartbeatSentAt.put(number, now);
         if (heartbeatSentAt.size() > MAX_PENDING_HEARTBEATS) {
             heartbeatSentAt.keySet().removeIf(old -> old <= number - MAX_PENDING_HEARTBEATS);
@@ -52,7 +52,7 @@
      */
     public void onReply(HeartbeatReply reply, MonotonicTime now) {
         MonotonicTime sentAt = heartbeatSentAt.get(reply.number());
-        if (sentAt == null || !reply.taken() || reply.number() < latestAnswered) {
+        if (sentAt == null || !reply.accepted() || reply.number() < latestAnswered) {
             return;
         }
         latestAnswered = reply.number();
@@ -83,13 +83,13 @@
     }
 
     /** The token to act under; null where the node must not act. */
-    public FencingToken mayAct(DutyName duty, MonotonicTime now) {
+    public FencingToken tokenFor(DutyName duty, MonotonicTime now) {
         LeaseExpiry lease = leases.get(duty);
         return lease != null && now.isBefore(lease.expiresAt()) ? lease.token() : null;
     }
 
     /** How long the node may still act; zero where it must not. */
-    public NanoDuration left(DutyName duty, MonotonicTime now) {
+    public NanoDuration remaining(DutyName duty, MonotonicTime now) {
         LeaseExpiry lease = leases.get(duty);
         return lease == null
                 ? NanoDuration.ZERO
--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -101,7 +101,7 @@
     }
 
     /** Starts to decide, when this voter becomes the leader. */
-    public void leads(ClusterState clusterState, MonotonicTime now) {
+    public void onElected(ClusterState clusterState, MonotonicTime now) {
         leadingSince = now;
         latestHeartbeats.clear();
         leaseExpiries.clear();
@@ -122,7 +122,7 @@
      * Stops deciding, when this voter is no longer the leader. Commands that it decided before may
      * still be applied, or be lost.
      */
-    public void leadsNoMore() {
+    public void onDeposed() {
         leadingSince = null;
     }
 
@@ -135,7 +135,7 @@
      *
      * @return why the node is not accepted as a member, or an empty text
      */
-    public String heard(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
+    public String onHeartbeat(Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         if (heartbeat.version() != Heartbeat.VERSION) {
             return "heartbeat version "
                     + heartbeat.version()
@@ -146,7 +146,7 @@
         ClusterState.Member member = clusterState.member(heartbeat.name());
         boolean isAnotherIncarnation =
                 member != null
-                        && member.in()
+                        && member.active()
                         && !member.incarnation().equals(heartbeat.incarnation());
         if (isAnotherIncarnation
                 && previous != null
@@ -185,7 +185,7 @@
     private void recordHealthChecks(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
         ClusterState.DutyLease healthCheckDuty = clusterState.duty(DutyName.HEALTH_CHECK);
-        for (HealthCheckResult result : heartbeat.found()) {
+        for (HealthCheckResult result : heartbeat.healthChecks()) {
             MonotonicTime madeAt = now.minus(result.age());
             MonotonicTime previous = checkedAt.get(result.server());
             if (healthCheckDuty.isHeldBy(heartbeat.name(), heartbeat.incarnation())
@@ -196,7 +196,9 @@
                 checkedAt.put(result.server(), madeAt);
             }
         }
-        checkedAt.values().removeIf(time -> timing.lease().times(4).compareTo(now.since(time)) < 0);
+        checkedAt
+                .values()
+                .removeIf(time -> timing.leaseDuration().times(4).compareTo(now.since(time)) < 0);
         healthChecks.keySet().retainAll(checkedAt.keySet());
     }
 
@@ -228,9 +230,12 @@
                                         isFresh(latest, now)
                                                 && latest.heartbeat.report() != null
                                                 && !clusterState
-                                                        .wanted(latest.heartbeat.name())
-                                                        .runs()
-                                                        .equals(latest.heartbeat.report().runs()));
+                                                        .desiredState(latest.heartbeat.name())
+                                                        .configDigest()
+                                                        .equals(
+                                                                latest.heartbeat
+                                                                        .report()
+                                                                        .configDigest()));
         returnPermits(clusterState, now, commands);
         retirePlans(clusterState, now, commands);
         for (DutyName duty : duties) {
@@ -261,7 +266,7 @@
             ClusterState.Member member = clusterState.member(heartbeat.name());
             boolean isMember =
                     member != null
-                            && member.in()
+                            && member.active()
                             && member.incarnation().equals(heartbeat.incarnation());
             boolean siteChanged = member != null && !member.site().equals(heartbeat.site());
             if (isMember && heartbeat.condition() == NodeCondition.GONE) {
@@ -295,13 +300,15 @@
                 permitUnusedSince.remove(permit.number());
             } else if (isAnotherIncarnation
                     && now.since(warmSince)
-                                    .compareTo(timing.lease().times(PERMIT_END_HEALTHY_LEASES))
+                                    .compareTo(
+                                            timing.leaseDuration().times(PERMIT_END_HEALTHY_LEASES))
                             >= 0) {
                 commands.add(new ClusterCommand.ReturnPermit(permit.number(), "well again", 0));
             } else if (!isAnotherIncarnation) {
                 MonotonicTime unusedSince =
                         permitUnusedSince.computeIfAbsent(permit.number(), number -> now);
-                if (now.since(unusedSince).compareTo(timing.lease().times(UNUSED_PERMIT_LEASES))
+                if (now.since(unusedSince)
+                                .compareTo(timing.leaseDuration().times(UNUSED_PERMIT_LEASES))
                         >= 0) {
                     commands.add(new ClusterCommand.ReturnPermit(permit.number(), "never used", 0));
                 }
@@ -314,7 +321,7 @@
 
     /** Members that the leader sees as unavailable: all without a recent warm heartbeat. */
     public List<NodeName> unavailableNodes(ClusterState clusterState, MonotonicTime now) {
-        return snapshot(clusterState, now).stream()
+        return nodeViews(clusterState, now).stream()
                 .filter(nodeView -> nodeView.status() != NodeStatus.WARM)
                 .map(NodeView::name)
                 .toList();
@@ -392,7 +399,7 @@
         }
         Map<Site, int[]> zones = new HashMap<>(); // members in it, and how many are healthy
         for (ClusterState.Member member : clusterState.members()) {
-            if (member.in()) {
+            if (member.active()) {
                 int[] zone = zones.computeIfAbsent(member.site(), site -> new int[2]);
                 zone[0]++;
                 zone[1] += isRecentlyWarm(member, now) ? 1 : 0;
@@ -401,7 +408,7 @@
         return clusterState.members().stream()
                 .filter(
                         member ->
-                                member.in()
+                                member.active()
                                         && isRecentlyWarm(member, now)
                                         && !isIneligible(duty, member.name(), now))
                 .min(
@@ -440,7 +447,7 @@
      * The reply to a heartbeat. To be called once the consensus group has confirmed that this voter
      * still led after the heartbeat arrived; the leader counts the leases in the reply from now.
      *
-     * @param trouble what {@link #heard} returned
+     * @param trouble what {@link #onHeartbeat} returned
      */
     public HeartbeatReply replyTo(
             Heartbeat heartbeat,
@@ -473,7 +480,7 @@
                         agedChecks.add(
                                 new HealthCheckResult(
                                         server,
-                                        result.well(),
+                                        result.passed(),
                                         result.token(),
                                         now.since(checkedAt.get(server)))));
         int freshNodes =
@@ -498,11 +505,11 @@
                 true,
                 self,
                 trouble,
-                timing.lease(),
+                timing.leaseDuration(),
                 leases,
                 agedChecks,
                 leavePermit,
-                clusterState.wanted(heartbeat.name()).busyIf(isSomeNodeOutdated),
+                clusterState.desiredState(heartbeat.name()).busyIf(isSomeNodeOutdated),
                 trouble.isEmpty() ? grantCapacityShare(heartbeat, clusterState, now) : null,
                 freshNodes);
     }
@@ -514,7 +521,7 @@
      */
     private HeartbeatReply.CapacityShare grantCapacityShare(
             Heartbeat heartbeat, ClusterState clusterState, MonotonicTime now) {
-        CapacityPlan plan = clusterState.plan();
+        CapacityPlan plan = clusterState.newestPlan();
         if (plan == null) {
             return null;
         }
@@ -523,7 +530,7 @@
                         new IncarnationKey(heartbeat.name(), heartbeat.incarnation()),
                         key -> new TreeMap<>())
                 .put(plan.number(), now.plus(timing.expiresAfter()));
-        return new HeartbeatReply.CapacityShare(plan.number(), plan.of(heartbeat.name()));
+        return new HeartbeatReply.CapacityShare(plan.number(), plan.slotsOf(heartbeat.name()));
     }
 
     /**
@@ -533,7 +540,7 @@
      */
     private void retirePlans(
             ClusterState clusterState, MonotonicTime now, List<ClusterCommand> commands) {
-        CapacityPlan newest = clusterState.plan();
+        CapacityPlan newest = clusterState.newestPlan();
         if (newest == null
                 || clusterState.livePlans().size() < 2
                 || now.since(leadingSince).compareTo(timing.expiresAfter()) < 0) {
@@ -568,19 +575,19 @@
     }
 
     /** The reply of a voter that doesn't lead. */
-    public static HeartbeatReply elsewhere(Heartbeat heartbeat, NodeName leader) {
+    public static HeartbeatReply notLeadingReply(Heartbeat heartbeat, NodeName leader) {
         return HeartbeatReply.notLeading(heartbeat.number(), leader);
     }
 
     /** What this leader knows of each member, ordered by name. */
-    public List<NodeView> snapshot(ClusterState clusterState, MonotonicTime now) {
+    public List<NodeView> nodeViews(ClusterState clusterState, MonotonicTime now) {
         List<NodeView> views = new ArrayList<>();
         for (ClusterState.Member member : clusterState.members()) {
             LatestHeartbeat latest = latestHeartbeats.get(member.name());
             boolean isKnown =
                     latest != null && latest.heartbeat.incarnation().equals(member.incarnation());
             NodeStatus status;
-            if (!member.in()) {
+            if (!member.active()) {
                 status = NodeStatus.OUT;
             } else if (!isKnown || !isFresh(latest, now)) {
                 status = NodeStatus.UNKNOWN;
@@ -606,7 +613,7 @@
     }
 
     /** The interval at which {@link #decide} is to be called even without a heartbeat. */
-    public NanoDuration looksEvery() {
+    public NanoDuration decisionInterval() {
         return timing.holderHeartbeatInterval().times(0.5);
     }
 }
--- a/src/main/java/lupinwood/consensus/ClusterNode.java
+++ b/src/main/java/lupinwood/consensus/ClusterNode.java
@@ -43,8 +43,8 @@
 /**
  * One node's membership in its cluster: heartbeats to the consensus group, the duties that the node
  * holds and, on a voter, the replica of the consensus group. Runs on its own thread; the event loop
- * thread only reads {@link #view} and {@link #figures}, and queues tasks. No failure here stops the
- * node from serving requests.
+ * thread only reads {@link #view} and {@link #stateLogLine}, and queues tasks. No failure here
+ * stops the node from serving requests.
  */
 public final class ClusterNode {
     public static final List<DutyName> DUTIES =
@@ -53,7 +53,7 @@
                     DutyName.HEALTH_CHECK,
                     DutyName.ROLLOUT_CONTROLLER,
                     DutyName.PLANNER);
-    private static final String PROGRAM_VERSION = FaultInjection.program();
+    private static final String PROGRAM_VERSION = FaultInjection.overrideProgramVersion();
     private static final NanoDuration MIN_HEARTBEAT_DELAY = NanoDuration.ofSeconds(0.02);
     private static final double RECORD_INTERVAL_LEASES = 5;
     private static final NanoDuration BOOTSTRAP_INTERVAL = NanoDuration.ofSeconds(0.3);
@@ -69,7 +69,7 @@
      * @param startLeaving begins to drain the node as an operator's request to leave does; returns
      *     immediately
      */
-    public record Self(
+    public record LocalNode(
             Supplier<NodeCondition> condition,
             Supplier<List<String>> excludedServers,
             Supplier<List<String>> drainedServers,
@@ -79,7 +79,7 @@
             Runnable startLeaving) {}
 
     private final ClusterSettings settings;
-    private final Self self;
+    private final LocalNode self;
     private final Log log;
     private final ThreadTaskLoop loop;
     private final RaftTransport transport;
@@ -116,7 +116,7 @@
     private List<String> cordonsAtStart = List.of();
     private boolean stopped;
 
-    public ClusterNode(ClusterSettings settings, Self self, Log log) {
+    public ClusterNode(ClusterSettings settings, LocalNode self, Log log) {
         this.settings = settings;
         voterAddresses = settings.voters();
         this.self = self;
@@ -129,7 +129,7 @@
                         settings.name(),
                         incarnation,
                         settings.site(),
-                        settings.names(),
+                        settings.voterNames(),
                         random.nextLong(),
                         loop.now());
     }
@@ -139,7 +139,7 @@
      * without its cluster is better than none.
      */
     public void start() {
-        if (settings.votes()) {
+        if (settings.isVoter()) {
             try {
                 startVoter();
             } catch (IOException e) {
@@ -150,13 +150,15 @@
             }
         }
         statusReporter =
-                settings.report() == null ? null : new StatusReporter(settings.report(), log);
+                settings.reportAddress() == null
+                        ? null
+                        : new StatusReporter(settings.reportAddress(), log);
         cordonsAtStart = self.configApplier().get().cordonsAtStart();
         publishView();
         configFollower =
                 new SharedConfigFollower(
                         self.configApplier().get(), loop::execute, this::requestConfig, log);
-        rolloutController = new RolloutController(settings.name(), settings.limits());
+        rolloutController = new RolloutController(settings.name(), settings.canaryLimits());
         loop.execute(this::sendDueHeartbeat);
         loop.execute(this::performDuties);
         log.line(
@@ -167,7 +169,7 @@
                         + " incarnation="
                         + incarnation
                         + " voters="
-                        + settings.names());
+                        + settings.voterNames());
     }
 
     private void startVoter() throws IOException {
@@ -179,7 +181,7 @@
         ClusterBootstrap.State state = ClusterBootstrap.stateOf(restored);
         bootstrap =
                 new ClusterBootstrap(
-                        settings.name(), settings.names(), state, BOOTSTRAP_INTERVAL.times(4));
+                        settings.name(), settings.voterNames(), state, BOOTSTRAP_INTERVAL.times(4));
         log.line(
                 "fleet: voter started "
                         + switch (state) {
@@ -202,9 +204,11 @@
         try {
             switch (bootstrap.step(loop.now())) {
                 case FOUND -> {
-                    ClusterBootstrap.persistFounders(storage, settings.name(), settings.names());
+                    ClusterBootstrap.persistFounders(
+                            storage, settings.name(), settings.voterNames());
                     bootstrap.onFounded();
-                    log.line("fleet: bootstrapping consensus group voters=" + settings.names());
+                    log.line(
+                            "fleet: bootstrapping consensus group voters=" + settings.voterNames());
                 }
                 case START_REPLICA -> {
                     startReplica(storage.restore(), null);
@@ -238,7 +242,7 @@
 
     private void startReplica(RestoredRaftState restored, String newId) {
         String id = newId != null ? newId : settings.name().text();
-        List<String> founders = settings.names().stream().map(NodeName::text).toList();
+        List<String> founders = settings.voterNames().stream().map(NodeName::text).toList();
         // Used only when a consensus group is founded, so that its fencing tokens are higher than
         // those of an earlier group whose storage was lost. The value is a token number, not a
         // time. It is higher than the earlier group's tokens unless that group issued more than
@@ -439,7 +443,7 @@
                     peer.send(message);
                 };
         if (replica == null) {
-            replyTo.accept(LeaseManager.elsewhere(heartbeat, null));
+            replyTo.accept(LeaseManager.notLeadingReply(heartbeat, null));
         } else {
             replica.heard(heartbeat, replyTo);
         }
@@ -458,7 +462,7 @@
             replyTo.accept(null);
         } else {
             String refusal =
-                    order.what().equals("rest")
+                    order.kind().equals("rest")
                             ? settings.reasonAgainstCordon(
                                     order.server(), replica.cordonedServers())
                             : "";
@@ -475,7 +479,7 @@
         JsonObject message = new JsonObject();
         message.addProperty("k", "text?");
         message.addProperty("digest", digest);
-        transport.send(voterAddresses.get(session.talksTo()), message);
+        transport.send(voterAddresses.get(session.currentVoter()), message);
     }
 
     private void sendConfigText(String digest, RaftTransport.Peer peer) {
@@ -536,54 +540,57 @@
             return;
         }
         MonotonicTime now = loop.now();
-        session.leavesOut(self.excludedServers().get());
-        session.reports(
+        session.setEjectedServers(self.excludedServers().get());
+        session.setReport(
                 new NodeReport(
                         PROGRAM_VERSION,
                         configFollower.runningDigest(),
                         configFollower.lastCheck(),
                         self.drainedServers().get(),
-                        session.allotment().plan(),
+                        session.capacityLease().planNumber(),
                         self.locationUses().get(),
                         self.requestCounts().get()));
-        ClusterSession.Sent sent =
-                session.heartbeat(leaving ? NodeCondition.LEAVING : self.condition().get(), now);
+        ClusterSession.OutgoingHeartbeat sent =
+                session.pollHeartbeat(
+                        leaving ? NodeCondition.LEAVING : self.condition().get(), now);
         if (sent != null) {
             sendHeartbeat(sent);
         }
         loop.after(
-                session.due()
+                session.nextHeartbeatAt()
                         .since(now)
                         .max(MIN_HEARTBEAT_DELAY)
                         .min(settings.timing().heartbeatInterval()),
                 this::sendDueHeartbeat);
     }
 
-    private void sendHeartbeat(ClusterSession.Sent sent) {
+    private void sendHeartbeat(ClusterSession.OutgoingHeartbeat sent) {
         JsonObject message = new JsonObject();
         message.addProperty("k", "beat");
         message.add("b", ClusterJson.toTree(sent.heartbeat()));
-        transport.send(voterAddresses.get(sent.to()), message);
+        transport.send(voterAddresses.get(sent.voter()), message);
     }
 
     private void onHeartbeatReply(HeartbeatReply reply) {
-        String previousTrouble = session.latest() == null ? "" : session.latest().trouble();
+        String previousTrouble =
+                session.latestReply() == null ? "" : session.latestReply().rejectionReason();
         if (FaultInjection.isWithoutEarlyStop()) {
-            session.holding().asks(reply.number(), loop.now());
+            session.heldLeases().onHeartbeatSent(reply.number(), loop.now());
         }
-        session.heard(reply, loop.now());
-        if (reply.taken() && !reply.trouble().equals(previousTrouble)) {
+        session.onReply(reply, loop.now());
+        if (reply.accepted() && !reply.rejectionReason().equals(previousTrouble)) {
             log.line(
-                    reply.trouble().isEmpty()
+                    reply.rejectionReason().isEmpty()
                             ? "fleet: node admitted to the cluster"
-                            : "fleet: node not admitted to the cluster reason=" + reply.trouble());
+                            : "fleet: node not admitted to the cluster reason="
+                                    + reply.rejectionReason());
         }
-        if (reply.taken()) {
-            configFollower.follow(reply.wanted());
-            rolloutOpen = reply.wanted() != null && reply.wanted().busy();
+        if (reply.accepted()) {
+            configFollower.follow(reply.desiredState());
+            rolloutOpen = reply.desiredState() != null && reply.desiredState().busy();
         }
-        if (reply.taken() && reply.leave() > 0 && !leaving) {
-            log.line("fleet: leaving under disruption permit=" + reply.leave());
+        if (reply.accepted() && reply.leavePermit() > 0 && !leaving) {
+            log.line("fleet: leaving under disruption permit=" + reply.leavePermit());
             leaving = true;
             self.startLeaving().run();
         }
@@ -594,7 +601,7 @@
     private void publishView() {
         MonotonicTime now = loop.now();
         List<ClusterView.LeaseView> leases = new ArrayList<>();
-        session.holding()
+        session.heldLeases()
                 .holds(now)
                 .forEach(
                         lease ->
@@ -603,40 +610,44 @@
                                                 lease.duty(),
                                                 lease.token(),
                                                 now.plus(
-                                                        session.holding()
-                                                                .left(lease.duty(), now)))));
-        HeartbeatReply latest = session.latest();
+                                                        session.heldLeases()
+                                                                .remaining(lease.duty(), now)))));
+        HeartbeatReply latest = session.latestReply();
         if (latest != publishedReply && latest != null) {
             publishedReply = latest;
             serverHealth =
-                    latest.found().stream()
+                    latest.healthChecks().stream()
                             .map(
                                     result ->
                                             new ClusterView.ServerHealth(
                                                     result.server(),
-                                                    result.well(),
-                                                    session.latestWord().minus(result.age())))
+                                                    result.passed(),
+                                                    session.latestReplyAt().minus(result.age())))
                             .toList();
         }
         MonotonicTime connectedUntil =
-                session.isInTouch(now)
-                        ? session.latestWord().plus(settings.timing().lease())
+                session.isConnected(now)
+                        ? session.latestReplyAt().plus(settings.timing().leaseDuration())
                         : new MonotonicTime(Long.MIN_VALUE);
         List<String> cordons =
-                latest == null || latest.wanted() == null || latest.wanted().cordons() == null
+                latest == null
+                                || latest.desiredState() == null
+                                || latest.desiredState().cordons() == null
                         ? cordonsAtStart
-                        : latest.wanted().cordons();
-        CapacityLease capacityLease = session.allotment();
+                        : latest.desiredState().cordons();
+        CapacityLease capacityLease = session.capacityLease();
         view =
                 new ClusterView(
                         connectedUntil,
                         leases,
                         serverHealth,
                         new ClusterView.CapacityShare(
-                                capacityLease.plan(), capacityLease.slots(), capacityLease.until()),
+                                capacityLease.planNumber(),
+                                capacityLease.slots(),
+                                capacityLease.expiresAt()),
                         cordons,
                         latest == null ? null : latest.leader());
-        Set<Lease> heldLeases = new HashSet<>(session.holding().holds(now));
+        Set<Lease> heldLeases = new HashSet<>(session.heldLeases().holds(now));
         List<Lease> newLeases = new ArrayList<>(heldLeases);
         newLeases.removeAll(publishedLeases);
         newLeases.sort(Comparator.comparing(Lease::token));
@@ -666,15 +677,16 @@
             return;
         }
         publishView();
-        FencingToken reporterToken = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken reporterToken =
+                session.heldLeases().tokenFor(DutyName.STATUS_REPORTER, loop.now());
         FencingToken controllerToken =
-                session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
-        if (session.latest() != null && session.isInTouch(loop.now())) {
-            configFollower.follow(session.latest().wanted());
+                session.heldLeases().tokenFor(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        if (session.latestReply() != null && session.isConnected(loop.now())) {
+            configFollower.follow(session.latestReply().desiredState());
         }
         boolean holdsPlanner =
                 !settings.locations().isEmpty()
-                        && session.holding().mayAct(DutyName.PLANNER, loop.now()) != null;
+                        && session.heldLeases().tokenFor(DutyName.PLANNER, loop.now()) != null;
         if (reporterToken != null || (controllerToken != null && rolloutOpen) || holdsPlanner) {
             JsonObject query = new JsonObject();
             query.addProperty("k", "ask");
@@ -682,13 +694,13 @@
             if (controllerToken != null && rolloutOpen) {
                 query.addProperty("tallies", true);
             }
-            if (controllerToken != null && rolloutController.wantsPast()) {
+            if (controllerToken != null && rolloutController.needsBaseline()) {
                 query.addProperty("past", true);
             }
             if (holdsPlanner) {
                 query.addProperty("plans", true);
             }
-            transport.send(voterAddresses.get(session.talksTo()), query);
+            transport.send(voterAddresses.get(session.currentVoter()), query);
         }
         loop.after(settings.timing().holderHeartbeatInterval().times(0.5), this::performDuties);
     }
@@ -702,7 +714,7 @@
      * neither while an earlier status still waits to be sent.
      */
     private void reportStatus(JsonElement state) {
-        FencingToken token = session.holding().mayAct(DutyName.STATUS_REPORTER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.STATUS_REPORTER, loop.now());
         if (token == null || !state.isJsonObject() || !state.getAsJsonObject().has("seen")) {
             return;
         }
@@ -710,13 +722,13 @@
                 && !statusReporter.report(
                         token,
                         ClusterJson.gson().toJson(state),
-                        () -> token.equals(view.mayAct(DutyName.STATUS_REPORTER, loop.now())),
+                        () -> token.equals(view.tokenFor(DutyName.STATUS_REPORTER, loop.now())),
                         error -> loop.execute(() -> onStatusReporterFailure(error)))) {
             return;
         }
         MonotonicTime now = loop.now();
         if (now.since(statusRecordedAt)
-                        .compareTo(settings.timing().lease().times(RECORD_INTERVAL_LEASES))
+                        .compareTo(settings.timing().leaseDuration().times(RECORD_INTERVAL_LEASES))
                 > 0) {
             statusRecordedAt = now;
             JsonObject message = new JsonObject();
@@ -728,7 +740,7 @@
                                     token,
                                     state.getAsJsonObject().getAsJsonArray("seen").size()
                                             + " nodes known")));
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
@@ -738,7 +750,7 @@
      * commands without a token, and restart permits as operator orders, which have no token either.
      */
     private void controlRollout(JsonElement stateJson) {
-        FencingToken token = session.holding().mayAct(DutyName.ROLLOUT_CONTROLLER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.ROLLOUT_CONTROLLER, loop.now());
         if (token == null
                 || !stateJson.isJsonObject()
                 || !stateJson.getAsJsonObject().has("seen")) {
@@ -748,20 +760,20 @@
         RolloutSnapshot snapshot =
                 new RolloutSnapshot(
                         state.rollout(),
-                        state.good(),
+                        state.goodConfigDigest(),
                         state.haltedBy(),
                         state.nodeViews(),
                         state.permits(),
-                        settings.disruptionLimits().mostOf(state.nodeViews().size()),
-                        state.past());
-        String previousStatus = rolloutController.says();
+                        settings.disruptionLimits().maxUnavailable(state.nodeViews().size()),
+                        state.baselineCounts());
+        String previousStatus = rolloutController.statusMessage();
         List<RolloutAction> actions = rolloutController.decide(snapshot, token, loop.now());
-        if (!rolloutController.says().equals(previousStatus)
-                && !rolloutController.says().isEmpty()) {
+        if (!rolloutController.statusMessage().equals(previousStatus)
+                && !rolloutController.statusMessage().isEmpty()) {
             log.line(
                     "fleet: "
                             + (state.rollout() == null ? "" : state.rollout() + ": ")
-                            + rolloutController.says());
+                            + rolloutController.statusMessage());
         }
         for (RolloutAction action : actions) {
             JsonObject message = new JsonObject();
@@ -781,7 +793,7 @@
                                                 ? "the conductor"
                                                 : state.rollout().toString())));
             }
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
@@ -790,14 +802,14 @@
      * talks to, under the duty's fencing token.
      */
     private void planCapacity(JsonElement stateJson) {
-        FencingToken token = session.holding().mayAct(DutyName.PLANNER, loop.now());
+        FencingToken token = session.heldLeases().tokenFor(DutyName.PLANNER, loop.now());
         if (token == null || !stateJson.getAsJsonObject().has("plans")) {
             return;
         }
         RaftReplica.ReplicaView state = ClusterJson.read(stateJson, RaftReplica.ReplicaView.class);
         if (!token.equals(plannerToken)) {
             plannerToken = token;
-            planner = new CapacityPlanner(settings.timing().lease());
+            planner = new CapacityPlanner(settings.timing().leaseDuration());
         }
         ClusterCommand.SetCapacityPlan plan =
                 planner.decide(
@@ -806,21 +818,21 @@
                                 state.members(),
                                 state.nodeViews(),
                                 state.plans(),
-                                state.lastPlan()),
+                                state.lastPlanNumber()),
                         token,
                         loop.now());
         if (plan != null) {
-            log.line("fleet: capacity plan proposed reason=" + planner.why());
+            log.line("fleet: capacity plan proposed reason=" + planner.reason());
             JsonObject message = new JsonObject();
             message.addProperty("k", "deed");
             message.addProperty("d", CommandCodec.encode(plan));
-            transport.send(voterAddresses.get(session.talksTo()), message);
+            transport.send(voterAddresses.get(session.currentVoter()), message);
         }
     }
 
     private void onStatusReporterFailure(String error) {
         log.line("fleet: status report failed, giving up the duty error=" + error);
-        session.failAt(DutyName.STATUS_REPORTER, loop.now());
+        session.reportFailure(DutyName.STATUS_REPORTER, loop.now());
         publishView();
     }
 
@@ -830,7 +842,7 @@
      * Takes new addresses of the voters; connections to the old ones are closed. Ignored where the
      * set of voter names differs.
      */
-    public void reach(Map<NodeName, InetSocketAddress> newAddresses) {
+    public void updateVoterAddresses(Map<NodeName, InetSocketAddress> newAddresses) {
         loop.execute(
                 () -> {
                     if (newAddresses.keySet().equals(voterAddresses.keySet())
@@ -848,8 +860,8 @@
     }
 
     /** Reports a health check that this node made under the health check duty. */
-    public void found(String server, boolean well, FencingToken token) {
-        loop.offer(() -> session.found(server, well, token, loop.now()));
+    public void recordHealthCheck(String server, boolean well, FencingToken token) {
+        loop.offer(() -> session.recordHealthCheck(server, well, token, loop.now()));
     }
 
     /**
@@ -860,7 +872,7 @@
         leaving = true;
         loop.execute(
                 () -> {
-                    session.handOnAll(loop.now());
+                    session.releaseAll(loop.now());
                     publishView();
                     sendHeartbeatNow(NodeCondition.LEAVING);
                     if (replica != null) {
@@ -870,7 +882,7 @@
     }
 
     private void sendHeartbeatNow(NodeCondition condition) {
-        ClusterSession.Sent sent = session.heartbeat(condition, loop.now());
+        ClusterSession.OutgoingHeartbeat sent = session.pollHeartbeat(condition, loop.now());
         if (sent != null) {
             sendHeartbeat(sent);
         }
@@ -884,8 +896,8 @@
         CountDownLatch lastHeartbeatGraceElapsed = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    session.handOnAll(loop.now());
-                    sendHeartbeat(session.last(loop.now()));
+                    session.releaseAll(loop.now());
+                    sendHeartbeat(session.finalHeartbeat(loop.now()));
                     loop.after(timeout.times(0.5), lastHeartbeatGraceElapsed::countDown);
                 });
         try {
@@ -908,10 +920,10 @@
     }
 
     /** A summary of the membership for the log. */
-    public String figures() {
+    public String stateLogLine() {
         ClusterView current = view;
         return "fleet: membership status "
-                + (current.isInTouch(loop.now())
+                + (current.isConnected(loop.now())
                         ? "connected=true leader=" + current.leader()
                         : "connected=false")
                 + " leases="
--- a/src/main/java/lupinwood/consensus/ClusterSettings.java
+++ b/src/main/java/lupinwood/consensus/ClusterSettings.java
@@ -26,7 +26,8 @@
  *     voter
  * @param directory where a voter stores the state that must survive a restart; null unless the node
  *     is a voter
- * @param report the address to which the status reporter sends the cluster status; null for none
+ * @param reportAddress the address to which the status reporter sends the cluster status; null for
+ *     none
  * @param requestClassesByServer the request classes that each downstream server runs, by the
  *     server's name
  * @param maxCordons how many servers may be cordoned at once
@@ -38,10 +39,10 @@
         Map<NodeName, InetSocketAddress> voters,
         InetSocketAddress listenAddress,
         Path directory,
-        InetSocketAddress report,
+        InetSocketAddress reportAddress,
         LeaseTiming timing,
         DisruptionLimits disruptionLimits,
-        CanaryLimits limits,
+        CanaryLimits canaryLimits,
         Map<String, Set<String>> requestClassesByServer,
         int maxCordons,
         List<Location> locations) {
@@ -53,12 +54,12 @@
 
     /** The settings of the file; null if it names no voters. */
     public static ClusterSettings of(ParsedSettings parsedSettings) {
-        List<String> names = parsedSettings.items(Schema.VOTER);
-        if (names.isEmpty()) {
+        List<String> voterNames = parsedSettings.items(Schema.VOTER);
+        if (voterNames.isEmpty()) {
             return null;
         }
         Map<NodeName, InetSocketAddress> voters = new LinkedHashMap<>();
-        names.forEach(
+        voterNames.forEach(
                 name ->
                         voters.put(
                                 new NodeName(name),
@@ -67,7 +68,7 @@
                 parsedSettings
                         .values()
                         .getOrDefault("name", ""); // an operator's own file has no name
-        boolean votes = names.contains(name);
+        boolean isVoter = voterNames.contains(name);
         String listen = parsedSettings.value("fleet listen");
         NanoDuration lease =
                 new NanoDuration(
@@ -82,17 +83,17 @@
                         parsedSettings.values().getOrDefault("fleet region", "region"),
                         parsedSettings.values().getOrDefault("fleet zone", "zone")),
                 voters,
-                !votes ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
-                votes ? Path.of(parsedSettings.values().getOrDefault("fleet folder", "")) : null,
+                !isVoter ? null : listen != null ? address(listen) : voters.get(new NodeName(name)),
+                isVoter ? Path.of(parsedSettings.values().getOrDefault("fleet folder", "")) : null,
                 parsedSettings.value("fleet report") == null
                         ? null
                         : address(parsedSettings.value("fleet report")),
                 timing,
                 disruptionLimits(parsedSettings, new ArrayList<>(voters.keySet())),
-                limits(parsedSettings, lease),
+                canaryLimits(parsedSettings, lease),
                 requestClassesByServer(parsedSettings),
                 parsedSettings.number("out below-most", BigDecimal.ONE).intValue(),
-                places(parsedSettings));
+                locations(parsedSettings));
     }
 
     private static Map<String, Set<String>> requestClassesByServer(ParsedSettings parsedSettings) {
@@ -110,7 +111,7 @@
     }
 
     /** The servers whose capacity the file gives; only those are part of the capacity plan. */
-    public static List<Location> places(ParsedSettings parsedSettings) {
+    public static List<Location> locations(ParsedSettings parsedSettings) {
         List<Location> locations = new ArrayList<>();
         for (String name : parsedSettings.items(Schema.SERVER)) {
             String prefix = "server " + name + " ";
@@ -163,7 +164,7 @@
         return "";
     }
 
-    private static CanaryLimits limits(ParsedSettings parsedSettings, NanoDuration lease) {
+    private static CanaryLimits canaryLimits(ParsedSettings parsedSettings, NanoDuration lease) {
         return CanaryLimits.of(
                 new NanoDuration(
                         parsedSettings.number("release watch", DEFAULT_WATCH_NANOS).longValue()),
@@ -177,7 +178,7 @@
 
     private static DisruptionLimits disruptionLimits(
             ParsedSettings parsedSettings, List<NodeName> voters) {
-        DisruptionLimits defaults = DisruptionLimits.USUAL;
+        DisruptionLimits defaults = DisruptionLimits.DEFAULT;
         return new DisruptionLimits(
                 parsedSettings.number("out most", BigDecimal.valueOf(defaults.most())).intValue(),
                 parsedSettings
@@ -195,11 +196,11 @@
                 voters);
     }
 
-    public boolean votes() {
+    public boolean isVoter() {
         return listenAddress != null;
     }
 
-    List<NodeName> names() {
+    List<NodeName> voterNames() {
         return new ArrayList<>(voters.keySet());
     }
 
--- a/src/main/java/lupinwood/consensus/RaftReplica.java
+++ b/src/main/java/lupinwood/consensus/RaftReplica.java
@@ -82,41 +82,46 @@
             int term,
             List<NodeView> nodeViews,
             List<ClusterState.DutyLease> duties,
-            String digest,
-            long commands,
+            String statusSummary,
+            long commandCount,
             List<DisruptionPermit> permits,
             String haltedBy,
             List<ClusterState.HistoryEntry> history,
             Rollout rollout,
-            String good,
+            String goodConfigDigest,
             List<Cordon> cordons,
-            Map<String, RequestCounts> past,
+            Map<String, RequestCounts> baselineCounts,
             List<ClusterState.Member> members,
             List<CapacityPlan> plans,
-            long lastPlan) {}
+            long lastPlanNumber) {}
 
     /**
      * An operator order.
      *
      * @param id identifies the order, so that one sent again after a lost answer is executed once;
      *     not used for a forget order, which is executed again
-     * @param what the kind of the order: leave (drain the node), halt (grant no permits, begin and
+     * @param kind the kind of the order: leave (drain the node), halt (grant no permits, begin and
      *     advance no rollouts, cordon no servers), resume, forget (remove the node), release (begin
      *     a rollout), back (roll back), rest (cordon the server) or unrest (uncordon it)
      * @param node the node that the order is about; null where it is about none
      * @param by who gave the order, for the history
-     * @param wish the requested rollout; null for other orders
+     * @param rolloutRequest the requested rollout; null for other orders
      * @param server the server to cordon or to uncordon; null for other orders
      */
     public record OperatorOrder(
-            String id, String what, NodeName node, String by, RolloutRequest wish, String server) {
-        public OperatorOrder(String id, String what, NodeName node, String by) {
-            this(id, what, node, by, null, null);
+            String id,
+            String kind,
+            NodeName node,
+            String by,
+            RolloutRequest rolloutRequest,
+            String server) {
+        public OperatorOrder(String id, String kind, NodeName node, String by) {
+            this(id, kind, node, by, null, null);
         }
 
         public OperatorOrder(
-                String id, String what, NodeName node, String by, RolloutRequest wish) {
-            this(id, what, node, by, wish, null);
+                String id, String kind, NodeName node, String by, RolloutRequest rolloutRequest) {
+            this(id, kind, node, by, rolloutRequest, null);
         }
     }
 
@@ -125,9 +130,10 @@
      *
      * @param to the digest of a configuration, or a version of the program
      * @param text the configuration's text; empty for a program
-     * @param backsOnHalt whether the rollout rolls back when it is halted
+     * @param rollsBackAutomatically whether the rollout rolls back when it is halted
      */
-    public record RolloutRequest(Rollout.Kind kind, String to, String text, boolean backsOnHalt) {}
+    public record RolloutRequest(
+            Rollout.Kind kind, String to, String text, boolean rollsBackAutomatically) {}
 
     /**
      * The answer to an operator order.
@@ -204,9 +210,9 @@
         this.self = self;
         this.context = context;
         this.tokensAbove = tokensAbove;
-        clusterState = new ClusterState(timing.mostMembers());
+        clusterState = new ClusterState(timing.maxMembers());
         leaseManager = new LeaseManager(timing, duties);
-        clockSpeedup = MICRORAFT_SECONDS_PER_LEASE / timing.lease().seconds();
+        clockSpeedup = MICRORAFT_SECONDS_PER_LEASE / timing.leaseDuration().seconds();
         RaftConfig config =
                 RaftConfig.newBuilder()
                         .setLeaderElectionTimeoutMillis(MICRORAFT_ELECTION_TIMEOUT_MILLIS)
@@ -264,9 +270,9 @@
      * an answer.
      */
     public void heard(Heartbeat reported, Consumer<HeartbeatReply> replyTo) {
-        Heartbeat heartbeat = reported.cut();
+        Heartbeat heartbeat = reported.truncated();
         if (!updateLeadership()) {
-            replyTo.accept(LeaseManager.elsewhere(heartbeat, leader()));
+            replyTo.accept(LeaseManager.notLeadingReply(heartbeat, leader()));
             return;
         }
         if (unconfirmedHeartbeats.size() < MAX_UNCONFIRMED_HEARTBEATS) {
@@ -303,7 +309,7 @@
                                         pending ->
                                                 pending.replyTo()
                                                         .accept(
-                                                                LeaseManager.elsewhere(
+                                                                LeaseManager.notLeadingReply(
                                                                         pending.heartbeat(),
                                                                         leader())));
                             }
@@ -316,7 +322,7 @@
         String trouble =
                 pending.repeated()
                         ? ""
-                        : leaseManager.heard(pending.heartbeat(), clusterState, now);
+                        : leaseManager.onHeartbeat(pending.heartbeat(), clusterState, now);
         pending.replyTo()
                 .accept(
                         leaseManager.replyTo(
@@ -336,11 +342,11 @@
                         && term.getLeaderEndpoint().equals(raft.getLocalEndpoint());
         if (isLeader && ledTerm != term.getTerm()) {
             ledTerm = term.getTerm();
-            leaseManager.leads(clusterState, context.loop().now());
+            leaseManager.onElected(clusterState, context.loop().now());
             context.log().accept("consensus leadership acquired term=" + ledTerm);
         } else if (!isLeader && ledTerm >= 0) {
             ledTerm = -1;
-            leaseManager.leadsNoMore();
+            leaseManager.onDeposed();
             latestHeartbeats.clear();
             context.log().accept("consensus leadership lost");
         }
@@ -357,7 +363,7 @@
             if (updateLeadership()) {
                 proposeDecisions();
             }
-            context.loop().after(leaseManager.looksEvery(), this::tick);
+            context.loop().after(leaseManager.decisionInterval(), this::tick);
         }
     }
 
@@ -476,12 +482,12 @@
 
     /** The configuration text of that digest; null where this voter doesn't know it. */
     String configText(String digest) {
-        return clusterState.text(digest);
+        return clusterState.configText(digest);
     }
 
     /** The digest of the configuration that the node should run; null unless this voter leads. */
     String wantedConfig(NodeName node) {
-        return updateLeadership() ? clusterState.wanted(node).runs() : null;
+        return updateLeadership() ? clusterState.desiredState(node).configDigest() : null;
     }
 
     /** The program version that the node should run; null unless this voter leads. */
@@ -504,7 +510,7 @@
     public ReplicaView state(boolean withRequestCounts, boolean withPast, boolean withPlans) {
         List<NodeView> nodeViews =
                 updateLeadership()
-                        ? leaseManager.snapshot(clusterState, context.loop().now()).stream()
+                        ? leaseManager.nodeViews(clusterState, context.loop().now()).stream()
                                 .map(
                                         nodeView ->
                                                 nodeView.report() == null
@@ -514,9 +520,9 @@
                                                                 nodeView.incarnation(),
                                                                 nodeView.site(),
                                                                 nodeView.status(),
-                                                                nodeView.heard(),
+                                                                nodeView.sinceHeartbeat(),
                                                                 nodeView.report()
-                                                                        .with(
+                                                                        .filtered(
                                                                                 withRequestCounts,
                                                                                 withPlans)))
                                 .toList()
@@ -528,17 +534,17 @@
                 nodeViews,
                 new ArrayList<>(clusterState.duties()),
                 clusterState.digest(),
-                clusterState.commands(),
+                clusterState.commandCount(),
                 new ArrayList<>(clusterState.permits()),
                 clusterState.haltedBy(),
                 clusterState.history(),
                 clusterState.rollout(),
-                clusterState.good(),
+                clusterState.goodConfigDigest(),
                 new ArrayList<>(clusterState.cordons()),
-                withPast ? clusterState.past() : null,
+                withPast ? clusterState.baselineCounts() : null,
                 withPlans ? new ArrayList<>(clusterState.members()) : null,
                 withPlans ? clusterState.livePlans() : null,
-                clusterState.lastPlan());
+                clusterState.lastPlanNumber());
     }
 
     /**
@@ -556,21 +562,25 @@
             replyTo.accept(null);
             return;
         }
-        String earlierAnswer = clusterState.answer(order.id());
+        String earlierAnswer = clusterState.orderResult(order.id());
         long nowMillis = millis();
         List<NodeName> unavailable =
                 leaseManager.unavailableNodes(clusterState, context.loop().now());
-        RolloutRequest wish = order.wish();
+        RolloutRequest rolloutRequest = order.rolloutRequest();
         String refusal =
-                switch (order.what()) {
+                switch (order.kind()) {
                     case "leave" ->
-                            clusterState.against(order.node(), disruptionLimits, unavailable);
+                            clusterState.reasonAgainstPermit(
+                                    order.node(), disruptionLimits, unavailable);
                     case "release" ->
-                            clusterState.reasonAgainstRollout(wish.kind(), wish.to(), wish.text());
+                            clusterState.reasonAgainstRollout(
+                                    rolloutRequest.kind(),
+                                    rolloutRequest.to(),
+                                    rolloutRequest.text());
                     case "back" ->
                             clusterState.rollout() == null
                                     ? "no rollout is in progress"
-                                    : clusterState.rollout().back()
+                                    : clusterState.rollout().isRollingBack()
                                             ? clusterState.rollout()
                                                     + " is already being rolled back"
                                             : "";
@@ -585,7 +595,7 @@
                     default -> "";
                 };
         ClusterCommand command =
-                switch (order.what()) {
+                switch (order.kind()) {
                     case "leave" ->
                             new ClusterCommand.GrantPermit(
                                     order.id(),
@@ -596,7 +606,7 @@
                                     unavailable);
                     case "halt", "resume" ->
                             new ClusterCommand.SetHalt(
-                                    order.id(), order.what().equals("halt"), order.by(), nowMillis);
+                                    order.id(), order.kind().equals("halt"), order.by(), nowMillis);
                     case "forget" -> new ClusterCommand.RemoveNode(order.node());
                     case "rest" ->
                             new ClusterCommand.CordonServer(
@@ -608,10 +618,10 @@
                             new ClusterCommand.BeginRollout(
                                     order.id(),
                                     order.by(),
-                                    wish.kind(),
-                                    wish.to(),
-                                    wish.text(),
-                                    wish.backsOnHalt(),
+                                    rolloutRequest.kind(),
+                                    rolloutRequest.to(),
+                                    rolloutRequest.text(),
+                                    rolloutRequest.rollsBackAutomatically(),
                                     nowMillis);
                     case "back" ->
                             new ClusterCommand.RollBack(
@@ -630,7 +640,7 @@
                             earlierAnswer != null
                                     ? earlierAnswer
                                     : command == null
-                                            ? "unknown order: " + order.what()
+                                            ? "unknown order: " + order.kind()
                                             : refusal));
             return;
         }
@@ -640,10 +650,10 @@
                         replyTo.accept(
                                 new OrderResult(
                                         isApplied,
-                                        clusterState.answer(order.id()) != null
-                                                ? clusterState.answer(order.id())
+                                        clusterState.orderResult(order.id()) != null
+                                                ? clusterState.orderResult(order.id())
                                                 : isApplied
-                                                        ? order.what() + " " + order.node()
+                                                        ? order.kind() + " " + order.node()
                                                         : "rejected, or may still be committed; send the order again")));
     }
 
@@ -743,7 +753,7 @@
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
-            clusterState.open(CommandCodec.decodeSnapshot(chunks));
+            clusterState.restore(CommandCodec.decodeSnapshot(chunks));
         }
 
         @Override
--- a/src/main/java/lupinwood/consensus/SharedConfigFollower.java
+++ b/src/main/java/lupinwood/consensus/SharedConfigFollower.java
@@ -42,28 +42,38 @@
     /**
      * Starts the next operation towards what the consensus group last wanted. Called repeatedly.
      */
-    void follow(HeartbeatReply.Wanted wanted) {
-        if (wanted == null || busy) {
+    void follow(HeartbeatReply.DesiredState desiredState) {
+        if (desiredState == null || busy) {
             return;
         }
         boolean mustApply =
-                !wanted.runs().equals(runningDigest) && !wanted.runs().equals(rejectedDigest);
+                !desiredState.configDigest().equals(runningDigest)
+                        && !desiredState.configDigest().equals(rejectedDigest);
         boolean mustCheck =
-                !wanted.checks().isEmpty()
-                        && (lastCheck == null || !lastCheck.digest().equals(wanted.checks()));
-        if (wanted.runs().equals(runningDigest)) {
+                !desiredState.digestToCheck().isEmpty()
+                        && (lastCheck == null
+                                || !lastCheck.digest().equals(desiredState.digestToCheck()));
+        if (desiredState.configDigest().equals(runningDigest)) {
             rejectedDigest = null;
         }
         if (mustApply) {
             withText(
-                    wanted.runs(),
+                    desiredState.configDigest(),
                     text ->
                             configApplier.take(
-                                    wanted.runs(),
+                                    desiredState.configDigest(),
                                     text,
-                                    why -> loop.accept(() -> onApplied(wanted.runs(), text, why))));
+                                    why ->
+                                            loop.accept(
+                                                    () ->
+                                                            onApplied(
+                                                                    desiredState.configDigest(),
+                                                                    text,
+                                                                    why))));
         } else if (mustCheck) {
-            withText(wanted.checks(), text -> check(wanted.checks(), text));
+            withText(
+                    desiredState.digestToCheck(),
+                    text -> check(desiredState.digestToCheck(), text));
         }
     }
 
@@ -89,8 +99,8 @@
                                     log.line(
                                             "fleet: shared configuration checked digest="
                                                     + check.digest()
-                                                    + (check.fits()
-                                                            ? check.restarts()
+                                                    + (check.usable()
+                                                            ? check.needsRestart()
                                                                     ? " result=valid-after-restart"
                                                                     : " result=valid"
                                                             : " result=invalid reason="
--- a/src/main/java/lupinwood/experiment/FailoverSimulation.java
+++ b/src/main/java/lupinwood/experiment/FailoverSimulation.java
@@ -110,7 +110,7 @@
             // Past what it bears each gets its part only.
             return SERVICE
                     / speed
-                    * Math.max(1, (double) inHand / location.bears())
+                    * Math.max(1, (double) inHand / location.capacity())
                     * (0.7 + 0.6 * random.nextDouble());
         }
     }
@@ -144,10 +144,11 @@
             pool =
                     new ServerPool(
                             servers.stream().map(one -> one.location.name()).toList(),
-                            lupinwood.balancing.OutlierLimits.USUAL,
+                            lupinwood.balancing.OutlierLimits.DEFAULTS,
                             random.nextLong());
             Map<String, Integer> alone = new TreeMap<>();
-            servers.forEach(one -> alone.put(one.location.name(), one.location.alone(site)));
+            servers.forEach(
+                    one -> alone.put(one.location.name(), one.location.unplannedSlots(site)));
             share = new CapacityLease(alone);
         }
 
@@ -155,7 +156,7 @@
             offered++;
             demanded++;
             SimulatedRequest request = new SimulatedRequest();
-            budget.first();
+            budget.recordFirstAttempt();
             time.after(
                     TIMEOUT,
                     () -> {
@@ -189,20 +190,20 @@
         private int choose(SimulatedRequest request) {
             MonotonicTime at = time();
             if (way == Way.EACH_FOR_ITSELF) {
-                return pool.send(at, request.tried);
+                return pool.acquireServer(at, request.tried);
             }
             if (way == Way.NEAR_ONLY) {
-                return pool.send(at, request.tried, server -> server == zone);
+                return pool.acquireServer(at, request.tried, server -> server == zone);
             }
             if (way == Way.EVENLY) {
                 int one = turn++ % ZONES;
-                int chosen = pool.send(at, request.tried, server -> server == one);
-                return chosen >= 0 ? chosen : pool.send(at, request.tried);
+                int chosen = pool.acquireServer(at, request.tried, server -> server == one);
+                return chosen >= 0 ? chosen : pool.acquireServer(at, request.tried);
             }
             for (int distance = 0; distance <= 2; distance++) {
                 int of = distance;
                 int chosen =
-                        pool.send(
+                        pool.acquireServer(
                                 at,
                                 request.tried,
                                 server -> distance(zone, server) == of && may(server));
@@ -216,8 +217,9 @@
         private boolean may(int server) {
             Server one = servers.get(server);
             return way == Way.TRUTH
-                    ? one.up && !one.errors && one.sent < one.location.bears()
-                    : pool.out(server) < share.may(one.location.name(), time());
+                    ? one.up && !one.errors && one.sent < one.location.capacity()
+                    : pool.inFlightCount(server)
+                            < share.allowedRequests(one.location.name(), time());
         }
 
         private void carry(SimulatedRequest request, Server server) {
@@ -238,14 +240,14 @@
                                             ended(
                                                     request,
                                                     server.index,
-                                                    ServerPool.AttemptEnd.FAILED,
+                                                    ServerPool.AttemptCompletion.FAILED,
                                                     sentAt));
                             return;
                         }
                         server.inHand++;
                         server.most = Math.max(server.most, server.inHand);
                         int of = server.life;
-                        if (way == Way.PLANNED && server.inHand > server.location.bears()) {
+                        if (way == Way.PLANNED && server.inHand > server.location.capacity()) {
                             breaks(
                                     server.location.name()
                                             + " has "
@@ -253,9 +255,9 @@
                                             + " tickets at "
                                             + now()
                                             + " s, and bears "
-                                            + server.location.bears());
+                                            + server.location.capacity());
                         }
-                        if (server.inHand > server.location.bears() * BREAKS_AT) {
+                        if (server.inHand > server.location.capacity() * BREAKS_AT) {
                             server.broke++;
                             server.dies(DOWN_WHEN_BROKEN);
                         }
@@ -271,24 +273,29 @@
                                                             request,
                                                             server.index,
                                                             same
-                                                                    ? ServerPool.AttemptEnd.WELL
-                                                                    : ServerPool.AttemptEnd.FAILED,
+                                                                    ? ServerPool.AttemptCompletion
+                                                                            .WELL
+                                                                    : ServerPool.AttemptCompletion
+                                                                            .FAILED,
                                                             sentAt));
                                 });
                     });
         }
 
         private void ended(
-                SimulatedRequest request, int server, ServerPool.AttemptEnd end, double sentAt) {
+                SimulatedRequest request,
+                int server,
+                ServerPool.AttemptCompletion end,
+                double sentAt) {
             servers.get(server).sent--;
-            pool.ended(server, end, NanoDuration.ofSeconds(now() - sentAt), false, time());
+            pool.onAttemptEnded(server, end, NanoDuration.ofSeconds(now() - sentAt), false, time());
             ended[server][0]++;
-            seconds[server] += end == ServerPool.AttemptEnd.WELL ? now() - sentAt : 0;
-            ended[server][1] += end == ServerPool.AttemptEnd.FAILED ? 1 : 0;
-            if (!request.over && end == ServerPool.AttemptEnd.WELL) {
+            seconds[server] += end == ServerPool.AttemptCompletion.WELL ? now() - sentAt : 0;
+            ended[server][1] += end == ServerPool.AttemptCompletion.FAILED ? 1 : 0;
+            if (!request.over && end == ServerPool.AttemptCompletion.WELL) {
                 request.over = true;
                 inTime += now() - request.came <= ON_TIME ? 1 : 0;
-            } else if (!request.over && request.tried.size() < 3 && budget.again()) {
+            } else if (!request.over && request.tried.size() < 3 && budget.tryAcquireRetry()) {
                 send(request);
             } else {
                 request.over = true;
@@ -307,12 +314,12 @@
                 uses.add(
                         new NodeReport.LocationUse(
                                 server.location.name(),
-                                pool.out(server.index),
+                                pool.inFlightCount(server.index),
                                 demanded,
                                 ended[server.index][0],
                                 ended[server.index][1],
                                 seconds[server.index],
-                                pool.isLeftOut(server.index)));
+                                pool.isEjected(server.index)));
             }
             Heartbeat heartbeat =
                     new Heartbeat(
@@ -332,12 +339,12 @@
                                     "",
                                     null,
                                     List.of(),
-                                    share.plan(),
+                                    share.planNumber(),
                                     uses,
-                                    RequestCounts.NOTHING));
+                                    RequestCounts.EMPTY));
             talk(
                     () -> {
-                        String trouble = leaseManager.heard(heartbeat, clusterState, time());
+                        String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, time());
                         HeartbeatReply reply =
                                 leaseManager.replyTo(
                                         heartbeat, trouble, clusterState, name, time());
@@ -350,10 +357,10 @@
 
         private void hears(HeartbeatReply reply) {
             MonotonicTime requested = requestedAt.get(reply.number());
-            if (requested != null && reply.share() != null) {
+            if (requested != null && reply.capacityShare() != null) {
                 share.update(
-                        reply.share().plan(),
-                        reply.share().slots(),
+                        reply.capacityShare().plan(),
+                        reply.capacityShare().slots(),
                         requested.plus(timing.holderLease()));
                 for (int left = waiting.size(); left > 0; left--) {
                     send(waiting.poll());
@@ -440,7 +447,7 @@
 
     Played play() {
         clusterState.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(clusterState, time());
+        leaseManager.onElected(clusterState, time());
         for (Node node : nodes) {
             time.after(random.nextDouble() * 0.5, node::heartbeats);
             time.after(6 + random.nextDouble() / rate, node::comes);
@@ -466,7 +473,7 @@
         int broke = servers.stream().mapToInt(server -> server.broke).sum();
         double over =
                 servers.stream()
-                        .mapToDouble(server -> (double) server.most / server.location.bears())
+                        .mapToDouble(server -> (double) server.most / server.location.capacity())
                         .max()
                         .orElse(0);
         return new Played(
@@ -488,9 +495,9 @@
                             new CapacityPlanner.View(
                                     servers.stream().map(server -> server.location).toList(),
                                     clusterState.members(),
-                                    leaseManager.snapshot(clusterState, time()),
+                                    leaseManager.nodeViews(clusterState, time()),
                                     clusterState.livePlans(),
-                                    clusterState.lastPlan()),
+                                    clusterState.lastPlanNumber()),
                             lease.token(),
                             time());
             if (plan != null && !clusterState.apply(plan)) {
@@ -501,7 +508,7 @@
                                 Locale.ROOT,
                                 "%.1f plan %d: %s",
                                 now(),
-                                clusterState.lastPlan(),
+                                clusterState.lastPlanNumber(),
                                 plan.why()));
                 plans++;
                 planBytes += plan.toString().length();
--- a/src/main/java/lupinwood/experiment/RolloutSimulation.java
+++ b/src/main/java/lupinwood/experiment/RolloutSimulation.java
@@ -162,7 +162,7 @@
                 counts[i] = new long[4];
                 seconds[i] = 0;
             }
-            String wanted = clusterState.wanted(name).runs();
+            String wanted = clusterState.desiredState(name).configDigest();
             if (!wanted.equals(runs)) {
                 changedAt = wanted.equals(NEW) ? time : -1;
             }
@@ -228,7 +228,7 @@
                                 counts[i][3],
                                 seconds[i]));
             }
-            String wanted = clusterState.wanted(name).runs();
+            String wanted = clusterState.desiredState(name).configDigest();
             NodeReport.ConfigCheck says =
                     kind.byRestarts() && !wanted.equals(runs)
                             ? new NodeReport.ConfigCheck(wanted, true, true, "")
@@ -395,7 +395,7 @@
 
     Played play() {
         clusterState.apply(new ClusterCommand.Bootstrap(1));
-        leaseManager.leads(clusterState, now());
+        leaseManager.onElected(clusterState, now());
         for (; time < 30; time++) {
             second();
         }
@@ -419,7 +419,10 @@
                 faultFrom = faulty ? time + random.nextInt(20) : faultFrom;
                 faultUntil = faultFrom + 100 + random.nextInt(200);
             }
-            boolean stops = rollout == null || rollout.back() || !clusterState.haltedBy().isEmpty();
+            boolean stops =
+                    rollout == null
+                            || rollout.isRollingBack()
+                            || !clusterState.haltedBy().isEmpty();
             if (stops && caught < 0) {
                 caught = time - Math.max(firstWave, begun);
                 had = share(NEW);
@@ -427,7 +430,8 @@
                 why = history.get(history.size() - 1).text();
             }
             if (rollout == null) {
-                boolean done = clusterState.wanted(nodes.get(0).name).runs().equals(NEW);
+                boolean done =
+                        clusterState.desiredState(nodes.get(0).name).configDigest().equals(NEW);
                 end = done ? End.DONE : firstWave < 0 ? End.REFUSED : End.BACK;
             } else if (!clusterState.haltedBy().isEmpty()) {
                 end = End.HALTED;
@@ -475,7 +479,7 @@
             node.serves();
             follow(node);
             Heartbeat heartbeat = node.heartbeat();
-            String trouble = leaseManager.heard(heartbeat, clusterState, now());
+            String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, now());
             leaseManager.replyTo(heartbeat, trouble, clusterState, node.name, now());
         }
         leaseManager.decide(clusterState, 1, now()).forEach(clusterState::apply);
@@ -512,8 +516,8 @@
 
     /** What a node does by the consensus group's word. */
     private void follow(Node node) {
-        String wanted = clusterState.wanted(node.name).runs();
-        String checks = clusterState.wanted(node.name).checks();
+        String wanted = clusterState.desiredState(node.name).configDigest();
+        String checks = clusterState.desiredState(node.name).digestToCheck();
         node.checked =
                 checks.isEmpty()
                         ? node.checked && clusterState.rollout() != null
@@ -560,16 +564,16 @@
         RolloutSnapshot snapshot =
                 new RolloutSnapshot(
                         clusterState.rollout(),
-                        clusterState.good(),
+                        clusterState.goodConfigDigest(),
                         clusterState.haltedBy(),
-                        leaseManager.snapshot(clusterState, now()),
+                        leaseManager.nodeViews(clusterState, now()),
                         clusterState.permits(),
-                        disruptionLimits.mostOf(nodes.size()),
-                        clusterState.past());
+                        disruptionLimits.maxUnavailable(nodes.size()),
+                        clusterState.baselineCounts());
         if (stalledToken != null) {
             lateWord(snapshot);
         }
-        String before = rolloutController.says();
+        String before = rolloutController.statusMessage();
         for (RolloutAction action : rolloutController.decide(snapshot, token, now())) {
             if (action instanceof RolloutAction.Propose write) {
                 boolean fitted = clusterState.apply(write.command());
@@ -589,8 +593,8 @@
                                 leaseManager.unavailableNodes(clusterState, now())));
             }
         }
-        if (!rolloutController.says().equals(before)) {
-            trace.accept(time + " " + rolloutController.says());
+        if (!rolloutController.statusMessage().equals(before)) {
+            trace.accept(time + " " + rolloutController.statusMessage());
         }
     }
 
@@ -600,13 +604,13 @@
      */
     private void lateWord(RolloutSnapshot snapshot) {
         Rollout rollout = snapshot.rollout();
-        if (rollout == null || rollout.steps() == 0 || rollout.back()) {
+        if (rollout == null || rollout.steps() == 0 || rollout.isRollingBack()) {
             return;
         }
         List<NodeName> next =
                 nodes.stream()
                         .map(node -> node.name)
-                        .filter(name -> !rollout.isGiven(name))
+                        .filter(name -> !rollout.isUpdated(name))
                         .limit(3)
                         .toList();
         FencingToken shown = without == Without.TOKEN ? token : stalledToken;
@@ -623,11 +627,11 @@
             breaks("versions " + versions + " at once");
         }
         int permits = clusterState.permits().size();
-        if (permits > disruptionLimits.mostOf(nodes.size())) {
+        if (permits > disruptionLimits.maxUnavailable(nodes.size())) {
             breaks(
                     permits
                             + " nodes out by permits of "
-                            + disruptionLimits.mostOf(nodes.size())
+                            + disruptionLimits.maxUnavailable(nodes.size())
                             + " allowed");
         }
         for (DisruptionPermit permit : clusterState.permits()) {
@@ -636,7 +640,7 @@
             }
         }
         Rollout rollout = clusterState.rollout();
-        if (rollout != null && !rollout.back() && rollout.steps() != stepsObserved) {
+        if (rollout != null && !rollout.isRollingBack() && rollout.steps() != stepsObserved) {
             if (stepsObserved > 0 && time - stepAt < WATCH) {
                 breaks(
                         "step "
--- a/src/main/java/lupinwood/experiment/SimulatedCluster.java
+++ b/src/main/java/lupinwood/experiment/SimulatedCluster.java
@@ -161,7 +161,7 @@
                 execute(replica::start);
             }
             after(
-                    NanoDuration.ofSeconds(timing.lease().seconds() / 2),
+                    NanoDuration.ofSeconds(timing.leaseDuration().seconds() / 2),
                     () -> condition = NodeCondition.WARM);
             execute(this::talk);
             execute(this::poll);
@@ -192,12 +192,12 @@
         void leave() {
             if (runs()) {
                 condition = NodeCondition.LEAVING;
-                session.handOnAll(now());
+                session.releaseAll(now());
                 execute(this::say);
                 after(
-                        timing.lease(),
+                        timing.leaseDuration(),
                         () -> {
-                            send(session.last(now()));
+                            send(session.finalHeartbeat(now()));
                             time.after(0.1, this::kill);
                         });
             }
@@ -221,7 +221,7 @@
         }
 
         private void say() {
-            ClusterSession.Sent sent = session.heartbeat(condition, now());
+            ClusterSession.OutgoingHeartbeat sent = session.pollHeartbeat(condition, now());
             if (sent != null) {
                 heartbeats++;
                 weigh(sent.heartbeat());
@@ -231,12 +231,13 @@
 
         private void talk() {
             say();
-            NanoDuration wait = session.due().since(now()).max(NanoDuration.ofSeconds(0.001));
+            NanoDuration wait =
+                    session.nextHeartbeatAt().since(now()).max(NanoDuration.ofSeconds(0.001));
             after(wait.min(timing.heartbeatInterval()), this::talk);
         }
 
-        private void send(ClusterSession.Sent sent) {
-            Node voter = byName.get(sent.to());
+        private void send(ClusterSession.OutgoingHeartbeat sent) {
+            Node voter = byName.get(sent.voter());
             ClusterSession mine = session;
             links.send(
                     place,
@@ -270,10 +271,11 @@
 
         private void hears(ClusterSession mine, HeartbeatReply reply) {
             if (without == Without.EARLY_STOP) {
-                mine.holding()
-                        .asks(reply.number(), now()); // as if a grant counted from when it came
+                mine.heldLeases()
+                        .onHeartbeatSent(
+                                reply.number(), now()); // as if a grant counted from when it came
             }
-            mine.heard(reply, now());
+            mine.onReply(reply, now());
         }
 
         /** Asks itself, then acts; between the two it may be stopped. */
@@ -286,13 +288,13 @@
                 }
             }
             for (DutyName duty : DUTIES) {
-                FencingToken token = session.holding().mayAct(duty, now());
+                FencingToken token = session.heldLeases().tokenFor(duty, now());
                 if (token != null) {
                     audit(duty, token);
                     links.send(place, SINK, () -> sink(duty, token));
                     if (stalls && random.nextInt(2000) == 0) {
                         // It was stopped between asking and acting.
-                        double stop = timing.lease().seconds() * 2 * random.nextDouble();
+                        double stop = timing.leaseDuration().seconds() * 2 * random.nextDouble();
                         int of = process;
                         stopFor(stop);
                         time.after(
@@ -312,7 +314,7 @@
         private void audit(DutyName duty, FencingToken token) {
             for (Node other : nodes) {
                 if (other != this && other.runs()) {
-                    FencingToken also = other.session.holding().mayAct(duty, other.now());
+                    FencingToken also = other.session.heldLeases().tokenFor(duty, other.now());
                     if (also != null) {
                         breaks(
                                 "two may do "
@@ -337,7 +339,7 @@
         }
 
         boolean holds(DutyName duty) {
-            return runs() && session.holding().mayAct(duty, now()) != null;
+            return runs() && session.heldLeases().tokenFor(duty, now()) != null;
         }
     }
 
@@ -397,7 +399,7 @@
         random = new Random(seed);
         this.zones = zones;
         this.without = without;
-        this.timing = without == Without.DRIFT ? LeaseTiming.of(timing.lease(), 0) : timing;
+        this.timing = without == Without.DRIFT ? LeaseTiming.of(timing.leaseDuration(), 0) : timing;
         replicaRules = this.timing;
         links = new SimulatedNetwork(time, new Random(random.nextLong()));
         for (int i = 0; i < voters + members; i++) {
@@ -492,7 +494,7 @@
             if (isLeased || !could) {
                 Long since = unheldSince.remove(duty);
                 if (since != null && isLeased) {
-                    gaps.add((time.now() - since) / 1e9 / timing.lease().seconds());
+                    gaps.add((time.now() - since) / 1e9 / timing.leaseDuration().seconds());
                 }
             } else {
                 unheldSince.putIfAbsent(duty, time.now());
--- a/src/main/java/lupinwood/net/ClusterMembership.java
+++ b/src/main/java/lupinwood/net/ClusterMembership.java
@@ -48,7 +48,7 @@
     private volatile List<NodeReport.LocationUse> uses = List.of();
     private ClusterView.CapacityShare shared;
     private final RequestCounters counters = new RequestCounters();
-    private volatile RequestCounts requestCounts = RequestCounts.NOTHING;
+    private volatile RequestCounts requestCounts = RequestCounts.EMPTY;
     private List<ClusterView.ServerHealth> heard = List.of();
 
     /** The token of the try that is under way. */
@@ -70,14 +70,14 @@
         this.deadlines = deadlines;
         this.servers = servers;
         settings = ClusterSettings.of(parsedSettings);
-        locations = ClusterSettings.places(parsedSettings);
+        locations = ClusterSettings.locations(parsedSettings);
         warmAfter =
                 new NanoDuration(
                         parsedSettings.number("rules warm-after", BigDecimal.ZERO).longValue());
         fleet =
                 new ClusterNode(
                         settings,
-                        new ClusterNode.Self(
+                        new ClusterNode.LocalNode(
                                 () -> condition,
                                 () -> leftOut,
                                 () -> drained,
@@ -98,12 +98,12 @@
     /** On the event loop thread. */
     void serve(RequestProcessor served) {
         processor = served;
-        served.answersTo(counters);
+        served.setResponseListener(counters);
         if (servers != null && !locations.isEmpty()) {
             shareServers();
         }
         if (servers != null) {
-            servers.pool().checkHealthBy(new SharedHealthChecker());
+            servers.pool().setHealthChecker(new SharedHealthChecker());
             servers.markProbation(
                     () -> tries == null ? Map.of() : Map.of("X-Duty-Token", tries.toString()));
         }
@@ -120,18 +120,18 @@
         locations.forEach(location -> planned.put(location.name(), location));
         int[] away = new int[pool.size()];
         for (int i = 0; i < away.length; i++) {
-            Location location = planned.get(pool.name(i));
+            Location location = planned.get(pool.serverName(i));
             away[i] = location == null ? 0 : location.distance(settings.site());
         }
         servers.share(
                 away,
                 server -> {
-                    Location location = planned.get(pool.name(server));
+                    Location location = planned.get(pool.serverName(server));
                     if (location == null) {
                         return Integer.MAX_VALUE;
                     }
                     ClusterView.CapacityShare share = fleet.view().share();
-                    int alone = location.alone(settings.site());
+                    int alone = location.unplannedSlots(settings.site());
                     return monotonic().isBefore(share.until())
                             ? Math.max(alone, share.slots().getOrDefault(location.name(), 0))
                             : alone;
@@ -144,13 +144,13 @@
         for (int i = 0; i < pool.size(); i++) {
             reported.add(
                     new NodeReport.LocationUse(
-                            pool.name(i),
-                            pool.out(i),
+                            pool.serverName(i),
+                            pool.inFlightCount(i),
                             servers.offered(i),
                             servers.ended(i),
                             servers.failed(i),
                             servers.took(i),
-                            pool.isLeftOut(i)));
+                            pool.isEjected(i)));
         }
         return reported;
     }
@@ -165,12 +165,12 @@
         condition = processor.isWarm(warmAfter) ? NodeCondition.WARM : NodeCondition.COLD;
         if (servers != null) {
             ServerPool pool = servers.pool();
-            leftOut = pool.leftOut();
+            leftOut = pool.ejectedServers();
             if (!fleet.view().cordons().equals(rests)) {
                 rests = fleet.view().cordons();
                 servers.rest(rests);
             }
-            drained = pool.drained();
+            drained = pool.drainedServers();
             if (!locations.isEmpty()) {
                 uses = uses();
                 if (shared != fleet.view().share()) {
@@ -196,7 +196,7 @@
 
     /** A configuration was taken over. */
     void reach(ParsedSettings parsedSettings) {
-        fleet.reach(ClusterSettings.of(parsedSettings).voters());
+        fleet.updateVoterAddresses(ClusterSettings.of(parsedSettings).voters());
     }
 
     void leave() {
@@ -208,7 +208,7 @@
     }
 
     String figures() {
-        return fleet.figures();
+        return fleet.stateLogLine();
     }
 
     /**
@@ -217,17 +217,17 @@
      */
     private final class SharedHealthChecker implements HealthChecker {
         @Override
-        public boolean mayTry(String server) {
+        public boolean allowsProbe(String server) {
             ClusterView view = fleet.view();
             MonotonicTime now = monotonic();
-            tries = view.mayAct(DutyName.HEALTH_CHECK, now);
-            return tries != null || !view.isInTouch(now);
+            tries = view.tokenFor(DutyName.HEALTH_CHECK, now);
+            return tries != null || !view.isConnected(now);
         }
 
         @Override
-        public void tried(String server, boolean well) {
+        public void onProbeResult(String server, boolean well) {
             if (tries != null) {
-                fleet.found(server, well, tries);
+                fleet.recordHealthCheck(server, well, tries);
             }
         }
     }
--- a/src/test/java/lupinwood/cluster/CapacityPlansTest.java
+++ b/src/test/java/lupinwood/cluster/CapacityPlansTest.java
@@ -40,14 +40,14 @@
                 new ClusterCommand.GrantLease(
                         DutyName.PLANNER, node(0), new Incarnation(0), new FencingToken(0)));
         plannerToken = clusterState.duty(DutyName.PLANNER).token();
-        leaseManager.leads(clusterState, at(0));
+        leaseManager.onElected(clusterState, at(0));
     }
 
     private boolean setPlan(int z0Slots, int z1Slots, Map<String, Map<String, Integer>> baseSlots) {
         return clusterState.apply(
                 new ClusterCommand.SetCapacityPlan(
                         plannerToken,
-                        clusterState.lastPlan(),
+                        clusterState.lastPlanNumber(),
                         Map.of("p", 10),
                         baseSlots,
                         Map.of("r/z0", Map.of("p", z0Slots), "r/z1", Map.of("p", z1Slots)),
@@ -71,10 +71,10 @@
                         List.of(),
                         List.of(),
                         new NodeReport(
-                                "1", "", null, List.of(), plan, List.of(), RequestCounts.NOTHING));
+                                "1", "", null, List.of(), plan, List.of(), RequestCounts.EMPTY));
         return leaseManager.replyTo(
                 heartbeat,
-                leaseManager.heard(heartbeat, clusterState, at(seconds)),
+                leaseManager.onHeartbeat(heartbeat, clusterState, at(seconds)),
                 clusterState,
                 node(0),
                 at(seconds));
@@ -102,7 +102,7 @@
                 .as("n0 got the first plan and has not reported a newer one")
                 .hasSize(2);
         assertThat(setPlan(2, 8, Map.of())).isFalse();
-        assertThat(sendHeartbeat(0, 1, 4.5).share().slots()).isEqualTo(Map.of("p", 1));
+        assertThat(sendHeartbeat(0, 1, 4.5).capacityShare().slots()).isEqualTo(Map.of("p", 1));
         sendHeartbeat(0, 2, 4.6);
         sendHeartbeat(2, 2, 4.6);
         applyDecisions(4.7);
@@ -125,8 +125,8 @@
         applyDecisions(7.1);
         assertThat(clusterState.livePlans()).as("lease of 3 s and drift have passed").hasSize(1);
         setPlan(2, 1, Map.of());
-        leaseManager.leadsNoMore();
-        leaseManager.leads(clusterState, at(8));
+        leaseManager.onDeposed();
+        leaseManager.onElected(clusterState, at(8));
         applyDecisions(10.9);
         assertThat(clusterState.livePlans())
                 .as("the new leader doesn't know which plans were sent before")
@@ -144,12 +144,12 @@
                 .isFalse();
         assertThat(setPlan(2, 4, baseSlots)).isTrue();
         clusterState.apply(new ClusterCommand.Join(node(4), new Incarnation(4), site(4)));
-        assertThat(clusterState.plan().of(node(4))).isEmpty();
-        assertThat(sendHeartbeat(4, 0, 5).share().slots()).isEmpty();
+        assertThat(clusterState.newestPlan().slotsOf(node(4))).isEmpty();
+        assertThat(sendHeartbeat(4, 0, 5).capacityShare().slots()).isEmpty();
         clusterState.apply(new ClusterCommand.RemoveNode(node(1)));
-        assertThat(clusterState.plan().roster()).doesNotContainKey("n1");
+        assertThat(clusterState.newestPlan().roster()).doesNotContainKey("n1");
         ClusterState restored = new ClusterState(100);
-        restored.open(clusterState.snapshot());
+        restored.restore(clusterState.snapshot());
         assertThat(restored.snapshot()).isEqualTo(clusterState.snapshot());
     }
 
@@ -171,12 +171,12 @@
                 if (random.nextInt(4) == 0) {
                     state.apply(
                             new ClusterCommand.RetireCapacityPlans(
-                                    1 + random.nextInt((int) state.lastPlan() + 1)));
+                                    1 + random.nextInt((int) state.lastPlanNumber() + 1)));
                 } else {
                     state.apply(
                             new ClusterCommand.SetCapacityPlan(
                                     planner,
-                                    state.lastPlan(),
+                                    state.lastPlanNumber(),
                                     Map.of("p", 12),
                                     Map.of(),
                                     Map.of(
@@ -192,7 +192,9 @@
                 for (int i = 0; i < nodes && !live.isEmpty(); i++) {
                     followedSlots.put(
                             i,
-                            live.get(random.nextInt(live.size())).of(node(i)).getOrDefault("p", 0));
+                            live.get(random.nextInt(live.size()))
+                                    .slotsOf(node(i))
+                                    .getOrDefault("p", 0));
                 }
                 assertThat(followedSlots.values().stream().mapToInt(slots -> slots).sum())
                         .as("seed " + seed)
--- a/src/test/java/lupinwood/cluster/LeaseManagerTest.java
+++ b/src/test/java/lupinwood/cluster/LeaseManagerTest.java
@@ -43,7 +43,7 @@
     }
 
     private HeartbeatReply sendHeartbeat(Heartbeat heartbeat, double seconds) {
-        String trouble = leaseManager.heard(heartbeat, clusterState, at(seconds));
+        String trouble = leaseManager.onHeartbeat(heartbeat, clusterState, at(seconds));
         return leaseManager.replyTo(heartbeat, trouble, clusterState, SELF, at(seconds));
     }
 
@@ -59,7 +59,7 @@
 
     @BeforeEach
     void startWithNodesAAndBAndDutyAtA() {
-        leaseManager.leads(clusterState, at(0));
+        leaseManager.onElected(clusterState, at(0));
         sendWarmHeartbeat("a", 0.1);
         applyDecisions(0.1);
         applyDecisions(0.1);
@@ -105,8 +105,8 @@
     @Test
     void newLeaderCountsLeasesFromWhenItBeganToLead() {
         sendWarmHeartbeat("a", 2);
-        leaseManager.leadsNoMore();
-        leaseManager.leads(clusterState, at(4));
+        leaseManager.onDeposed();
+        leaseManager.onElected(clusterState, at(4));
         assertThat(sendWarmHeartbeat("b", 6.9).leases()).isEmpty();
         assertThat(applyDecisions(7)).isEmpty();
         assertThat(applyDecisions(7.1)).hasSize(1);
@@ -145,14 +145,14 @@
                         sendHeartbeat(
                                         heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()),
                                         1.5)
-                                .trouble())
+                                .rejectionReason())
                 .contains("in use");
         assertThat(sendWarmHeartbeat("a", 1.6).leases()).hasSize(1);
         assertThat(
                         sendHeartbeat(
                                         heartbeat("a", 2, NodeCondition.WARM, List.of(), List.of()),
                                         6)
-                                .trouble())
+                                .rejectionReason())
                 .isEmpty();
     }
 
@@ -160,18 +160,18 @@
     @Test
     void nodeStatusFollowsHeartbeatsAndExcessNodesOrNewerVersionsAreRejected() {
         sendWarmHeartbeat("b", 5);
-        assertThat(leaseManager.snapshot(clusterState, at(5)))
+        assertThat(leaseManager.nodeViews(clusterState, at(5)))
                 .extracting(NodeView::status)
                 .containsExactly(NodeStatus.UNKNOWN, NodeStatus.WARM);
         sendHeartbeat(heartbeat("b", 1, NodeCondition.GONE, List.of(), List.of()), 5.1);
         applyDecisions(5.1);
-        assertThat(leaseManager.snapshot(clusterState, at(5.2)).get(1).status())
+        assertThat(leaseManager.nodeViews(clusterState, at(5.2)).get(1).status())
                 .isEqualTo(NodeStatus.OUT);
         for (String name : List.of("c", "d")) {
             sendWarmHeartbeat(name, 5.3); // b left, and made room for one
             applyDecisions(5.3);
         }
-        assertThat(sendWarmHeartbeat("e", 5.4).trouble()).contains("at most 3 nodes");
+        assertThat(sendWarmHeartbeat("e", 5.4).rejectionReason()).contains("at most 3 nodes");
         Heartbeat newerVersionHeartbeat =
                 new Heartbeat(
                         9,
@@ -186,21 +186,21 @@
                         List.of(),
                         List.of(),
                         null);
-        assertThat(leaseManager.heard(newerVersionHeartbeat, clusterState, at(5.5)))
+        assertThat(leaseManager.onHeartbeat(newerVersionHeartbeat, clusterState, at(5.5)))
                 .contains("heartbeat version 9 is not supported");
     }
 
     @Test
     void holderCountsFromItsHeartbeatAndStopsBeforeTheDutyMayMove() {
         HeldLeases heldLeases = new HeldLeases(TIMING);
-        heldLeases.asks(1, at(10));
+        heldLeases.onHeartbeatSent(1, at(10));
         HeartbeatReply reply =
                 new HeartbeatReply(
                         1,
                         true,
                         SELF,
                         "",
-                        TIMING.lease(),
+                        TIMING.leaseDuration(),
                         List.of(new Lease(DutyName.HEALTH_CHECK, new FencingToken(7))),
                         List.of(),
                         0,
@@ -208,12 +208,12 @@
                         null,
                         1);
         heldLeases.onReply(reply, at(11.5));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.93)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(12.93)))
                 .isEqualTo(new FencingToken(7));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(12.95)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(12.95)))
                 .as("the lease of 3 s less 2 % drift, counted from 10 s, has expired")
                 .isNull();
-        heldLeases.asks(2, at(13));
+        heldLeases.onHeartbeatSent(2, at(13));
         assertThat(heldLeases.release(DutyName.HEALTH_CHECK).token().number()).isEqualTo(7);
         heldLeases.onReply(
                 new HeartbeatReply(
@@ -221,7 +221,7 @@
                         true,
                         SELF,
                         "",
-                        TIMING.lease(),
+                        TIMING.leaseDuration(),
                         reply.leases(),
                         List.of(),
                         0,
@@ -229,7 +229,7 @@
                         null,
                         1),
                 at(13.1));
-        assertThat(heldLeases.mayAct(DutyName.HEALTH_CHECK, at(13.2)))
+        assertThat(heldLeases.tokenFor(DutyName.HEALTH_CHECK, at(13.2)))
                 .as("released for good under this token")
                 .isNull();
     }
--- a/src/test/java/lupinwood/consensus/MixedVersionIT.java
+++ b/src/test/java/lupinwood/consensus/MixedVersionIT.java
@@ -217,10 +217,11 @@
         return fail("not in time, or a process ended: " + what + "; last " + state + logs);
     }
 
-    private String order(String id, String what, RaftReplica.RolloutRequest wish, String server)
+    private String order(
+            String id, String kind, RaftReplica.RolloutRequest rolloutRequest, String server)
             throws InterruptedException {
         RaftReplica.OperatorOrder order =
-                new RaftReplica.OperatorOrder(id, what, null, "ann", wish, server);
+                new RaftReplica.OperatorOrder(id, kind, null, "ann", rolloutRequest, server);
         for (int i = 0; i < 10; i++) {
             RaftReplica.OrderResult answer =
                     ClusterQuery.order(addresses, order, NanoDuration.ofSeconds(10), discardingLog);
@@ -247,7 +248,7 @@
     private static boolean isComplete(RaftReplica.ReplicaView state) {
         return state.leader() != null
                 && state.members().size() == VOTERS
-                && state.members().stream().allMatch(ClusterState.Member::in)
+                && state.members().stream().allMatch(ClusterState.Member::active)
                 && state.duties().size() == ClusterNode.DUTIES.size()
                 && state.duties().stream().noneMatch(ClusterState.DutyLease::isFree)
                 && !state.plans().isEmpty();
@@ -284,12 +285,12 @@
         assertThat(after.cordons()).isEqualTo(before.cordons());
         assertThat(after.permits()).isEqualTo(before.permits());
         assertThat(after.haltedBy()).isEqualTo(before.haltedBy());
-        assertThat(after.good()).isEqualTo(before.good());
+        assertThat(after.goodConfigDigest()).isEqualTo(before.goodConfigDigest());
         assertThat(after.rollout()).isEqualTo(before.rollout());
-        assertThat(after.lastPlan()).isGreaterThanOrEqualTo(before.lastPlan());
-        assertThat(after.plans().stream().filter(plan -> plan.number() <= before.lastPlan()))
+        assertThat(after.lastPlanNumber()).isGreaterThanOrEqualTo(before.lastPlanNumber());
+        assertThat(after.plans().stream().filter(plan -> plan.number() <= before.lastPlanNumber()))
                 .isSubsetOf(before.plans());
-        assertThat(after.commands()).isGreaterThan(before.commands());
+        assertThat(after.commandCount()).isGreaterThan(before.commandCount());
         assertThat(Files.readString(log(number)))
                 .contains("voter started storage=VOTES next=resume")
                 .doesNotContain("can't be read", "cannot be read");
