--- a/src/main/java/lupinwood/cluster/LeaseManager.java
+++ b/src/main/java/lupinwood/cluster/LeaseManager.java
@@ -24,7 +24,7 @@
  * <p>A duty is granted to another node only after its holder reported that it stopped, or has
  * certainly stopped: after the last reply to the holder, the lease plus the clock drift has passed.
  * A new leader can't know when that reply was, so it counts from when it began to lead. The holder
- * itself stops by {@link HeldLeases#mayAct}.
+ * itself stops by {@link HeldLeases#tokenFor}.
  *
  * <p>Not thread-safe: owned by the task loop thread of the cluster's membership, as {@code
  * consensus.RaftReplica} is.
